--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -9,7 +9,7 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from heathwell.lab.budgetday import BudgetDay, random_faults
+from heathwell.testing.simulation.budgetday import BudgetDay, random_faults
 
 
 def day(seed: int) -> tuple[int, list[str], int, int]:
--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -20,8 +20,8 @@
 from hdrh.histogram import HdrHistogram
 
 from heathwell.codec import frames
-from heathwell.lab.processes import ProcessFleet
 from heathwell.settings import load
+from heathwell.testing.simulation.processes import ProcessFleet
 
 TEXT = """
 (class wide (aim 5s) (limit 10s) (work 1us))
--- a/benchmarks/fleetruns.py
+++ b/benchmarks/fleetruns.py
@@ -15,11 +15,11 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from heathwell.audit import judge_budgets
-from heathwell.lab.badday import Day
-from heathwell.lab.drawn import draw_script
-from heathwell.lab.script import load_script
 from heathwell.settings import load
+from heathwell.testing.audit import judge_budgets
+from heathwell.testing.simulation.badday import Day
+from heathwell.testing.simulation.drawn import draw_script
+from heathwell.testing.simulation.script import load_script
 
 MARKET = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
 
--- a/benchmarks/freshness.py
+++ b/benchmarks/freshness.py
@@ -18,9 +18,9 @@
 
 import costs
 
-from heathwell.lab.processes import ProcessFleet
-from heathwell.lab.simulated import HOST_TROUBLES, LAG_TROUBLES, SimulatedDay
 from heathwell.settings import load, loads
+from heathwell.testing.simulation.processes import ProcessFleet
+from heathwell.testing.simulation.simulated import HOST_TROUBLES, LAG_TROUBLES, SimulatedDay
 
 TEXT = """
 (class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (work 40ms){wish})
--- a/benchmarks/keepercost.py
+++ b/benchmarks/keepercost.py
@@ -14,12 +14,12 @@
 import time
 from pathlib import Path
 
+from heathwell.eventloop import Coro, sleep, socket_loop
 from heathwell.fleet.control.fleet_agent import FleetAgent
 from heathwell.fleet.control.parameters import budgets_from_settings, quota_timings_from_settings
 from heathwell.fleet.membership import LocalMember
-from heathwell.kernel import Coro, sleep, socket_loop
-from heathwell.lab.wires import Wires
 from heathwell.settings import load
+from heathwell.testing.simulation.wires import Wires
 
 HOSTS_WANTED = 4  # cold hosts and hosts with further connections, each, that a broker asks for at a time
 MARKET = """
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -11,8 +11,15 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from heathwell.lab import sockets
-from heathwell.lab.regional import LARGE, TROUBLES, VARIANTS, RegionalDay, compare, sent_by_second
+from heathwell.testing.simulation import sockets
+from heathwell.testing.simulation.regional import (
+    LARGE,
+    TROUBLES,
+    VARIANTS,
+    RegionalDay,
+    compare,
+    sent_by_second,
+)
 
 
 def large() -> int:
--- a/benchmarks/rollingload.py
+++ b/benchmarks/rollingload.py
@@ -13,8 +13,8 @@
 from collections import Counter
 from pathlib import Path
 
-from heathwell.audit import judge, read_logs
-from heathwell.lab.rolling import RollingFleet, plant, write_service_settings
+from heathwell.testing.audit import judge, read_logs
+from heathwell.testing.simulation.rolling import RollingFleet, plant, write_service_settings
 
 MARKET = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
 BEFORE, AFTER = 25.0, 20.0  # seconds
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -15,7 +15,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from heathwell.lab.rolling import DEFECTS, RollingFleet, plant, write_service_settings
+from heathwell.testing.simulation.rolling import DEFECTS, RollingFleet, plant, write_service_settings
 
 SETTINGS = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
 RELEASES_PER_FLEET = 6  # releases of one fleet, after which it is put up anew
--- a/benchmarks/settingschanges.py
+++ b/benchmarks/settingschanges.py
@@ -15,8 +15,8 @@
 from collections import Counter
 from pathlib import Path
 
-from heathwell.audit import Event, judge, read_logs
-from heathwell.lab.rolling import RollingFleet, write_service_settings
+from heathwell.testing.audit import Event, judge, read_logs
+from heathwell.testing.simulation.rolling import RollingFleet, write_service_settings
 
 MARKET = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
 # Faults of settings: what is replaced by what. Those that are well formed and harmful are judged by what they
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -16,12 +16,12 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from heathwell.audit import judge, read_logs
-from heathwell.kernel import ConnectFailed, Coro, Net, StreamBroken, sleep, socket_loop
-from heathwell.lab.figures import run_figures
-from heathwell.lab.processes import ProcessFleet
-from heathwell.lab.stormday import HEEDS, IGNORES, MARKET, STORMS, Crowd, Storm, StormDay
+from heathwell.eventloop import ConnectFailed, Coro, Net, StreamBroken, sleep, socket_loop
 from heathwell.settings import loads
+from heathwell.testing.audit import judge, read_logs
+from heathwell.testing.simulation.figures import run_figures
+from heathwell.testing.simulation.processes import ProcessFleet
+from heathwell.testing.simulation.stormday import HEEDS, IGNORES, MARKET, STORMS, Crowd, Storm, StormDay
 
 VARIANTS = ("module alone", "fixed backoff", "damped")
 
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -26,12 +26,12 @@
 import numpy as np
 
 from heathwell.codec import frames
-from heathwell.lab.clients import Clients, arrivals
-from heathwell.lab.processes import ProcessFleet
-from heathwell.lab.script import Load, Mix
-from heathwell.merge import Row, TopK
+from heathwell.service.merging import Row, TopK
 from heathwell.settings import ServiceSettings, loads
-from heathwell.standins.vectors import shard_of
+from heathwell.testing.simulation.clients import Clients, arrivals
+from heathwell.testing.simulation.processes import ProcessFleet
+from heathwell.testing.simulation.script import Load, Mix
+from heathwell.testing.standins.vectors import shard_of
 
 SHARDS = 24
 MARKET = """
--- a/benchmarks/worth.py
+++ b/benchmarks/worth.py
@@ -13,7 +13,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from itertools import product
 
-from heathwell.lab.worthday import DAYS, KINDS, SPANS, VARIANTS, play
+from heathwell.testing.simulation.worthday import DAYS, KINDS, SPANS, VARIANTS, play
 
 
 def main(seed: int, variants: tuple[str, ...]) -> int:
--- a/benchmarks/worthsockets.py
+++ b/benchmarks/worthsockets.py
@@ -14,9 +14,9 @@
 from itertools import product
 from pathlib import Path
 
-from heathwell.audit import judge_budgets
-from heathwell.lab.badday import Day
-from heathwell.lab.script import load_script
+from heathwell.testing.audit import judge_budgets
+from heathwell.testing.simulation.badday import Day
+from heathwell.testing.simulation.script import load_script
 
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples"
 SPANS = {"slow hosts": (6, 13), "cold return": (14, 23), "release": (24, 36)}
--- a/heathwell/benchlink.py
+++ b/heathwell/benchlink.py
@@ -13,8 +13,7 @@
 from typing import Any, TextIO
 
 from heathwell import policy
-from heathwell.policy.aggregator import Aggregator
-from heathwell.settings_from_platform import (
+from heathwell.gateway.settings_from_platform import (
     WireError,
     coded,
     need,
@@ -24,6 +23,7 @@
     share,
     text,
 )
+from heathwell.policy.aggregator import Aggregator
 
 STATES = {
     "live": policy.EndpointState.LIVE,
--- a/heathwell/broker/idle_connections.py
+++ b/heathwell/broker/idle_connections.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from heathwell.kernel import Loop, Timer
+from heathwell.eventloop import Loop, Timer
 
 
 class IdleTime:
--- a/heathwell/broker/query_registry.py
+++ b/heathwell/broker/query_registry.py
@@ -11,7 +11,7 @@
 from heathwell.broker.driver_hooks import DriverHooks, ResultT
 from heathwell.broker.query_state import Handle, PartT, QueryT, SettingsVersion
 from heathwell.broker.replies import OnReply, Reply
-from heathwell.kernel import Event, Loop
+from heathwell.eventloop import Event, Loop
 from heathwell.observability.event_log import EventLog, NoEvents
 from heathwell.policy.aggregator import Aggregator
 
--- a/heathwell/broker/query_state.py
+++ b/heathwell/broker/query_state.py
@@ -8,7 +8,7 @@
 from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey, PlannedPart
 from heathwell.broker.replies import OnReply
-from heathwell.kernel import Timer
+from heathwell.eventloop import Timer
 from heathwell.policy.aggregator import Aggregator
 
 
--- a/heathwell/broker/replies.py
+++ b/heathwell/broker/replies.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from heathwell.coverage import Cover
+from heathwell.service.coverage import Cover
 
 ANSWERED = "answered"
 REFUSED = "refused"
--- a/heathwell/cli/badday.py
+++ b/heathwell/cli/badday.py
@@ -11,11 +11,11 @@
 
 from heathwell.cli.inspect import with_more
 from heathwell.cli.serve import exit_codes, settings_of
-from heathwell.lab.badday import Day, summary
-from heathwell.lab.processes import FleetError
-from heathwell.lab.replay import DayError, script_from
-from heathwell.lab.script import Script, load_script
 from heathwell.settings import ServiceSettings
+from heathwell.testing.simulation.badday import Day, summary
+from heathwell.testing.simulation.processes import FleetError
+from heathwell.testing.simulation.replay import DayError, script_from
+from heathwell.testing.simulation.script import Script, load_script
 
 
 @click.command()
--- a/heathwell/cli/control.py
+++ b/heathwell/cli/control.py
@@ -16,9 +16,9 @@
 import click
 import msgspec
 
-from heathwell import inner_protocol
 from heathwell.cli.serve import Process, serving, settings_of
-from heathwell.codec import frames
+from heathwell.codec import frames, inner_protocol
+from heathwell.eventloop import Coro
 from heathwell.fleet.control.coordinator_metrics import CoordinatorAdminPages
 from heathwell.fleet.control.evacuation_coordinator import evacuation_coordinator_from_settings
 from heathwell.fleet.control.messages import attempt_counts_from_frames
@@ -30,7 +30,6 @@
 from heathwell.fleet.control.quota_coordinator import QuotaCoordinatorServer
 from heathwell.fleet.evacuation import Drill, DrillStage, DrillStageReport, OperatorAction, ZoneState
 from heathwell.fleet.quotas import QuotaCoordinator
-from heathwell.kernel import Coro
 from heathwell.settings import ServiceSettings, SettingsError, load
 
 ANSWER_SECONDS = 3.0
@@ -117,7 +116,7 @@
 
 
 def ask(address: str, question: frames.Message, kind: type[A], seconds: float = ANSWER_SECONDS) -> A:
-    """An operator's question; raises as :func:`heathwell.inner_protocol.ask`."""
+    """An operator's question; raises as :func:`heathwell.codec.inner_protocol.ask`."""
     return inner_protocol.ask(address, f"cli{os.getpid()}", "cli", question, kind, seconds)
 
 
--- a/heathwell/cli/fleet.py
+++ b/heathwell/cli/fleet.py
@@ -11,7 +11,7 @@
 import click
 
 from heathwell.cli.serve import settings_of
-from heathwell.lab.processes import FleetError, ProcessFleet
+from heathwell.testing.simulation.processes import FleetError, ProcessFleet
 
 
 @click.group()
--- a/heathwell/cli/inspect.py
+++ b/heathwell/cli/inspect.py
@@ -6,10 +6,10 @@
 
 import click
 
-from heathwell.audit import Breach, Event, Verdict, judge, judge_ages, judge_budgets, read_logs
-from heathwell.audit.reader import LogError
 from heathwell.cli.serve import settings_of
 from heathwell.settings import schema_page
+from heathwell.testing.audit import Breach, Event, Verdict, judge, judge_ages, judge_budgets, read_logs
+from heathwell.testing.audit.reader import LogError
 
 LOGGED_WITHIN_US = 200  # between the two clock readings that place an answer's age in its log line
 
--- a/heathwell/cli/logs.py
+++ b/heathwell/cli/logs.py
@@ -12,13 +12,15 @@
 from heathwell.settings.schema import Log
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
+# Settings may name a package as it was called before.
+FORMER_PACKAGES = {"heathwell.kernel": "heathwell.eventloop"}
 Logger = Callable[..., None]
 Maker = Callable[..., Logger]
 
 
 def set_up(log: Log) -> Maker:
     """Configure logging; returns a maker of loggers, each called as ``log(level, text, **fields)``."""
-    least = {entry.name: LEVELS[entry.level] for entry in log.modules}
+    least = {FORMER_PACKAGES.get(entry.name, entry.name): LEVELS[entry.level] for entry in log.modules}
     renderer: Any = (
         structlog.processors.JSONRenderer()
         if log.format == "json"
--- a/heathwell/cli/platform.py
+++ b/heathwell/cli/platform.py
@@ -10,8 +10,8 @@
 
 import click
 
-from heathwell.kernel import Coro, sleep
-from heathwell.lab.platform import PlatformError, PlatformFleet
+from heathwell.eventloop import Coro, sleep
+from heathwell.testing.simulation.platform import PlatformError, PlatformFleet
 
 QUERIES = (
     ("price-search", [0, 1, 2, 3], ""),
--- a/heathwell/cli/rollout.py
+++ b/heathwell/cli/rollout.py
@@ -22,6 +22,7 @@
 from heathwell.cli.control import ask
 from heathwell.cli.serve import Process, exit_codes, serving, settings_of
 from heathwell.codec import frames
+from heathwell.eventloop import Coro, sleep
 from heathwell.fleet.control.broker_process import supervise_broker
 from heathwell.fleet.control.fleet_agent import FleetAgent
 from heathwell.fleet.control.node_agent import DesiredVersionRejectedError, NodeAgent
@@ -37,7 +38,6 @@
     Stage,
 )
 from heathwell.fleet.rollout.preflight import preflight_warnings
-from heathwell.kernel import Coro, sleep
 from heathwell.settings import ServiceSettings, SettingsError, load
 from heathwell.settings.check import TIME_US
 
--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -16,15 +16,8 @@
 import click
 
 from heathwell import __version__
-from heathwell.broker.records import module_settings
-from heathwell.broker.service_broker import ServiceBroker
-from heathwell.broker.service_statistics import ServiceStatistics
-from heathwell.broker.settings_change import SettingsChangeError
 from heathwell.cli import logs
-from heathwell.fronts.admin import AdminFront
-from heathwell.fronts.memcached import SPARE, MemcachedFront
-from heathwell.fronts.vector import VectorFront
-from heathwell.kernel import (
+from heathwell.eventloop import (
     Coro,
     Event,
     Listener,
@@ -38,15 +31,22 @@
 )
 from heathwell.observability.digests import program_digest, settings_digest
 from heathwell.observability.event_log import EventLog, FileEvents, NoEvents
+from heathwell.servers.admin import AdminFront
+from heathwell.servers.memcached import SPARE, MemcachedFront
+from heathwell.servers.vector import VectorFront
+from heathwell.service.records import module_settings
+from heathwell.service.service_broker import ServiceBroker
+from heathwell.service.service_statistics import ServiceStatistics
+from heathwell.service.settings_change import SettingsChangeError
 from heathwell.settings import ServiceSettings, SettingsError, load
-from heathwell.standins.discovery import Discovery
-from heathwell.standins.leaf import Leaf
-from heathwell.standins.relay import Relay, RoutedNet
-from heathwell.standins.source import Source
+from heathwell.testing.standins.discovery import Discovery
+from heathwell.testing.standins.leaf import Leaf
+from heathwell.testing.standins.relay import Relay, RoutedNet
+from heathwell.testing.standins.source import Source
 
 if TYPE_CHECKING:
-    from heathwell.broker.zone_observer import ZoneObserver
     from heathwell.fleet.control.fleet_agent import FleetAgent
+    from heathwell.service.zone_observer import ZoneObserver
 
 PACKAGE = Path(__file__).resolve().parent.parent
 HAND_OVER_US = 2_000_000  # for clients to come to a moment at which nothing is asked
@@ -108,7 +108,7 @@
             self.poller.on_signal(number, self._signalled)
 
     def _error(self, task: str, error: BaseException) -> None:
-        self.make_log("heathwell.kernel")("error", "task ended by an error", task=task, exc_info=error)
+        self.make_log("heathwell.eventloop")("error", "task ended by an error", task=task, exc_info=error)
 
     def _signalled(self) -> None:
         self._signals += 1
@@ -333,7 +333,7 @@
     """What makes a broker's zone observer; without evacuation nothing of it is imported."""
     if agent is None or not service_settings.fleet.evacuate:
         return None
-    from heathwell.broker.zone_observer import observe_zones  # noqa: PLC0415
+    from heathwell.service.zone_observer import observe_zones  # noqa: PLC0415
 
     return partial(observe_zones, agent=agent, zone=zone, zone_names=service_settings.fleet.zones, seed=seed)
 
--- a/heathwell/inner_protocol.py
+++ b/heathwell/codec/inner_protocol.py
@@ -10,7 +10,7 @@
 from typing import TypeVar
 
 from heathwell.codec import frames
-from heathwell.kernel import Coro, Stream
+from heathwell.eventloop import Coro, Stream
 
 Heard = Callable[[frames.AnyMessage], None]
 A = TypeVar("A")
--- a/heathwell/kernel/loop.py
+++ b/heathwell/eventloop/loop.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Generator
 from typing import Any, Protocol, TypeVar
 
-from heathwell.kernel.clock import Clock
+from heathwell.eventloop.clock import Clock
 
 T = TypeVar("T")
 Coro = Generator[Any, Any, T]
--- a/heathwell/kernel/net.py
+++ b/heathwell/eventloop/net.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from heathwell.kernel.loop import Abort, Coro, Loop, Task, sleep
+from heathwell.eventloop.loop import Abort, Coro, Loop, Task, sleep
 
 READ_SIZE = 65_536
 HIGH_WATER = 262_144  # bytes queued for sending above which `drain` waits
--- a/heathwell/kernel/sockets.py
+++ b/heathwell/eventloop/sockets.py
@@ -10,9 +10,9 @@
 import struct
 from collections.abc import Callable
 
-from heathwell.kernel.clock import Clock, MonotonicClock
-from heathwell.kernel.loop import Abort, Coro, Loop, Task
-from heathwell.kernel.net import (
+from heathwell.eventloop.clock import Clock, MonotonicClock
+from heathwell.eventloop.loop import Abort, Coro, Loop, Task
+from heathwell.eventloop.net import (
     READ_SIZE,
     ConnectFailed,
     Handler,
--- a/heathwell/kernel/virtual.py
+++ b/heathwell/eventloop/virtual.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from heathwell.kernel.clock import VirtualClock
-from heathwell.kernel.loop import Coro, Loop, Stalled, sleep
-from heathwell.kernel.net import ConnectFailed, Handler, Listener, Stream, StreamBroken
+from heathwell.eventloop.clock import VirtualClock
+from heathwell.eventloop.loop import Coro, Loop, Stalled, sleep
+from heathwell.eventloop.net import ConnectFailed, Handler, Listener, Stream, StreamBroken
 
 WINDOW = 262_144  # bytes on their way or unread that a stream in memory carries in one direction
 
--- a/heathwell/kernel/worker.py
+++ b/heathwell/eventloop/worker.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from heathwell.kernel.loop import Abort, Coro, Loop, Task
+from heathwell.eventloop.loop import Abort, Coro, Loop, Task
 
 
 class Worker:
--- a/heathwell/fleet/control/broker_process.py
+++ b/heathwell/fleet/control/broker_process.py
@@ -15,6 +15,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
+from heathwell.eventloop.net import split_address
 from heathwell.fleet.control.service_report import ServiceReport
 from heathwell.fleet.control.state_file import (
     BrokerState,
@@ -23,7 +24,6 @@
     write_atomically,
 )
 from heathwell.fleet.rollout.broker_supervisor import BrokerSupervisor, SupervisorLimits
-from heathwell.kernel.net import split_address
 
 LISTEN_BACKLOG = 4_096
 STAT_STATE_FIELD = 0  # of /proc/PID/stat, counted behind the command's name
--- a/heathwell/fleet/control/coordinator_metrics.py
+++ b/heathwell/fleet/control/coordinator_metrics.py
@@ -12,9 +12,9 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 
 from heathwell.codec.http import Request, Response
+from heathwell.eventloop import Coro, Stream
 from heathwell.fleet.control.quota_coordinator import QuotaCoordinatorServer
 from heathwell.fleet.membership import MemberState
-from heathwell.kernel import Coro, Stream
 from heathwell.observability.http_pages import PROMETHEUS, serve_pages
 
 
--- a/heathwell/fleet/control/fleet_agent.py
+++ b/heathwell/fleet/control/fleet_agent.py
@@ -13,12 +13,12 @@
 from typing import Protocol
 
 from heathwell.codec import frames
+from heathwell.eventloop import Loop, Net
 from heathwell.fleet.control import messages
 from heathwell.fleet.control.link import MEMBER_ROLE, ControlLink
 from heathwell.fleet.evacuation import BrokerReport, Decision
 from heathwell.fleet.membership import IncarnationEnded, LocalMember
 from heathwell.fleet.quotas import BrokerQuotas, Budget, BudgetKind, QuotaHolder, QuotaTimings
-from heathwell.kernel import Loop, Net
 from heathwell.observability.event_log import EventLog, NoEvents
 
 SILENT_SUSPECT_TIMEOUTS = 2  # a coordinator that is silent for so many is taken for gone
--- a/heathwell/fleet/control/link.py
+++ b/heathwell/fleet/control/link.py
@@ -10,10 +10,9 @@
 import random
 from collections.abc import Callable
 
-from heathwell import inner_protocol
-from heathwell.codec import frames
+from heathwell.codec import frames, inner_protocol
+from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
 from heathwell.fleet.control.messages import MAX_MESSAGE_BYTES
-from heathwell.kernel import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
 
 CONNECT_TIMEOUT_US = 1_000_000
 RECONNECT_INTERVAL_US = 300_000  # mean wait between two attempts
--- a/heathwell/fleet/control/node_agent.py
+++ b/heathwell/fleet/control/node_agent.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from heathwell import inner_protocol
-from heathwell.codec import frames
+from heathwell.codec import frames, inner_protocol
 from heathwell.codec.http import HttpError
+from heathwell.eventloop import ConnectFailed, Coro, Listener, Loop, Net, Stream, StreamBroken, sleep
 from heathwell.fleet.control.broker_process import (
     ProcessLauncher,
     RunningProcess,
@@ -40,7 +40,6 @@
     StopProcess,
     SupervisorAction,
 )
-from heathwell.kernel import ConnectFailed, Coro, Listener, Loop, Net, Stream, StreamBroken, sleep
 from heathwell.observability.digests import program_digest, settings_digest
 
 TICK_INTERVAL_US = 100_000
--- a/heathwell/fleet/control/quota_coordinator.py
+++ b/heathwell/fleet/control/quota_coordinator.py
@@ -12,8 +12,8 @@
 from functools import partial
 from typing import TypeVar
 
-from heathwell import inner_protocol
-from heathwell.codec import frames
+from heathwell.codec import frames, inner_protocol
+from heathwell.eventloop import Coro, Listener, Loop, Net, Stream
 from heathwell.fleet.control import messages
 from heathwell.fleet.control.evacuation_coordinator import EvacuationCoordinator
 from heathwell.fleet.control.link import COORDINATOR_ROLE, ControlLink
@@ -24,7 +24,6 @@
     QuotaError,
     QuotaRenewalReply,
 )
-from heathwell.kernel import Coro, Listener, Loop, Net, Stream
 from heathwell.observability.event_log import EventLog, NoEvents
 
 TICKS_PER_LEASE = 12  # how often a fraction's lease is requested anew, so that some requests may be lost
--- a/heathwell/fleet/control/rollout.py
+++ b/heathwell/fleet/control/rollout.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from heathwell import inner_protocol
-from heathwell.codec import frames
+from heathwell.codec import frames, inner_protocol
+from heathwell.eventloop import Coro, Event, Listener, Loop, Net, Stream
 from heathwell.fleet.control.fleet_view import FleetView
 from heathwell.fleet.control.link import ControlLink
 from heathwell.fleet.control.messages import MAX_MESSAGE_BYTES
@@ -26,7 +26,6 @@
     Transition,
 )
 from heathwell.fleet.rollout.broker_supervisor import SupervisorState
-from heathwell.kernel import Coro, Event, Listener, Loop, Net, Stream
 
 TICK_INTERVAL_US = 200_000
 REPORT_TIMEOUT_US = 10 * TICK_INTERVAL_US  # after which a machine that has not reported counts as lost
--- a/heathwell/fleet/control/service_report.py
+++ b/heathwell/fleet/control/service_report.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from heathwell.codec.http import ClientSide
-from heathwell.kernel import Coro, Net, Stream
+from heathwell.eventloop import Coro, Net, Stream
 
 HTTP_OK = 200
 
--- a/heathwell/gateway/broker.py
+++ b/heathwell/gateway/broker.py
@@ -18,6 +18,7 @@
 from heathwell.broker.query_state import Handle, PartState, QueryState
 from heathwell.broker.replies import ANSWERED, REFUSED, OnReply, Reply
 from heathwell.codec import nodeframes as nf
+from heathwell.eventloop import Loop, Net
 from heathwell.gateway.config import Config
 from heathwell.gateway.discovery import Discovery
 from heathwell.gateway.node_attempts import NodeRequest
@@ -25,7 +26,6 @@
 from heathwell.gateway.node_pool_limit import ConnectionPoolLimit
 from heathwell.gateway.requests import ClientRequest, RequestedPart
 from heathwell.gateway.targets import Targets, endpoint_state, to_endpoint_update
-from heathwell.kernel import Loop, Net
 from heathwell.observability.event_log import EventLog
 
 # Kept back of a client's timeout: the network both ways, and the delay of the loop.
--- a/heathwell/gateway/config.py
+++ b/heathwell/gateway/config.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 
 from heathwell import policy
+from heathwell.eventloop.net import split_address
+from heathwell.gateway.settings_from_platform import WireError, settings_from
 from heathwell.gateway.targets import Targets, TargetsError
-from heathwell.kernel.net import split_address
-from heathwell.settings_from_platform import WireError, settings_from
 
 MIN_SOCKETS = 64
 MAX_NUMBER = 1 << 53
--- a/heathwell/gateway/discovery.py
+++ b/heathwell/gateway/discovery.py
@@ -16,8 +16,8 @@
 from collections.abc import Callable
 
 from heathwell.codec.http import ClientSide, HttpError
+from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
 from heathwell.gateway.targets import Targets, TargetsError
-from heathwell.kernel import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
 
 MAX_HOLD_US = 60_000_000  # of a watch, by the platform's protocol
 CALL_TIMEOUT_US = 1_500_000  # of a call that does not wait
--- a/heathwell/gateway/front.py
+++ b/heathwell/gateway/front.py
@@ -16,9 +16,9 @@
 from heathwell.broker.query_state import Handle
 from heathwell.broker.replies import ANSWERED, REFUSED, Reply
 from heathwell.codec.http import Request, Response, ServerSide
+from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.requests import BadRequestError, RequestChecker
-from heathwell.kernel import Coro, Event, Overrun, Stream, StreamBroken
 
 MAX_HEAD_BYTES = 16_384
 MAX_BODY_BYTES = 65_536
--- a/heathwell/gateway/node_connection.py
+++ b/heathwell/gateway/node_connection.py
@@ -21,6 +21,7 @@
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.broker.idle_connections import IdleTime
 from heathwell.codec import nodeframes as nf
+from heathwell.eventloop import ConnectFailed, Coro, Stream, StreamBroken, Task
 from heathwell.gateway.node_attempts import (
     ABANDONED_ID_RETENTION_US,
     ANSWERED_ID_RETENTION_US,
@@ -30,7 +31,6 @@
     RecentIds,
 )
 from heathwell.gateway.node_owners import ConnectionOwner
-from heathwell.kernel import ConnectFailed, Coro, Stream, StreamBroken, Task
 
 # Fraction of the idle time after which nodes close: ours closes first, so that no part crosses the close.
 IDLE_TIME_FRACTION = 0.8
--- a/heathwell/gateway/node_owners.py
+++ b/heathwell/gateway/node_owners.py
@@ -11,9 +11,9 @@
 from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.codec import nodeframes as nf
+from heathwell.eventloop import Loop, Net
 from heathwell.gateway.config import Connections
 from heathwell.gateway.node_pool_limit import Connection, ConnectionPoolLimit
-from heathwell.kernel import Loop, Net
 
 
 class AttemptOwner(Protocol):
--- a/heathwell/gateway/node_pool.py
+++ b/heathwell/gateway/node_pool.py
@@ -14,12 +14,12 @@
 from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.codec import nodeframes as nf
+from heathwell.eventloop import Loop, Net, Timer
 from heathwell.gateway.config import Connections
 from heathwell.gateway.node_attempts import NodeRequest
 from heathwell.gateway.node_connection import NodeConnection
 from heathwell.gateway.node_owners import AttemptOwner
 from heathwell.gateway.node_pool_limit import Connection, ConnectionPoolLimit
-from heathwell.kernel import Loop, Net, Timer
 
 # Multiple of the usual response time without a byte after which a connection gets no more attempts.
 SILENCE_FACTOR = 4
--- a/heathwell/gateway/process.py
+++ b/heathwell/gateway/process.py
@@ -15,12 +15,12 @@
 from collections.abc import Mapping
 from typing import Any
 
+from heathwell.eventloop import Listener, calm_collector, socket_loop
+from heathwell.eventloop.clock import Clock
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import Config, ConfigError, load
 from heathwell.gateway.front import Front
 from heathwell.gateway.trace import Trace
-from heathwell.kernel import Listener, calm_collector, socket_loop
-from heathwell.kernel.clock import Clock
 
 ACCEPT_AFTER_TERMINATE_US = 600_000  # after SIGTERM, during which clients still connect
 SHUTDOWN_CHECK_INTERVAL_US = 20_000
--- a/heathwell/observability/http_pages.py
+++ b/heathwell/observability/http_pages.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from heathwell.codec.http import Request, Response, ServerSide
-from heathwell.kernel import Coro, Stream
+from heathwell.eventloop import Coro, Stream
 
 PROMETHEUS = "text/plain; version=0.0.4; charset=utf-8"
 
--- a/heathwell/fronts/admin.py
+++ b/heathwell/servers/admin.py
@@ -10,13 +10,13 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 
 from heathwell.broker.replies import Reply
-from heathwell.broker.service_broker import ServiceBroker
-from heathwell.broker.service_records import ServiceQuery
-from heathwell.broker.shard_reachability import MINIMUM_REACHABLE_FRACTION
 from heathwell.codec.http import Request, Response
-from heathwell.fronts.memcached import MemcachedFront
-from heathwell.kernel import Coro, Stream
+from heathwell.eventloop import Coro, Stream
 from heathwell.observability.http_pages import PROMETHEUS, serve_pages
+from heathwell.servers.memcached import MemcachedFront
+from heathwell.service.service_broker import ServiceBroker
+from heathwell.service.service_records import ServiceQuery
+from heathwell.service.shard_reachability import MINIMUM_REACHABLE_FRACTION
 
 JSON = "application/json"
 SPANS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1.0, 1.2, 1.5, 2.0, 3.0)
--- a/heathwell/fronts/memcached.py
+++ b/heathwell/servers/memcached.py
@@ -20,11 +20,11 @@
 from heathwell import __version__
 from heathwell.broker.query_state import Handle
 from heathwell.broker.replies import ANSWERED, FAILED, MISS, Age, Reply
-from heathwell.broker.service_broker import ServiceBroker
 from heathwell.codec import memcached as mc
-from heathwell.coverage import encode
-from heathwell.kernel import Coro, Event, Overrun, Stream, StreamBroken
-from heathwell.storms import Doors
+from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken
+from heathwell.service.coverage import encode
+from heathwell.service.retry_storms import Doors
+from heathwell.service.service_broker import ServiceBroker
 
 # Above the bits that pymemcache and libmemcached give a meaning of their own.
 DRAIN_LOOK_US = 250_000
--- a/heathwell/fronts/vector.py
+++ b/heathwell/servers/vector.py
@@ -16,20 +16,20 @@
 import msgspec
 
 from heathwell import __version__
-from heathwell.admission.cost import cut_batch, search_figures
-from heathwell.broker.key_spaces import consecutive_shards, place
 from heathwell.broker.query_state import Handle
-from heathwell.broker.records import PartPlan, Plan, SearchPlan
 from heathwell.broker.replies import ANSWERED, REFUSED, Reply
-from heathwell.broker.service_broker import ServiceBroker
 from heathwell.codec.http import Request, Response, ServerSide
-from heathwell.fronts import vector_api as api
-from heathwell.fronts.memcached import DRAIN_LOOK_US
-from heathwell.kernel import Coro, Event, Overrun, Stream, StreamBroken, sleep
-from heathwell.merge import Merged, TopK
+from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken, sleep
+from heathwell.servers import vector_api as api
+from heathwell.servers.memcached import DRAIN_LOOK_US
+from heathwell.service.admission.cost import cut_batch, search_figures
+from heathwell.service.key_spaces import consecutive_shards, place
+from heathwell.service.merging import Merged, TopK
+from heathwell.service.records import PartPlan, Plan, SearchPlan
+from heathwell.service.retry_storms import Doors
+from heathwell.service.service_broker import ServiceBroker
+from heathwell.service.vectors.wire import OP
 from heathwell.settings.schema import Collection
-from heathwell.storms import Doors
-from heathwell.vectors.wire import OP
 
 HELD_MOST = 1 << 18  # bytes read ahead of a request that is at work
 SLOW_START = 4  # chunks answered for each further one that is out at once
@@ -323,7 +323,7 @@
         self, spec: Collection, searches: Sequence[api.Search], request: Request, timeout: int, batch: bool
     ) -> Coro[tuple[list[Reply], list[Merged]]]:
         """Ask the broker for all searches, cut by cost; raises
-        :class:`~heathwell.fronts.vector_api.ApiError`.
+        :class:`~heathwell.servers.vector_api.ApiError`.
         """
         broker = self.front.broker
         model = broker.costs.model(f"vector:{spec.name}", float(spec.work), 4)
--- a/heathwell/fronts/vector_api.py
+++ b/heathwell/servers/vector_api.py
@@ -19,12 +19,12 @@
 
 from heathwell.broker.replies import Reply
 from heathwell.codec.http import Request, Response
-from heathwell.fronts.memcached import age_words
-from heathwell.merge import Merged
+from heathwell.servers.memcached import age_words
+from heathwell.service.merging import Merged
+from heathwell.service.vectors.filters import FilterError
+from heathwell.service.vectors.filters import check as check_filter
+from heathwell.service.vectors.wire import Hit, SearchAsk, Want, encode
 from heathwell.settings.schema import Collection, Vector
-from heathwell.vectors.filters import FilterError
-from heathwell.vectors.filters import check as check_filter
-from heathwell.vectors.wire import Hit, SearchAsk, Want, encode
 
 JSON = "application/json"
 FLOAT_MOST = 3.4e38
--- a/heathwell/admission/__init__.py
+++ b/heathwell/service/admission/__init__.py
@@ -2,8 +2,8 @@
 deciders.
 """
 
-from heathwell.admission.cost import CostModel, Costs
-from heathwell.admission.fair import GO, REFUSE, WAIT, FairGate
-from heathwell.admission.window import Window
+from heathwell.service.admission.cost import CostModel, Costs
+from heathwell.service.admission.fair import GO, REFUSE, WAIT, FairGate
+from heathwell.service.admission.window import Window
 
 __all__ = ["GO", "REFUSE", "WAIT", "CostModel", "Costs", "FairGate", "Window"]
--- a/heathwell/admission/fair.py
+++ b/heathwell/service/admission/fair.py
@@ -15,7 +15,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from heathwell.admission.window import Window
+from heathwell.service.admission.window import Window
 
 GO, WAIT, REFUSE = "go", "wait", "refuse"
 STAY_GAIN = 0.05
--- a/heathwell/broker/answer_freshness.py
+++ b/heathwell/service/answer_freshness.py
@@ -9,12 +9,12 @@
 from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.broker.replies import Age
-from heathwell.broker.service_records import ServicePart, ServiceQuery
-from heathwell.broker.settings_change import ServiceSnapshot
 from heathwell.codec import frames
-from heathwell.freshness import Freshness, SourceClock, Watermark, make_token
-from heathwell.kernel import Loop
+from heathwell.eventloop import Loop
 from heathwell.observability.event_log import EventLog
+from heathwell.service.freshness import Freshness, SourceClock, Watermark, make_token
+from heathwell.service.service_records import ServicePart, ServiceQuery
+from heathwell.service.settings_change import ServiceSnapshot
 
 
 class FreshnessBroker(Protocol):
--- a/heathwell/broker/discovery.py
+++ b/heathwell/service/discovery.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from heathwell import inner_protocol, policy
-from heathwell.codec import frames
-from heathwell.kernel import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
+from heathwell import policy
+from heathwell.codec import frames, inner_protocol
+from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
 
 RECONNECT_US = 500_000
 STATES = {
--- a/heathwell/broker/endpoint_connections.py
+++ b/heathwell/service/endpoint_connections.py
@@ -6,10 +6,10 @@
 from functools import partial
 from typing import Protocol
 
-from heathwell.broker.host_link import AttemptObserver, HostLink
-from heathwell.broker.host_pool import HostPool
-from heathwell.broker.quota_gate import CONNECTIONS, QuotaGate
-from heathwell.kernel import Loop, Net
+from heathwell.eventloop import Loop, Net
+from heathwell.service.host_link import AttemptObserver, HostLink
+from heathwell.service.host_pool import HostPool
+from heathwell.service.quota_gate import CONNECTIONS, QuotaGate
 from heathwell.settings import ServiceSettings
 from heathwell.settings.schema import Limits
 
--- a/heathwell/broker/endpoint_restrictions.py
+++ b/heathwell/service/endpoint_restrictions.py
@@ -13,9 +13,9 @@
 
 from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey
-from heathwell.kernel import Loop
+from heathwell.eventloop import Loop
 from heathwell.observability.event_log import EventLog
-from heathwell.regions import Regions, Way
+from heathwell.service.regions import Regions, Way
 from heathwell.settings import ServiceSettings
 
 TICK_INTERVAL_US = 25_000  # between two looks at the links between regions
--- a/heathwell/broker/fair_admission.py
+++ b/heathwell/service/fair_admission.py
@@ -7,10 +7,10 @@
 from typing import Protocol
 
 from heathwell import policy
-from heathwell.admission import GO, WAIT, FairGate, Window
-from heathwell.broker.query_cost import query_cost_us
-from heathwell.broker.service_records import ServiceQuery
-from heathwell.kernel import Loop, Timer
+from heathwell.eventloop import Loop, Timer
+from heathwell.service.admission import GO, WAIT, FairGate, Window
+from heathwell.service.query_cost import query_cost_us
+from heathwell.service.service_records import ServiceQuery
 from heathwell.settings import ServiceSettings
 
 GATE_SEED_MASK = 0xFA1E
--- a/heathwell/freshness/replicas.py
+++ b/heathwell/service/freshness/replicas.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from heathwell.freshness.clock import SourceClock
+from heathwell.service.freshness.clock import SourceClock
 
 GAIN = 0.25  # weight of one observation in a replica's lag: a replica falls behind within seconds
 SPREAD = 2.0  # mean deviations above the estimate that a replica is expected to stay under
--- a/heathwell/broker/host_link.py
+++ b/heathwell/service/host_link.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from heathwell import inner_protocol, policy
+from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.broker.idle_connections import IdleTime
-from heathwell.codec import frames
-from heathwell.kernel import ConnectFailed, Coro, Loop, Net, Overrun, Stream, StreamBroken, Task, Timer
+from heathwell.codec import frames, inner_protocol
+from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Overrun, Stream, StreamBroken, Task, Timer
 
 OUTCOMES = {"ok": policy.Outcome.OK, "error": policy.Outcome.ERROR, "full": policy.Outcome.REJECTED}
 HEARTBEATS_PER_TIMEOUT = 4  # pings within the time after which an endpoint closes a silent connection
--- a/heathwell/broker/host_pool.py
+++ b/heathwell/service/host_pool.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 
 from heathwell.broker.driver_contract import AttemptKey
-from heathwell.broker.host_link import HostLink
 from heathwell.codec import frames
-from heathwell.kernel import Loop
+from heathwell.eventloop import Loop
+from heathwell.service.host_link import HostLink
 
 WHERE_MOST = 256  # attempts noted, ended ones included, from which those are forgotten
 
--- a/heathwell/broker/key_spaces.py
+++ b/heathwell/service/key_spaces.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from heathwell.broker.records import PartPlan, Plan
-from heathwell.freshness import TokenError, read_token
+from heathwell.service.freshness import TokenError, read_token
+from heathwell.service.records import PartPlan, Plan
 from heathwell.settings import ServiceSettings
 from heathwell.settings.schema import KeySpace
 
--- a/heathwell/broker/query_admission.py
+++ b/heathwell/service/query_admission.py
@@ -8,11 +8,11 @@
 from typing import Protocol
 
 from heathwell import policy
-from heathwell.broker.query_cost import query_cost_us
 from heathwell.broker.query_state import SettingsVersion
-from heathwell.broker.records import PartPlan, Plan
-from heathwell.broker.shard_reachability import ShardReachability
-from heathwell.broker.storm_control import StormControl
+from heathwell.service.query_cost import query_cost_us
+from heathwell.service.records import PartPlan, Plan
+from heathwell.service.shard_reachability import ShardReachability
+from heathwell.service.storm_control import StormControl
 from heathwell.settings import ServiceSettings
 
 # Of a class's mean latency of a part: no answer is expected within less.
--- a/heathwell/broker/query_cost.py
+++ b/heathwell/service/query_cost.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from heathwell.broker.query_state import SettingsVersion
-from heathwell.broker.records import Plan
-from heathwell.broker.settings_change import ServiceSnapshot
+from heathwell.service.records import Plan
+from heathwell.service.settings_change import ServiceSnapshot
 
 ROUNDING_UP = 0.999
 
--- a/heathwell/broker/query_explanations.py
+++ b/heathwell/service/query_explanations.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from heathwell.broker.answer_freshness import AnswerFreshness
 from heathwell.broker.replies import Reply
-from heathwell.broker.service_records import ServicePart, ServiceQuery
+from heathwell.service.answer_freshness import AnswerFreshness
+from heathwell.service.service_records import ServicePart, ServiceQuery
 
 MICROSECONDS_PER_MILLISECOND = 1000
 
--- a/heathwell/broker/quota_gate.py
+++ b/heathwell/service/quota_gate.py
@@ -13,8 +13,8 @@
 from typing import Protocol
 
 from heathwell import policy
-from heathwell.broker.host_pool import HostPool
-from heathwell.kernel import Loop
+from heathwell.eventloop import Loop
+from heathwell.service.host_pool import HostPool
 
 AttemptKey = tuple[str, int]
 
--- a/heathwell/broker/records.py
+++ b/heathwell/service/records.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from heathwell import policy
-from heathwell.merge import TopK
+from heathwell.service.merging import TopK
 from heathwell.settings import ServiceSettings
 
 
--- a/heathwell/regions/__init__.py
+++ b/heathwell/service/regions/__init__.py
@@ -2,8 +2,8 @@
 come back.
 """
 
-from heathwell.regions.clients import ClientDrain
-from heathwell.regions.links import DOWN, HALF, OPEN, SLOW, LinkState, Regions, Way
-from heathwell.regions.reach import answerable
+from heathwell.service.regions.clients import ClientDrain
+from heathwell.service.regions.links import DOWN, HALF, OPEN, SLOW, LinkState, Regions, Way
+from heathwell.service.regions.reach import answerable
 
 __all__ = ["DOWN", "HALF", "OPEN", "SLOW", "ClientDrain", "LinkState", "Regions", "Way", "answerable"]
--- a/heathwell/broker/reply_merging.py
+++ b/heathwell/service/reply_merging.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 from heathwell import policy
-from heathwell.broker import key_spaces
-from heathwell.broker.records import SearchPlan
 from heathwell.broker.replies import ANSWERED, MISS, Age, Coverage, Reply
-from heathwell.broker.service_records import ServicePart, ServiceQuery
-from heathwell.coverage import Cover
+from heathwell.service import key_spaces
+from heathwell.service.coverage import Cover
+from heathwell.service.records import SearchPlan
+from heathwell.service.service_records import ServicePart, ServiceQuery
 
 WEIGHT_DIGITS = 6
 RECORD_SHAPE = "record"
@@ -80,7 +80,7 @@
 
 
 def _search_rows(query: ServiceQuery, search: SearchPlan) -> dict[str, Any]:
-    """A search's merged rows, one :class:`~heathwell.merge.Merged` a search."""
+    """A search's merged rows, one :class:`~heathwell.service.merging.Merged` a search."""
     missing = [part.id for part in query.parts.values() if part.data is None]
     usual_points = search.top.usual_points()
     return {
--- a/heathwell/storms/decider.py
+++ b/heathwell/service/retry_storms/decider.py
@@ -22,8 +22,8 @@
 from collections import deque
 from dataclasses import dataclass
 
-from heathwell.storms.advice import Calendar
-from heathwell.storms.sketch import Recent, Sketch, hashed
+from heathwell.service.retry_storms.advice import Calendar
+from heathwell.service.retry_storms.sketch import Recent, Sketch, hashed
 
 CALM, BUILDING, STORM, DRAINING = "calm", "building", "storm", "draining"
 FIRST, HEEDED, EARLY, AGAIN = "first", "heeded", "early", "again"
--- a/heathwell/broker/search_answers.py
+++ b/heathwell/service/search_answers.py
@@ -11,14 +11,14 @@
 import msgspec
 
 from heathwell import policy
-from heathwell.admission import Costs
 from heathwell.broker.driver_contract import AttemptKey
-from heathwell.broker.records import SearchPlan
-from heathwell.broker.service_records import ServicePart, ServiceQuery
 from heathwell.codec import frames
-from heathwell.merge import Malformed, Row
 from heathwell.observability.event_log import EventLog
-from heathwell.vectors.wire import read_answer
+from heathwell.service.admission import Costs
+from heathwell.service.merging import Malformed, Row
+from heathwell.service.records import SearchPlan
+from heathwell.service.service_records import ServicePart, ServiceQuery
+from heathwell.service.vectors.wire import read_answer
 
 INITIAL_COST = 1.0
 
--- a/heathwell/broker/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -7,42 +7,42 @@
 from typing import TYPE_CHECKING, Any
 
 from heathwell import policy
-from heathwell.admission import Costs, FairGate
-from heathwell.broker import key_spaces
-from heathwell.broker.answer_freshness import AnswerFreshness
-from heathwell.broker.discovery import DiscoveryClient
 from heathwell.broker.driver import Driver
 from heathwell.broker.driver_contract import AttemptKey
-from heathwell.broker.endpoint_connections import EndpointConnections
-from heathwell.broker.endpoint_restrictions import EndpointRestrictions
-from heathwell.broker.fair_admission import FairAdmission
-from heathwell.broker.host_link import HostLink
-from heathwell.broker.host_pool import HostPool
-from heathwell.broker.query_admission import Admission, AdmissionRejectedError, QueryAdmission
-from heathwell.broker.query_cost import part_work_us, query_cost_us
-from heathwell.broker.query_explanations import ExplainedQuery, QueryExplanations
 from heathwell.broker.query_state import Handle
-from heathwell.broker.quota_gate import Agent, QuotaGate
-from heathwell.broker.records import PartPlan, Plan, module_settings
 from heathwell.broker.replies import ANSWERED, FAILED, MISS, REFUSED, OnReply, Reply
-from heathwell.broker.reply_merging import UnmergeablePartsError, merge_reply
-from heathwell.broker.search_answers import SearchAnswers
-from heathwell.broker.service_records import ServicePart, ServiceQuery
-from heathwell.broker.service_statistics import ServiceStatistics
-from heathwell.broker.settings_change import ServiceSnapshot, check_settings_change
-from heathwell.broker.shard_reachability import ShardReachability
-from heathwell.broker.source_clock import SourceClockClient
-from heathwell.broker.storm_control import StormControl
 from heathwell.codec import frames
-from heathwell.kernel import Listener, Loop, Net
+from heathwell.eventloop import Listener, Loop, Net
 from heathwell.observability.event_log import EventLog
 from heathwell.policy.records import Endpoint
-from heathwell.regions import ClientDrain, Regions
+from heathwell.service import key_spaces
+from heathwell.service.admission import Costs, FairGate
+from heathwell.service.answer_freshness import AnswerFreshness
+from heathwell.service.discovery import DiscoveryClient
+from heathwell.service.endpoint_connections import EndpointConnections
+from heathwell.service.endpoint_restrictions import EndpointRestrictions
+from heathwell.service.fair_admission import FairAdmission
+from heathwell.service.host_link import HostLink
+from heathwell.service.host_pool import HostPool
+from heathwell.service.query_admission import Admission, AdmissionRejectedError, QueryAdmission
+from heathwell.service.query_cost import part_work_us, query_cost_us
+from heathwell.service.query_explanations import ExplainedQuery, QueryExplanations
+from heathwell.service.quota_gate import Agent, QuotaGate
+from heathwell.service.records import PartPlan, Plan, module_settings
+from heathwell.service.regions import ClientDrain, Regions
+from heathwell.service.reply_merging import UnmergeablePartsError, merge_reply
+from heathwell.service.retry_storms import Storms
+from heathwell.service.search_answers import SearchAnswers
+from heathwell.service.service_records import ServicePart, ServiceQuery
+from heathwell.service.service_statistics import ServiceStatistics
+from heathwell.service.settings_change import ServiceSnapshot, check_settings_change
+from heathwell.service.shard_reachability import ShardReachability
+from heathwell.service.source_clock import SourceClockClient
+from heathwell.service.storm_control import StormControl
 from heathwell.settings import ServiceSettings
-from heathwell.storms import Storms
 
 if TYPE_CHECKING:
-    from heathwell.broker.zone_observer import ZoneObserver
+    from heathwell.service.zone_observer import ZoneObserver
 
 
 class ServiceBroker(Driver[ServiceQuery, ServicePart, frames.Result]):
--- a/heathwell/broker/service_records.py
+++ b/heathwell/service/service_records.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from heathwell.broker.query_state import PartState, QueryState
-from heathwell.broker.records import PartPlan, Plan
+from heathwell.service.records import PartPlan, Plan
 
 
 @dataclass(slots=True)
--- a/heathwell/broker/settings_change.py
+++ b/heathwell/service/settings_change.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from heathwell.broker.key_spaces import KeySpaces
-from heathwell.freshness import Policy
+from heathwell.service.freshness import Policy
+from heathwell.service.key_spaces import KeySpaces
 from heathwell.settings import ServiceSettings
 
 # Sections that may change between two batches, and of the limits those that may not.
--- a/heathwell/broker/shard_reachability.py
+++ b/heathwell/service/shard_reachability.py
@@ -6,10 +6,10 @@
 from typing import Protocol
 
 from heathwell import policy
-from heathwell.broker.endpoint_restrictions import HOME_REGION_ONLY, EndpointRestrictions
-from heathwell.broker.records import PartPlan, Plan
-from heathwell.kernel import Loop
-from heathwell.regions import answerable
+from heathwell.eventloop import Loop
+from heathwell.service.endpoint_restrictions import HOME_REGION_ONLY, EndpointRestrictions
+from heathwell.service.records import PartPlan, Plan
+from heathwell.service.regions import answerable
 from heathwell.settings import ServiceSettings
 
 UPDATE_DELAY_US = 25_000  # after an endpoint update, by when the module has taken it in
--- a/heathwell/broker/source_clock.py
+++ b/heathwell/service/source_clock.py
@@ -4,10 +4,9 @@
 
 from collections.abc import Callable
 
-from heathwell import inner_protocol
-from heathwell.codec import frames
-from heathwell.freshness import SourceClock
-from heathwell.kernel import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
+from heathwell.codec import frames, inner_protocol
+from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
+from heathwell.service.freshness import SourceClock
 
 MAXIMUM_ROUND_TRIP_US = 2_000_000  # a slower reply bounds the clock too loosely to be used
 FIRST_SAMPLES = 4  # in quick succession, so that the first bound is the tightest of a few
--- a/heathwell/broker/storm_control.py
+++ b/heathwell/service/storm_control.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from heathwell.kernel import Listener, Loop
+from heathwell.eventloop import Listener, Loop
 from heathwell.observability.event_log import EventLog
+from heathwell.service.retry_storms import Limits, Storms
+from heathwell.service.retry_storms.decider import TICK_US
 from heathwell.settings import ServiceSettings
-from heathwell.storms import Limits, Storms
-from heathwell.storms.decider import TICK_US
 
 STORM_SEED_MASK = 0x570
 STORM_STATE = "storm"
--- a/heathwell/vectors/filters.py
+++ b/heathwell/service/vectors/filters.py
@@ -1,5 +1,5 @@
 """Payload filters of the search API, checked once at the broker; hosts evaluate them
-(:mod:`heathwell.vectors.masks`).
+(:mod:`heathwell.service.vectors.masks`).
 
 Supported: ``must``, ``should``, ``must_not``, ``min_should``, nested filters; ``match`` (value, any, except),
 ``range``, ``values_count``, ``is_empty``, ``is_null``, ``has_id``. What is not served is refused by name.
--- a/heathwell/vectors/masks.py
+++ b/heathwell/service/vectors/masks.py
@@ -10,7 +10,7 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from heathwell.vectors.filters import listed
+from heathwell.service.vectors.filters import listed
 
 Mask = NDArray[np.bool_]
 
--- a/heathwell/vectors/shard.py
+++ b/heathwell/service/vectors/shard.py
@@ -14,8 +14,18 @@
 from numpy.typing import NDArray
 from usearch.index import Index
 
-from heathwell.vectors.masks import Columns, mask_of
-from heathwell.vectors.wire import COSINE, DOT, EUCLID, EXACT, HNSW, Hit, SearchAnswer, SearchAsk, Want
+from heathwell.service.vectors.masks import Columns, mask_of
+from heathwell.service.vectors.wire import (
+    COSINE,
+    DOT,
+    EUCLID,
+    EXACT,
+    HNSW,
+    Hit,
+    SearchAnswer,
+    SearchAsk,
+    Want,
+)
 
 Floats = NDArray[np.float32]
 EXPANSION = 64  # candidates that a search of the index keeps at the least
--- a/heathwell/broker/zone_observer.py
+++ b/heathwell/service/zone_observer.py
@@ -14,6 +14,7 @@
 from typing import Protocol
 
 from heathwell import policy
+from heathwell.eventloop import Loop
 from heathwell.fleet.evacuation import (
     PROBE_CLASS,
     AttemptResult,
@@ -23,7 +24,6 @@
     ZoneDirective,
     ZoneState,
 )
-from heathwell.kernel import Loop
 from heathwell.observability.event_log import EventLog
 
 TICK_INTERVAL_US = 500_000
--- a/heathwell/audit/budgets.py
+++ b/heathwell/testing/audit/budgets.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from heathwell.audit.reader import Event
+from heathwell.testing.audit.reader import Event
 
 SLACK_US = 2_000  # between a deed and its line
 ROUNDING = 1_000  # thousandths: a unit is taken whole
--- a/heathwell/audit/freshness.py
+++ b/heathwell/testing/audit/freshness.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from statistics import quantiles
 
-from heathwell.audit.reader import Event
-from heathwell.audit.rules import Breach
+from heathwell.testing.audit.reader import Event
+from heathwell.testing.audit.rules import Breach
 
 
 @dataclass(slots=True)
--- a/heathwell/audit/rules.py
+++ b/heathwell/testing/audit/rules.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from heathwell.audit.reader import Event
+from heathwell.testing.audit.reader import Event
 
 NEVER_RAN = ("full_up", "unreachable", "never_sent")
 BAD = ("draining", "gone")
--- a/heathwell/modelcheck/__init__.py
+++ b/heathwell/testing/modelcheck/__init__.py
@@ -5,6 +5,6 @@
 ``heathwell.fleet.quotas`` and the standard library; only tests import this package.
 """
 
-from heathwell.modelcheck.explorer import Exploration, InvariantViolation, Model, Transition, explore
+from heathwell.testing.modelcheck.explorer import Exploration, InvariantViolation, Model, Transition, explore
 
 __all__ = ["Exploration", "InvariantViolation", "Model", "Transition", "explore"]
--- a/heathwell/modelcheck/lease_model.py
+++ b/heathwell/testing/modelcheck/lease_model.py
@@ -26,8 +26,8 @@
     LeaseVoter,
     QuotaHolder,
 )
-from heathwell.modelcheck.explorer import Transition
-from heathwell.modelcheck.lease_state import (
+from heathwell.testing.modelcheck.explorer import Transition
+from heathwell.testing.modelcheck.lease_state import (
     BROKER_COUNT,
     COORDINATOR_COUNT,
     CoordinatorState,
--- a/heathwell/lab/badday.py
+++ b/heathwell/testing/simulation/badday.py
@@ -13,14 +13,14 @@
 from pathlib import Path
 from typing import Any
 
-from heathwell.audit import Event, Verdict, judge, read_logs
 from heathwell.codec import frames
-from heathwell.lab.clients import Arrival, Clients, Outcome, arrivals
-from heathwell.lab.figures import run_figures
-from heathwell.lab.processes import FleetError, ProcessFleet
-from heathwell.lab.script import HOST_TROUBLES, WAY_TROUBLES, Script, Step, named
-from heathwell.lab.wires import WireError, Wires
 from heathwell.settings import ServiceSettings
+from heathwell.testing.audit import Event, Verdict, judge, read_logs
+from heathwell.testing.simulation.clients import Arrival, Clients, Outcome, arrivals
+from heathwell.testing.simulation.figures import run_figures
+from heathwell.testing.simulation.processes import FleetError, ProcessFleet
+from heathwell.testing.simulation.script import HOST_TROUBLES, WAY_TROUBLES, Script, Step, named
+from heathwell.testing.simulation.wires import WireError, Wires
 
 KINDS = ("on time", "late", "partial", "refused", "failed", "lost", "broken", "no broker")
 WINDOW = 5.0
--- a/heathwell/lab/figures.py
+++ b/heathwell/testing/simulation/figures.py
@@ -6,7 +6,7 @@
 
 from heathwell.fleet.control.parameters import budgets_from_settings
 from heathwell.settings import ServiceSettings
-from heathwell.standins.source import OFFSET_US
+from heathwell.testing.standins.source import OFFSET_US
 
 
 def run_figures(service_settings: ServiceSettings) -> dict[str, Any]:
--- a/heathwell/lab/fleet.py
+++ b/heathwell/testing/simulation/fleet.py
@@ -6,8 +6,7 @@
 from functools import partial
 from typing import Any, Protocol
 
-from heathwell.broker.service_broker import ServiceBroker
-from heathwell.broker.zone_observer import ZoneObserver, observe_zones
+from heathwell.eventloop import Listener, Loop, Net
 from heathwell.fleet.control.evacuation_coordinator import (
     EvacuationCoordinator,
     evacuation_coordinator_from_settings,
@@ -17,15 +16,16 @@
 from heathwell.fleet.control.quota_coordinator import QuotaCoordinatorServer
 from heathwell.fleet.membership import LocalMember
 from heathwell.fleet.quotas import QuotaCoordinator
-from heathwell.fronts.admin import AdminFront
-from heathwell.fronts.memcached import SPARE, MemcachedFront
-from heathwell.fronts.vector import VectorFront
-from heathwell.kernel import Listener, Loop, Net
 from heathwell.observability.event_log import EventLog, ListEvents, NoEvents
+from heathwell.servers.admin import AdminFront
+from heathwell.servers.memcached import SPARE, MemcachedFront
+from heathwell.servers.vector import VectorFront
+from heathwell.service.service_broker import ServiceBroker
+from heathwell.service.zone_observer import ZoneObserver, observe_zones
 from heathwell.settings import ServiceSettings
-from heathwell.standins.discovery import Discovery
-from heathwell.standins.leaf import Leaf
-from heathwell.standins.source import Source
+from heathwell.testing.standins.discovery import Discovery
+from heathwell.testing.standins.leaf import Leaf
+from heathwell.testing.standins.source import Source
 
 
 class RunningKeeper:
--- a/heathwell/lab/manybrokers.py
+++ b/heathwell/testing/simulation/manybrokers.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
+from heathwell.eventloop import Coro, Listener, StreamBroken, sleep, virtual_loop
+from heathwell.eventloop.net import ConnectFailed
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import Config, read
 from heathwell.gateway.front import Front
-from heathwell.kernel import Coro, Listener, StreamBroken, sleep, virtual_loop
-from heathwell.kernel.net import ConnectFailed
-from heathwell.lab.platform import SETUP, config_of
-from heathwell.standins.platform import Client, Node, Registry
+from heathwell.testing.simulation.platform import SETUP, config_of
+from heathwell.testing.standins.platform import Client, Node, Registry
 
 UNIX_US = 1_700_000_000_000_000
 
--- a/heathwell/lab/processes.py
+++ b/heathwell/testing/simulation/processes.py
@@ -12,10 +12,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from heathwell import inner_protocol
-from heathwell.codec import frames
-from heathwell.lab.wires import Wires
+from heathwell.codec import frames, inner_protocol
 from heathwell.settings import ServiceSettings
+from heathwell.testing.simulation.wires import Wires
 
 START_SECONDS = 30.0
 RUNS = ("broker", "keeper")  # roles whose runs have names of their own, and so logs of their own
--- a/heathwell/lab/regional.py
+++ b/heathwell/testing/simulation/regional.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from heathwell.kernel import Coro, sleep
-from heathwell.lab.simulated import SimulatedDay
+from heathwell.eventloop import Coro, sleep
 from heathwell.settings import ServiceSettings, loads
-from heathwell.standins.relay import lost_wait
+from heathwell.testing.simulation.simulated import SimulatedDay
+from heathwell.testing.standins.relay import lost_wait
 
 BEFORE, TROUBLE, AFTER = 10.0, 15.0, 20.0
 LOSS = 0.05  # share of packets
--- a/heathwell/lab/replay.py
+++ b/heathwell/testing/simulation/replay.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from heathwell.lab.script import Load, Mix, Script, Step
 from heathwell.settings import ServiceSettings
+from heathwell.testing.simulation.script import Load, Mix, Script, Step
 
 
 class DayError(Exception):
--- a/heathwell/lab/rolling.py
+++ b/heathwell/testing/simulation/rolling.py
@@ -20,17 +20,17 @@
 from pathlib import Path
 from typing import Any
 
-from heathwell import inner_protocol
-from heathwell.codec import frames
+import heathwell
+from heathwell.codec import frames, inner_protocol
 from heathwell.fleet.control.broker_process import process_start_ticks
-from heathwell.lab.clients import Clients, arrivals
-from heathwell.lab.figures import run_figures
-from heathwell.lab.processes import FleetError, ProcessFleet
-from heathwell.lab.script import Load, Mix
-from heathwell.lab.wires import Wires
 from heathwell.settings import ServiceSettings, load
+from heathwell.testing.simulation.clients import Clients, arrivals
+from heathwell.testing.simulation.figures import run_figures
+from heathwell.testing.simulation.processes import FleetError, ProcessFleet
+from heathwell.testing.simulation.script import Load, Mix
+from heathwell.testing.simulation.wires import Wires
 
-PACKAGE = Path(__file__).resolve().parent.parent
+PACKAGE = Path(heathwell.__file__).resolve().parent
 # The example of a fleet with budgets, for agents' brokers: none of its own, and room for those of two
 # versions.
 SWAPS = (
@@ -53,20 +53,20 @@
     ),
     "dies on SIGTERM": ("cli/serve.py", "        self._signals += 1\n", "        os._exit(1)\n"),
     "a class worse": (
-        "broker/query_admission.py",
+        "service/query_admission.py",
         ADMISSION,
         ADMISSION + "        spec = self._broker.settings.classes[plan.query_class]\n"
         "        if sum(plan.key.encode()) % 8 == 0 and spec.name == 'price-search':\n"
         "            raise AdmissionRejectedError(RejectionReason.FULL, 0)\n",
     ),
     "twice the processor": (
-        "broker/service_broker.py",
+        "service/service_broker.py",
         FINAL,
         FINAL + "        import time\n        end = time.process_time() + 0.02\n"
         "        while time.process_time() < end:\n            pass\n",
     ),
     "leaks": (
-        "broker/service_broker.py",
+        "service/service_broker.py",
         FINAL,
         FINAL + "        self.__dict__.setdefault('leak', []).append(bytearray(3_000_000))\n",
     ),
--- a/heathwell/lab/searches.py
+++ b/heathwell/testing/simulation/searches.py
@@ -11,9 +11,9 @@
 
 import h11
 
-from heathwell.kernel import ConnectFailed, Coro, Stream, StreamBroken, sleep
-from heathwell.lab.simulated import HOST_TROUBLES, SimulatedDay
+from heathwell.eventloop import ConnectFailed, Coro, Stream, StreamBroken, sleep
 from heathwell.settings import ServiceSettings
+from heathwell.testing.simulation.simulated import HOST_TROUBLES, SimulatedDay
 
 SEARCH_TROUBLES: tuple[tuple[str, float, float], ...] = (*HOST_TROUBLES, ("spoil", 0.0, 4.0))
 
--- a/heathwell/lab/simulated.py
+++ b/heathwell/testing/simulation/simulated.py
@@ -9,18 +9,18 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from heathwell.audit import AgeVerdict, Verdict, judge, judge_ages
-from heathwell.audit.reader import from_lines
 from heathwell.codec import frames
+from heathwell.eventloop import ConnectFailed, Coro, HostNet, Stream, StreamBroken, sleep, virtual_loop
 from heathwell.fleet.control.evacuation_coordinator import (
     EvacuationCoordinator,
     evacuation_coordinator_from_settings,
 )
-from heathwell.kernel import ConnectFailed, Coro, HostNet, Stream, StreamBroken, sleep, virtual_loop
-from heathwell.lab.figures import run_figures
-from heathwell.lab.fleet import LocalFleet
 from heathwell.settings import ServiceSettings
-from heathwell.standins.leaf import Leaf
+from heathwell.testing.audit import AgeVerdict, Verdict, judge, judge_ages
+from heathwell.testing.audit.reader import from_lines
+from heathwell.testing.simulation.figures import run_figures
+from heathwell.testing.simulation.fleet import LocalFleet
+from heathwell.testing.standins.leaf import Leaf
 
 # Kind, figure, seconds: what a host may be told to do.
 HOST_TROUBLES: tuple[tuple[str, float, float], ...] = (
--- a/heathwell/lab/sockets.py
+++ b/heathwell/testing/simulation/sockets.py
@@ -13,11 +13,11 @@
 from pathlib import Path
 from typing import Any
 
-from heathwell.broker.key_spaces import KeySpaces
-from heathwell.lab.badday import Day
-from heathwell.lab.clients import Outcome
-from heathwell.lab.script import Load, Mix, Script, Step
+from heathwell.service.key_spaces import KeySpaces
 from heathwell.settings import ServiceSettings, loads
+from heathwell.testing.simulation.badday import Day
+from heathwell.testing.simulation.clients import Outcome
+from heathwell.testing.simulation.script import Load, Mix, Script, Step
 
 VARIANTS = {"decider": "(let-go 2s)", "off": "(decide no)", "nearest first": "(decide no) (prefer-home yes)"}
 FIRST, TROUBLE, BETWEEN = 8.0, 8.0, 12.0  # seconds: before the first, of each, and from one's end to the next
--- a/heathwell/lab/stormday.py
+++ b/heathwell/testing/simulation/stormday.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from heathwell.broker.key_spaces import KeySpaces
-from heathwell.kernel import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, sleep
-from heathwell.lab.simulated import SETTLE_US, SimulatedDay, _read_values
+from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, sleep
+from heathwell.service.key_spaces import KeySpaces
 from heathwell.settings import ServiceSettings, loads
+from heathwell.testing.simulation.simulated import SETTLE_US, SimulatedDay, _read_values
 
 HEEDS, IGNORES, FIXED = "heeds", "ignores", "fixed"
 AGAIN_US = {IGNORES: 100_000, FIXED: 500_000}  # pause of those who don't heed advice
--- a/heathwell/lab/wires.py
+++ b/heathwell/testing/simulation/wires.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from heathwell.codec import frames
-from heathwell.kernel import Loop, SocketNet, socket_loop
-from heathwell.standins.relay import Relay
+from heathwell.eventloop import Loop, SocketNet, socket_loop
+from heathwell.testing.standins.relay import Relay
 
 WAIT_SECONDS = 10.0
 
--- a/heathwell/lab/worthday.py
+++ b/heathwell/testing/simulation/worthday.py
@@ -11,13 +11,13 @@
 from collections import Counter
 from typing import Any
 
-from heathwell.audit import judge_budgets
-from heathwell.audit.reader import from_lines
 from heathwell.codec import frames
-from heathwell.kernel import Coro, sleep
-from heathwell.lab.simulated import SimulatedDay
+from heathwell.eventloop import Coro, sleep
 from heathwell.settings import ServiceSettings, loads
-from heathwell.standins.leaf import Leaf
+from heathwell.testing.audit import judge_budgets
+from heathwell.testing.audit.reader import from_lines
+from heathwell.testing.simulation.simulated import SimulatedDay
+from heathwell.testing.standins.leaf import Leaf
 
 VARIANTS = ("lone", "split", "lent", "half")
 LENT = ("lent", "half")  # those with keepers
--- a/heathwell/lab/zoneday.py
+++ b/heathwell/testing/simulation/zoneday.py
@@ -16,16 +16,16 @@
 from typing import Any
 
 from heathwell.codec import frames
+from heathwell.eventloop import Coro, sleep
 from heathwell.fleet.control.evacuation_coordinator import (
     EvacuationCoordinator,
     evacuation_coordinator_from_settings,
 )
 from heathwell.fleet.evacuation import EvacuationController, ZoneState, ZoneTransition
-from heathwell.kernel import Coro, sleep
-from heathwell.lab.simulated import SimulatedDay
-from heathwell.lab.worthday import MARKET
 from heathwell.settings import ServiceSettings, loads
-from heathwell.standins.leaf import Leaf
+from heathwell.testing.simulation.simulated import SimulatedDay
+from heathwell.testing.simulation.worthday import MARKET
+from heathwell.testing.standins.leaf import Leaf
 
 VARIANTS = ("nobody", "itself", "fixed", "fleet")
 KEPT = ("fixed", "fleet")  # those with keepers
--- a/heathwell/standins/discovery.py
+++ b/heathwell/testing/standins/discovery.py
@@ -4,9 +4,8 @@
 
 from collections.abc import Callable
 
-from heathwell import inner_protocol
-from heathwell.codec import frames
-from heathwell.kernel import Coro, Listener, Loop, Net, Stream, StreamBroken
+from heathwell.codec import frames, inner_protocol
+from heathwell.eventloop import Coro, Listener, Loop, Net, Stream, StreamBroken
 from heathwell.observability.event_log import EventLog, NoEvents
 from heathwell.settings import ServiceSettings
 
--- a/heathwell/standins/leaf.py
+++ b/heathwell/testing/standins/leaf.py
@@ -14,9 +14,8 @@
 
 import msgspec
 
-from heathwell import inner_protocol
-from heathwell.codec import frames
-from heathwell.kernel import (
+from heathwell.codec import frames, inner_protocol
+from heathwell.eventloop import (
     ConnectFailed,
     Coro,
     Listener,
@@ -29,10 +28,10 @@
     sleep,
 )
 from heathwell.observability.event_log import EventLog, NoEvents
+from heathwell.service.vectors.wire import OP, SearchAsk, encode, read_ask
 from heathwell.settings import ServiceSettings
-from heathwell.standins import data
-from heathwell.standins.source import Feed, Truth
-from heathwell.vectors.wire import OP, SearchAsk, encode, read_ask
+from heathwell.testing.standins import data
+from heathwell.testing.standins.source import Feed, Truth
 
 REGISTER_AGAIN_US = 200_000
 QUIET_LOOK_US = 50_000
@@ -118,7 +117,7 @@
         self.collections = {spec.name: spec for spec in service_settings.collections}
         if self.collections:
             # Only hosts of vectors pay for the libraries; all shards are at hand before the door opens.
-            from heathwell.standins.vectors import shard_of  # noqa: PLC0415
+            from heathwell.testing.standins.vectors import shard_of  # noqa: PLC0415
 
             self.shard_of = shard_of
             for spec in service_settings.collections:
--- a/heathwell/standins/platform.py
+++ b/heathwell/testing/standins/platform.py
@@ -18,7 +18,7 @@
 
 from heathwell.codec import nodeframes as nf
 from heathwell.codec.http import ClientSide, Request, Response, ServerSide
-from heathwell.kernel import Coro, Event, Listener, Loop, Net, Stream, StreamBroken, Timer, sleep
+from heathwell.eventloop import Coro, Event, Listener, Loop, Net, Stream, StreamBroken, Timer, sleep
 from heathwell.observability.event_log import EventLog, NoEvents
 
 _HEAD = struct.Struct(">I")
--- a/heathwell/standins/relay.py
+++ b/heathwell/testing/standins/relay.py
@@ -11,9 +11,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from heathwell import inner_protocol
-from heathwell.codec import frames
-from heathwell.kernel import ConnectFailed, Coro, Event, Listener, Loop, Net, Stream, StreamBroken, sleep
+from heathwell.codec import frames, inner_protocol
+from heathwell.eventloop import ConnectFailed, Coro, Event, Listener, Loop, Net, Stream, StreamBroken, sleep
 
 TROUBLES = ("delay", "rate", "loss", "cut", "oneway", "refuse", "reset", "flap", "heal")
 CHUNK = 16_384
--- a/heathwell/standins/source.py
+++ b/heathwell/testing/standins/source.py
@@ -11,9 +11,8 @@
 import random
 from dataclasses import dataclass
 
-from heathwell import inner_protocol
-from heathwell.codec import frames
-from heathwell.kernel import Coro, Listener, Loop, Net, Stream
+from heathwell.codec import frames, inner_protocol
+from heathwell.eventloop import Coro, Listener, Loop, Net, Stream
 from heathwell.settings import ServiceSettings
 
 OFFSET_US = 7_777_777_777_000  # of the source's clock before the machine's
--- a/heathwell/standins/vectors.py
+++ b/heathwell/testing/standins/vectors.py
@@ -9,9 +9,9 @@
 
 import numpy as np
 
+from heathwell.service.vectors.shard import DISTANCES, Shard
 from heathwell.settings.schema import Collection
-from heathwell.standins.data import GOODS, draw
-from heathwell.vectors.shard import DISTANCES, Shard
+from heathwell.testing.standins.data import GOODS, draw
 
 ID_STEP = 10_000_000  # ids of a shard's own points begin at its number times this
 
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -15,12 +15,12 @@
 from collections.abc import Callable
 from typing import Any
 
+from heathwell.eventloop import ConnectFailed, Coro, Event, MonotonicClock, Stream, sleep, socket_loop
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import read
 from heathwell.gateway.front import Front
-from heathwell.kernel import ConnectFailed, Coro, Event, MonotonicClock, Stream, sleep, socket_loop
-from heathwell.lab.platform import CELLS, SETUP, config_of
-from heathwell.standins.platform import Client, Node, Registry
+from heathwell.testing.simulation.platform import CELLS, SETUP, config_of
+from heathwell.testing.standins.platform import Client, Node, Registry
 
 TURNS_MOST = 20_000  # of the loop, for a point that never comes: some seconds
 CUSTOMERS: dict[str, dict[str, Any]] = {
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -5,13 +5,13 @@
 import json
 from typing import Any
 
-from heathwell.audit import judge
-from heathwell.audit.reader import from_lines
-from heathwell.fronts.memcached import LOST, REFUSED
-from heathwell.kernel import StreamBroken, sleep, virtual_loop
-from heathwell.lab.figures import run_figures
-from heathwell.lab.fleet import LocalFleet
+from heathwell.eventloop import StreamBroken, sleep, virtual_loop
+from heathwell.servers.memcached import LOST, REFUSED
 from heathwell.settings import ServiceSettings, loads
+from heathwell.testing.audit import judge
+from heathwell.testing.audit.reader import from_lines
+from heathwell.testing.simulation.figures import run_figures
+from heathwell.testing.simulation.fleet import LocalFleet
 
 MARKET = """
 (class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (work 40ms))
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -8,17 +8,17 @@
 from functools import partial
 from typing import Any
 
-from heathwell.audit import judge
-from heathwell.audit.reader import from_lines
 from heathwell.codec import nodeframes as nf
+from heathwell.eventloop import sleep, virtual_loop
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import read
 from heathwell.gateway.front import Front
 from heathwell.gateway.node_attempts import NodeRequest
-from heathwell.kernel import sleep, virtual_loop
-from heathwell.lab.platform import CELLS, SETUP, config_of
 from heathwell.observability.event_log import ListEvents
-from heathwell.standins.platform import Client, Node, Registry
+from heathwell.testing.audit import judge
+from heathwell.testing.audit.reader import from_lines
+from heathwell.testing.simulation.platform import CELLS, SETUP, config_of
+from heathwell.testing.standins.platform import Client, Node, Registry
 
 UNIX_US = 1_700_000_000_000_000
 LONG_US = 1 << 50
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heathwell.admission import GO, REFUSE, WAIT, CostModel, FairGate, Window
-from heathwell.admission.cost import cut_batch, search_figures
+from heathwell.service.admission import GO, REFUSE, WAIT, CostModel, FairGate, Window
+from heathwell.service.admission.cost import cut_batch, search_figures
 
 
 def test_costs_are_learned_followed_and_never_off_by_orders():
--- a/tests/test_badday.py
+++ b/tests/test_badday.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from heathwell.audit import judge
-from heathwell.audit.reader import from_lines
-from heathwell.lab.simulated import SimulatedDay
 from heathwell.settings import loads
+from heathwell.testing.audit import judge
+from heathwell.testing.audit.reader import from_lines
+from heathwell.testing.simulation.simulated import SimulatedDay
 
 from .fleet import MARKET
 
--- a/tests/test_both_fronts.py
+++ b/tests/test_both_fronts.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from heathwell.lab.searches import SearchingDay
 from heathwell.settings import loads
-from heathwell.standins.vectors import shard_of
+from heathwell.testing.simulation.searches import SearchingDay
+from heathwell.testing.standins.vectors import shard_of
 
 MARKET = """
 (class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (work 40ms))
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -4,7 +4,7 @@
 
 import json
 
-from heathwell.standins import data
+from heathwell.testing.standins import data
 
 from .fleet import World
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -16,10 +16,10 @@
 from pymemcache.exceptions import MemcacheServerError
 
 from heathwell.codec import frames
-from heathwell.fronts.memcached import PARTIAL, REFUSED
-from heathwell.kernel import socket_loop
-from heathwell.lab.fleet import LocalFleet
+from heathwell.eventloop import socket_loop
+from heathwell.servers.memcached import PARTIAL, REFUSED
 from heathwell.settings import loads
+from heathwell.testing.simulation.fleet import LocalFleet
 
 from .fleet import MARKET
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,10 +11,10 @@
 
 from heathwell import policy
 from heathwell.codec import nodeframes as nf
+from heathwell.eventloop import Event, StreamBroken, sleep
 from heathwell.gateway import node_pool
 from heathwell.gateway.discovery import longest_wait
-from heathwell.kernel import Event, StreamBroken, sleep
-from heathwell.standins.platform import Node, answer, read_call
+from heathwell.testing.standins.platform import Node, answer, read_call
 
 from .crossings import CUSTOMERS, LEAVES, World, customer
 from .platform import Platform, node_ask
--- a/tests/test_crossings_drawn.py
+++ b/tests/test_crossings_drawn.py
@@ -13,7 +13,7 @@
 import pytest
 
 from heathwell import policy
-from heathwell.kernel import ConnectFailed, StreamBroken, sleep
+from heathwell.eventloop import ConnectFailed, StreamBroken, sleep
 
 from .crossings import CUSTOMERS, customer
 from .platform import Platform
--- a/tests/test_crossings_processes.py
+++ b/tests/test_crossings_processes.py
@@ -9,11 +9,11 @@
 
 import pytest
 
+from heathwell.eventloop import ConnectFailed, StreamBroken, sleep, socket_loop
 from heathwell.gateway.config import read
 from heathwell.gateway.process import Process
-from heathwell.kernel import ConnectFailed, StreamBroken, sleep, socket_loop
-from heathwell.lab.platform import PlatformFleet, config_of
-from heathwell.standins.platform import Node
+from heathwell.testing.simulation.platform import PlatformFleet, config_of
+from heathwell.testing.standins.platform import Node
 
 from .crossings import CUSTOMERS, customer
 
--- a/tests/test_crossings_times.py
+++ b/tests/test_crossings_times.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from heathwell.kernel import Event, sleep
-from heathwell.standins.platform import answer
+from heathwell.eventloop import Event, sleep
+from heathwell.testing.standins.platform import answer
 
 from .crossings import CUSTOMERS, World, customer
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -9,8 +9,8 @@
 import tomllib
 from pathlib import Path
 
-from heathwell.kernel import sleep
-from heathwell.lab.platform import PlatformFleet
+from heathwell.eventloop import sleep
+from heathwell.testing.simulation.platform import PlatformFleet
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
--- a/tests/test_evacuation_processes.py
+++ b/tests/test_evacuation_processes.py
@@ -16,16 +16,16 @@
 
 import pytest
 
-from heathwell.audit import judge_budgets
+from heathwell.eventloop import socket_loop
 from heathwell.fleet.control.fleet_agent import FleetAgent
 from heathwell.fleet.control.parameters import budgets_from_settings, quota_timings_from_settings
 from heathwell.fleet.evacuation import AttemptCounts, BrokerReport, ZoneClassKey
 from heathwell.fleet.membership import LocalMember
-from heathwell.kernel import socket_loop
-from heathwell.lab.badday import Day
-from heathwell.lab.processes import ProcessFleet
-from heathwell.lab.script import load_script
 from heathwell.settings import load
+from heathwell.testing.audit import judge_budgets
+from heathwell.testing.simulation.badday import Day
+from heathwell.testing.simulation.processes import ProcessFleet
+from heathwell.testing.simulation.script import load_script
 
 ROOT = Path(__file__).resolve().parent.parent
 MARKET = (ROOT / "examples/market-fleet.sx").read_text()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -16,13 +16,13 @@
 
 import pytest
 
-from heathwell.audit import judge_budgets
-from heathwell.audit.reader import Event
+from heathwell.eventloop import sleep, virtual_loop
 from heathwell.fleet.membership import LocalMember
 from heathwell.fleet.quotas import QuotaCoordinator, QuotaTimings
-from heathwell.kernel import sleep, virtual_loop
-from heathwell.lab.badday import Day
-from heathwell.lab.script import load_script
+from heathwell.testing.audit import judge_budgets
+from heathwell.testing.audit.reader import Event
+from heathwell.testing.simulation.badday import Day
+from heathwell.testing.simulation.script import load_script
 
 from .loaded_modules import among, loaded_modules, missing_modules
 
@@ -332,31 +332,31 @@
     "heathwell.fleet.membership",
     "heathwell.fleet.quotas",
     "heathwell.fleet.rollout",
-    "heathwell.modelcheck",
-    "heathwell.lab",
+    "heathwell.testing.modelcheck",
+    "heathwell.testing.simulation",
 )
-ZONE_OBSERVER = "heathwell.broker.zone_observer"
-SERVICE_BROKER = "heathwell.broker.service_broker"
+ZONE_OBSERVER = "heathwell.service.zone_observer"
+SERVICE_BROKER = "heathwell.service.service_broker"
 # The parts of the service broker, which the gateway does without.
 SERVICE_BROKER_MODULES = (
     SERVICE_BROKER,
     ZONE_OBSERVER,
-    "heathwell.broker.answer_freshness",
-    "heathwell.broker.endpoint_connections",
-    "heathwell.broker.endpoint_restrictions",
-    "heathwell.broker.fair_admission",
-    "heathwell.broker.host_pool",
-    "heathwell.broker.query_admission",
-    "heathwell.broker.query_cost",
-    "heathwell.broker.query_explanations",
-    "heathwell.broker.quota_gate",
-    "heathwell.broker.reply_merging",
-    "heathwell.broker.search_answers",
-    "heathwell.broker.service_records",
-    "heathwell.broker.service_statistics",
-    "heathwell.broker.settings_change",
-    "heathwell.broker.shard_reachability",
-    "heathwell.broker.storm_control",
+    "heathwell.service.answer_freshness",
+    "heathwell.service.endpoint_connections",
+    "heathwell.service.endpoint_restrictions",
+    "heathwell.service.fair_admission",
+    "heathwell.service.host_pool",
+    "heathwell.service.query_admission",
+    "heathwell.service.query_cost",
+    "heathwell.service.query_explanations",
+    "heathwell.service.quota_gate",
+    "heathwell.service.reply_merging",
+    "heathwell.service.search_answers",
+    "heathwell.service.service_records",
+    "heathwell.service.service_statistics",
+    "heathwell.service.settings_change",
+    "heathwell.service.shard_reachability",
+    "heathwell.service.storm_control",
 )
 
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -10,18 +10,26 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heathwell.audit import judge, judge_ages
-from heathwell.audit.reader import from_lines
-from heathwell.broker.service_broker import ServiceBroker
 from heathwell.codec import frames
-from heathwell.coverage import Cover, CoverError, decode, encode
-from heathwell.freshness import Freshness, Policy, SourceClock, TokenError, Watermark, make_token, read_token
-from heathwell.freshness.clock import DRIFT
-from heathwell.fronts.memcached import STALE
-from heathwell.kernel import sleep
-from heathwell.lab.simulated import HOST_TROUBLES, LAG_TROUBLES, SimulatedDay
+from heathwell.eventloop import sleep
+from heathwell.servers.memcached import STALE
+from heathwell.service.coverage import Cover, CoverError, decode, encode
+from heathwell.service.freshness import (
+    Freshness,
+    Policy,
+    SourceClock,
+    TokenError,
+    Watermark,
+    make_token,
+    read_token,
+)
+from heathwell.service.freshness.clock import DRIFT
+from heathwell.service.service_broker import ServiceBroker
 from heathwell.settings import loads
-from heathwell.standins.source import OFFSET_US
+from heathwell.testing.audit import judge, judge_ages
+from heathwell.testing.audit.reader import from_lines
+from heathwell.testing.simulation.simulated import HOST_TROUBLES, LAG_TROUBLES, SimulatedDay
+from heathwell.testing.standins.source import OFFSET_US
 
 from .fleet import MARKET, World
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,10 +8,10 @@
 import weakref
 
 from heathwell import policy
+from heathwell.eventloop import StreamBroken, sleep
 from heathwell.gateway.node_pool import SINGLE_PART_AFTER_CLOSES
 from heathwell.gateway.trace import Trace
-from heathwell.kernel import StreamBroken, sleep
-from heathwell.standins.platform import answer, value_of
+from heathwell.testing.standins.platform import answer, value_of
 
 from .conftest import Driver, make_settings, of
 from .platform import UNIX_US, Platform, node_ask
--- a/tests/test_gateway_days.py
+++ b/tests/test_gateway_days.py
@@ -15,8 +15,8 @@
 from heathwell import policy
 from heathwell.codec import nodeframes as nf
 from heathwell.codec.http import Request, ServerSide
-from heathwell.kernel import StreamBroken, sleep
-from heathwell.standins.platform import answer, value_of
+from heathwell.eventloop import StreamBroken, sleep
+from heathwell.testing.standins.platform import answer, value_of
 
 from .platform import Platform, node_ask
 
--- a/tests/test_gateway_front.py
+++ b/tests/test_gateway_front.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from heathwell.codec.http import Request
+from heathwell.eventloop import StreamBroken, sleep
 from heathwell.gateway.requests import BadRequestError, RequestChecker
-from heathwell.kernel import StreamBroken, sleep
-from heathwell.standins.platform import value_of
+from heathwell.testing.standins.platform import value_of
 
 from .platform import Platform, settings_of
 
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -14,9 +14,9 @@
 
 import pytest
 
+from heathwell.eventloop import sleep
 from heathwell.gateway.config import ConfigError, read
-from heathwell.kernel import sleep
-from heathwell.lab.platform import PlatformFleet, config_of
+from heathwell.testing.simulation.platform import PlatformFleet, config_of
 
 from .loaded_modules import among, loaded_modules, missing_modules
 
@@ -31,20 +31,20 @@
     "hdrh",
     "pymemcache",
     "xxhash",
-    "heathwell.lab",
-    "heathwell.standins",
-    "heathwell.vectors",
-    "heathwell.storms",
-    "heathwell.fronts",
+    "heathwell.testing.simulation",
+    "heathwell.testing.standins",
+    "heathwell.service.vectors",
+    "heathwell.service.retry_storms",
+    "heathwell.servers",
     "heathwell.fleet.membership",
     "heathwell.fleet.quotas",
     "heathwell.fleet.control",
-    "heathwell.modelcheck",
+    "heathwell.testing.modelcheck",
     "heathwell.settings",
-    "heathwell.merge",
-    "heathwell.regions",
-    "heathwell.freshness",
-    "heathwell.broker.service_broker",
+    "heathwell.service.merging",
+    "heathwell.service.regions",
+    "heathwell.service.freshness",
+    "heathwell.service.service_broker",
 )
 
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -7,7 +7,7 @@
 import pytest
 
 from heathwell.codec import frames
-from heathwell.kernel import StreamBroken, sleep
+from heathwell.eventloop import StreamBroken, sleep
 
 from .fleet import MARKET, World
 
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -25,14 +25,14 @@
     QueryStatistics,
     Stage,
 )
-from heathwell.lab.budgetday import BudgetDay, random_faults
-from heathwell.lab.drawn import draw_script
-from heathwell.lab.manybrokers import ManyBrokers
-from heathwell.lab.releases import Releases
-from heathwell.lab.stormday import StormDay
-from heathwell.lab.worthday import WorthDay
-from heathwell.lab.zoneday import ZoneDay
 from heathwell.settings import load
+from heathwell.testing.simulation.budgetday import BudgetDay, random_faults
+from heathwell.testing.simulation.drawn import draw_script
+from heathwell.testing.simulation.manybrokers import ManyBrokers
+from heathwell.testing.simulation.releases import Releases
+from heathwell.testing.simulation.stormday import StormDay
+from heathwell.testing.simulation.worthday import WorthDay
+from heathwell.testing.simulation.zoneday import ZoneDay
 
 from .test_crossings_drawn import play as play_crossings
 
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from heathwell.kernel import (
+from heathwell.eventloop import (
     ConnectFailed,
     Event,
     Overrun,
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -23,38 +23,41 @@
 AGGREGATOR = "heathwell.policy.aggregator"
 RECORDS = "heathwell.policy.records"
 DATASTRUCTURES = "heathwell.datastructures"
-PLATFORM_SETTINGS = "heathwell.settings_from_platform"
+PLATFORM_SETTINGS = "heathwell.gateway.settings_from_platform"
 BENCH_LINK = "heathwell.benchlink"
 PUBLIC_API = "heathwell"
-EVENT_LOOP = "heathwell.kernel"
+EVENT_LOOP = "heathwell.eventloop"
 CODECS = "heathwell.codec"
 SETTINGS = "heathwell.settings"
 EVENT_LOG = "heathwell.observability.event_log"
-INNER_PROTOCOL = "heathwell.inner_protocol"
+INNER_PROTOCOL = "heathwell.codec.inner_protocol"
 HTTP_PAGES = "heathwell.observability.http_pages"
 OBSERVABILITY = "heathwell.observability"
 DIGESTS = "heathwell.observability.digests"
-RETRYING_CLIENT = "heathwell.heed"
-ADMISSION = "heathwell.admission"
-COVERAGE = "heathwell.coverage"
-FRESHNESS = "heathwell.freshness"
-MERGE = "heathwell.merge"
-REGIONS = "heathwell.regions"
-RETRY_STORMS = "heathwell.storms"
-VECTORS = "heathwell.vectors"
+RETRYING_CLIENT = "heathwell.client"
+FORMER_CLIENT = "heathwell.heed"
+ADMISSION = "heathwell.service.admission"
+COVERAGE = "heathwell.service.coverage"
+FRESHNESS = "heathwell.service.freshness"
+MERGE = "heathwell.service.merging"
+REGIONS = "heathwell.service.regions"
+RETRY_STORMS = "heathwell.service.retry_storms"
+VECTORS = "heathwell.service.vectors"
 MEMBERSHIP = "heathwell.fleet.membership"
 QUOTAS = "heathwell.fleet.quotas"
 ROLLOUT = "heathwell.fleet.rollout"
 EVACUATION = "heathwell.fleet.evacuation"
 FLEET = "heathwell.fleet"
-MODEL_CHECK = "heathwell.modelcheck"
+MODEL_CHECK = "heathwell.testing.modelcheck"
 BROKER = "heathwell.broker"
-SERVERS = "heathwell.fronts"
+SERVICE = "heathwell.service"
+SERVERS = "heathwell.servers"
 GATEWAY = "heathwell.gateway"
 FLEET_CONTROL = "heathwell.fleet.control"
-AUDIT = "heathwell.audit"
-STAND_INS = "heathwell.standins"
-SIMULATION = "heathwell.lab"
+AUDIT = "heathwell.testing.audit"
+TESTING = "heathwell.testing"
+STAND_INS = "heathwell.testing.standins"
+SIMULATION = "heathwell.testing.simulation"
 COMMAND_LINE = "heathwell.cli"
 MAIN = "heathwell.__main__"
 
@@ -63,7 +66,7 @@
 FLEET_DECIDERS = (MEMBERSHIP, QUOTAS, ROLLOUT, EVACUATION)
 INPUT_OUTPUT = (EVENT_LOOP, CODECS, SETTINGS, EVENT_LOG, DIGESTS, INNER_PROTOCOL, HTTP_PAGES)
 DECISIONS = (*POLICY, PLATFORM_SETTINGS, *SERVICE_DECIDERS, *FLEET_DECIDERS)
-PROCESSES = (BROKER, SERVERS, GATEWAY, FLEET_CONTROL, AUDIT, STAND_INS)
+PROCESSES = (BROKER, SERVICE, SERVERS, GATEWAY, FLEET_CONTROL, AUDIT, STAND_INS)
 BELOW_SIMULATION = (*INPUT_OUTPUT, *DECISIONS, *PROCESSES)
 
 # From the bottom to the top; a package imports itself and what its row names. A module stands in the row with
@@ -84,6 +87,7 @@
     LayerRule(HTTP_PAGES, (EVENT_LOOP, CODECS)),
     # Not in the tables: a client library for users, which stands alone.
     LayerRule(RETRYING_CLIENT),
+    LayerRule(FORMER_CLIENT, (RETRYING_CLIENT,)),
     LayerRule(AGGREGATOR, (DATASTRUCTURES, INTERFACE, RECORDS)),
     LayerRule(PLATFORM_SETTINGS, (INTERFACE,)),
     LayerRule(BENCH_LINK, (*POLICY, PLATFORM_SETTINGS)),
@@ -102,21 +106,34 @@
     LayerRule(ROLLOUT, (INTERFACE, MEMBERSHIP, QUOTAS)),
     LayerRule(EVACUATION, (INTERFACE, MEMBERSHIP, QUOTAS, ROLLOUT)),
     LayerRule(MODEL_CHECK, (INTERFACE, *FLEET_DECIDERS)),
+    # Beyond the table: the event log, and the cover that a reply carries.
+    LayerRule(BROKER, (*POLICY, COVERAGE, EVENT_LOOP, EVENT_LOG)),
     # Beyond the table: limits from settings, the event log, the inner protocol on a stream.
     LayerRule(
-        BROKER,
-        (*POLICY, *SERVICE_DECIDERS, EVACUATION, EVENT_LOOP, CODECS, SETTINGS, EVENT_LOG, INNER_PROTOCOL),
+        SERVICE,
+        (
+            *POLICY,
+            *SERVICE_DECIDERS,
+            BROKER,
+            EVACUATION,
+            EVENT_LOOP,
+            CODECS,
+            SETTINGS,
+            EVENT_LOG,
+            INNER_PROTOCOL,
+        ),
     ),
     # Beyond the table: streams of the event loop, limits from settings, the admin pages, the version that it
     # states, and records of the deciders that its clients' messages carry.
     LayerRule(
         SERVERS,
-        (BROKER, CODECS, EVENT_LOOP, SETTINGS, HTTP_PAGES, PUBLIC_API, *SERVICE_DECIDERS),
+        (BROKER, SERVICE, CODECS, EVENT_LOOP, SETTINGS, HTTP_PAGES, PUBLIC_API, *SERVICE_DECIDERS),
     ),
     # Beyond the table: records of the policy, settings from the platform's object, the event log.
     LayerRule(GATEWAY, (BROKER, CODECS, EVENT_LOOP, INTERFACE, PLATFORM_SETTINGS, EVENT_LOG)),
     # Beyond the table: the event log, the inner protocol on a stream, HTTP pages.
     LayerRule(FLEET_CONTROL, (*INPUT_OUTPUT, *FLEET_DECIDERS)),
+    LayerRule(TESTING),
     LayerRule(AUDIT),
     # Beyond the table: the event log, the inner protocol on a stream, and what a search asks of a host.
     LayerRule(STAND_INS, (EVENT_LOOP, CODECS, SETTINGS, EVENT_LOG, INNER_PROTOCOL, VECTORS)),
--- a/tests/test_many_brokers.py
+++ b/tests/test_many_brokers.py
@@ -2,8 +2,8 @@
 turn.
 """
 
-from heathwell.kernel import sleep
-from heathwell.lab.manybrokers import ManyBrokers
+from heathwell.eventloop import sleep
+from heathwell.testing.simulation.manybrokers import ManyBrokers
 
 
 def test_a_hundred_brokers_restart_while_nodes_are_replaced_and_all_learn_of_it():
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heathwell.merge import Malformed, Row, TopK, id_rank
+from heathwell.service.merging import Malformed, Row, TopK, id_rank
 
 SCORES = st.sampled_from([-1.0, 0.0, 0.25, 0.5, 0.5, 1.0])  # many that tie
 ROWS = st.dictionaries(st.one_of(st.integers(0, 40), st.sampled_from("abcd")), SCORES, max_size=12)
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -3,9 +3,9 @@
 import pytest
 
 from heathwell.fleet.quotas import FractionLeaseVote, FractionLedger, Grant, LeaseVoter, QuotaHolder
-from heathwell.modelcheck import explore
-from heathwell.modelcheck.lease_model import LeaseModel
-from heathwell.modelcheck.lease_state import Envelope
+from heathwell.testing.modelcheck import explore
+from heathwell.testing.modelcheck.lease_model import LeaseModel
+from heathwell.testing.modelcheck.lease_state import Envelope
 
 
 class LeaseFromGrantArrival(QuotaHolder):
--- a/tests/test_nodeframes.py
+++ b/tests/test_nodeframes.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from heathwell.codec import nodeframes as nf
-from heathwell.standins.platform import read_call
+from heathwell.testing.standins.platform import read_call
 
 ID = st.from_regex(r"[0-9a-f]{16}\.[0-9]{1,2}(\.fetch)?", fullmatch=True)
 VALUE = st.from_regex(r"[0-9a-f]{16}", fullmatch=True)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -14,13 +14,13 @@
 import pytest
 from click.testing import CliRunner
 
-from heathwell.audit import judge, read_logs
 from heathwell.cli import main
-from heathwell.lab.figures import run_figures
-from heathwell.lab.processes import ProcessFleet
-from heathwell.lab.replay import DayError, script_from
-from heathwell.lab.script import Script, load_script
 from heathwell.settings import SettingsError, load, loads
+from heathwell.testing.audit import judge, read_logs
+from heathwell.testing.simulation.figures import run_figures
+from heathwell.testing.simulation.processes import ProcessFleet
+from heathwell.testing.simulation.replay import DayError, script_from
+from heathwell.testing.simulation.script import Script, load_script
 
 from .fleet import MARKET
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -28,7 +28,7 @@
     UnknownBudgetError,
     allocate,
 )
-from heathwell.lab.budgetday import BUDGETS, BudgetDay, random_faults
+from heathwell.testing.simulation.budgetday import BUDGETS, BudgetDay, random_faults
 
 S = 1_000_000
 LEASE = Lease(3 * S, 0.03)
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -10,12 +10,12 @@
 from hypothesis import strategies as st
 
 from heathwell.codec.http import Request
-from heathwell.kernel import sleep
-from heathwell.lab.clients import Outcome
-from heathwell.lab.sockets import services, settings
-from heathwell.regions import SLOW, ClientDrain, Way, answerable
+from heathwell.eventloop import sleep
+from heathwell.service.regions import SLOW, ClientDrain, Way, answerable
 from heathwell.settings import loads
-from heathwell.standins.relay import RESEND_US, lost_wait
+from heathwell.testing.simulation.clients import Outcome
+from heathwell.testing.simulation.sockets import services, settings
+from heathwell.testing.standins.relay import RESEND_US, lost_wait
 
 from .fleet import MARKET, World
 from .test_regions import FAR, Bench
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -6,9 +6,9 @@
 
 from heathwell import policy
 from heathwell.codec import frames
-from heathwell.kernel import sleep
-from heathwell.lab.regional import MARKET, RegionalDay
-from heathwell.regions import DOWN, HALF, OPEN, SLOW, Regions
+from heathwell.eventloop import sleep
+from heathwell.service.regions import DOWN, HALF, OPEN, SLOW, Regions
+from heathwell.testing.simulation.regional import MARKET, RegionalDay
 
 from .conftest import Driver as ModuleDriver
 from .conftest import make_settings, of
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -5,8 +5,8 @@
 import pytest
 
 from heathwell.codec import frames
-from heathwell.kernel import ConnectFailed, StreamBroken, sleep, socket_loop, virtual_loop
-from heathwell.standins.relay import Relay, RoutedNet
+from heathwell.eventloop import ConnectFailed, StreamBroken, sleep, socket_loop, virtual_loop
+from heathwell.testing.standins.relay import Relay, RoutedNet
 
 
 def echo(stream):
--- a/tests/test_rolling.py
+++ b/tests/test_rolling.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from heathwell.audit import judge, read_logs
-from heathwell.lab.rolling import DEFECTS, RollingFleet, plant, write_service_settings
+from heathwell.testing.audit import judge, read_logs
+from heathwell.testing.simulation.rolling import DEFECTS, RollingFleet, plant, write_service_settings
 
 ROOT = Path(__file__).resolve().parent.parent
 SHORT = {"stages": "1,50%,100%", "bake": "3s", "most": "4s", "prove": "none"}
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from heathwell.kernel import sleep
-from heathwell.lab.platform import PlatformFleet
-from heathwell.lab.rude import RudeClients, bad_requests
+from heathwell.eventloop import sleep
+from heathwell.testing.simulation.platform import PlatformFleet
+from heathwell.testing.simulation.rude import RudeClients, bad_requests
 
 from .platform import Platform
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -2,8 +2,8 @@
 
 from heathwell import policy
 from heathwell.broker.replies import ANSWERED, FAILED, REFUSED, Reply
-from heathwell.broker.service_statistics import ServiceStatistics
 from heathwell.observability.digests import program_digest, settings_digest
+from heathwell.service.service_statistics import ServiceStatistics
 
 S = 1_000_000
 SPEC = policy.QueryClass("one", S, 3 * S, late_weight=0.25, partial_weight=0.5)
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from heathwell.broker.settings_change import SettingsChangeError, check_settings_change
+from heathwell.service.settings_change import SettingsChangeError, check_settings_change
 from heathwell.settings import loads
 
 SETTINGS = """
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -9,11 +9,22 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heathwell.heed import Heedful
-from heathwell.kernel import ConnectFailed, sleep, socket_loop, virtual_loop
-from heathwell.lab.stormday import HEEDS, IGNORES, StormDay
-from heathwell.storms import BUILDING, CALM, DRAINING, STORM, Calendar, Doors, Limits, Recent, Sketch, Storms
-from heathwell.storms.sketch import hashed
+from heathwell.client import RetryingClient
+from heathwell.eventloop import ConnectFailed, sleep, socket_loop, virtual_loop
+from heathwell.service.retry_storms import (
+    BUILDING,
+    CALM,
+    DRAINING,
+    STORM,
+    Calendar,
+    Doors,
+    Limits,
+    Recent,
+    Sketch,
+    Storms,
+)
+from heathwell.service.retry_storms.sketch import hashed
+from heathwell.testing.simulation.stormday import HEEDS, IGNORES, StormDay
 
 from .fleet import MARKET, World
 
@@ -245,7 +256,7 @@
 
 
 def test_a_heedful_client_waits_as_told_gives_up_in_time_and_tells_kinds_apart():
-    class Told(Heedful):
+    class Told(RetryingClient):
         def __init__(self):
             self.now, self.waits = 0.0, []
             super().__init__("127.0.0.1", 1, useful=5.0, sleep=self._rest, clock=lambda: self.now, seed=1)
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -18,18 +18,18 @@
 from qdrant_client import QdrantClient, models
 from qdrant_client.http.exceptions import UnexpectedResponse
 
-from heathwell.audit import judge
-from heathwell.audit.reader import from_lines
 from heathwell.codec import frames
 from heathwell.codec.http import Response, ServerSide
-from heathwell.kernel import sleep, socket_loop
-from heathwell.lab.figures import run_figures
-from heathwell.lab.fleet import LocalFleet
+from heathwell.eventloop import sleep, socket_loop
+from heathwell.service.vectors.filters import FilterError, check
+from heathwell.service.vectors.masks import Columns, mask_of
+from heathwell.service.vectors.wire import SearchAsk, Want
 from heathwell.settings import loads
-from heathwell.standins.vectors import made, shard_of
-from heathwell.vectors.filters import FilterError, check
-from heathwell.vectors.masks import Columns, mask_of
-from heathwell.vectors.wire import SearchAsk, Want
+from heathwell.testing.audit import judge
+from heathwell.testing.audit.reader import from_lines
+from heathwell.testing.simulation.figures import run_figures
+from heathwell.testing.simulation.fleet import LocalFleet
+from heathwell.testing.standins.vectors import made, shard_of
 
 SHARDS = 6
 MARKET = """
--- a/tests/test_version_compatibility.py
+++ b/tests/test_version_compatibility.py
@@ -39,19 +39,19 @@
 from prometheus_client import generate_latest
 from prometheus_client.parser import text_string_to_metric_families
 
-from heathwell.audit import Event, Verdict, judge, judge_ages, judge_budgets
-from heathwell.audit.reader import from_lines
 from heathwell.codec import frames
+from heathwell.eventloop import virtual_loop
 from heathwell.fleet.control import broker_process, node_agent
 from heathwell.fleet.control.rollout_file import ROLLOUT_FILE_NAME
 from heathwell.fleet.control.state_file import STATE_FILE_NAME
 from heathwell.fleet.rollout import RolloutController, RolloutState
 from heathwell.gateway import config as platform_config
-from heathwell.kernel import virtual_loop
-from heathwell.lab.script import Script
-from heathwell.lab.simulated import HOST_TROUBLES, LAG_TROUBLES, SimulatedDay
 from heathwell.settings import load, loads, schema_page
 from heathwell.settings.check import loads_as
+from heathwell.testing.audit import Event, Verdict, judge, judge_ages, judge_budgets
+from heathwell.testing.audit.reader import from_lines
+from heathwell.testing.simulation.script import Script
+from heathwell.testing.simulation.simulated import HOST_TROUBLES, LAG_TROUBLES, SimulatedDay
 
 FILES = Path(__file__).parent / "files" / "before_rename"
 EXAMPLES = Path(__file__).parent.parent / "examples"
