--- a/heathwell/benchlink.py
+++ b/heathwell/benchlink.py
@@ -47,6 +47,13 @@
     "void": policy.Outcome.NEVER_SENT,
 }
 UNUSED = ("peer-data", "first-byte")
+EJECTION_TEXTS = {
+    policy.EjectionReason.NO_CONNECTION: "no connection",
+    policy.EjectionReason.PROBE_FAILED: "no answer to a probe",
+    policy.EjectionReason.NO_RESPONSE: "silent while others answer",
+    policy.EjectionReason.REJECTS_ALL: "turns away all that comes",
+    policy.EjectionReason.CONSECUTIVE_ERRORS: "errors in a row",
+}
 
 
 def entry_from(line: Any) -> policy.EndpointEntry:
@@ -140,12 +147,23 @@
             return {"event_type": "subscribe", "who": who, "complete": True}
         case policy.SetTimer(at_us=at, label=label):
             return {"event_type": "set-timer", "who": who, "instant-us": at, "label": label}
-        case policy.Log(text=line):
-            return {"event_type": "journal-line", "who": who, "text": line}
+        case policy.EndpointEjected() | policy.EndpointReadmitted() | policy.DiscoveryDegraded():
+            return {"event_type": "journal-line", "who": who, "text": journal_text(action)}
         case policy.QuotaExhausted():
             raise WireError("a budget of the whole fleet, which the bench never tells of")
 
 
+def journal_text(event: policy.OperatorEvent) -> str:
+    """The sentence of the bench's journal for an event."""
+    match event:
+        case policy.EndpointEjected(node=node, reason=reason):
+            return f"server {node} ejected: {EJECTION_TEXTS[reason]}"
+        case policy.EndpointReadmitted(node=node):
+            return f"server {node} readmitted"
+        case policy.DiscoveryDegraded():
+            return "discovery: call failed or subscription broke, asking again"
+
+
 class Host:
     """All instances of one process; they share nothing but the numbered lists."""
 
--- a/heathwell/broker/driver.py
+++ b/heathwell/broker/driver.py
@@ -16,6 +16,7 @@
 from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey, EndpointSource, Link
 from heathwell.broker.driver_hooks import ResultT
+from heathwell.broker.operator_log import log_operator_event
 from heathwell.broker.query_registry import QueryRegistry
 from heathwell.broker.query_state import PartT, QueryT, SettingsVersion
 from heathwell.broker.replies import FAILED, REFUSED, OnReply, Reply
@@ -254,8 +255,8 @@
                 self.discovery.ask()
             case policy.SetTimer(at_us=at_us, label=label):
                 self._set_timer(version, at_us, label)
-            case policy.Log(text=text):
-                self.log("info", text)
+            case policy.EndpointEjected() | policy.EndpointReadmitted() | policy.DiscoveryDegraded():
+                log_operator_event(self.log, action)
             case policy.QuotaExhausted():
                 self.on_quota_exhausted()
 
--- a/heathwell/policy/__init__.py
+++ b/heathwell/policy/__init__.py
@@ -1,15 +1,16 @@
 """The decisions of heathwell: pure, no input or output, no clock; the caller hands in time and a seed.
 
-``aggregator`` decides. ``settings``, ``events``, ``actions`` and ``records`` beside it hold types and decide
-nothing; this package exports those that a caller needs. Standard library only.
+``aggregator`` composes the components, one module each. ``settings``, ``events``, ``actions``,
+``operator_events`` and ``records`` hold types and decide nothing; this package exports those that a caller
+needs. Standard library only.
 """
 
 from heathwell.policy.actions import (
     Action,
     Answer,
     Cancel,
+    EndReason,
     Fail,
-    Log,
     Probe,
     QuotaExhausted,
     Reject,
@@ -36,6 +37,13 @@
     TimerFired,
     UpdateKind,
 )
+from heathwell.policy.operator_events import (
+    DiscoveryDegraded,
+    EjectionReason,
+    EndpointEjected,
+    EndpointReadmitted,
+    OperatorEvent,
+)
 from heathwell.policy.settings import Idempotency, QueryClass, Settings, Tenant
 
 __all__ = [
@@ -45,15 +53,20 @@
     "AttemptSuperseded",
     "Cancel",
     "ClientDisconnected",
+    "DiscoveryDegraded",
+    "EjectionReason",
+    "EndReason",
+    "EndpointEjected",
     "EndpointEntry",
+    "EndpointReadmitted",
     "EndpointState",
     "EndpointUpdate",
     "Event",
     "Fail",
     "HolderRestrictions",
     "Idempotency",
-    "Log",
     "NOT_EXECUTED",
+    "OperatorEvent",
     "Outcome",
     "PartArrived",
     "Probe",
--- a/heathwell/policy/actions.py
+++ b/heathwell/policy/actions.py
@@ -6,6 +6,18 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
+
+from heathwell.policy.operator_events import OperatorEvent
+
+
+class EndReason(StrEnum):
+    """Why a query was ended without an answer."""
+
+    OVERLOAD = "overload"
+    TOO_FEW_PARTS = "too_few_parts"
+    QUERY_OF_DEATH = "query_of_death"
+    DEADLINE = "deadline"
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,6 +58,7 @@
 
     id: str
     retry_after_us: int = 0
+    reason: EndReason = EndReason.TOO_FEW_PARTS
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,11 +66,12 @@
     """End a query without a promise about its effect."""
 
     id: str
+    reason: EndReason = EndReason.TOO_FEW_PARTS
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaExhausted:
-    """An additional attempt was wanted and the quota of the fleet had none left."""
+    """Report that the quota of the fleet left no additional attempt where one was due."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,11 +94,15 @@
     label: str
 
 
-@dataclass(frozen=True, slots=True)
-class Log:
-    """A line for the operators."""
-
-    text: str
-
-
-Action = Send | Cancel | Answer | Reject | Fail | QuotaExhausted | Probe | WatchEndpoints | SetTimer | Log
+Action = (
+    Send
+    | Cancel
+    | Answer
+    | Reject
+    | Fail
+    | QuotaExhausted
+    | Probe
+    | WatchEndpoints
+    | SetTimer
+    | OperatorEvent
+)
--- /dev/null
+++ b/heathwell/policy/attempt_outcomes.py
@@ -0,0 +1,87 @@
+"""What follows an attempt's outcome: the part counts, or is replaced, waits, or ends its query."""
+
+from __future__ import annotations
+
+from heathwell.policy.attempt_table import AttemptTable
+from heathwell.policy.events import AttemptEnded, AttemptSuperseded, Outcome
+from heathwell.policy.hedging import Hedger
+from heathwell.policy.latency import LatencyModel
+from heathwell.policy.outlier_detection import OutlierDetector
+from heathwell.policy.query_arrival import QueryTable
+from heathwell.policy.query_completion import QueryCompletion
+from heathwell.policy.records import Attempt, Part
+from heathwell.policy.retries import RetryRules
+from heathwell.policy.sending import PartSender
+
+
+class AttemptOutcomes:
+    """Handles outcomes of attempts and parts whose wait is over; owns no state."""
+
+    def __init__(
+        self,
+        attempts: AttemptTable,
+        queries: QueryTable,
+        latency: LatencyModel,
+        outliers: OutlierDetector,
+        rules: RetryRules,
+        completion: QueryCompletion,
+        sender: PartSender,
+        hedger: Hedger,
+    ) -> None:
+        self._attempts = attempts
+        self._queries = queries
+        self._latency = latency
+        self._outliers = outliers
+        self._rules = rules
+        self._completion = completion
+        self._sender = sender
+        self._hedger = hedger
+
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
+        """Record an outcome, which is ignored where the attempt is not known."""
+        attempt = self._attempts.end(event.id, event.seq, event.outcome)
+        if attempt is None:
+            return
+        attempt.part.query.broken_connections += attempt.outcome == Outcome.BROKEN
+        if event.outcome == Outcome.OK:
+            self._on_response(attempt, event.elapsed_us)
+        else:
+            self._outliers.record_failure(attempt, event.outcome)
+            self._replace(attempt.part, event.outcome)
+
+    def on_attempt_superseded(self, event: AttemptSuperseded) -> None:
+        """Count the part of an attempt in flight that can't change its query's answer any more."""
+        attempt = self._attempts.get(event.id, event.seq)
+        if attempt is not None:
+            self._completion.record_part(attempt.part)
+
+    def on_wait_over(self, part: Part) -> None:
+        """Send a part that could not be sent before, or let it wait on, or abandon its query."""
+        part.waiting = False
+        if part.done or self._sender.try_send(part) or self._rules.wait_for_budget(part):
+            return
+        self._completion.abandon_if_unanswerable(part.query)
+
+    def _on_response(self, attempt: Attempt, latency_us: int) -> None:
+        query = attempt.part.query
+        self._outliers.record_response(attempt)
+        self._latency.record_response(attempt, latency_us)
+        was_counted = self._completion.record_part(attempt.part)
+        if was_counted and query in self._queries and not query.answered:
+            query.answered = True
+            self._sender.resume(query)
+
+    def _replace(self, part: Part, outcome: Outcome) -> None:
+        """Replace a failed part: by itself where its class allows that, else by an unsent one."""
+        query = part.query
+        if not self._completion.is_awaited(part) or outcome == Outcome.CANCELLED or part.in_flight():
+            return
+        if self._completion.hold_or_abandon_if_deadly(query):
+            return
+        # A query of death must not take both replicas of a shard: another part goes first.
+        if outcome == Outcome.BROKEN and not query.answered and self._hedger.send_unsent_part(query):
+            return
+        if self._sender.try_send(part) or part.waiting or self._hedger.send_unsent_part(query):
+            return
+        if not self._rules.wait_for_budget(part):
+            self._completion.abandon_if_unanswerable(query)
--- /dev/null
+++ b/heathwell/policy/context.py
@@ -0,0 +1,69 @@
+"""What the components of the decision module share: settings, clock, random source, timers, actions."""
+
+from __future__ import annotations
+
+import random
+
+from heathwell.datastructures import RateLimitedTopics, TimerQueue
+from heathwell.policy.actions import Action
+from heathwell.policy.operator_events import OperatorEvent
+from heathwell.policy.records import Timer, TimerKind, TimerSubject
+from heathwell.policy.settings import Settings
+
+LOG_INTERVAL_OBJECTIVES = 10  # between two operator events of one topic
+LOG_TOPICS = 64  # remembered topics above which expired ones are dropped
+
+
+class DecisionContext:
+    """The state of one aggregator that belongs to no single component.
+
+    ``now_us`` is the instant of the present batch and ``started_at_us`` that of the first one (None before
+    it). Components append to ``actions`` in the order in which these are to be carried out, and draw from
+    ``random`` in a fixed order, so that the same seed and events give the same actions.
+    """
+
+    __slots__ = (
+        "_topics",
+        "actions",
+        "now_us",
+        "random",
+        "settings",
+        "shortest_objective_us",
+        "started_at_us",
+        "timers",
+    )
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        self.settings = settings
+        self.random = random.Random(seed)
+        self.now_us = 0
+        self.started_at_us: int | None = None
+        self.actions: list[Action] = []
+        self.timers: TimerQueue[Timer] = TimerQueue()
+        self.shortest_objective_us = min(query_class.latency_objective_us for query_class in settings.classes)
+        self._topics = RateLimitedTopics(LOG_INTERVAL_OBJECTIVES * self.shortest_objective_us, LOG_TOPICS)
+
+    def begin_batch(self, now_us: int) -> None:
+        """Set the clock to a batch's instant and begin a new list of actions."""
+        self.now_us = now_us
+        self.actions = []
+        if self.started_at_us is None:
+            self.started_at_us = now_us
+
+    @property
+    def elapsed_us(self) -> int:
+        """Time since the first batch."""
+        return self.now_us - (self.started_at_us or 0)
+
+    def emit(self, action: Action) -> None:
+        """Append an action of this batch."""
+        self.actions.append(action)
+
+    def schedule(self, at_us: int, kind: TimerKind, subject: TimerSubject = None) -> None:
+        """Set a timer for an instant."""
+        self.timers.schedule(at_us, Timer(kind, subject))
+
+    def notify_operators(self, topic: str, event: OperatorEvent) -> None:
+        """Emit an event for the operators, at most one a topic in :data:`LOG_INTERVAL_OBJECTIVES`."""
+        if self._topics.admit(topic, self.now_us):
+            self.emit(event)
--- /dev/null
+++ b/heathwell/policy/latency.py
@@ -0,0 +1,176 @@
+"""Expected, relative and recent latencies, and the rate of responses.
+
+The expected latency of a part is the mean of its class, corrected by its work hint. An endpoint's relative
+latency compares its responses with the expected ones. Spans whose name ends in ``OBJECTIVES`` count shortest
+latency objectives of the settings.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from math import exp
+from typing import Protocol
+
+from heathwell.datastructures import DecayingSum, RunningMean, SlidingWindowSamples
+from heathwell.policy.context import DecisionContext
+from heathwell.policy.records import Attempt, Endpoint, Part
+
+LATENCY_GAIN = 0.15  # weight of one response in an endpoint's average
+LATENCY_GAIN_AFTER_PAUSE = 0.8  # its weight where earlier responses are too old to say much
+LATENCY_FADE_OBJECTIVES = 4.0  # until the average of an unused endpoint has mostly drifted back to 1.0
+MAXIMUM_LATENCY_RATIO = 20.0  # of one response, so that a single one doesn't dominate the average
+MEAN_SAMPLE_RATIO = 3  # times the expected latency at which a response counts in the class's mean at most
+CONNECTION_LOST_LATENCIES = 4.0  # relative latency that a lost connection counts as
+WORK_HINT_WEIGHT = 0.2  # of a hint's distance from the mean hint: hints are rough
+MEAN_GAIN = 0.02  # least weight of one sample in the means over all endpoints
+RECENT_OBJECTIVES = 1.5  # age up to which attempts count as recent
+RECENT_PRIOR_SAMPLES = 10  # quick responses assumed beside recent ones: few latencies prove no overload
+RATE_WINDOW_OBJECTIVES = 2.0  # time constant of the rate of responses
+MEMORY_REVISITS = 3.0  # times between two visits of an endpoint that its behaviour is remembered for
+
+
+class EndpointPopulation(Protocol):
+    """What the latency model needs of the endpoint table."""
+
+    def __len__(self) -> int:
+        """Return the number of known endpoints."""
+
+    def live_rating(self) -> float:
+        """Return the sum of the live endpoints' capacity ratings."""
+
+    @property
+    def response_memory_us(self) -> float:
+        """Return the longest time that an endpoint's behaviour is remembered for."""
+
+
+class LatencyModel:
+    """Owns the latencies by class, the recent latencies and the rate of responses."""
+
+    def __init__(self, context: DecisionContext, endpoints: EndpointPopulation) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self.mean_latency_us = [RunningMean() for _ in context.settings.classes]
+        self.mean_work_hint_us = [RunningMean() for _ in context.settings.classes]
+        self._recent_ratios = SlidingWindowSamples(RECENT_OBJECTIVES * context.shortest_objective_us)
+        self.rate_window_us = RATE_WINDOW_OBJECTIVES * context.shortest_objective_us
+        self._completions = DecayingSum()
+        self.best_completion_rate = 0.0
+        self.best_rate_rating = 0.0
+        self._revisit_interval_us = 0.0
+
+    # Expected latency
+
+    def expected_latency_us(self, part: Part) -> float:
+        """Return the mean latency of the part's class, corrected by its work hint; 0 before any response."""
+        mean_hint_us = self.mean_work_hint_us[part.query.query_class].value
+        hint_us = part.work_hint_us
+        correction = WORK_HINT_WEIGHT * (hint_us / mean_hint_us - 1) if hint_us and mean_hint_us else 0.0
+        return self.mean_latency_us[part.query.query_class].value * (1 + correction)
+
+    def record_work_hint(self, query_class: int, work_hint_us: int | None) -> None:
+        """Count a part's work hint in its class's mean; a missing one counts as 0."""
+        self.mean_work_hint_us[query_class].add(work_hint_us or 0, MEAN_GAIN)
+
+    # Relative latency
+
+    def relative_latency(self, endpoint: Endpoint) -> float:
+        """Return the recent latency against the expected one (1.0), drifting back to it when unused."""
+        return endpoint.relative_latency.at(self._context.now_us, self.memory_us(LATENCY_FADE_OBJECTIVES))
+
+    def has_current_latency(self, endpoint: Endpoint) -> bool:
+        """Return whether the endpoint's relative latency has a sample that has not faded."""
+        fade_us = LATENCY_FADE_OBJECTIVES * self._context.shortest_objective_us
+        return endpoint.relative_latency.updated_at_us > self._context.now_us - fade_us
+
+    def memory_us(self, objectives: float) -> float:
+        """Return how long an endpoint's behaviour counts: so many objectives, or up to the next visits."""
+        return max(objectives * self._context.shortest_objective_us, self._revisit_interval_us)
+
+    def record_response(self, attempt: Attempt, latency_us: int) -> None:
+        """Count a response in the rate, the recent latencies, its endpoint's average and its class's mean."""
+        rate = self._record_completion()
+        self.record_latency(attempt, latency_us)
+        expected_us = self.expected_latency_us(attempt.part)
+        ratio = min(latency_us / expected_us, MAXIMUM_LATENCY_RATIO) if expected_us else 1.0
+        self._update_revisit_interval(rate)
+        endpoint = attempt.endpoint
+        gain = self._gain(endpoint, rate)
+        fade_us = self.memory_us(LATENCY_FADE_OBJECTIVES)
+        endpoint.relative_latency.add(self._context.now_us, ratio, gain, fade_us)
+        mean_latency_us = self.mean_latency_us[attempt.part.query.query_class]
+        mean_latency_us.add(min(latency_us, MEAN_SAMPLE_RATIO * expected_us or latency_us), MEAN_GAIN)
+
+    def record_lost_connection(self, endpoint: Endpoint) -> None:
+        """Count a lost connection as a slow response: the endpoint loses picks among equals, no more."""
+        fade_us = self.memory_us(LATENCY_FADE_OBJECTIVES)
+        endpoint.relative_latency.add(self._context.now_us, CONNECTION_LOST_LATENCIES, LATENCY_GAIN, fade_us)
+
+    def _update_revisit_interval(self, rate: float) -> None:
+        """Remember endpoints for longer where each is visited less than once an objective.
+
+        One of many brokers has only the last response or two of each endpoint to go by. If these were
+        forgotten within an objective, it would find each unhealthy endpoint anew at every visit.
+        """
+        visit_interval_us = len(self._endpoints) / max(rate, self.best_completion_rate)
+        if visit_interval_us > self._context.shortest_objective_us:
+            memory_us = MEMORY_REVISITS * visit_interval_us
+            self._revisit_interval_us = min(memory_us, self._endpoints.response_memory_us)
+        else:
+            self._revisit_interval_us = 0
+
+    def _gain(self, endpoint: Endpoint, rate: float) -> float:
+        """Return the weight of a response: more, the longer the endpoint had none."""
+        since_last_us = self._context.now_us - endpoint.relative_latency.updated_at_us
+        pause_us = min(len(self._endpoints) / rate, since_last_us)
+        fade_us = LATENCY_FADE_OBJECTIVES * self._context.shortest_objective_us
+        forgotten = 1 - exp(-2 * pause_us / fade_us)
+        return max(LATENCY_GAIN, LATENCY_GAIN_AFTER_PAUSE * forgotten)
+
+    # Recent latency
+
+    def record_latency(self, attempt: Attempt, latency_us: float) -> None:
+        """Keep a latency, as a ratio to the expected one, for as long as it counts as recent."""
+        ratio = self._latency_ratio(attempt, latency_us)
+        self._recent_ratios.add(self._context.now_us, attempt.sent_at_us, ratio)
+
+    def recent_latency_ratios(self, in_flight: Iterable[Attempt]) -> list[float]:
+        """Return recent latencies as ratios to the expected ones, in ascending order.
+
+        Attempts in flight count by their age so far.
+        """
+        now_us = self._context.now_us
+        edge_us = now_us - RECENT_OBJECTIVES * self._context.shortest_objective_us
+        ratios = [0.0] * RECENT_PRIOR_SAMPLES + self._recent_ratios.since(edge_us)
+        for attempt in in_flight:
+            if attempt.outcome is None and attempt.sent_at_us > edge_us:
+                ratios.append(self._latency_ratio(attempt, now_us - attempt.sent_at_us))
+        ratios.sort()
+        return ratios
+
+    @property
+    def recent_sample_count(self) -> int:
+        """Return the number of latencies that are kept."""
+        return len(self._recent_ratios)
+
+    def _latency_ratio(self, attempt: Attempt, latency_us: float) -> float:
+        expected_us = self.expected_latency_us(attempt.part)
+        return latency_us / expected_us if expected_us else 1.0
+
+    # Rate of responses
+
+    def completion_rate(self) -> float:
+        """Return the recent rate of responses in parts a microsecond; a rejection shows no capacity."""
+        window_us = self.rate_window_us
+        elapsed_us = max(self._context.elapsed_us, self._context.settings.tick_us)
+        windows = elapsed_us / window_us
+        return self._completions.at(self._context.now_us, window_us) / (window_us * (1 - exp(-windows)))
+
+    def _record_completion(self) -> float:
+        """Count a response; return the rate, and keep the best one with the rating that achieved it."""
+        self._completions.add(self._context.now_us, 1.0, self.rate_window_us)
+        rate = self.completion_rate()
+        if self._context.elapsed_us > self.rate_window_us and rate > self.best_completion_rate:
+            # Endpoints that are lost later must not make the others look larger.
+            self.best_completion_rate = rate
+            self.best_rate_rating = self._endpoints.live_rating()
+        return rate
--- /dev/null
+++ b/heathwell/policy/load.py
@@ -0,0 +1,46 @@
+"""The load of an endpoint: own calls in flight, and the charges that departures add to it."""
+
+from __future__ import annotations
+
+from heathwell.policy.context import DecisionContext
+from heathwell.policy.latency import LatencyModel
+from heathwell.policy.records import Endpoint
+
+OUTLIER_LATENCY_RATIO = 2.5  # relative latency that is charged as one more part, for each multiple
+PENALTY_FADE_OBJECTIVES = 1.0  # time constant of a penalty, in shortest latency objectives
+ROUND_HALF_UP = 0.5
+
+
+class LoadModel:
+    """Computes loads and owns the penalties of cancelled and failed attempts."""
+
+    def __init__(self, context: DecisionContext, latency: LatencyModel) -> None:
+        self._context = context
+        self._latency = latency
+
+    def load(self, endpoint: Endpoint) -> int:
+        """Return the calls in flight, plus the penalties and the charge for outlying latency."""
+        charge = self._outlier_charge(endpoint)
+        return len(endpoint.in_flight_by_call) + int(self.penalty(endpoint) + ROUND_HALF_UP) + charge
+
+    def queued(self, endpoint: Endpoint) -> float:
+        """Return the parts in flight, plus the penalties."""
+        return len(endpoint.in_flight) + self.penalty(endpoint)
+
+    def penalty(self, endpoint: Endpoint) -> float:
+        """Return the parts that cancelled and failed attempts may still cost the endpoint.
+
+        Guards against an endpoint that looks idle because its attempts were cancelled or have failed.
+        """
+        return endpoint.penalty.at(self._context.now_us, self._fade_us())
+
+    def add_penalty(self, endpoint: Endpoint) -> None:
+        """Charge an endpoint one part, which fades."""
+        endpoint.penalty.add(self._context.now_us, 1.0, self._fade_us())
+
+    def _fade_us(self) -> float:
+        return self._latency.memory_us(PENALTY_FADE_OBJECTIVES)
+
+    def _outlier_charge(self, endpoint: Endpoint) -> int:
+        """Guard against endpoints that respond so slowly that few parts in flight are already many."""
+        return int(self._latency.relative_latency(endpoint) / OUTLIER_LATENCY_RATIO)
--- /dev/null
+++ b/heathwell/policy/outlier_detection.py
@@ -0,0 +1,228 @@
+"""Ejection of endpoints: when, for how long, the half-open trial, probes, readmission; queries of death.
+
+Spans whose name ends in ``OBJECTIVES`` count shortest latency objectives of the settings, those in
+``LATENCIES`` expected latencies of the part.
+"""
+
+from __future__ import annotations
+
+from enum import Enum, auto
+from typing import Protocol
+
+from heathwell.policy.actions import Probe
+from heathwell.policy.context import DecisionContext
+from heathwell.policy.endpoint_table import EndpointTable
+from heathwell.policy.events import Outcome, ProbeEnded
+from heathwell.policy.latency import LatencyModel
+from heathwell.policy.operator_events import EjectionReason, EndpointEjected, EndpointReadmitted
+from heathwell.policy.records import ALL_CLASSES, NEVER_US, Attempt, Ejection, Endpoint, Query, TimerKind
+
+SILENCE_LATENCIES = 4.0  # without a response before a late part counts against its endpoint
+SILENT_ATTEMPTS = 2  # in flight: a single one may have met a pause or be heavy itself
+MAXIMUM_EJECTED_FRACTION = 0.4  # of the live endpoints: more is overload, not a fault of theirs
+CONSECUTIVE_ERRORS = 2  # errors of one class, or rejections: one is chance
+RESTART_SILENCE_OBJECTIVES = 3.0  # of silence after which an endpoint may have restarted unlisted
+EJECTION_FIRST_OBJECTIVES = 1.0  # duration of the first ejection; doubled while trials fail
+EJECTION_MAXIMUM_OBJECTIVES = 8.0  # of the longest ejection
+CANARY_OBJECTIVES = 5.0  # after a broken connection, in which one part of a query goes first
+QUERY_OF_DEATH_CONNECTIONS = 2  # broken without a response before a query is abandoned: one is chance
+
+# Outcomes that say nothing of the endpoint's health, beyond silence and the latency of a lost connection.
+NEUTRAL_OUTCOMES = (Outcome.CANCELLED, Outcome.NEVER_SENT, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
+UNREACHABLE_REASONS = (EjectionReason.NO_CONNECTION, EjectionReason.PROBE_FAILED)
+
+
+class QueryOfDeath(Enum):
+    """Whether a query may crash each endpoint that begins it."""
+
+    NOT_SUSPECTED = auto()
+    HOLD = auto()
+    ABANDON = auto()
+
+
+class PenaltySink(Protocol):
+    """What outlier detection needs of the load model."""
+
+    def add_penalty(self, endpoint: Endpoint) -> None:
+        """Charge an endpoint one part, which fades."""
+
+
+class OutlierDetector:
+    """Owns the ejections, the error counts and the instant of the last response of any endpoint."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        endpoints: EndpointTable,
+        latency: LatencyModel,
+        penalties: PenaltySink,
+    ) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self._latency = latency
+        self._penalties = penalties
+        self._last_answer_at_us = NEVER_US
+        self._canary_until_us = 0.0
+
+    # Ejection
+
+    def accepts_attempts(self, endpoint: Endpoint, query_class: int) -> bool:
+        """Return whether no ejection keeps parts of a class from an endpoint.
+
+        A half-open ejection lets one trial through: what was sent before does not count.
+        """
+        for key in (ALL_CLASSES, query_class):
+            ejection = endpoint.ejections.get(key)
+            if ejection is None:
+                continue
+            if not ejection.half_open or not endpoint.all_sent_before(ejection.ends_at_us):
+                return False
+        return True
+
+    def eject_if_silent(self, attempt: Attempt) -> None:
+        """Eject the endpoint of a late attempt that has sent no response since, while others have."""
+        now_us = self._context.now_us
+        endpoint = attempt.endpoint
+        silence_us = SILENCE_LATENCIES * self._latency.expected_latency_us(attempt.part)
+        if attempt.outcome is None and now_us - attempt.sent_at_us < silence_us:
+            self._context.schedule(int(attempt.sent_at_us + silence_us) + 1, TimerKind.SILENT, attempt)
+            return
+        others_respond = endpoint.last_answer_at_us < attempt.sent_at_us <= self._last_answer_at_us
+        if not others_respond:
+            return
+        # At low traffic the attempt's own load keeps a second one away: a time-out counts by itself.
+        timed_out = attempt.outcome == Outcome.TIMED_OUT
+        stuck = sum(other.sent_at_us > endpoint.last_answer_at_us for other in endpoint.in_flight.values())
+        if (timed_out or stuck >= SILENT_ATTEMPTS) and self._may_eject_more():
+            self._eject(endpoint, ALL_CLASSES, EjectionReason.NO_RESPONSE)
+
+    def record_failure(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Count a failed attempt against its endpoint, and eject that where it is due."""
+        endpoint = attempt.endpoint
+        if outcome == Outcome.TIMED_OUT:
+            self.eject_if_silent(attempt)
+        if outcome == Outcome.CONNECTION_LOST:
+            self._latency.record_lost_connection(endpoint)
+        if outcome in NEUTRAL_OUTCOMES:
+            return
+        self._penalties.add_penalty(endpoint)
+        if outcome in (Outcome.UNREACHABLE, Outcome.BROKEN):
+            canary_us = CANARY_OBJECTIVES * self._context.shortest_objective_us
+            self._canary_until_us = self._context.now_us + canary_us
+            self._eject(endpoint, ALL_CLASSES, EjectionReason.NO_CONNECTION)
+        elif outcome == Outcome.REJECTED:
+            self._record_rejection(attempt)
+        else:
+            self._record_error(attempt)
+
+    def _record_rejection(self, attempt: Attempt) -> None:
+        # Had the part waited for its turn it would have taken about the objective.
+        self._latency.record_latency(attempt, self._context.shortest_objective_us)
+        errors = attempt.endpoint.add_error(ALL_CLASSES)
+        if errors >= CONSECUTIVE_ERRORS and self._may_eject_more():
+            self._eject(attempt.endpoint, ALL_CLASSES, EjectionReason.REJECTS_ALL)
+
+    def _record_error(self, attempt: Attempt) -> None:
+        query_class = attempt.part.query.query_class
+        if attempt.endpoint.add_error(query_class) >= CONSECUTIVE_ERRORS:
+            self._eject(attempt.endpoint, query_class, EjectionReason.CONSECUTIVE_ERRORS)
+
+    def _eject(self, endpoint: Endpoint, key: int, reason: EjectionReason) -> None:
+        """Eject, for longer each time in a row; a trial begins when the time is up."""
+        context = self._context
+        previous = endpoint.ejections.get(key)
+        if previous and not previous.half_open:
+            return
+        duration_us = self._ejection_duration_us(previous)
+        disconnect_reason = self._disconnect_reason(previous, reason)
+        ejection = Ejection(context.now_us, duration_us, disconnect_reason=disconnect_reason)
+        endpoint.ejections[key] = ejection
+        context.schedule(ejection.ends_at_us, TimerKind.TRIAL, endpoint)
+        query_class = None if key == ALL_CLASSES else key
+        event = EndpointEjected(endpoint.node, query_class, reason, duration_us)
+        context.notify_operators("eject " + endpoint.node, event)
+
+    def _ejection_duration_us(self, previous: Ejection | None) -> int:
+        if previous is None:
+            return int(self._latency.memory_us(EJECTION_FIRST_OBJECTIVES))
+        return int(min(2 * previous.duration_us, self._latency.memory_us(EJECTION_MAXIMUM_OBJECTIVES)))
+
+    def _disconnect_reason(self, previous: Ejection | None, reason: EjectionReason) -> EjectionReason | None:
+        """Return why the endpoint may have been unreachable; a lost connection stands over later reasons."""
+        earlier = previous.disconnect_reason if previous else None
+        may_be_unreachable = reason in UNREACHABLE_REASONS or not self._context.settings.probing_allowed
+        if may_be_unreachable and earlier != EjectionReason.NO_CONNECTION:
+            return reason
+        return earlier
+
+    def _may_eject_more(self) -> bool:
+        """Return whether enough endpoints are left."""
+        live = self._endpoints.live()
+        ejected = sum(ALL_CLASSES in endpoint.ejections for endpoint in live)
+        return ejected < MAXIMUM_EJECTED_FRACTION * len(live)
+
+    # Trial and readmission
+
+    def on_trial_due(self, endpoint: Endpoint) -> None:
+        """Probe an endpoint whose ejection is over, or let a trial attempt through."""
+        for key, ejection in endpoint.ejections.items():
+            if ejection.half_open or self._context.now_us < ejection.ends_at_us:
+                continue
+            if key == ALL_CLASSES and self._context.settings.probing_allowed and endpoint.live:
+                self._context.emit(Probe(endpoint.node))
+            else:
+                ejection.half_open = True
+
+    def on_probe_ended(self, event: ProbeEnded) -> None:
+        """Let a trial attempt through after a probe; eject again, for longer, where the probe failed."""
+        endpoint = self._endpoints.get(event.node)
+        ejection = endpoint.ejections.get(ALL_CLASSES) if endpoint else None
+        if endpoint is None or ejection is None or ejection.half_open:
+            return
+        ejection.half_open = True
+        if event.outcome != Outcome.OK:
+            self._eject(endpoint, ALL_CLASSES, EjectionReason.PROBE_FAILED)
+
+    def record_response(self, attempt: Attempt) -> None:
+        """Readmit the endpoint of an attempt that has a response."""
+        endpoint = attempt.endpoint
+        silence_us = endpoint.record_response(self._context.now_us, attempt.sent_at_us)
+        self._last_answer_at_us = self._context.now_us
+        for key in (ALL_CLASSES, attempt.part.query.query_class):
+            endpoint.consecutive_errors.pop(key, None)
+            ejection = endpoint.ejections.get(key)
+            if ejection is None or attempt.sent_at_us < ejection.ejected_at_us:
+                continue
+            del endpoint.ejections[key]
+            if key == ALL_CLASSES:
+                self._begin_slow_start_after(endpoint, ejection, silence_us)
+                self._context.notify_operators("back " + endpoint.node, EndpointReadmitted(endpoint.node))
+
+    def _begin_slow_start_after(self, endpoint: Endpoint, ejection: Ejection, silence_us: int) -> None:
+        """Put an endpoint in slow start that may have restarted unlisted during its ejection."""
+        long_silent = silence_us > RESTART_SILENCE_OBJECTIVES * self._context.shortest_objective_us
+        reason = ejection.disconnect_reason
+        if reason == EjectionReason.NO_CONNECTION or (reason and long_silent):
+            endpoint.slow_start_from_us = self._context.now_us
+
+    # Queries of death
+
+    def sends_canary_first(self, query: Query) -> bool:
+        """Return whether one part goes first, so that a query of death costs one endpoint, not many."""
+        recent_crash = self._context.now_us < self._canary_until_us
+        return recent_crash and query.step == 1 and not query.answered
+
+
+def judge_query_of_death(query: Query) -> QueryOfDeath:
+    """Return whether a query is to be held or abandoned because its parts break connections.
+
+    A query that broke a connection and has no response waits for its parts in flight, gets one more attempt,
+    and is abandoned when that breaks a connection too.
+    """
+    if query.answered or not query.broken_connections:
+        return QueryOfDeath.NOT_SUSPECTED
+    if query.in_flight():
+        return QueryOfDeath.HOLD
+    if query.broken_connections < QUERY_OF_DEATH_CONNECTIONS:
+        return QueryOfDeath.NOT_SUSPECTED
+    return QueryOfDeath.ABANDON
--- /dev/null
+++ b/heathwell/policy/query_arrival.py
@@ -0,0 +1,109 @@
+"""Queries from their arrival to their end: the table of queries, their objective and their timers."""
+
+from __future__ import annotations
+
+from collections import Counter, deque
+
+from heathwell.policy.context import DecisionContext
+from heathwell.policy.events import PartArrived, QueryArrived
+from heathwell.policy.latency import LatencyModel
+from heathwell.policy.records import Query, TimerKind
+from heathwell.policy.retry_budget import RetryBudget
+from heathwell.policy.settings import QueryClass
+
+CUT_RETRY_FRACTION = 0.95  # of its class's usual timeout, under which a query counts as a cut retry
+TIMEOUT_SAMPLES = 64  # latest timeouts of a class that give the usual one
+TIMEOUT_STEPS = 64  # of the class's timeout, in which timeouts are counted
+SECOND_STEP_LATENCIES = 2.0  # that a second step takes: the slowest of a few parts, not an average one
+SECOND_STEP_MAXIMUM_OBJECTIVES = 0.5  # of the class, reserved for a second step at most
+SECOND_STEP_DEFAULT_OBJECTIVES = 0.25  # of the class, reserved while no latency is known
+
+
+class QueryTable:
+    """Owns the queries without a final answer and the usual timeouts of their classes."""
+
+    def __init__(self, context: DecisionContext, latency: LatencyModel, budget: RetryBudget) -> None:
+        self._context = context
+        self._latency = latency
+        self._budget = budget
+        self.by_id: dict[str, Query] = {}
+        self._by_job: dict[int, Query] = {}
+        self._recent_timeouts: list[deque[int]] = [
+            deque(maxlen=TIMEOUT_SAMPLES) for _ in context.settings.classes
+        ]
+
+    def __contains__(self, query: Query) -> bool:
+        """Return whether a query has no final answer yet."""
+        return query.id in self.by_id
+
+    def all(self) -> list[Query]:
+        """Return the queries in the order of their arrival."""
+        return list(self.by_id.values())
+
+    def remove(self, query: Query) -> None:
+        """Remove a query that has ended; its attempts stay counted until their outcomes come."""
+        self.by_id.pop(query.id, None)
+        self._by_job.pop(query.job, None)
+
+    def on_query_arrived(self, event: QueryArrived) -> None:
+        """Add a query, whose parts follow, and set its timers."""
+        context = self._context
+        spec = context.settings.classes[event.query_class]
+        self._budget.record_admission()
+        objective_at_us = self._objective_at_us(event, spec)
+        query = Query.from_arrival(event, spec, context.now_us, objective_at_us)
+        self.by_id[event.id] = query
+        self._by_job[event.job] = query
+        self._schedule_end(query)
+        if spec.second_step_parts and spec.allows_partial:
+            self._schedule_cut(query)
+
+    def on_part_arrived(self, event: PartArrived) -> Query | None:
+        """Add a part to its query; return that, or None where it has ended."""
+        self._budget.record_admission()
+        query = self._by_job.get(event.job)
+        if query is not None:
+            query.add_part(event)
+            self._latency.record_work_hint(query.query_class, event.work_hint_us)
+        return query
+
+    def _objective_at_us(self, event: QueryArrived, spec: QueryClass) -> int:
+        """Return the instant of the objective, counted from when the client first sent the query.
+
+        A timeout shorter than most of the class's means a retry whose time has been cut. Its deadline then
+        shows when the client first sent it. First attempts are alike, while a last one may have more time.
+        """
+        now_us = self._context.now_us
+        objective_us = spec.latency_objective_us + int(spec.objective_hint_ratio * (event.work_hint_us or 0))
+        timeout_us = event.deadline_us - now_us
+        usual_timeout_us = self._record_timeout(event.query_class, timeout_us, spec)
+        objective_at_us = min(now_us + objective_us, event.deadline_us)
+        may_be_retry = event.is_retry or not self._context.settings.clients_mark_retries
+        if may_be_retry and timeout_us < CUT_RETRY_FRACTION * usual_timeout_us:
+            return min(objective_at_us, event.deadline_us - spec.timeout_us + objective_us)
+        return objective_at_us
+
+    def _record_timeout(self, query_class: int, timeout_us: int, spec: QueryClass) -> float:
+        """Count a timeout; return the most common one among the latest of the class."""
+        timeouts = self._recent_timeouts[query_class]
+        timeouts.append(TIMEOUT_STEPS * timeout_us // spec.timeout_us)
+        most_common_step = Counter(timeouts).most_common(1)[0][0]
+        return most_common_step * spec.timeout_us / TIMEOUT_STEPS
+
+    def _schedule_end(self, query: Query) -> None:
+        context = self._context
+        tick_us = context.settings.tick_us
+        context.schedule(query.deadline_us - tick_us, TimerKind.DEADLINE, query)
+        if context.now_us + tick_us < query.objective_at_us < query.deadline_us:
+            context.schedule(query.objective_at_us - tick_us, TimerKind.OBJECTIVE, query)
+
+    def _schedule_cut(self, query: Query) -> None:
+        """Cut the first step while the second one still has time before the objective."""
+        objective_us = query.spec.latency_objective_us
+        usual_us = SECOND_STEP_LATENCIES * self._latency.mean_latency_us[query.query_class].value
+        reserved_us = min(
+            usual_us or objective_us * SECOND_STEP_DEFAULT_OBJECTIVES,
+            objective_us * SECOND_STEP_MAXIMUM_OBJECTIVES,
+        )
+        cut_at_us = query.objective_at_us - self._context.settings.tick_us - int(reserved_us)
+        self._context.schedule(cut_at_us, TimerKind.CUT, query)
--- a/heathwell/policy/records.py
+++ b/heathwell/policy/records.py
@@ -1,18 +1,35 @@
-"""Plain records that :mod:`heathwell.policy.aggregator` keeps; they decide nothing."""
+"""Records that the components of the decision module keep; they decide nothing."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import NamedTuple
 
 from heathwell.datastructures import DecayingAverage, DecayingSum
-from heathwell.policy.events import NOT_EXECUTED, EndpointEntry, EndpointState, PartArrived, QueryArrived
+from heathwell.policy.events import (
+    NOT_EXECUTED,
+    EndpointEntry,
+    EndpointState,
+    Outcome,
+    PartArrived,
+    QueryArrived,
+)
+from heathwell.policy.operator_events import EjectionReason
 from heathwell.policy.settings import QueryClass
 
+ALL_CLASSES = -1  # key of what holds for all query classes, beside the index of one class
+NEVER_US = -1  # an instant before any other
+WEIGHT_TOLERANCE = 1e-6  # of sums of part weights
+
 
 @dataclass(slots=True)
 class Query:
-    """A query that still owes its client a final answer."""
+    """A query without a final answer.
+
+    ``step`` is the present step (1 or 2), ``answered`` whether any part has a response, ``truncated`` whether
+    the first step was cut short, ``offered_weight`` the weight of the first step's parts that can be had.
+    """
 
     id: str
     job: int
@@ -34,7 +51,7 @@
 
     @classmethod
     def from_arrival(cls, event: QueryArrived, spec: QueryClass, now_us: int, objective_at_us: int) -> Query:
-        """A query as it arrives; its work is the number of parts that a complete answer needs."""
+        """Return a query as it arrives; its work is the number of parts that a complete answer needs."""
         return cls(
             id=event.id,
             job=event.job,
@@ -48,15 +65,15 @@
         )
 
     def is_last_step(self) -> bool:
-        """Whether no other step follows the present one."""
+        """Return whether no other step follows the present one."""
         return self.step > 1 or not self.spec.second_step_parts
 
     def complete_weight(self) -> float:
-        """The weight of the present step's parts that makes a complete answer."""
+        """Return the weight of the present step's parts that makes a complete answer."""
         return self.spec.required_fraction if self.step == 1 else 1.0
 
     def least_weight(self) -> float:
-        """The least weight of the present step's parts that may be answered."""
+        """Return the least weight of the present step's parts that may be answered."""
         return self.spec.least_fraction if self.step == 1 or self.spec.allows_partial else 1.0
 
     def add_part(self, event: PartArrived) -> None:
@@ -65,44 +82,47 @@
         self.offered_weight += event.weight if self.step == 1 else 0.0
 
     def exclude(self, parts: list[Part]) -> None:
-        """Parts of the present step are not waited for any more."""
+        """Stop waiting for parts of the present step."""
         for part in parts:
             part.excluded = True
             self.offered_weight -= part.weight if self.step == 1 else 0.0
 
     def attempts(self) -> list[Attempt]:
-        """All attempts of all parts."""
+        """Return all attempts of all parts."""
         return [attempt for part in self.parts for attempt in part.attempts]
 
     def in_flight(self) -> list[Attempt]:
-        """Attempts of any part that have had no outcome."""
+        """Return the attempts of any part that have no outcome."""
         return [attempt for part in self.parts for attempt in part.in_flight()]
 
     def step_parts(self) -> list[Part]:
-        """Parts of the present step."""
+        """Return the parts of the present step."""
         return [part for part in self.parts if part.step == self.step]
 
     def unsent_parts(self) -> list[Part]:
-        """Parts of the present step without an attempt."""
+        """Return the present step's parts without an attempt."""
         return [part for part in self.step_parts() if not part.attempts]
 
     def pending_parts(self) -> list[Part]:
-        """Parts of the present step that are neither in nor excluded."""
+        """Return the present step's parts that have neither a response nor are excluded."""
         return [part for part in self.step_parts() if not (part.done or part.excluded)]
 
     def sent_weight(self) -> float:
-        """Weight of the present step's parts that have an attempt."""
+        """Return the weight of the present step's parts that have an attempt."""
         return sum(part.weight for part in self.step_parts() if part.attempts)
 
     def reachable_weight(self) -> float:
-        """Weight of the present step's parts whose answer is in or may still come."""
+        """Return the weight of the present step's parts whose response is there or may still come."""
         return sum(part.weight for part in self.step_parts() if part.can_contribute())
 
 
 @dataclass(slots=True)
 class Part:
-    """One part; ``waiting`` while no replica may be sent to, ``excluded`` once every replica is excluded,
-    ``is_hedge`` where it is sent beside or in place of others."""
+    """One part of a query.
+
+    ``done`` once it has a response, ``waiting`` while it may not be sent yet, ``excluded`` once every replica
+    is excluded, ``is_hedge`` where it is sent beside or in place of others.
+    """
 
     id: str
     query: Query
@@ -117,11 +137,11 @@
     is_hedge: bool = False
 
     def in_flight(self) -> list[Attempt]:
-        """Attempts that have had no outcome."""
+        """Return the attempts that have no outcome."""
         return [attempt for attempt in self.attempts if attempt.outcome is None]
 
     def can_contribute(self) -> bool:
-        """Whether its answer is in or may still come."""
+        """Return whether its response is there or may still come."""
         return self.done or (
             not self.excluded and (self.waiting or not self.attempts or bool(self.in_flight()))
         )
@@ -129,23 +149,29 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One send of a part; ``outcome`` is None while it is out."""
+    """One send of a part; ``outcome`` is None while it is in flight."""
 
     part: Part
     seq: int
     endpoint: Endpoint
     sent_at_us: int
     call_id: int
-    outcome: str | None = None
+    outcome: Outcome | None = None
 
     def may_have_run(self) -> bool:
-        """Whether nothing proves that the endpoint never ran the part."""
+        """Return whether nothing proves that the endpoint never ran the part."""
         return self.outcome not in NOT_EXECUTED
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """What this aggregator knows of one endpoint from the list and from its own traffic."""
+    """One endpoint: its entry in the endpoint list, and what this aggregator's own traffic shows of it.
+
+    ``gone_at_us`` is when it left the list, ``deprioritized_for`` and ``excluded_for`` hold class indices or
+    :data:`ALL_CLASSES`, as the keys of ``consecutive_errors`` and ``ejections`` do. Parts that share a call
+    count once in ``in_flight_by_call``. ``last_answer_at_us`` is the instant of the last response and
+    ``last_answered_send_at_us`` that of the latest send that had one.
+    """
 
     node: str
     replica_group: int
@@ -163,8 +189,8 @@
     last_call_capacity: int = 0
     penalty: DecayingSum = field(default_factory=DecayingSum)
     relative_latency: DecayingAverage = field(default_factory=lambda: DecayingAverage(1.0))
-    last_answer_at_us: int = -1
-    last_answered_send_at_us: int = -1
+    last_answer_at_us: int = NEVER_US
+    last_answered_send_at_us: int = NEVER_US
     consecutive_errors: dict[int, int] = field(default_factory=dict)
     ejections: dict[int, Ejection] = field(default_factory=dict)
     slow_start_from_us: int | None = None
@@ -173,39 +199,48 @@
 
     @classmethod
     def from_entry(cls, entry: EndpointEntry) -> Endpoint:
-        """An endpoint as the endpoint list first names it."""
+        """Return an endpoint as the endpoint list first names it."""
         return cls(entry.node, entry.replica_group, entry.zone, entry.rating, entry.started_at_us)
 
     def update(self, entry: EndpointEntry, now_us: int) -> None:
-        """Take what the endpoint list says; an unknown state leaves the present one as it is."""
+        """Apply an entry of the endpoint list; an unknown state leaves the present one as it is."""
         if entry.state in (EndpointState.LIVE, EndpointState.DRAINING, EndpointState.GONE):
             self.live = entry.state == EndpointState.LIVE
             self.gone_at_us = (self.gone_at_us or now_us) if entry.state == EndpointState.GONE else None
-        self.replica_group, self.zone, self.rating = entry.replica_group, entry.zone, entry.rating
+        self.replica_group = entry.replica_group
+        self.zone = entry.zone
+        self.rating = entry.rating
 
     def restart(self, started_at_us: int) -> None:
-        """A new process: what was known of the old one is void."""
+        """Drop what was recorded of the endpoint's former process."""
         self.started_at_us = started_at_us
-        self.slow_start_from_us = self.slow_start_credit = None
-        self.consecutive_errors, self.ejections, self.penalty.value = {}, {}, 0.0
+        self.slow_start_from_us = None
+        self.slow_start_credit = None
+        self.consecutive_errors = {}
+        self.ejections = {}
+        self.penalty.value = 0.0
         self.relative_latency.reset()
 
     def left_before(self, edge_us: int) -> bool:
-        """Whether it left the endpoint list before an instant."""
+        """Return whether it left the endpoint list before an instant."""
         return self.gone_at_us is not None and self.gone_at_us < edge_us
 
     def restrict(self, key: int, deprioritized: frozenset[str], excluded: frozenset[str]) -> None:
         """Replace the restrictions that hold for a key by those that name this endpoint."""
-        for restricted, nodes in (
+        for restricted_keys, nodes in (
             (self.deprioritized_for, deprioritized),
             (self.excluded_for, excluded),
         ):
-            (restricted.add if self.node in nodes else restricted.discard)(key)
+            if self.node in nodes:
+                restricted_keys.add(key)
+            else:
+                restricted_keys.discard(key)
 
     def add_attempt(self, part: Part, now_us: int, next_call_id: int, parts_per_call: int) -> Attempt:
         """Count an attempt in flight, in the call of this instant while that has room, else in the next."""
         if self.last_call_at_us != now_us or self.last_call_capacity < 1:
-            self.last_call_at_us, self.last_call_id = now_us, next_call_id
+            self.last_call_at_us = now_us
+            self.last_call_id = next_call_id
             self.last_call_capacity = parts_per_call
         self.last_call_capacity -= 1
         call_id = self.last_call_id
@@ -218,7 +253,7 @@
         return attempt
 
     def release(self, attempt: Attempt) -> None:
-        """The attempt is not in flight any more; a second time has no effect."""
+        """Stop counting an attempt as in flight; a second call has no effect."""
         if self.in_flight.pop((attempt.part.id, attempt.seq), None) is None:
             return
         self.in_flight_by_call[attempt.call_id] -= 1
@@ -227,49 +262,70 @@
 
     def start_slow_start_credit(self, now_us: int, credit: float) -> None:
         """Begin to count the parts that may be sent in slow start."""
-        self.slow_start_credit, self.slow_start_credit_at_us = credit, now_us
+        self.slow_start_credit = credit
+        self.slow_start_credit_at_us = now_us
 
-    def earn_slow_start_credit(self, now_us: int, rate: float, most: float) -> float:
-        """Let the credit grow by parts a microsecond up to a limit; returns what it is now."""
+    def earn_slow_start_credit(self, now_us: int, rate: float, limit: float) -> float:
+        """Add to the credit by a rate in parts a microsecond, up to a limit; return the credit."""
         earned = rate * (now_us - self.slow_start_credit_at_us)
-        self.slow_start_credit = min((self.slow_start_credit or 0.0) + earned, most)
+        self.slow_start_credit = min((self.slow_start_credit or 0.0) + earned, limit)
         self.slow_start_credit_at_us = now_us
         return self.slow_start_credit
 
     def all_sent_before(self, edge_us: int) -> bool:
-        """Whether each attempt in flight was sent before an instant."""
+        """Return whether each attempt in flight was sent before an instant."""
         return all(attempt.sent_at_us < edge_us for attempt in self.in_flight.values())
 
     def record_response(self, now_us: int, sent_at_us: int) -> int:
-        """Note a response to an attempt sent at an instant; returns the time since the one before."""
+        """Record a response to an attempt sent at an instant; return the time since the one before."""
         silence_us = now_us - self.last_answer_at_us
         self.last_answered_send_at_us = max(self.last_answered_send_at_us, sent_at_us)
         self.last_answer_at_us = now_us
         return silence_us
 
     def add_error(self, key: int) -> int:
-        """Count one more error in a row for a key; returns how many these are."""
+        """Count one more consecutive error for a key; return their number."""
         self.consecutive_errors[key] = self.consecutive_errors.get(key, 0) + 1
         return self.consecutive_errors[key]
 
 
 @dataclass(slots=True)
 class Ejection:
-    """An ejection, of an endpoint or of one class at it; once half open, trial attempts are let through."""
+    """An ejection of an endpoint, or of one class at it; once half-open, trial attempts may be sent.
+
+    ``disconnect_reason`` is set where the endpoint may have been unreachable, and so may have restarted.
+    """
 
     ejected_at_us: int
     duration_us: int
     half_open: bool = False
-    disconnect_reason: str = ""
+    disconnect_reason: EjectionReason | None = None
 
     @property
     def ends_at_us(self) -> int:
-        """When a trial may begin."""
+        """The instant from which a trial may begin."""
         return self.ejected_at_us + self.duration_us
 
 
+class TimerKind(StrEnum):
+    """What is due; the comment names the subject."""
+
+    DEADLINE = "deadline"  # a query's last moment to answer
+    OBJECTIVE = "aim"  # a query's latency objective
+    CUT = "cut"  # the first step of a query: its second one needs the rest of the time
+    RETRY_WAIT = "wait"  # a part that could not be sent
+    LATE = "late"  # an attempt: a hedge is due
+    SILENT = "silent"  # an attempt: its endpoint may be ejected for silence
+    TRIAL = "trial"  # an endpoint: an ejection is over
+    POLL = "ask"  # discovery is called again
+    POLL_TIMEOUT = "answer?"  # discovery is called again if it has not replied
+
+
+TimerSubject = Query | Part | Attempt | Endpoint | None
+
+
 class Timer(NamedTuple):
-    """What a timer is set for."""
+    """What is due, and for what."""
 
-    kind: str
-    subject: object
+    kind: TimerKind
+    subject: TimerSubject
--- /dev/null
+++ b/heathwell/policy/replica_selection.py
@@ -0,0 +1,136 @@
+"""Replica selection by Batch Sampling on this aggregator's own counts.
+
+The ordinary path (Li, Ramamoorthy, Srikant: mean-field analysis of coding versus replication in large data
+storage systems) is :meth:`ReplicaSelector.select` and :meth:`ReplicaSelector.in_rank_order`: of a shard's
+replicas the one with the fewest own calls in flight serves the part, the parts of a query are ranked by that
+count, ties are drawn, and the caller sends the first n. Every other function here is a departure; its
+docstring states what it guards against, and ``docs/design.md`` lists them.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from heathwell.datastructures import GroupRank, drain_by_rank
+from heathwell.policy.context import DecisionContext
+from heathwell.policy.endpoint_table import EndpointTable
+from heathwell.policy.latency import LatencyModel
+from heathwell.policy.load import LoadModel
+from heathwell.policy.outlier_detection import OutlierDetector
+from heathwell.policy.records import ALL_CLASSES, Endpoint, Part
+from heathwell.policy.slow_start import SlowStart
+
+RERANK_PARTS = 12  # up to which all parts are ranked anew before each pick: groups save little there
+OTHER_ZONE_LATENCY = 0.3  # relative latency by which an endpoint of the own zone may be slower than others
+NO_REPLICA_RANK = (1e9, 0, 0)  # after all parts that have a replica
+NO_REPLICA_CANARY_RANK = 1  # after all canary ranks, which are at most 1
+
+Rank = tuple[float, ...]
+RankBasis = tuple[Endpoint, int] | None  # the endpoint that a rank rests on, and its attempts in flight
+
+
+class ReplicaSelector:
+    """Selects the replica for a part and ranks the parts of a query; owns no state."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        endpoints: EndpointTable,
+        latency: LatencyModel,
+        load: LoadModel,
+        slow_start: SlowStart,
+        outliers: OutlierDetector,
+    ) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self._latency = latency
+        self._load = load
+        self._slow_start = slow_start
+        self._outliers = outliers
+
+    # The ordinary path
+
+    def select(self, part: Part) -> Endpoint | None:
+        """Return the usable replica with the least load, ties broken; None where there is none."""
+        candidates = self._candidates(part)
+        return min(candidates, key=self._replica_rank, default=None)
+
+    def in_rank_order(self, parts: list[Part]) -> Iterator[Part]:
+        """Yield the parts by rank, each by the loads that the sends before it left; empties the list.
+
+        Up to :data:`RERANK_PARTS` parts are ranked anew before each pick. More are ranked by groups with the
+        same replicas, and only groups that rest on the picked endpoint are ranked anew: O(n log n).
+        """
+        while 0 < len(parts) <= RERANK_PARTS:
+            best = min(parts, key=self.part_rank)
+            parts.remove(best)
+            yield best
+        groups: dict[int, list[Part]] = {}
+        for part in parts:
+            groups.setdefault(part.shard % self._context.settings.replica_groups, []).append(part)
+        yield from drain_by_rank(groups, self._group_rank, _is_current, self._context.random)
+
+    def part_rank(self, part: Part) -> Rank:
+        """Return the rank of a part, the least first: its replica's load, then latency, then a draw."""
+        endpoint = self.select(part)
+        if endpoint is None:
+            return NO_REPLICA_RANK
+        return (self._load.load(endpoint), self._tie_break(endpoint)[1], self._context.random.random())
+
+    def _replica_rank(self, endpoint: Endpoint) -> Rank:
+        return (self._load.load(endpoint), *self._tie_break(endpoint))
+
+    def _group_rank(self, group: list[Part]) -> GroupRank[RankBasis]:
+        """Return the rank of parts with the same replicas, with the least of one draw a part."""
+        endpoint = self.select(group[0])
+        if endpoint is None:
+            return GroupRank(NO_REPLICA_RANK, None)
+        draw = 1 - self._context.random.random() ** (1 / len(group))
+        rank = (self._load.load(endpoint), self._tie_break(endpoint)[1], draw)
+        return GroupRank(rank, (endpoint, len(endpoint.in_flight)))
+
+    # Departures
+
+    def _candidates(self, part: Part) -> list[Endpoint]:
+        """Guard against unusable replicas: gone, excluded, busy with this part, ejected, tried, far away.
+
+        The last three serve only where no other replica is left.
+        """
+        busy = {attempt.endpoint.node for attempt in part.in_flight()}
+        tried = {attempt.endpoint.node for attempt in part.attempts}
+        query_class = part.query.query_class
+        class_keys = {ALL_CLASSES, query_class}
+        replicas = self._endpoints.replicas(part)
+        allowed = [replica for replica in replicas if replica.live and not replica.excluded_for & class_keys]
+        available = [
+            replica
+            for replica in allowed
+            if replica.node not in busy and self._slow_start.has_capacity(replica)
+        ]
+        healthy = [replica for replica in available if self._outliers.accepts_attempts(replica, query_class)]
+        healthy = [replica for replica in healthy if not replica.deprioritized_for & class_keys] or healthy
+        untried = [replica for replica in healthy if replica.node not in tried]
+        return untried or healthy or available
+
+    def _tie_break(self, endpoint: Endpoint) -> Rank:
+        """Guard against slow and distant replicas among equally loaded ones: parts, latency, then a draw.
+
+        An endpoint on trial ranks by no latency, so that the trial takes place.
+        """
+        on_trial = any(ejection.half_open for ejection in endpoint.ejections.values())
+        zone_latency = 0.0 if endpoint.zone == self._context.settings.zone else OTHER_ZONE_LATENCY
+        latency = 0.0 if on_trial else self._latency.relative_latency(endpoint) + zone_latency
+        return (len(endpoint.in_flight), latency, self._context.random.random())
+
+    def canary(self, parts: list[Part]) -> Part:
+        """Guard against queries of death: return the part whose replica was last seen to respond."""
+        return min(parts, key=self._canary_rank)
+
+    def _canary_rank(self, part: Part) -> int:
+        endpoint = self.select(part)
+        return -endpoint.last_answer_at_us if endpoint else NO_REPLICA_CANARY_RANK
+
+
+def _is_current(basis: RankBasis) -> bool:
+    """Return whether the count that a group's rank rests on is still the endpoint's."""
+    return basis is None or len(basis[0].in_flight) == basis[1]
--- /dev/null
+++ b/heathwell/policy/retries.py
@@ -0,0 +1,78 @@
+"""Which parts may be sent again, up to when, and which wait for the retry budget."""
+
+from __future__ import annotations
+
+from heathwell.policy.context import DecisionContext
+from heathwell.policy.latency import LatencyModel
+from heathwell.policy.records import NEVER_US, Part, TimerKind
+from heathwell.policy.retry_budget import FREE_OUTCOMES, RetryBudget
+from heathwell.policy.settings import Idempotency
+
+RETRY_WAIT_OBJECTIVES = 0.05  # of the class: until a part that could not be sent is tried again
+
+
+class RetryRules:
+    """Decides on additional attempts of a part; owns no state beyond the part's ``waiting``."""
+
+    def __init__(self, context: DecisionContext, budget: RetryBudget, latency: LatencyModel) -> None:
+        self._context = context
+        self._budget = budget
+        self._latency = latency
+
+    def may_send_again(self, part: Part) -> bool:
+        """Return whether limits, the class's idempotency, budgets and quota allow another attempt."""
+        if not self._may_repeat(part):
+            return False
+        is_free = bool(part.attempts) and part.attempts[-1].outcome in FREE_OUTCOMES
+        return self._budget.has_budget(is_free=is_free) and self._budget.has_quota()
+
+    def send_by_us(self, part: Part) -> int:
+        """Return up to when an attempt may leave; its class limits repeats of what may have run."""
+        query_class = part.query.spec
+        deadline_us = part.query.deadline_us
+        sent_at_us = [attempt.sent_at_us for attempt in part.attempts if attempt.may_have_run()]
+        if not sent_at_us or query_class.idempotency == Idempotency.IDEMPOTENT:
+            return deadline_us
+        if not query_class.allows_duplicates:
+            return NEVER_US
+        return min(deadline_us, min(sent_at_us) + query_class.idempotency_window_us)
+
+    def wait_for_budget(self, part: Part) -> bool:
+        """Let a part wait whose next attempt only our own budget or the quota prevents.
+
+        It waits only if that attempt can still meet the objective. Were the query abandoned instead, its
+        client would request all parts anew. Return whether the part waits.
+        """
+        if part.waiting:
+            return True
+        wait_us = self.retry_wait_us(part)
+        if self._budget.has_own_budget() or self._misses_objective(part, wait_us):
+            return False
+        if not self._may_repeat(part) or not self._budget.has_budget(is_free=True):
+            return False
+        self.wait(part, wait_us)
+        return True
+
+    def retry_wait_us(self, part: Part) -> int:
+        """Return after how long a part that could not be sent is tried again."""
+        return int(RETRY_WAIT_OBJECTIVES * part.query.spec.latency_objective_us)
+
+    def wait(self, part: Part, wait_us: int) -> None:
+        """Try a part again after a span."""
+        part.waiting = True
+        self._context.schedule(self._context.now_us + wait_us, TimerKind.RETRY_WAIT, part)
+
+    def _may_repeat(self, part: Part) -> bool:
+        """Return whether the settings and the class's idempotency allow another attempt, whatever budgets."""
+        settings = self._context.settings
+        if len(part.attempts) >= settings.max_attempts:
+            return False
+        if self._context.now_us > self.send_by_us(part):
+            return False
+        if not part.in_flight():
+            return True
+        return settings.hedging_allowed and part.query.spec.allows_duplicates
+
+    def _misses_objective(self, part: Part, wait_us: int) -> bool:
+        expected_us = self._latency.expected_latency_us(part)
+        return self._context.now_us + wait_us + expected_us > part.query.objective_at_us
--- /dev/null
+++ b/heathwell/policy/retry_budget.py
@@ -0,0 +1,76 @@
+"""The budgets of additional attempts: the stated one, this aggregator's own, and the quota of the fleet."""
+
+from __future__ import annotations
+
+from heathwell.datastructures import SlidingWindowCounter, TokenBucket
+from heathwell.policy.actions import QuotaExhausted
+from heathwell.policy.context import DecisionContext
+from heathwell.policy.events import Outcome
+
+EARNED_PER_FIRST_ATTEMPT = 0.1  # additional attempts: room for a few unhealthy endpoints
+CAPACITY = 10.0  # earned attempts kept: enough for one endpoint's parts when it stops
+
+# Outcomes after which an additional attempt is free of our own budget: a part that was lost with its
+# connection was not late, and one that reached no endpoint is no load.
+FREE_OUTCOMES = (Outcome.CONNECTION_LOST, Outcome.UNREACHABLE, Outcome.NEVER_SENT)
+
+
+class RetryBudget:
+    """Owns the counts of admitted parts and additional attempts, the own tokens and the quota.
+
+    The own budget limits how much additional attempts can feed an overload. It estimates what all aggregators
+    together may do, and so gives way to a quota where there is one.
+    """
+
+    def __init__(self, context: DecisionContext) -> None:
+        self._context = context
+        window_us = context.settings.attempt_budget_window_us
+        self._admitted = SlidingWindowCounter(window_us, includes_edge=False)
+        self._additional = SlidingWindowCounter(window_us, includes_edge=True)
+        self.bucket = TokenBucket(CAPACITY)
+        self._quota: int | None = None
+
+    def set_quota(self, additional_attempts: int | None) -> None:
+        """Set the additional attempts that the fleet's quota leaves this aggregator; None for no quota."""
+        self._quota = additional_attempts
+
+    def record_admission(self) -> None:
+        """Count a query or part taken, from which the stated budget earns."""
+        self._admitted.add(self._context.now_us)
+
+    def record_first_attempt(self) -> None:
+        """Earn a fraction of an additional attempt."""
+        self.bucket.earn(EARNED_PER_FIRST_ATTEMPT)
+
+    def record_additional_attempt(self, previous_outcome: Outcome | None) -> None:
+        """Count an attempt that follows another one of its part, after this outcome (None: in flight)."""
+        if previous_outcome not in FREE_OUTCOMES:
+            self.bucket.spend()
+        self._additional.add(self._context.now_us)
+
+    def spend_quota(self) -> None:
+        """Take an additional attempt from the quota, where there is one."""
+        if self._quota is not None:
+            self._quota -= 1
+
+    def has_quota(self) -> bool:
+        """Return whether the quota, if there is one, leaves an additional attempt; emit where it doesn't."""
+        if self._quota is not None and self._quota < 1:
+            self._context.emit(QuotaExhausted())
+            return False
+        return True
+
+    def has_budget(self, *, is_free: bool = False) -> bool:
+        """Return whether the stated budget and, unless it is free of that, our own leave an attempt."""
+        settings = self._context.settings
+        now_us = self._context.now_us
+        earned = settings.additional_attempt_ratio * self._admitted.count(now_us)
+        limit = settings.free_additional_attempts + earned
+        own = is_free or self.bucket.has_token() or self._quota is not None
+        if not own:
+            return False
+        return not settings.attempt_budget_window_us or self._additional.count(now_us) + 1 <= limit
+
+    def has_own_budget(self) -> bool:
+        """Return whether the quota or, without one, our own budget leaves an attempt."""
+        return self.bucket.has_token() if self._quota is None else self._quota >= 1
--- /dev/null
+++ b/heathwell/policy/sending.py
@@ -0,0 +1,110 @@
+"""Sending parts: the parts of a step that are needed, one after another, each to its selected replica."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from heathwell.policy.actions import EndReason, Send
+from heathwell.policy.attempt_table import AttemptTable
+from heathwell.policy.context import DecisionContext
+from heathwell.policy.load_shedding import LoadShedder
+from heathwell.policy.outlier_detection import OutlierDetector
+from heathwell.policy.query_completion import QueryCompletion
+from heathwell.policy.records import WEIGHT_TOLERANCE, Endpoint, Part, Query, TimerKind
+from heathwell.policy.replica_selection import ReplicaSelector
+from heathwell.policy.retries import RetryRules
+from heathwell.policy.retry_budget import RetryBudget
+from heathwell.policy.slow_start import SlowStart
+
+LATE_FRACTION = 0.5  # of the time left to the objective at the send: an attempt without outcome is late
+LATE_TIME_DIVISOR = 2  # of the objective: the least time left that counts
+CANARY_WEIGHT = 1e-5  # required weight that the first part reaches
+SINGLE_PART_WEIGHT = 1e-4  # required weight under which one part goes first
+ALL_PARTS_WEIGHT = 1 - 1e-4  # required weight over which all parts are sent, in any order
+
+
+class PartSender:
+    """Sends parts; owns no state beyond the parts' own."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        selector: ReplicaSelector,
+        shedder: LoadShedder,
+        outliers: OutlierDetector,
+        slow_start: SlowStart,
+        budget: RetryBudget,
+        rules: RetryRules,
+        attempts: AttemptTable,
+        completion: QueryCompletion,
+    ) -> None:
+        self._context = context
+        self._selector = selector
+        self._shedder = shedder
+        self._outliers = outliers
+        self._slow_start = slow_start
+        self._budget = budget
+        self._rules = rules
+        self._attempts = attempts
+        self._completion = completion
+
+    def send_step(self, query: Query) -> None:
+        """Shed the query, or rank the step's parts by their replica's load and send those that are needed."""
+        if not query.answered and self._shedder.should_shed(query):
+            self._completion.abandon(query, EndReason.OVERLOAD)
+            return
+        unsent = [part for part in query.unsent_parts() if not part.waiting]
+        canary_first = self._outliers.sends_canary_first(query)
+        needed_weight = CANARY_WEIGHT if canary_first else self._completion.required_weight(query)
+        sent_weight = query.sent_weight()
+        order = self._order(unsent, needed_weight)
+        while sent_weight < needed_weight - WEIGHT_TOLERANCE and (part := next(order, None)):
+            self.try_send(part)
+            sent_weight += part.weight
+
+    def _order(self, unsent: list[Part], needed_weight: float) -> Iterator[Part]:
+        if needed_weight < SINGLE_PART_WEIGHT and unsent:
+            return iter([self._selector.canary(unsent)])
+        if needed_weight > ALL_PARTS_WEIGHT:
+            return iter(unsent)  # where all are sent the order decides nothing
+        return self._selector.in_rank_order(unsent)
+
+    def resume(self, query: Query) -> None:
+        """Send the parts that were held back or broken while the query was suspected of being deadly."""
+        for part in query.parts:
+            if part.attempts and not (part.done or part.waiting or part.in_flight()):
+                self.try_send(part)
+        self.send_step(query)
+
+    def try_send(self, part: Part) -> bool:
+        """Send a part to its selected replica, or let it wait where there is none; return whether it left."""
+        tick_us = self._context.settings.tick_us
+        if self._context.now_us >= part.query.deadline_us - tick_us:
+            return False
+        if part.attempts and not self._rules.may_send_again(part):
+            return False
+        if part.is_hedge and not part.attempts and not self._budget.has_quota():
+            return False
+        endpoint = self._selector.select(part)
+        if endpoint is None:
+            if not part.waiting:
+                self._rules.wait(part, max(self._rules.retry_wait_us(part), tick_us))
+            return False
+        self._send(part, endpoint)
+        return True
+
+    def _send(self, part: Part, endpoint: Endpoint) -> None:
+        is_additional = bool(part.attempts) or part.is_hedge
+        in_slow_start = self._slow_start.record_send(endpoint)
+        send_by_us = self._rules.send_by_us(part)
+        if is_additional:
+            self._budget.spend_quota()
+        if part.attempts:
+            self._budget.record_additional_attempt(part.attempts[-1].outcome)
+        else:
+            self._budget.record_first_attempt()
+        attempt = self._attempts.begin(part, endpoint)
+        self._context.emit(Send(part.id, endpoint.node, is_additional, in_slow_start, send_by_us))
+        least_us = part.query.spec.latency_objective_us // LATE_TIME_DIVISOR
+        left_us = max(part.query.objective_at_us - self._context.now_us, least_us)
+        self._context.schedule(self._context.now_us + int(left_us * LATE_FRACTION), TimerKind.LATE, attempt)
--- a/heathwell/testing/simulation/platform.py
+++ b/heathwell/testing/simulation/platform.py
@@ -11,13 +11,12 @@
 from pathlib import Path
 from typing import Any
 
-import heathwell
 from heathwell.eventloop import Coro, Loop, sleep, socket_loop
 from heathwell.testing.standins.platform import Client, Node, Registry
 
 CELLS = 6
 LOOKS_MOST = 3_000  # at the log, fifty a second, for a word or the end
-ROOT = Path(heathwell.__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[3]
 SETUP: dict[str, Any] = {
     "az": 0,
     "zones": ["a", "b"],
--- a/heathwell/testing/simulation/rolling.py
+++ b/heathwell/testing/simulation/rolling.py
@@ -20,7 +20,6 @@
 from pathlib import Path
 from typing import Any
 
-import heathwell
 from heathwell.codec import frames, inner_protocol
 from heathwell.fleet.control.broker_process import process_start_ticks
 from heathwell.settings import ServiceSettings, load
@@ -30,7 +29,7 @@
 from heathwell.testing.simulation.script import Load, Mix
 from heathwell.testing.simulation.wires import Wires
 
-PACKAGE = Path(heathwell.__file__).resolve().parent
+PACKAGE = Path(__file__).resolve().parents[2]
 # The example of a fleet with budgets, for agents' brokers: none of its own, and room for those of two
 # versions.
 SWAPS = (
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -9,6 +9,7 @@
 import re
 import subprocess
 import sys
+import tomllib
 from pathlib import Path
 
 import pytest
@@ -184,9 +185,19 @@
     assert day(5) != day(6)
 
 
-def test_the_decision_module_keeps_its_size():
-    lines = (ROOT / "heathwell/policy/aggregator.py").read_text().splitlines()
-    assert 100 < len([line for line in lines if line.strip()]) <= 860
+TYPE_MODULES = {"__init__", "actions", "events", "operator_events", "records", "settings"}
+MAXIMUM_COMPONENT_LINES = 300
+
+
+def test_each_component_of_the_decision_module_is_small_and_listed_in_the_deploy_file():
+    """The bench records the files listed under ``policy``: all that decide have to stand there."""
+    deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
+    components = {path for path in (ROOT / "heathwell/policy").glob("*.py") if path.stem not in TYPE_MODULES}
+    assert sorted(deploy["policy"]) == sorted(str(path.relative_to(ROOT)) for path in components)
+    assert len(components) > 10
+    for path in components:
+        lines = [line for line in path.read_text().splitlines() if line.strip()]
+        assert 10 < len(lines) <= MAXIMUM_COMPONENT_LINES, path.name
     for path in [*(ROOT / "heathwell").glob("*.py"), *(ROOT / "heathwell/policy").glob("*.py")]:
         assert max(len(line) for line in path.read_text().splitlines()) <= 110
 
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -7,7 +7,6 @@
 import pytest
 
 from heathwell import Aggregator, Settings, policy
-from heathwell.policy.aggregator import Aggregator as Module
 
 from .conftest import AIM, of
 
@@ -16,13 +15,19 @@
     return tuple(policy.EndpointEntry(f"s{i}", i) for i in range(count))
 
 
-class Naive(Module):
+class Naive(Aggregator):
     """Ranks all parts not yet picked anew before each pick, as the design page words it."""
 
-    def _in_rank_order(self, parts):
+    def __init__(self, settings: Settings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self.rankings = 0
+        self.selector.in_rank_order = self.rank_anew
+
+    def rank_anew(self, parts):
+        self.rankings += 1
         left = list(parts)
         while left:
-            best = min(left, key=self._part_rank)
+            best = min(left, key=self.selector.part_rank)
             left.remove(best)
             yield best
 
@@ -54,12 +59,12 @@
 @pytest.mark.parametrize("call", [1, 4])
 def test_the_same_parts_at_the_same_servers_as_ranking_anew(seed, call):
     """Any two parts with one pick tie, so ties go by shard here: every choice must then agree."""
-    assert Aggregator._in_rank_order is not Naive._in_rank_order  # else it would be compared with itself
     chosen = []
     for kind in (Aggregator, Naive):
         agg = fleet(kind, seed, call)
         agg.random.random = lambda: 0.5
         chosen.append(sends(agg, 2000, 24, 24))
+    assert agg.rankings == 1  # else the ranking would be compared with itself
     assert len(chosen[0]) == 18 and chosen[0] == chosen[1]
 
 
@@ -91,14 +96,16 @@
 @pytest.mark.parametrize("parts", [40, 400])
 def test_looks_at_holders_grow_no_faster_than_the_parts(parts):
     looks = 0
+    agg = fleet(Aggregator, 3, servers=240)
+    select = agg.selector.select
 
-    class Counting(Aggregator):
-        def _select_replica(self, part):
-            nonlocal looks
-            looks += 1
-            return super()._select_replica(part)
+    def counting_select(part):
+        nonlocal looks
+        looks += 1
+        return select(part)
 
-    sends(fleet(Counting, 3, servers=240), 2000, parts, 240)
+    agg.selector.select = counting_select
+    sends(agg, 2000, parts, 240)
     assert parts <= looks < 12 * parts  # under one a part the count would no longer be taken
 
 
@@ -119,4 +126,4 @@
         )
         for send in sent:
             agg.handle(now + 1000, [policy.AttemptEnded(send.id, 0, send.node, policy.Outcome.OK, 1000)])
-    assert len(agg.recent_latencies) < 300
+    assert agg.latency.recent_sample_count < 300
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -337,8 +337,8 @@
                         len(kept)
                         for kept in (
                             module.endpoints,
-                            module.log_topics,
-                            module.timers,
+                            module.context._topics,
+                            module.context.timers,
                             module.attempts_in_flight,
                             broker.links,
                             broker.addresses,
@@ -392,7 +392,7 @@
             )  # outside of the own budget, at another holder
             d.end(again[0], after=1000, seq=1)
     assert not any(server.ejections or server.penalty.value for server in d.agg.endpoints.values())
-    assert d.agg.retry_budget.tokens >= 1
+    assert d.agg.retry_budget.bucket.tokens >= 1
 
 
 def test_a_keyed_part_that_was_lost_is_sent_again_within_its_window_only(drive):
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -22,6 +22,28 @@
 INTERFACE = "heathwell.policy"
 AGGREGATOR = "heathwell.policy.aggregator"
 RECORDS = "heathwell.policy.records"
+# From the bottom to the top: a component may use those before it.
+COMPONENTS = tuple(
+    f"heathwell.policy.{name}"
+    for name in (
+        "context",
+        "endpoint_table",
+        "latency",
+        "load",
+        "slow_start",
+        "outlier_detection",
+        "replica_selection",
+        "retry_budget",
+        "retries",
+        "attempt_table",
+        "load_shedding",
+        "query_arrival",
+        "query_completion",
+        "sending",
+        "hedging",
+        "attempt_outcomes",
+    )
+)
 DATASTRUCTURES = "heathwell.datastructures"
 PLATFORM_SETTINGS = "heathwell.gateway.settings_from_platform"
 BENCH_LINK = "heathwell.benchlink"
@@ -88,7 +110,11 @@
     # Not in the tables: a client library for users, which stands alone.
     LayerRule(RETRYING_CLIENT),
     LayerRule(FORMER_CLIENT, (RETRYING_CLIENT,)),
-    LayerRule(AGGREGATOR, (DATASTRUCTURES, INTERFACE, RECORDS)),
+    *(
+        LayerRule(component, (DATASTRUCTURES, INTERFACE, RECORDS, *COMPONENTS[:index]))
+        for index, component in enumerate(COMPONENTS)
+    ),
+    LayerRule(AGGREGATOR, (DATASTRUCTURES, INTERFACE, RECORDS, *COMPONENTS)),
     LayerRule(PLATFORM_SETTINGS, (INTERFACE,)),
     LayerRule(BENCH_LINK, (*POLICY, PLATFORM_SETTINGS)),
     LayerRule(PUBLIC_API, POLICY),
--- a/tests/test_seldom.py
+++ b/tests/test_low_traffic.py
@@ -1,6 +1,6 @@
 """One of many brokers meets each server seldom: what it saw there must hold until it is met again."""
 
-from heathwell import policy
+from heathwell import benchlink, policy
 
 from .conftest import AIM, Driver, make_settings, of
 
@@ -31,7 +31,7 @@
             full = send.node == node
             times -= full
             told = d.end(send, policy.Outcome.REJECTED if full else policy.Outcome.OK)
-            lines += [line.text for line in of(told, policy.Log)]
+            lines += [benchlink.journal_text(event) for event in of(told, policy.OperatorEvent)]
             for again in of(told, policy.Send):
                 d.end(again, seq=1)
     return lines
@@ -68,7 +68,7 @@
         d.end(send)
     d.end(send, took=8 * AIM // 10)
     d.wait(16 * AIM)  # such a broker meets it about every 15
-    assert d.agg._relative_latency(d.agg.endpoints["s7"]) > 2
+    assert d.agg.latency.relative_latency(d.agg.endpoints["s7"]) > 2
     assert "s7" not in {sent_to(d, 7, 5_000) for _ in range(6)}
 
 
@@ -77,12 +77,12 @@
     for n in range(400):
         for send in of(d.query(1, [n % 6], after=5_000), policy.Send):
             d.end(send)
-    assert d.agg._memory_us(1.0) == AIM
+    assert d.agg.latency.memory_us(1.0) == AIM
 
 
 def spend(d: Driver) -> None:
     """Use up the broker's own budget of further attempts."""
-    d.agg.retry_budget.tokens = 0.0
+    d.agg.retry_budget.bucket.tokens = 0.0
 
 
 def test_a_part_that_met_nobody_is_sent_elsewhere_beyond_the_own_budget():
@@ -90,7 +90,7 @@
     spend(d)
     (send,) = of(d.query(1, [7]), policy.Send)
     (again,) = of(d.end(send, policy.Outcome.UNREACHABLE), policy.Send)
-    assert again.node != send.node and d.agg.retry_budget.tokens >= 0
+    assert again.node != send.node and d.agg.retry_budget.bucket.tokens >= 0
 
 
 def test_a_part_out_of_budget_waits_for_it_while_its_query_can_meet_the_aim():
@@ -100,7 +100,7 @@
     sends = of(d.query(1, [7, 17, 27]), policy.Send)
     seen = d.end(sends[0], policy.Outcome.REJECTED)
     assert not of(seen, policy.Reject) and not of(seen, policy.Send)
-    d.agg.retry_budget.tokens = 1.0  # earned by the first parts of others
+    d.agg.retry_budget.bucket.tokens = 1.0  # earned by the first parts of others
     again = of(d.wait(AIM // 10), policy.Send)
     assert [a.id for a in again] == [sends[0].id]
 
@@ -123,7 +123,7 @@
         for send in of(d.query(1, [n % 6], after=AIM // 8), policy.Send):
             d.end(send)
     server = d.agg.endpoints["s1"]
-    d.agg._add_penalty(server)
-    began, now = d.agg._penalty(server), d.agg.now
-    d.agg.now = now + AIM
-    assert d.agg._penalty(server) <= 0.37 * began
+    d.agg.load.add_penalty(server)
+    began, now = d.agg.load.penalty(server), d.agg.context.now_us
+    d.agg.context.now_us = now + AIM
+    assert d.agg.load.penalty(server) <= 0.37 * began
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -260,7 +260,7 @@
     )  # as after a run of slow answers
     warm_up(d, shards=(3, 4, 5))
     d.query(1, [1], after=0), d.query(1, [1], after=0)  # its neighbours are busy now
-    before = d.agg._relative_latency(server)
+    before = d.agg.latency.relative_latency(server)
     send = next(s for _ in range(9) for s in of(d.query(1, [0], after=0), policy.Send) if s.node == "s0")
     d.end(send, after=20_000, took=20_000)
     assert server.relative_latency.value - 1 > 0.8 * (before - 1) > 1
@@ -437,7 +437,7 @@
 def test_parts_of_one_call_count_once(drive):
     d = drive(servers=1, replica_groups=1, groups_per_shard=1, shards=1, parts_per_call=4)
     d.query(1, [0, 0, 0, 0])
-    assert d.agg._load(d.agg.endpoints["s0"]) == 1
+    assert d.agg.load.load(d.agg.endpoints["s0"]) == 1
 
 
 def test_partial_first_step_goes_on_and_is_never_marked_whole(drive):
@@ -528,7 +528,9 @@
     assert len(sends) == 3
     assert of(d.end(sends[0], policy.Outcome.BROKEN), policy.Send) == []
     assert of(d.end(sends[1], policy.Outcome.BROKEN), policy.Send) == []
-    assert of(d.end(sends[2], policy.Outcome.BROKEN), policy.Reject) == [policy.Reject("q1")]
+    assert of(d.end(sends[2], policy.Outcome.BROKEN), policy.Reject) == [
+        policy.Reject("q1", reason=policy.EndReason.QUERY_OF_DEATH)
+    ]
     e = drive()
     sends = of(e.query(1, [0, 2, 4]), policy.Send)
     assert of(e.end(sends[0], policy.Outcome.BROKEN), policy.Send) == []
