--- a/heathwell/broker/driver.py
+++ b/heathwell/broker/driver.py
@@ -243,10 +243,10 @@
                     self._ended(query, (part_id, seq), node, policy.Outcome.CANCELLED, None)
             case policy.Answer(id=query_id, complete=complete):
                 self._answer(query_id, complete=complete)
-            case policy.Reject(id=query_id, retry_after_us=retry_after_us):
-                self._reply_without_answer(query_id, REFUSED, retry_after_us)
-            case policy.Fail(id=query_id):
-                self._reply_without_answer(query_id, FAILED, 0)
+            case policy.Reject():
+                self._reply_without_answer(action.id, REFUSED, action.reason, action.retry_after_us)
+            case policy.Fail():
+                self._reply_without_answer(action.id, FAILED, action.reason)
             case policy.Probe(node=node):
                 self.events("probe", node=node)
                 self._link(node).probe()
@@ -304,13 +304,16 @@
                     return
         self._link(node).abandon(key)
 
-    def _reply_without_answer(self, query_id: str, kind: str, retry_after_us: int) -> None:
+    def _reply_without_answer(
+        self, query_id: str, kind: str, reason: policy.EndReason, retry_after_us: int = 0
+    ) -> None:
         query = self.queries.get(query_id)
         if query is not None:
             if kind == REFUSED and retry_after_us:
                 retry_after_us = self.retry_after_us(query, retry_after_us)
             class_name = self._query_class(query).name
-            self._reply(query, Reply(kind, query_id, class_name, retry_after_us=retry_after_us))
+            reply = Reply(kind, query_id, class_name, retry_after_us=retry_after_us, end_reason=reason)
+            self._reply(query, reply)
 
     def _answer(self, query_id: str, *, complete: bool) -> None:
         query = self.queries.get(query_id)
--- a/heathwell/broker/replies.py
+++ b/heathwell/broker/replies.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from heathwell import policy
 from heathwell.service.coverage import Cover
 
 ANSWERED = "answered"
@@ -37,7 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The one final word on a query. ``after_us`` is advice when to come back, 0 for none."""
+    """The one final reply to a query.
+
+    ``retry_after_us`` is advice when to retry, 0 for none. ``reason`` is a text for the client. ``end_reason``,
+    which clients are not sent, is why the decision module ended the query without an answer.
+    """
 
     kind: str
     query: str = ""
@@ -47,6 +52,7 @@
     body: dict[str, Any] = field(default_factory=dict)
     retry_after_us: int = 0
     reason: str = ""
+    end_reason: policy.EndReason | None = None
     age: Age | None = None
 
 
