--- a/heathwell/benchlink.py
+++ b/heathwell/benchlink.py
@@ -1,15 +1,14 @@
-"""The wire of the operators' bench on one side, the library on the other.
+"""Adapter between the wire of the operators' bench and the decision module.
 
-Each line of JSON is translated to events of :mod:`heathwell.policy`, each
-reply back; there is one :class:`Aggregator` for each instance. Nothing is
-decided here.
+Each line of JSON is translated to events of :mod:`heathwell.policy`, each reply back; there is one
+:class:`Aggregator` for each instance. The wire's own terms stand in this module alone.
 """
 
 from __future__ import annotations
 
 import json
 import sys
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from typing import Any, TextIO
 
 from heathwell import policy
@@ -25,6 +24,9 @@
 )
 from heathwell.policy.aggregator import Aggregator
 
+WireMessage = dict[str, Any]  # one object of the wire's JSON
+EndpointLists = Mapping[int, tuple[policy.EndpointEntry, ...]]  # by their number on the wire
+
 STATES = {
     "live": policy.EndpointState.LIVE,
     "quiescing": policy.EndpointState.DRAINING,
@@ -56,8 +58,8 @@
 }
 
 
-def entry_from(line: Any) -> policy.EndpointEntry:
-    """One line of a wire list; a state the wire does not know is passed on as unknown."""
+def entry_from(line: WireMessage) -> policy.EndpointEntry:
+    """Return the entry of one line of a wire list; a state the wire does not define becomes unknown."""
     where = "members-list"
     state = text(line, "availability", where)
     since = line.get("since-us")
@@ -71,72 +73,89 @@
     )
 
 
-def event_from(
-    message: dict[str, Any], kind: str, tables: dict[int, tuple[policy.EndpointEntry, ...]]
-) -> policy.Event:
-    """The library's event for one wire message of a given type."""
-    if kind == "fleet":
-        form = text(message, "form", kind)
-        word = coded(message, "form", kind, FORMS)
-        servers: tuple[policy.EndpointEntry, ...] = ()
-        if word != policy.UpdateKind.FAILED:
-            table = number(message, "table", kind)
-            if table not in tables:
-                raise WireError(f"fleet: field 'table' names list {table}, which was never given")
-            servers = tables[table]
-        return policy.EndpointUpdate(word, servers, requested=form != "restored")
-    if kind == "query":
-        shard = number(message, "range-no", kind)
-        hint = message.get("size-hint-us")
-        key = message.get("key")
-        if shard < 0:
-            return policy.QueryArrived(
-                id=text(message, "xid", kind),
-                job=number(message, "job-no", kind),
-                query_class=number(message, "band", kind),
-                deadline_us=number(message, "deadline-us", kind),
-                part_count=number(message, "amount", kind),
-                tenant=int(message.get("customer") or 0),
-                work_hint_us=hint,
-                is_retry=bool(message.get("retry")),
-            )
+def endpoint_update_from(message: WireMessage, tables: EndpointLists) -> policy.EndpointUpdate:
+    """Return the update for a message that refers to a numbered list, or for a failed call."""
+    kind = "fleet"
+    form = text(message, "form", kind)
+    update_kind = coded(message, "form", kind, FORMS)
+    endpoints: tuple[policy.EndpointEntry, ...] = ()
+    if update_kind != policy.UpdateKind.FAILED:
+        table = number(message, "table", kind)
+        if table not in tables:
+            raise WireError(f"fleet: field 'table' names list {table}, which was never given")
+        endpoints = tables[table]
+    return policy.EndpointUpdate(update_kind, endpoints, requested=form != "restored")
+
+
+def query_or_part_from(message: WireMessage) -> policy.QueryArrived | policy.PartArrived:
+    """Return the query, or the part where the message names a shard."""
+    kind = "query"
+    shard = number(message, "range-no", kind)
+    hint = message.get("size-hint-us")
+    if shard >= 0:
         return policy.PartArrived(
             id=text(message, "xid", kind),
             job=number(message, "job-no", kind),
             shard=shard,
             weight=share(message, "amount", kind),
             work_hint_us=hint,
-            key=key,
+            key=message.get("key"),
         )
-    if kind == "returned":
-        stats = message.get("stats") or {}
-        return policy.AttemptEnded(
-            id=text(message, "xid", kind),
-            seq=number(message, "seq-no", kind),
-            node=text(message, "node", kind),
-            outcome=coded(message, "verdict", kind, OUTCOMES),
-            elapsed_us=number(message, "elapsed-us", kind),
-            in_flight=stats.get("active"),
-            cpu_utilization=stats.get("cpu"),
-        )
-    if kind == "probed":
-        return policy.ProbeEnded(text(message, "node", kind), coded(message, "verdict", kind, OUTCOMES))
-    if kind == "elapsed":
-        return policy.TimerFired(text(message, "label", kind))
-    if kind == "expired":
-        return policy.ClientDisconnected(text(message, "xid", kind))
-    raise WireError(f"message of unknown type '{kind}'")
+    return policy.QueryArrived(
+        id=text(message, "xid", kind),
+        job=number(message, "job-no", kind),
+        query_class=number(message, "band", kind),
+        deadline_us=number(message, "deadline-us", kind),
+        part_count=number(message, "amount", kind),
+        tenant=int(message.get("customer") or 0),
+        work_hint_us=hint,
+        is_retry=bool(message.get("retry")),
+    )
 
 
-def action_to(who: int, action: policy.Action) -> dict[str, Any]:
-    """The wire message for one action."""
+def attempt_ended_from(message: WireMessage) -> policy.AttemptEnded:
+    """Return the outcome of an attempt, with its endpoint's load report where there is one."""
+    kind = "returned"
+    load_report = message.get("stats") or {}
+    return policy.AttemptEnded(
+        id=text(message, "xid", kind),
+        seq=number(message, "seq-no", kind),
+        node=text(message, "node", kind),
+        outcome=coded(message, "verdict", kind, OUTCOMES),
+        elapsed_us=number(message, "elapsed-us", kind),
+        in_flight=load_report.get("active"),
+        cpu_utilization=load_report.get("cpu"),
+    )
+
+
+def event_from(message: WireMessage, kind: str, tables: EndpointLists) -> policy.Event:
+    """Return the event for one wire message of a given type; raise :class:`WireError` for another type."""
+    match kind:
+        case "fleet":
+            return endpoint_update_from(message, tables)
+        case "query":
+            return query_or_part_from(message)
+        case "returned":
+            return attempt_ended_from(message)
+        case "probed":
+            return policy.ProbeEnded(text(message, "node", kind), coded(message, "verdict", kind, OUTCOMES))
+        case "elapsed":
+            return policy.TimerFired(text(message, "label", kind))
+        case "expired":
+            return policy.ClientDisconnected(text(message, "xid", kind))
+        case _:
+            raise WireError(f"message of unknown type '{kind}'")
+
+
+def action_to(who: int, action: policy.Action) -> WireMessage:
+    """Return the wire message for one action."""
     match action:
         case policy.Send(id=part, node=node):
             return {"event_type": "transmit", "who": who, "xid": part, "node": node}
         case policy.Cancel(id=part, seq=seq):
             return {"event_type": "abandon", "who": who, "xid": part, "seq-no": seq}
-        case policy.Answer(id=query, complete=whole):
-            return {"event_type": "assemble", "who": who, "xid": query, "complete": whole}
+        case policy.Answer(id=query, complete=complete):
+            return {"event_type": "assemble", "who": who, "xid": query, "complete": complete}
         case policy.Reject(id=query, retry_after_us=after):
             return {"event_type": "not-now", "who": who, "xid": query, "not-before-for-us": after}
         case policy.Fail(id=query):
@@ -150,11 +169,11 @@
         case policy.EndpointEjected() | policy.EndpointReadmitted() | policy.DiscoveryDegraded():
             return {"event_type": "journal-line", "who": who, "text": journal_text(action)}
         case policy.QuotaExhausted():
-            raise WireError("a budget of the whole fleet, which the bench never tells of")
+            raise WireError("a quota of the fleet, which the bench has none of")
 
 
 def journal_text(event: policy.OperatorEvent) -> str:
-    """The sentence of the bench's journal for an event."""
+    """Return the sentence of the bench's journal for an event."""
     match event:
         case policy.EndpointEjected(node=node, reason=reason):
             return f"server {node} ejected: {EJECTION_TEXTS[reason]}"
@@ -172,44 +191,53 @@
         self.instances: dict[int, Aggregator] = {}
 
     def reply(self, line: str) -> str:
-        """The reply to one batch."""
+        """Handle one batch; return the commands as a line of JSON. Raise :class:`WireError`."""
         try:
             batch = json.loads(line)
         except ValueError as error:
             raise WireError(f"a line is not JSON: {error}") from None
-        now = number(batch, "time-us", "batch")
+        now_us = number(batch, "time-us", "batch")
         pending: dict[int, list[policy.Event]] = {}
         for message in rows(batch, "inbox", "batch"):
-            kind = text(message, "event_type", "message")
-            if kind == "list":
-                entries = tuple(entry_from(entry) for entry in rows(message, "members-list", kind))
-                self.tables[number(message, "table", kind)] = entries
-                continue
-            who = number(message, "who", kind)
-            if kind == "new-instance":
-                seed = number(message, "nonce64", kind)
-                try:
-                    self.instances[who] = Aggregator(settings_from(need(message, "setup", kind)), seed)
-                except ValueError as error:
-                    raise WireError(f"new-instance: {error}") from None
+            self._receive(message, pending)
+        commands: list[WireMessage] = []
+        for who, events in pending.items():
+            if who in self.instances:
+                actions = self.instances[who].handle(now_us, events)
+                commands.extend(action_to(who, action) for action in actions)
+        return json.dumps({"cmds": commands}, separators=(",", ":"))
+
+    def _receive(self, message: WireMessage, pending: dict[int, list[policy.Event]]) -> None:
+        """Apply a message on lists or instances, or append its event to those of its instance."""
+        kind = text(message, "event_type", "message")
+        if kind == "list":
+            entries = tuple(entry_from(entry) for entry in rows(message, "members-list", kind))
+            self.tables[number(message, "table", kind)] = entries
+            return
+        who = number(message, "who", kind)
+        match kind:
+            case "new-instance":
+                self.instances[who] = self._new_instance(message)
                 pending[who] = []
-            elif kind == "power-off":
+            case "power-off":
                 self.instances.pop(who, None)
                 pending.pop(who, None)
-            elif kind in UNUSED:
+            case _ if kind in UNUSED:
                 pending.setdefault(who, [])
-            else:
+            case _:
                 pending.setdefault(who, []).append(event_from(message, kind, self.tables))
-        commands: list[dict[str, Any]] = []
-        for who, events in pending.items():
-            if who in self.instances:
-                actions = self.instances[who].handle(now, events)
-                commands.extend(action_to(who, action) for action in actions)
-        return json.dumps({"cmds": commands}, separators=(",", ":"))
+
+    def _new_instance(self, message: WireMessage) -> Aggregator:
+        kind = "new-instance"
+        seed = number(message, "nonce64", kind)
+        try:
+            return Aggregator(settings_from(need(message, "setup", kind)), seed)
+        except ValueError as error:
+            raise WireError(f"new-instance: {error}") from None
 
 
 def serve(lines: Iterable[str], out: TextIO) -> None:
-    """Answer batches until the input ends."""
+    """Reply to batches until the input ends."""
     host = Host()
     for line in lines:
         if line.strip():
--- a/heathwell/broker/replies.py
+++ b/heathwell/broker/replies.py
@@ -40,8 +40,8 @@
 class Reply:
     """The one final reply to a query.
 
-    ``retry_after_us`` is advice when to retry, 0 for none. ``reason`` is a text for the client. ``end_reason``,
-    which clients are not sent, is why the decision module ended the query without an answer.
+    ``retry_after_us`` is advice when to retry, 0 for none. ``reason`` is a text for the client.
+    ``end_reason`` is why the decision module ended the query without an answer; clients are not sent it.
     """
 
     kind: str
--- a/heathwell/policy/aggregator.py
+++ b/heathwell/policy/aggregator.py
@@ -42,6 +42,7 @@
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
+        # Composition alone: each component is given those before it that it uses.
         self.context = DecisionContext(settings, seed)
         self.endpoint_table = EndpointTable(self.context)
         self.latency = LatencyModel(self.context, self.endpoint_table)
--- a/heathwell/policy/endpoint_table.py
+++ b/heathwell/policy/endpoint_table.py
@@ -5,6 +5,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Collection
+
 from heathwell.policy.actions import WatchEndpoints
 from heathwell.policy.context import DecisionContext
 from heathwell.policy.events import (
@@ -109,7 +111,7 @@
         elif self._context.settings.poll_mode:
             self._poll()
 
-    def _mark_unlisted_as_gone(self, entries: tuple[EndpointEntry, ...]) -> None:
+    def _mark_unlisted_as_gone(self, entries: Collection[EndpointEntry]) -> None:
         listed = {entry.node for entry in entries}
         for endpoint in self.by_node.values():
             if endpoint.node not in listed:
--- a/heathwell/policy/events.py
+++ b/heathwell/policy/events.py
@@ -1,4 +1,4 @@
-"""What an aggregator is told, in batches: the endpoint list, queries, outcomes, timers, quotas.
+"""Events that an aggregator handles in batches: the endpoint list, queries, outcomes, timers, quotas.
 
 Types only; nothing here decides. Instants and spans are integers in microseconds on the caller's clock.
 """
@@ -19,7 +19,7 @@
 
 
 class UpdateKind(StrEnum):
-    """Kind of a message from discovery: some endpoints, the whole list, or a call or watch that failed."""
+    """Kind of a message from discovery: some endpoints, the full list, or a call or watch that failed."""
 
     INCREMENTAL = "update"
     FULL = "full"
@@ -30,7 +30,7 @@
     """How an attempt or a probe ended.
 
     ``CONNECTION_LOST`` is a connection that broke while its endpoint is there: the part may have run, and it
-    says little of the endpoint. ``BROKEN`` is a connection that broke with its endpoint.
+    shows little of the endpoint. ``BROKEN`` is a connection that broke with its endpoint.
     """
 
     OK = "ok"
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaUpdate:
-    """What quotas of the whole fleet leave this aggregator until the next update; None: no such quota.
+    """What fleet-wide quotas leave this aggregator until the next update; None: no such quota.
 
     ``additional_attempts`` counts attempts beyond the first that are needed, ``slow_start_parts`` parts by
     endpoint in slow start (none for an endpoint that is not named).
--- a/heathwell/policy/load_shedding.py
+++ b/heathwell/policy/load_shedding.py
@@ -22,11 +22,11 @@
 RATE_FLOOR_FRACTION = 0.5  # of the best rate of responses: a lower one may be a stall, and would shed all
 LOW_TRAFFIC_RESPONSES = 2.0  # an endpoint and objective, under which own counts are nearly always 0
 RECENT_QUANTILE = 0.7  # of recent latencies at most: the rest may be unhealthy endpoints, not overload
-RECENT_QUANTILE_PARTS = 10.0  # of a query, up to which that quantile says enough
+RECENT_QUANTILE_PARTS = 10.0  # of a query, up to which that quantile is representative
 BUSY_IN_FLIGHT = 2  # load at a shard's best replica from which its latency counts
 PRIORITY_DENSITY_SAMPLES = 100  # latest queries among which a query's priority for its work is ranked
 MINIMUM_WORK = 1e-9  # avoids a division by zero before any response
-ROUND_UP = 0.999  # added before truncation: a required fraction of parts is counted as whole parts
+ROUND_UP = 0.999  # added before truncation: the required parts are counted in full
 MICROSECONDS_PER_SECOND = 1e6
 
 
--- a/heathwell/policy/query_completion.py
+++ b/heathwell/policy/query_completion.py
@@ -88,7 +88,7 @@
         self.answer_if_enough(query)
 
     def _partial_answer_weight(self, query: Query) -> float | None:
-        """Return what a partial answer is worth now, of a complete one; None where none may be given."""
+        """Return the weight of a partial answer now, as of a complete one; None where none may be given."""
         spec = query.spec
         is_enough = query.received_weight >= spec.minimum_fraction - WEIGHT_TOLERANCE
         if not (spec.allows_partial and is_enough and query.is_last_step()):
--- a/heathwell/policy/replica_selection.py
+++ b/heathwell/policy/replica_selection.py
@@ -92,12 +92,12 @@
     # Departures
 
     def _candidates(self, part: Part) -> list[Endpoint]:
-        """Guard against unusable replicas: gone, excluded, busy with this part, ejected, tried, far away.
+        """Guard against replicas that are gone, excluded, busy with this part or without slow-start capacity.
 
-        The last three serve only where no other replica is left.
+        Ejected, deprioritized and formerly attempted ones serve only where no other replica is left.
         """
         busy = {attempt.endpoint.node for attempt in part.in_flight()}
-        tried = {attempt.endpoint.node for attempt in part.attempts}
+        attempted = {attempt.endpoint.node for attempt in part.attempts}
         query_class = part.query.query_class
         class_keys = {ALL_CLASSES, query_class}
         replicas = self._endpoints.replicas(part)
@@ -109,8 +109,8 @@
         ]
         healthy = [replica for replica in available if self._outliers.accepts_attempts(replica, query_class)]
         healthy = [replica for replica in healthy if not replica.deprioritized_for & class_keys] or healthy
-        untried = [replica for replica in healthy if replica.node not in tried]
-        return untried or healthy or available
+        unattempted = [replica for replica in healthy if replica.node not in attempted]
+        return unattempted or healthy or available
 
     def _tie_break(self, endpoint: Endpoint) -> Rank:
         """Guard against slow and distant replicas among equally loaded ones: parts, latency, then a draw.
--- a/heathwell/policy/settings.py
+++ b/heathwell/policy/settings.py
@@ -1,4 +1,4 @@
-"""What one aggregator is told at its start: query classes, tenants, limits and the figures of the rules.
+"""Settings of one aggregator: query classes, tenants, limits and the parameters of the rules.
 
 Types only; nothing here decides. Spans end in ``_us`` and are integers in microseconds.
 """
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one aggregator is told at its start.
+    """Settings of one aggregator.
 
     Placement: shard ``s`` lies on ``groups_per_shard`` replica groups in a row, from group ``s`` modulo
     ``replica_groups`` on; ``aggregator_count`` aggregators share the endpoints, and ``zone`` is this one's.
@@ -91,9 +91,9 @@
     ``hedging_allowed`` (two attempts of a part in flight), ``cancellation_allowed``, ``probing_allowed``,
     ``retry_advice_allowed`` up to ``max_retry_after_us``, ``parts_per_call`` parts that share a call.
 
-    Discovery: with ``poll_mode`` changes are asked for, and count as told ``poll_within_us`` after they were
+    Discovery: with ``poll_mode`` changes are asked for, and count as known ``poll_within_us`` after they were
     made; otherwise they are pushed. Nothing new goes to a draining endpoint ``drain_grace_us`` after the
-    news.
+    update.
 
     Slow start: an endpoint starts with ``slow_start_capacity`` of its capacity and has all of it after
     ``slow_start_duration_us``; more than ``overload_multiple`` times its capacity for ``overload_after_us``
