--- a/heathwell/fleet/control/fleet_agent.py
+++ b/heathwell/fleet/control/fleet_agent.py
@@ -1,4 +1,4 @@
-"""The agent inside a broker: renews its quotas with all quota coordinators, and says what may be used now.
+"""The agent inside a broker: renews its quotas with all quota coordinators, and admits uses within them.
 
 It owns this broker's quotas, the links to the coordinators and the renewal timer. No query waits for it:
 without coordinators, and while they are unreachable, the broker's own minimum may be used. Imports:
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from functools import partial
 from typing import Protocol
 
@@ -18,13 +18,20 @@
 from heathwell.fleet.control.link import MEMBER_ROLE, ControlLink
 from heathwell.fleet.evacuation import BrokerReport, Decision
 from heathwell.fleet.membership import IncarnationEnded, LocalMember
-from heathwell.fleet.quotas import BrokerQuotas, Budget, BudgetKind, QuotaHolder, QuotaTimings
+from heathwell.fleet.quotas import (
+    BrokerQuotas,
+    Budget,
+    BudgetKind,
+    BudgetStatistics,
+    QuotaHolder,
+    QuotaTimings,
+    statistics_by_budget,
+)
 from heathwell.observability.event_log import EventLog, NoEvents
 
 SILENT_SUSPECT_TIMEOUTS = 2  # a coordinator that is silent for so many is taken for gone
 SEEDS_PER_MEMBER = 64  # its links draw from seeds of their own
 UNIT_MILLIUNITS = 1_000
-SCOPE_SEPARATOR = "@"  # between a budget's name and the endpoint that it is of
 
 
 class ZoneObserver(Protocol):
@@ -49,8 +56,8 @@
         loop: Loop,
         net: Net,
         member: LocalMember,
-        budgets: tuple[Budget, ...],
-        coordinators: tuple[str, ...],
+        budgets: Sequence[Budget],
+        coordinators: Sequence[str],
         *,
         renewal_interval_us: int,
         timings: QuotaTimings,
@@ -75,7 +82,7 @@
         loop.call_soon(self._renew)
 
     def _links(
-        self, net: Net, coordinators: tuple[str, ...], timings: QuotaTimings, seed: int, fleet: str
+        self, net: Net, coordinators: Sequence[str], timings: QuotaTimings, seed: int, fleet: str
     ) -> dict[str, ControlLink]:
         """By address the links to the coordinators."""
         return {
@@ -134,34 +141,20 @@
         """The holder of a budget, for its quota, demand and excess; None where no such budget is set."""
         return self.quotas.holder(self.loop.now(), budget)
 
-    def budget(self, name: str) -> tuple[int, int] | None:
-        """Total and linger timeout (us) of a budget that is set; None where it is not."""
-        budget = self.quotas.budgets.get(name)
-        return (budget.total, budget.linger_timeout_us) if budget is not None else None
+    def budget(self, name: str) -> Budget | None:
+        """The fleet-wide budget of this name; None where it is not set."""
+        return self.quotas.budgets.get(name)
 
-    def statistics(self) -> dict[str, dict[str, float]]:
-        """By budget the metrics page's values: quota (units, of a rate a second), use and rejections.
-
-        Those of a budget's endpoints are summed.
-        """
-        now = self.loop.now()
-        statistics: dict[str, dict[str, float]] = {}
-        for name, holder in self.quotas.holders.items():
-            budget = name.partition(SCOPE_SEPARATOR)[0]
-            row = statistics.setdefault(budget, dict.fromkeys(("share", "in use", "used", "refused"), 0.0))
-            unit = 1 if holder.budget.kind == BudgetKind.COUNT else UNIT_MILLIUNITS
-            row["share"] += holder.quota(now) / unit
-            row["in use"] += holder.in_use
-            row["used"] += holder.admitted
-            row["refused"] += holder.rejected
-        return statistics
+    def statistics(self) -> dict[str, BudgetStatistics]:
+        """This broker's statistics by budget, for the metrics page; those of a budget's endpoints summed."""
+        return statistics_by_budget(self.quotas.holders.values(), self.loop.now())
 
     def attach_zone_observer(self, zone_observer: ZoneObserver) -> None:
         """Send the observer's report with each renewal, and hand it each new decision."""
         self.zone_observer = zone_observer
 
     def leave(self) -> None:
-        """Tell the coordinators that can be reached that this broker leaves; renew no more."""
+        """Notify the coordinators that can be reached that this broker leaves; renew no more."""
         self.is_leaving = True
         self._send_renewals(self.check_incarnation())
 
--- a/heathwell/fleet/control/parameters.py
+++ b/heathwell/fleet/control/parameters.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+
 from heathwell.fleet.membership import MembershipTimeouts
 from heathwell.fleet.quotas import Budget, BudgetKind, Lease, QuotaTimings
 from heathwell.settings.schema import Fleet, FleetBudget
@@ -23,7 +25,7 @@
     return fleet.most or fleet.brokers
 
 
-def budgets_from_settings(fleet: Fleet) -> tuple[Budget, ...]:
+def budgets_from_settings(fleet: Fleet) -> Sequence[Budget]:
     """The fleet-wide budgets, in the order of the settings."""
     return tuple(
         _connection_budget(fleet, budget)
--- a/heathwell/fleet/control/rollout.py
+++ b/heathwell/fleet/control/rollout.py
@@ -10,6 +10,7 @@
 from collections import Counter
 from collections.abc import Callable
 from pathlib import Path
+from typing import TypedDict
 
 from heathwell.codec import frames, inner_protocol
 from heathwell.eventloop import Coro, Event, Listener, Loop, Net, Stream
@@ -22,6 +23,7 @@
     FINAL_STATES,
     RolloutController,
     RolloutEvent,
+    RolloutRecord,
     RolloutState,
     Transition,
 )
@@ -46,6 +48,25 @@
 STATUS_WORD = "status"
 
 
+class BrokerStatusRecord(TypedDict):
+    """One broker in the status that operators read; the field names are those of the reply's JSON."""
+
+    zone: str
+    runs: str
+    state: str
+    wanted: str
+    changed: bool
+    failed: str
+    fresh: bool
+
+
+class RolloutStatusRecord(RolloutRecord):
+    """The rollout's record, whether this controller holds the fleet's lease, and each broker's state."""
+
+    holds: bool
+    brokers: dict[str, BrokerStatusRecord]
+
+
 class RolloutRunner:
     """Runs one rollout until it has ended, which sets ``done``.
 
@@ -103,19 +124,22 @@
             self.listener.close()
 
     def on_command(self, command: frames.OperatorCommand) -> frames.RolloutStatus:
-        """Carry out an operator's command; the reply's text says what was wrong with it."""
+        """Carry out an operator's command; the reply's text names the error, if any."""
         if command.word in OPERATOR_EVENTS:
             operator = command.who or "an operator"
             reason = f"{command.word} by {operator}: {command.why or 'no reason given'}"
             if not self._complete(self.controller.apply_event(RolloutEvent(command.word), reason)):
                 text = f"{command.word}: not while it is {self.controller.state}"
-                return frames.RolloutStatus(text, self.status())
+                return self._status_reply(text)
         elif command.word != STATUS_WORD:
             text = f"unknown word '{command.word}': hold, resume, undo, status"
-            return frames.RolloutStatus(text, self.status())
-        return frames.RolloutStatus("", self.status())
+            return self._status_reply(text)
+        return self._status_reply("")
+
+    def _status_reply(self, error_text: str) -> frames.RolloutStatus:
+        return frames.RolloutStatus(error_text, dict(self.status()))
 
-    def status(self) -> dict[str, object]:
+    def status(self) -> RolloutStatusRecord:
         """The rollout's record and each broker's state, as operators read them."""
         now_us = self.loop.now()
         updated = self.controller.updated_brokers()
--- a/heathwell/fleet/quotas/__init__.py
+++ b/heathwell/fleet/quotas/__init__.py
@@ -26,6 +26,7 @@
 from heathwell.fleet.quotas.allocation import QuotaRequest, allocate
 from heathwell.fleet.quotas.broker_quotas import BrokerQuotas
 from heathwell.fleet.quotas.budget import Budget, BudgetKind, BudgetName
+from heathwell.fleet.quotas.budget_statistics import BudgetStatistics, statistics_by_budget
 from heathwell.fleet.quotas.errors import (
     BudgetResizeError,
     InvalidBudgetError,
@@ -60,6 +61,7 @@
     "BudgetKind",
     "BudgetName",
     "BudgetResizeError",
+    "BudgetStatistics",
     "FractionLeaseRequest",
     "FractionLeaseVote",
     "FractionLedger",
@@ -79,4 +81,5 @@
     "UnitNotHeldError",
     "UnknownBudgetError",
     "allocate",
+    "statistics_by_budget",
 ]
--- a/heathwell/servers/admin.py
+++ b/heathwell/servers/admin.py
@@ -165,10 +165,10 @@
                 "Units asked for, by whether there was room",
                 labels=("budget", "room"),
             )
-            for name, row in broker.quota_gate.agent.statistics().items():
-                shares.add_metric((name,), row["share"])
-                uses.add_metric((name, "yes"), row["used"])
-                uses.add_metric((name, "no"), row["refused"])
+            for name, statistics in broker.quota_gate.agent.statistics().items():
+                shares.add_metric((name,), statistics.quota)
+                uses.add_metric((name, "yes"), statistics.admitted)
+                uses.add_metric((name, "no"), statistics.rejected)
             yield shares
             yield uses
         if broker.storms is not None:
--- a/heathwell/service/quota_gate.py
+++ b/heathwell/service/quota_gate.py
@@ -51,6 +51,30 @@
         """How long the first of its grants lasts yet."""
 
 
+class Budget(Protocol):
+    """What the gate reads of a fleet-wide budget (:class:`heathwell.fleet.quotas.Budget`)."""
+
+    @property
+    def linger_timeout_us(self) -> int:
+        """How long an endpoint may keep what a dead holder held."""
+
+
+class BudgetStatistics(Protocol):
+    """What the metrics page shows of a budget (:class:`heathwell.fleet.quotas.BudgetStatistics`)."""
+
+    @property
+    def quota(self) -> float:
+        """What may be used now: units, of a rate a second."""
+
+    @property
+    def admitted(self) -> int:
+        """Uses admitted."""
+
+    @property
+    def rejected(self) -> int:
+        """Uses rejected."""
+
+
 class Agent(Protocol):
     """What obtains quotas for this broker (:class:`heathwell.fleet.control.fleet_agent.FleetAgent`)."""
 
@@ -66,11 +90,11 @@
     def holder(self, budget: str) -> Holder | None:
         """This broker's side of one budget."""
 
-    def budget(self, name: str) -> tuple[int, int] | None:
-        """Whole and linger (us) of a budget that is set; None where it is not."""
+    def budget(self, name: str) -> Budget | None:
+        """The fleet-wide budget of this name; None where it is not set."""
 
-    def statistics(self) -> dict[str, dict[str, float]]:
-        """By budget: its quota, and what was used and refused; those of each endpoint summed."""
+    def statistics(self) -> Mapping[str, BudgetStatistics]:
+        """This broker's statistics by budget; those of a budget's endpoints summed."""
 
 
 class QuotaEndpoint(Protocol):
@@ -128,7 +152,7 @@
             if agent.budget(name) is not None
         )
         connections = agent.budget(CONNECTIONS)
-        self.linger_us = connections[1] if connections is not None else 0
+        self.linger_us = connections.linger_timeout_us if connections is not None else 0
         self._slow_start_price_milliunits: dict[str, int] = {}
         self._sendable_until_us: dict[AttemptKey, int] = {}
         self._sent_in_window = 0
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -14,6 +14,7 @@
     Budget,
     BudgetKind,
     BudgetResizeError,
+    BudgetStatistics,
     FractionLeaseRequest,
     FractionLedger,
     Grant,
@@ -27,6 +28,7 @@
     UnitNotHeldError,
     UnknownBudgetError,
     allocate,
+    statistics_by_budget,
 )
 from heathwell.testing.simulation.budgetday import BUDGETS, BudgetDay, random_faults
 
@@ -220,6 +222,19 @@
         QuotaHolder(POOL, 0.03, 0).release()
 
 
+def test_statistics_sum_a_budgets_endpoints_and_state_rates_in_units():
+    rate = Budget("cold", BudgetKind.RATE, 20_000, 10_000, 10, burst_window_us=S, scope_kind="host")
+    count = QuotaHolder(POOL, 0.0, 0)
+    count.on_grant(0, grant(1, 1))
+    assert count.acquire(1) and not count.acquire(1)
+    endpoints = [QuotaHolder(rate.for_scope(host), 0.0, 0) for host in ("n1", "n2")]
+    assert endpoints[0].acquire(S, 1_000) and not endpoints[0].acquire(S, 1_000)
+    assert statistics_by_budget([count, *endpoints], S) == {
+        "pool": BudgetStatistics(quota=1.0, in_use=1, admitted=1, rejected=1),
+        "cold": BudgetStatistics(quota=2.0, in_use=0, admitted=1, rejected=1),
+    }
+
+
 def test_a_rate_accrues_at_the_quota_of_the_moment_and_a_lost_grant_takes_its_part():
     rate = Budget("further", BudgetKind.RATE, 20_000, 10_000, 10, fraction_count=1, burst_window_us=S)
     holder = QuotaHolder(rate, 0.0, 0)
