--- a/heathwell/codec/nodeframes.py
+++ b/heathwell/codec/nodeframes.py
@@ -1,7 +1,8 @@
-"""Frames between a broker and the platform's nodes, without I/O: any cut, every length bounded.
+"""Frames between a broker and the platform's nodes: a sans-I/O codec with limits on every length.
 
-A frame is a length (four bytes, most significant first), one letter and the rest; the length covers letter
-and rest.
+A frame is a length (four bytes, most significant first), one letter and a body; the length covers letter and
+body. The letters, the status codes and the names of a part's fields are mapped to the field's terms here, and
+nowhere else.
 """
 
 from __future__ import annotations
@@ -10,32 +11,67 @@
 import struct
 from collections.abc import Iterator
 from dataclasses import dataclass
-
-CALL, GIVE_UP, PROBE, ANSWER, UNUSABLE = b"D", b"K", b"I", b"O", b"Z"
-FRAME_MOST = 16_384  # of what nodes send: a line and one value; a longer one is spoilt
-LINE_MOST = 512
-SERVED, ERROR, TURNED_AWAY = 200, 500, 503
-ENDS = {b"200": SERVED, b"500": ERROR, b"503": TURNED_AWAY}
-ID = re.compile(rb"[!-~]{1,160}")
+from enum import IntEnum
+
+# The letters of the platform's protocol. A probe and its answer have the same one.
+CALL = b"D"
+CANCEL = b"K"
+PROBE = b"I"
+ANSWER = b"O"
+FRAME_REJECTED = b"Z"
+
+# Fields of a part's line in a call, as the platform's protocol names them.
+TIMEOUT_MS_FIELD = "d"
+IDEMPOTENCY_KEY_FIELD = "k"
+ANSWERED_SHARDS_FIELD = "from"
+COMPLETE_FIELD = "whole"
+# The field of a load report that is read.
+IN_FLIGHT_FIELD = b"inflight"
+
+MAX_FRAME_BYTES = 16_384  # of what nodes send: a line and one value
+MAX_LINE_BYTES = 512
+MAX_REASON_BYTES = 200
+LENGTH_BYTES = 4
+ANSWER_LINE_ITEMS = 4  # part id, status, score, load report
+PART_ID = re.compile(rb"[!-~]{1,160}")
 SCORE = re.compile(rb"-?[0-9]{1,20}(?:\.[0-9]{1,20})?")
 VALUE = re.compile(rb"[0-9a-f]{16}")
 _LENGTH = struct.Struct(">I")
 
 
+class PartStatus(IntEnum):
+    """How a node ended a part; the values are those of the platform's protocol."""
+
+    OK = 200
+    ERROR = 500
+    REJECTED = 503
+
+
+STATUS_OF_CODE = {str(status.value).encode(): status for status in PartStatus}
+PROBE_RESULT_OF_CODE = {b"200": True, b"500": False}
+
+
 class FrameError(Exception):
-    """Bytes that no sound node sends; ``part`` is the id of the part they answer, where it can be told."""
+    """Bytes that break the protocol.
+
+    ``part_id`` is the id of the part that they answer, and empty where it cannot be read.
+    """
 
-    def __init__(self, text: str, part: str = "") -> None:
+    def __init__(self, text: str, part_id: str = "") -> None:
         super().__init__(text)
-        self.part = part
+        self.part_id = part_id
 
 
 @dataclass(frozen=True, slots=True)
 class PartAnswer:
-    """One part's end. ``score`` counts where it was served, ``inflight`` where the node said it readably."""
+    """The end of one part.
+
+    ``score`` and ``data`` are set where the status is OK; ``inflight`` is the node's number of parts in
+    flight, None where its load report does not state it.
+    """
 
     id: str
-    end: int
+    status: PartStatus
     score: float
     inflight: float | None
     data: bytes
@@ -43,130 +79,145 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeAnswer:
-    """A probe's end, in the order of the probes."""
+    """The result of a probe; results arrive in the order of the probes."""
 
     ok: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Unusable:
-    """The node could not use a frame, and closes."""
+class FrameRejected:
+    """The node could not process a frame, and closes the connection."""
 
-    words: str
+    reason: str
 
 
-Message = PartAnswer | ProbeAnswer | Unusable
+Message = PartAnswer | ProbeAnswer | FrameRejected
 
 
-def frame(letter: bytes, rest: bytes = b"") -> bytes:
-    """One frame."""
-    return _LENGTH.pack(1 + len(rest)) + letter + rest
+def encode_frame(letter: bytes, body: bytes = b"") -> bytes:
+    """Return one frame."""
+    return _LENGTH.pack(len(letter) + len(body)) + letter + body
 
 
-def part_call(
-    part: str,
+def encode_part(
+    part_id: str,
     shard: int,
-    wait_ms: int,
+    timeout_ms: int,
     text: bytes,
     *,
     key: str = "",
     answered: tuple[int, ...] = (),
-    whole: bool | None = None,
+    complete: bool | None = None,
 ) -> bytes:
-    """One part within a call; ``answered`` and ``whole`` are the first step's, for parts of a second."""
-    items = [f"d={wait_ms}"]
+    """Return one part of a call.
+
+    For parts of a second step ``answered`` are the shards that answered the first step, and ``complete``
+    is whether its result was complete; ``complete`` is None for parts of the first step.
+    """
+    fields = [f"{TIMEOUT_MS_FIELD}={timeout_ms}"]
     if key:
-        items.append(f"k={key}")
-    if whole is not None:
-        items += ["from=" + "+".join(map(str, answered)), f"whole={int(whole)}"]
-    return f"{part} {shard} {','.join(items)} {len(text)}\n".encode() + text
+        fields.append(f"{IDEMPOTENCY_KEY_FIELD}={key}")
+    if complete is not None:
+        fields.append(f"{ANSWERED_SHARDS_FIELD}=" + "+".join(map(str, answered)))
+        fields.append(f"{COMPLETE_FIELD}={int(complete)}")
+    return f"{part_id} {shard} {','.join(fields)} {len(text)}\n".encode() + text
 
 
-def call(parts: list[bytes]) -> bytes:
-    """A call of parts made by :func:`part_call`."""
-    return frame(CALL, b"".join(parts))
+def encode_call(parts: list[bytes]) -> bytes:
+    """Return a call of parts made by :func:`encode_part`."""
+    return encode_frame(CALL, b"".join(parts))
 
 
-def read_report(words: bytes) -> float | None:
-    """``inflight`` of a load report; None where it is not there or can't be read."""
-    for item in words.split(b","):
+def decode_in_flight(report: bytes) -> float | None:
+    """Return the parts in flight of a load report; None where it does not state a valid number."""
+    for item in report.split(b","):
         name, _, value = item.partition(b"=")
-        if name == b"inflight" and SCORE.fullmatch(value):
+        if name == IN_FLIGHT_FIELD and SCORE.fullmatch(value):
             return max(float(value), 0.0)
     return None
 
 
-def read_answer(rest: bytes) -> PartAnswer:
-    """The rest of an answer's frame; raises :class:`FrameError`, naming the part where the line does."""
-    line, mark, value = rest.partition(b"\n")
-    words = line.split(b" ")
-    part = words[0].decode("latin-1") if ID.fullmatch(words[0]) else ""
-    if not mark or len(line) > LINE_MOST:
-        raise FrameError("an answer's line does not end", part)
-    if len(words) != 4 or not part:
-        raise FrameError(f"an answer's line of {len(words)} words", part)
-    end = ENDS.get(words[1])
-    if end is None:
-        raise FrameError(f"an answer of unknown end {words[1][:16]!r}", part)
-    score = 0.0
-    if end == SERVED:
-        if not SCORE.fullmatch(words[2]):
-            raise FrameError(f"a score that is no number: {words[2][:32]!r}", part)
-        if not VALUE.fullmatch(value):
-            raise FrameError(f"a value of {len(value)} bytes that no node gives", part)
-        score = float(words[2])
-    return PartAnswer(part, end, score, read_report(words[3]), value if end == SERVED else b"")
-
-
-class Incoming:
-    """Bytes of one connection to messages."""
+def decode_answer(body: bytes) -> PartAnswer:
+    """Decode the body of an answer.
+
+    Raises :class:`FrameError`, with the part's id where the line contains it.
+    """
+    line, newline, value = body.partition(b"\n")
+    items = line.split(b" ")
+    part_id = _part_id_of(items[0])
+    if not newline or len(line) > MAX_LINE_BYTES:
+        raise FrameError("an answer's line does not end", part_id)
+    if len(items) != ANSWER_LINE_ITEMS or not part_id:
+        raise FrameError(f"an answer's line of {len(items)} items", part_id)
+    _, code, score, report = items
+    status = STATUS_OF_CODE.get(code)
+    if status is None:
+        raise FrameError(f"an answer of unknown status {code[:16]!r}", part_id)
+    in_flight = decode_in_flight(report)
+    if status != PartStatus.OK:
+        return PartAnswer(part_id, status, 0.0, in_flight, b"")
+    if not SCORE.fullmatch(score):
+        raise FrameError(f"a score that is not a number: {score[:32]!r}", part_id)
+    if not VALUE.fullmatch(value):
+        raise FrameError(f"an invalid value of {len(value)} bytes", part_id)
+    return PartAnswer(part_id, status, float(score), in_flight, value)
+
+
+def _part_id_of(item: bytes) -> str:
+    """Return the part id that an item is; empty if it is not a valid one."""
+    return item.decode("latin-1") if PART_ID.fullmatch(item) else ""
+
+
+class FrameReader:
+    """Decodes the frames that a node sends over one connection."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     @property
-    def left(self) -> int:
-        """Bytes of a frame that is not whole yet."""
+    def buffered_bytes(self) -> int:
+        """Bytes of a frame that is incomplete so far."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Messages that are whole; raises :class:`FrameError`, after which the connection is of no use."""
+        """Yield the messages that ``data`` completes.
+
+        Raises :class:`FrameError`, after which no further frame can be read from the connection.
+        """
         buffer = self._buffer
         buffer += data
         start = 0
         try:
-            while len(buffer) - start >= 4:
+            while len(buffer) - start >= LENGTH_BYTES:
                 (length,) = _LENGTH.unpack_from(buffer, start)
-                if not 1 <= length <= FRAME_MOST:
-                    raise FrameError(f"a frame of {length} bytes", self._named(start))
-                if len(buffer) - start - 4 < length:
+                if not 1 <= length <= MAX_FRAME_BYTES:
+                    raise FrameError(f"a frame of {length} bytes", self._part_id_at(start))
+                body_start = start + LENGTH_BYTES + 1
+                end = start + LENGTH_BYTES + length
+                if len(buffer) < end:
                     break
-                letter, rest = (
-                    bytes(buffer[start + 4 : start + 5]),
-                    bytes(buffer[start + 5 : start + 4 + length]),
-                )
-                start += 4 + length
-                yield self._read(letter, rest)
+                letter = bytes(buffer[body_start - 1 : body_start])
+                body = bytes(buffer[body_start:end])
+                start = end
+                yield self._decode(letter, body)
         finally:
             del buffer[:start]
 
-    def _named(self, start: int) -> str:
-        """The part that a frame too long to wait for is of, if its line is at hand."""
-        line = bytes(self._buffer[start + 5 : start + 5 + LINE_MOST]).split(b" ", 1)[0]
-        return (
-            line.decode("latin-1")
-            if self._buffer[start + 4 : start + 5] == ANSWER and ID.fullmatch(line)
-            else ""
-        )
+    def _part_id_at(self, start: int) -> str:
+        """Return the part id of the answer that begins at ``start``, as far as it has been received."""
+        body_start = start + LENGTH_BYTES + 1
+        if self._buffer[body_start - 1 : body_start] != ANSWER:
+            return ""
+        return _part_id_of(bytes(self._buffer[body_start : body_start + MAX_LINE_BYTES]).split(b" ", 1)[0])
 
     @staticmethod
-    def _read(letter: bytes, rest: bytes) -> Message:
+    def _decode(letter: bytes, body: bytes) -> Message:
         if letter == ANSWER:
-            return read_answer(rest)
+            return decode_answer(body)
         if letter == PROBE:
-            if rest not in (b"200", b"500"):
-                raise FrameError("a probe's answer that can't be read")
-            return ProbeAnswer(rest == b"200")
-        if letter == UNUSABLE:
-            return Unusable(rest[:200].decode("latin-1"))
+            if body not in PROBE_RESULT_OF_CODE:
+                raise FrameError("an invalid answer to a probe")
+            return ProbeAnswer(PROBE_RESULT_OF_CODE[body])
+        if letter == FRAME_REJECTED:
+            return FrameRejected(body[:MAX_REASON_BYTES].decode("latin-1"))
         raise FrameError(f"a frame of unknown letter {letter!r}")
--- a/heathwell/gateway/broker.py
+++ b/heathwell/gateway/broker.py
@@ -244,13 +244,13 @@
             part.id,
             seq,
             partial(
-                nf.part_call,
+                nf.encode_part,
                 part.id,
                 part.plan.shard,
                 text=query.request.text,
                 key=query.request.key,
                 answered=query.answered_shards if is_second_step else (),
-                whole=query.complete if is_second_step else None,
+                complete=query.complete if is_second_step else None,
             ),
             self.loop.now() + remaining_us,
         )
--- a/heathwell/gateway/node_attempts.py
+++ b/heathwell/gateway/node_attempts.py
@@ -15,9 +15,9 @@
 from heathwell.codec import nodeframes as nf
 
 OUTCOME_OF_STATUS = {
-    nf.SERVED: policy.Outcome.OK,
-    nf.ERROR: policy.Outcome.ERROR,
-    nf.TURNED_AWAY: policy.Outcome.REJECTED,
+    nf.PartStatus.OK: policy.Outcome.OK,
+    nf.PartStatus.ERROR: policy.Outcome.ERROR,
+    nf.PartStatus.REJECTED: policy.Outcome.REJECTED,
 }
 # How long the id of an abandoned attempt is remembered on its connection: a node may hang for long.
 ABANDONED_ID_RETENTION_US = 60_000_000
--- a/heathwell/gateway/node_connection.py
+++ b/heathwell/gateway/node_connection.py
@@ -52,7 +52,7 @@
         self.answered = RecentIds(ANSWERED_ID_RETENTION_US)
         self.retired = False
         self.stream: Stream | None = None
-        self._incoming = nf.Incoming()
+        self._reader = nf.FrameReader()
         self._unsent_calls: deque[list[NodeRequest]] = deque()
         # Attempts of a connection that broke, whose outcome the connect of this one decides.
         self.orphaned: dict[str, AttemptKey] = {}
@@ -134,7 +134,7 @@
                 requests[:] = [request for request in requests if request.id != part_id]
         else:
             self.abandoned.add(part_id, self.loop.now())
-            self._write(nf.frame(nf.GIVE_UP, part_id.encode()))
+            self._write(nf.encode_frame(nf.CANCEL, part_id.encode()))
             if self.stream is not None and not self.stream.closed and self.stream.unsent:
                 # Behind a full socket the cancel has not left, and the owner may resend the part at once.
                 self.link.log_info("given up by its end", "the node reads nothing")
@@ -173,7 +173,7 @@
             # The part has run, and the connection is of no use to those that wait behind it.
             self.link.invalid_answers += 1
             if self.in_flight:
-                self.link.log_info("spoilt answer", f"{problem.part or 'of no part'}: {problem}")
+                self.link.log_info("spoilt answer", f"{problem.part_id or 'of no part'}: {problem}")
             self._end_outcome = policy.Outcome.ERROR
         finally:
             self._finish()
@@ -204,16 +204,16 @@
     def _on_data(self, data: bytes) -> None:
         if self.answered_at_us is not None and not self._was_just_answered:
             self.link.consecutive_closes = 0  # the connection outlived an answer
-        for message in self._incoming.feed(data):
+        for message in self._reader.feed(data):
             match message:
                 case nf.PartAnswer():
                     self._on_part_answer(message)
                 case nf.ProbeAnswer(ok=ok):
                     self._on_probe_answer(ok=ok)
-                case nf.Unusable(words=words):
-                    self.link.log_info("a frame could not be used", words)
+                case nf.FrameRejected(reason=reason):
+                    self.link.log_info("a frame could not be used", reason)
                     raise StreamBroken("the node could not use a frame")
-        if self._incoming.left and not self.in_flight and not self._sent_probes:
+        if self._reader.buffered_bytes and not self.in_flight and not self._sent_probes:
             raise nf.FrameError("bytes that belong to nothing")
         self._waiting_since_us = self.loop.now() if self.in_flight or self._sent_probes else None
         self._check_idle()
@@ -224,7 +224,7 @@
         self.answer_count += 1
         if attempt is not None:
             self.answered.add(message.id, self.loop.now())
-            self.link.on_attempt_ended(attempt.key, OUTCOME_OF_STATUS[message.end], message)
+            self.link.on_attempt_ended(attempt.key, OUTCOME_OF_STATUS[message.status], message)
             self.link.on_response(self, attempt.sent_at_us)
         elif message.id in self.abandoned or message.id in self.answered:
             # The attempt's result was reported already, or this is a duplicate: it has no effect.
@@ -260,7 +260,7 @@
             if not requests:
                 continue
             now_us = self.loop.now()
-            data = nf.call(
+            data = nf.encode_call(
                 [request.encode(max(1, (request.deadline_at_us - now_us) // 1000)) for request in requests]
             )
             for request in requests:
@@ -273,7 +273,7 @@
     def _send_probe(self, number: int) -> None:
         self._sent_probes.append(number)
         self._start_waiting()
-        self._write(nf.frame(nf.PROBE))
+        self._write(nf.encode_frame(nf.PROBE))
 
     def _write(self, data: bytes) -> None:
         if self.stream is not None:
--- a/heathwell/testing/standins/platform.py
+++ b/heathwell/testing/standins/platform.py
@@ -60,8 +60,8 @@
     """A good answer's frame, or one of another end."""
     step = ".fetch" if part.id.endswith(".fetch") else ""
     score = int(value_of(part.shard, part.text), 16) % 1000
-    value = value_of(part.shard, part.text, step) if end == nf.SERVED else b""
-    return nf.frame(nf.ANSWER, f"{part.id} {end} {score} {report}\n".encode() + value)
+    value = value_of(part.shard, part.text, step) if end == nf.PartStatus.OK else b""
+    return nf.encode_frame(nf.ANSWER, f"{part.id} {end} {score} {report}\n".encode() + value)
 
 
 class Node:
@@ -132,11 +132,11 @@
                 self._works[part.id] = self.loop.call_at(
                     self.loop.now() + self.work_us, self._done, stream, part
                 )
-        elif letter == nf.GIVE_UP:
+        elif letter == nf.CANCEL:
             self.given_up.append(rest.decode())
             self.events("cancel", p=rest.decode(), node=self.uid)
         elif letter == nf.PROBE and not self.silent:
-            stream.write(nf.frame(nf.PROBE, b"200"))
+            stream.write(nf.encode_frame(nf.PROBE, b"200"))
 
     def _done(self, stream: Stream, part: Called) -> None:
         if self.silent or stream.closed:
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -26,7 +26,7 @@
 
 def node_ask(part: str, seq: int, shard: int, text: bytes) -> NodeRequest:
     """An attempt that a test hands to a link by itself; waited for without end."""
-    return NodeRequest(part, seq, partial(nf.part_call, part, shard, text=text), LONG_US)
+    return NodeRequest(part, seq, partial(nf.encode_part, part, shard, text=text), LONG_US)
 
 
 class Platform:
