--- a/heathwell/gateway/config.py
+++ b/heathwell/gateway/config.py
@@ -7,13 +7,20 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from pathlib import Path
 
 from heathwell import policy
 from heathwell.eventloop.net import split_address
-from heathwell.gateway.settings_from_platform import WireError, settings_from
+from heathwell.gateway.settings_from_platform import (
+    CONNECT_TIMEOUT_US_FIELD,
+    IDLE_TIMEOUT_US_FIELD,
+    LIMITS_FIELD,
+    STREAMS_PER_CONNECTION_FIELD,
+    WireError,
+    settings_from,
+)
 from heathwell.gateway.targets import Targets, TargetsError
 
 MIN_SOCKETS = 64
@@ -96,7 +103,7 @@
         return _check_address(self.text(field), field)
 
     def number(self, field: str, minimum: int) -> int:
-        """Return a number of at least ``minimum``, cut to a whole one; 0 if absent and ``minimum`` is 0."""
+        """Return a number of at least ``minimum``, cut to an integer; 0 if absent and ``minimum`` is 0."""
         value = self.values.get(field)
         if value is None and minimum == 0:
             return 0
@@ -129,7 +136,7 @@
     limits = table.table("limits")
     setup = table.table("settings")
     settings = _settings(setup)
-    ceilings = _Table(setup.values["ceilings"], "settings.ceilings")
+    connection_limits = _Table(setup.values[LIMITS_FIELD], f"settings.{LIMITS_FIELD}")
     zones = _zones(setup)
     known = _known(table)
     return Config(
@@ -139,8 +146,8 @@
         seed=seed,
         sockets=limits.number("sockets", MIN_SOCKETS),
         settings=settings,
-        connections=_connections(ceilings, settings),
-        zones=zones,
+        connections=_connections(connection_limits, settings),
+        zones=tuple(zones),
         known=known,
     )
 
@@ -160,7 +167,7 @@
         raise ConfigError(f"settings: {problem}") from None
 
 
-def _zones(setup: _Table) -> tuple[str, ...]:
+def _zones(setup: _Table) -> Sequence[str]:
     zones = setup.values.get("zones") or []
     if not isinstance(zones, list) or not all(isinstance(zone, str) for zone in zones):
         raise ConfigError("settings.zones: a list of names is expected")
@@ -174,12 +181,12 @@
         raise ConfigError(f"known: {problem}") from None
 
 
-def _connections(ceilings: _Table, settings: policy.Settings) -> Connections:
+def _connections(limits: _Table, settings: policy.Settings) -> Connections:
     """Limits of connections; if not stated: one part, no idle timeout, and no longer wait than a client's."""
     return Connections(
-        ceilings.number("streams-per-conn", 0) or 1,
-        ceilings.number("conn-idle-us", 0) or NO_TIMEOUT_US,
-        ceilings.number("connect-timeout-us", 0) or min(spec.timeout_us for spec in settings.classes),
+        limits.number(STREAMS_PER_CONNECTION_FIELD, 0) or 1,
+        limits.number(IDLE_TIMEOUT_US_FIELD, 0) or NO_TIMEOUT_US,
+        limits.number(CONNECT_TIMEOUT_US_FIELD, 0) or min(spec.timeout_us for spec in settings.classes),
     )
 
 
--- a/heathwell/gateway/requests.py
+++ b/heathwell/gateway/requests.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import re
+from collections.abc import Sequence
 from dataclasses import dataclass
 
 import msgspec
@@ -35,7 +36,7 @@
 
 class _Part(msgspec.Struct, frozen=True):
     id: int
-    w: float
+    weight: float = msgspec.field(name="w")
     hint: float | None = None
     tag: str | None = None
 
@@ -71,7 +72,7 @@
     key: str
     retry: bool
     text: bytes
-    parts: tuple[RequestedPart, ...]
+    parts: Sequence[RequestedPart]
     tenant: int = 0
 
 
@@ -122,18 +123,18 @@
             raise BadRequestError(f"{request.method}: a query is a POST", 405)
         return self._classes[kind]
 
-    def _parts(self, body: _Body) -> tuple[RequestedPart, ...]:
+    def _parts(self, body: _Body) -> Sequence[RequestedPart]:
         """Check the parts and scale their weights to a sum of 1."""
         seen: set[int] = set()
         total = 0.0
         for part in body.parts:
             self._check_part(part, seen)
             seen.add(part.id)
-            total += part.w
+            total += part.weight
         if abs(total - 1) > WEIGHT_TOLERANCE:
             raise BadRequestError(f"parts: weights add up to {total:.6g}, not 1")
         return tuple(
-            RequestedPart(part.id, part.w / total, None if part.hint is None else int(part.hint))
+            RequestedPart(part.id, part.weight / total, None if part.hint is None else int(part.hint))
             for part in body.parts
         )
 
@@ -142,7 +143,7 @@
             raise BadRequestError(f"parts: no shard {part.id}")
         if part.id in seen:
             raise BadRequestError(f"parts: shard {part.id} twice")
-        if not 0 < part.w <= 1:
+        if not 0 < part.weight <= 1:
             raise BadRequestError(f"parts: shard {part.id}: a weight in (0, 1] is expected")
         if part.hint is not None and not 0 <= part.hint <= MAX_HINT_US:
             raise BadRequestError(f"parts: shard {part.id}: a hint of {part.hint} us")
--- a/heathwell/gateway/settings_from_platform.py
+++ b/heathwell/gateway/settings_from_platform.py
@@ -1,31 +1,47 @@
 """The start settings from the platform's object, which the bench's wire and a broker's configuration hold.
 
-Standard library only, as the bench adapter uses it.
+The object's field names and words are mapped to the field's terms here, and nowhere else. Standard library
+only, as the bench adapter uses it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeAlias, TypeVar
 
 from heathwell import policy
 
-REPEATS = {
+IDEMPOTENCY_OF_WORD = {
     "read_like": policy.Idempotency.IDEMPOTENT,
     "idempotency_key": policy.Idempotency.KEYED,
     "non_idempotent": policy.Idempotency.NON_IDEMPOTENT,
 }
-
-
+POLL_MODE_WORD = "ask"  # of the field "registry-mode"
+WEIGHT_BY_WORK_WORD = "work"  # of the field "value-by"
+
+# Nested objects of the platform's object.
+DEPLOYMENT_FIELD = "specifics"
+LIMITS_FIELD = "ceilings"
+RULES_FIELD = "invariants"
+CLIENTS_FIELD = "clients"
+# Limits of a broker's connections to nodes, within LIMITS_FIELD.
+STREAMS_PER_CONNECTION_FIELD = "streams-per-conn"
+IDLE_TIMEOUT_US_FIELD = "conn-idle-us"
+CONNECT_TIMEOUT_US_FIELD = "connect-timeout-us"
+
+DEFAULT_TICK_US = 1000
+
+JsonValue: TypeAlias = Any  # decoded JSON of any type, which is checked where it is read
+JsonObject: TypeAlias = dict[str, JsonValue]
 CodeT = TypeVar("CodeT")
 
 
 class WireError(Exception):
-    """Input that is not what the wire promises; the text is for a person."""
+    """Input that violates the wire's contract; the message names the field."""
 
 
-def need(message: Any, field: str, where: str) -> Any:
-    """The field's value, or a complaint that names it."""
+def need(message: JsonValue, field: str, where: str) -> JsonValue:
+    """Return a field's value; raise :class:`WireError` if it is missing."""
     if not isinstance(message, dict):
         raise WireError(f"{where}: an object is expected")
     if field not in message:
@@ -33,102 +49,81 @@
     return message[field]
 
 
-def number(message: Any, field: str, where: str) -> int:
-    """A field that must be a number, as an integer."""
-    value = need(message, field, where)
-    if isinstance(value, bool) or not isinstance(value, int | float):
-        raise WireError(f"{where}: field '{field}' is not a number")
-    return int(value)
+def number(message: JsonValue, field: str, where: str) -> int:
+    """Return a number as an integer."""
+    return int(_numeric(message, field, where))
 
 
-def share(message: Any, field: str, where: str) -> float:
-    """A field that must be a number, as a float."""
+def share(message: JsonValue, field: str, where: str) -> float:
+    """Return a number as a float."""
+    return float(_numeric(message, field, where))
+
+
+def _numeric(message: JsonValue, field: str, where: str) -> int | float:
     value = need(message, field, where)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise WireError(f"{where}: field '{field}' is not a number")
-    return float(value)
+    return value
 
 
-def text(message: Any, field: str, where: str) -> str:
-    """A field that must be text."""
+def text(message: JsonValue, field: str, where: str) -> str:
+    """Return a text."""
     value = need(message, field, where)
     if not isinstance(value, str):
         raise WireError(f"{where}: field '{field}' is not text")
     return value
 
 
-def coded(message: Any, field: str, where: str, codes: Mapping[str, CodeT]) -> CodeT:
-    """A field that must hold one of the wire's words."""
+def coded(message: JsonValue, field: str, where: str, codes: Mapping[str, CodeT]) -> CodeT:
+    """Return what a text stands for by ``codes``."""
     word = text(message, field, where)
     if word not in codes:
         raise WireError(f"{where}: field '{field}' has the unknown value {word!r}")
     return codes[word]
 
 
-def rows(message: Any, field: str, where: str) -> list[Any]:
-    """A field that must be an array."""
+def rows(message: JsonValue, field: str, where: str) -> list[JsonValue]:
+    """Return an array."""
     value = need(message, field, where)
     if not isinstance(value, list):
         raise WireError(f"{where}: field '{field}' is not an array")
     return value
 
 
-def _at(values: list[Any], index: int, default: float) -> float:
-    return float(values[index]) if index < len(values) else default
+class _Sections(NamedTuple):
+    """The nested objects of the platform's object."""
 
+    deployment: JsonObject
+    limits: JsonObject
+    rules: JsonObject
+    clients: JsonObject
 
-def settings_from(setup: Any) -> policy.Settings:
-    """The start settings of an instance from the wire's ``setup``."""
-    where = "setup"
-    family = need(setup, "specifics", where)
-    limits = need(setup, "ceilings", where)
-    rules = need(setup, "invariants", where)
-    clients = setup.get("clients") or {}
-    tables = {"specifics": family, "ceilings": limits, "invariants": rules, "clients": clients}
-    for name, table in tables.items():
-        if not isinstance(table, dict):
-            raise WireError(f"setup: field '{name}' is not an object")
-    needs = family.get("class-need") or []
-    floors = family.get("min-share") or []
-    partial = family.get("incomplete-worth") or []
-    fetch = family.get("class-fetch") or []
-    classes = []
-    for index, entry in enumerate(rows(setup, "classes", where)):
-        at = f"classes[{index}]"
-        classes.append(
-            policy.QueryClass(
-                name=str(entry.get("name", index)),
-                latency_objective_us=number(entry, "objective-us", at),
-                timeout_us=number(entry, "hard-limit-us", at),
-                idempotency=coded(entry, "idempotency", at, REPEATS),
-                idempotency_window_us=int(entry.get("dedup-window-us") or 0),
-                priority_weight=float(entry.get("worth", 1.0)),
-                late_weight=float(entry.get("late-value") or 0.0),
-                partial_weight=_at(partial, index, 0.0),
-                required_fraction=_at(needs, index, 1.0),
-                minimum_fraction=_at(floors, index, 1.0),
-                second_step_parts=int(_at(fetch, index, 0.0)),
-                objective_hint_ratio=float(entry.get("aim-stretch") or 0.0),
-            )
-        )
+
+def settings_from(setup: JsonValue) -> policy.Settings:
+    """Return the start settings of the platform's object.
+
+    Raise :class:`WireError` if it is malformed, and ValueError, TypeError or AttributeError for a value that
+    cannot be converted.
+    """
+    deployment, limits, rules, clients = _sections(setup)
     return policy.Settings(
-        classes=tuple(classes),
-        shards=number(family, "shards", "specifics"),
-        replica_groups=number(family, "places", "specifics"),
-        groups_per_shard=number(family, "width", "specifics"),
+        classes=tuple(_classes(setup, deployment)),
+        shards=number(deployment, "shards", DEPLOYMENT_FIELD),
+        replica_groups=number(deployment, "places", DEPLOYMENT_FIELD),
+        groups_per_shard=number(deployment, "width", DEPLOYMENT_FIELD),
         aggregator_count=int(setup.get("siblings") or 1),
         zone=int(setup.get("az") or 0),
-        tick_us=int(setup.get("tick-us") or 1000),
-        max_attempts=number(limits, "max-attempts", "ceilings"),
+        tick_us=int(setup.get("tick-us") or DEFAULT_TICK_US),
+        max_attempts=number(limits, "max-attempts", LIMITS_FIELD),
         max_open=int(limits.get("open-cap") or 0),
         hedging_allowed=bool(limits.get("second-copies")),
         cancellation_allowed=bool(limits.get("cancelling")),
         probing_allowed=bool(limits.get("probing")),
         retry_advice_allowed=bool(limits.get("retry-after")),
         max_retry_after_us=int(limits.get("max-retry-after-us") or 0),
-        poll_mode=setup.get("registry-mode") == "ask",
+        poll_mode=setup.get("registry-mode") == POLL_MODE_WORD,
         poll_within_us=int(rules.get("must-ask-in-us") or 0),
-        parts_per_call=int(family.get("parts-a-call") or 1),
+        parts_per_call=int(deployment.get("parts-a-call") or 1),
         clients_mark_retries=bool(clients.get("marks-retry")),
         drain_grace_us=int(rules.get("drain-grace-us") or 0),
         overload_multiple=float(rules.get("fall-multiple") or 0.0),
@@ -138,11 +133,66 @@
         free_additional_attempts=int(rules.get("free-resends") or 0),
         additional_attempt_ratio=float(rules.get("further-ratio") or 0.0),
         attempt_budget_window_us=int(rules.get("counted-over-us") or 0),
-        endpoints_cache_keys=bool(family.get("warm-keys")),
-        weight_by_work=setup.get("value-by") == "work",
+        endpoints_cache_keys=bool(deployment.get("warm-keys")),
+        weight_by_work=setup.get("value-by") == WEIGHT_BY_WORK_WORD,
         over_quota_weight=float(setup.get("over-share-worth", 1.0)),
-        tenants=tuple(
-            policy.Tenant(str(entry.get("name", "")), float(entry.get("quota-rps") or 0.0))
-            for entry in setup.get("accounts") or []
-        ),
+        tenants=tuple(_tenants(setup)),
     )
+
+
+def _sections(setup: JsonValue) -> _Sections:
+    """The nested objects; all but the clients' have to be there."""
+    deployment = need(setup, DEPLOYMENT_FIELD, "setup")
+    limits = need(setup, LIMITS_FIELD, "setup")
+    rules = need(setup, RULES_FIELD, "setup")
+    clients = setup.get(CLIENTS_FIELD) or {}
+    sections = (
+        (DEPLOYMENT_FIELD, deployment),
+        (LIMITS_FIELD, limits),
+        (RULES_FIELD, rules),
+        (CLIENTS_FIELD, clients),
+    )
+    for field, value in sections:
+        if not isinstance(value, dict):
+            raise WireError(f"setup: field '{field}' is not an object")
+    return _Sections(deployment, limits, rules, clients)
+
+
+def _classes(setup: JsonValue, deployment: JsonObject) -> list[policy.QueryClass]:
+    """The query classes; their fractions stand in arrays of the deployment, by the class's index."""
+    required_fractions = deployment.get("class-need") or []
+    minimum_fractions = deployment.get("min-share") or []
+    partial_weights = deployment.get("incomplete-worth") or []
+    second_step_parts = deployment.get("class-fetch") or []
+    classes = []
+    for index, entry in enumerate(rows(setup, "classes", "setup")):
+        where = f"classes[{index}]"
+        classes.append(
+            policy.QueryClass(
+                name=str(entry.get("name", index)),
+                latency_objective_us=number(entry, "objective-us", where),
+                timeout_us=number(entry, "hard-limit-us", where),
+                idempotency=coded(entry, "idempotency", where, IDEMPOTENCY_OF_WORD),
+                idempotency_window_us=int(entry.get("dedup-window-us") or 0),
+                priority_weight=float(entry.get("worth", 1.0)),
+                late_weight=float(entry.get("late-value") or 0.0),
+                partial_weight=_float_at(partial_weights, index, 0.0),
+                required_fraction=_float_at(required_fractions, index, 1.0),
+                minimum_fraction=_float_at(minimum_fractions, index, 1.0),
+                second_step_parts=int(_float_at(second_step_parts, index, 0.0)),
+                objective_hint_ratio=float(entry.get("aim-stretch") or 0.0),
+            )
+        )
+    return classes
+
+
+def _float_at(values: list[JsonValue], index: int, default: float) -> float:
+    """The value at an index; ``default`` beyond the end."""
+    return float(values[index]) if index < len(values) else default
+
+
+def _tenants(setup: JsonValue) -> list[policy.Tenant]:
+    return [
+        policy.Tenant(str(entry.get("name", "")), float(entry.get("quota-rps") or 0.0))
+        for entry in setup.get("accounts") or []
+    ]
--- a/heathwell/gateway/targets.py
+++ b/heathwell/gateway/targets.py
@@ -5,6 +5,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+
 import msgspec
 
 from heathwell import policy
@@ -28,7 +30,7 @@
     endpoint: str
     pod_group: int
     state: str
-    az: str = ""
+    zone: str = msgspec.field(name="az", default="")
     model: str = ""
     capacity_hint: float = 1.0
     boot_ms: float = 0
@@ -68,7 +70,7 @@
 
 def to_endpoint_update(
     targets: Targets,
-    zones: tuple[str, ...],
+    zones: Sequence[str],
     replica_groups: int,
     unix_offset_us: int,
     *,
@@ -89,7 +91,7 @@
                 endpoint_state(target),
                 max(1, int(target.boot_ms * 1000) - unix_offset_us) if target.boot_ms > 0 else None,
                 target.capacity_hint if target.capacity_hint > 0 else 1.0,
-                zone_indexes.get(target.az, UNKNOWN_ZONE),
+                zone_indexes.get(target.zone, UNKNOWN_ZONE),
             )
             for target in targets.targets
             if 0 <= target.pod_group < replica_groups
