--- a/heathwell/testing/simulation/manybrokers.py
+++ b/heathwell/testing/simulation/manybrokers.py
@@ -4,7 +4,6 @@
 
 from __future__ import annotations
 
-import copy
 import random
 from collections import Counter
 from typing import Any
@@ -16,7 +15,7 @@
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import Config, read
 from heathwell.gateway.front import Front
-from heathwell.testing.simulation.platform import SETUP, config_of
+from heathwell.testing.simulation.platform import config_of, setup_of
 from heathwell.testing.standins.platform import Client, Node, Registry
 
 UNIX_US = 1_700_000_000_000_000
@@ -50,16 +49,13 @@
         return Node(self.loop, self.net.at(uid), f"{uid}:7070", uid, cell)
 
     def _config(self, number: int, brokers: int) -> Config:
-        setup = copy.deepcopy(SETUP)
-        setup["specifics"].update(places=self.cells, shards=2 * self.cells)
-        setup["siblings"] = brokers
         return read(
             config_of(
                 name=f"n{number}",
                 listen=f"b{number}:7070",
                 seed=f"{self.draw.getrandbits(64):016x}",
                 known=self.known,
-                settings=setup,
+                settings=setup_of(replica_groups=self.cells, shards=2 * self.cells, brokers=brokers),
             )
         )
 
--- a/heathwell/testing/simulation/platform.py
+++ b/heathwell/testing/simulation/platform.py
@@ -93,6 +93,14 @@
     """The broker did not start, or does not answer."""
 
 
+def setup_of(*, replica_groups: int, shards: int, brokers: int) -> dict[str, Any]:
+    """The platform's settings object for a deployment of another size."""
+    setup: dict[str, Any] = copy.deepcopy(SETUP)
+    setup["specifics"].update(places=replica_groups, shards=shards)
+    setup["siblings"] = brokers
+    return setup
+
+
 def config_of(**changes: Any) -> bytes:
     """A configuration file's bytes."""
     table: dict[str, Any] = {
