--- a/heathwell/gateway/broker.py
+++ b/heathwell/gateway/broker.py
@@ -173,7 +173,7 @@
             return
         unavailable = self._update_addresses(targets)
         self.on_endpoint_update(self._endpoint_update(targets))
-        # Unsent attempts are withdrawn after the update, so that they are placed by the new list.
+        # Unsent attempts are reported after the update, so that replicas are selected from the new list.
         unavailable |= {
             target.uid for target in targets.targets if endpoint_state(target) != policy.EndpointState.LIVE
         }
--- a/heathwell/gateway/front.py
+++ b/heathwell/gateway/front.py
@@ -34,6 +34,7 @@
 MAX_READ_AHEAD_BYTES = 65_536  # read while a request is in progress
 MAX_UNREAD_BYTES = 262_144  # that a client leaves unread before it is cut off
 JSON_CONTENT_TYPE = "application/json"
+REQUEST_TIMEOUT_BODY = b"the request was not whole in time\n"  # on the wire: it stays as clients have it
 
 
 class Front:
@@ -107,7 +108,7 @@
         if len(self.kept_alive) > self.max_kept_alive:
             victim = next(iter(self.kept_alive))
             if victim.stream.close_if_quiet():
-                self.counts["let go"] += 1
+                self.counts["let go"] += 1  # the name that the trace prints
                 self._forget(victim)
 
     def _forget(self, client: Client) -> None:
@@ -123,7 +124,7 @@
         for client in list(self.receiving):
             if now - client.since_us >= REQUEST_TIMEOUT_US:
                 self.counts["too slow"] += 1
-                client.fail(Response(408, b"the request was not whole in time\n"))
+                client.fail(Response(408, REQUEST_TIMEOUT_BODY))
         for client in list(self.inactive):
             if now - client.since_us >= client.idle_timeout_us:
                 if client.failed:
@@ -168,7 +169,7 @@
             if self.failed:
                 discarded += len(data)
                 continue
-            if self.stream.hung_up:  # the client disconnected: nothing it sent is of use
+            if self.stream.hung_up:  # the client disconnected: no reply could reach it
                 return
             self._arrived_at_us = self.loop.now()
             if self.side is None:
--- a/heathwell/gateway/node_connection.py
+++ b/heathwell/gateway/node_connection.py
@@ -8,8 +8,8 @@
 attempt that the connection carried. Abandoned ids are remembered until they are answered or expire; their
 answers are counted and dropped.
 
-A connection that breaks says nothing about its node: if the process died the next connect is refused, if the
-machine is lost it is not answered. So the attempts in flight are reported once a new connection was
+A connection that breaks is no evidence about its node: if the process died the next connect is refused, if
+the machine is lost it is not answered. So the attempts in flight are reported once a new connection was
 established (connection lost: the attempt may have run) or failed (broken with its node).
 """
 
@@ -137,7 +137,7 @@
             self._write(nf.encode_frame(nf.CANCEL, part_id.encode()))
             if self.stream is not None and not self.stream.closed and self.stream.unsent:
                 # Behind a full socket the cancel has not left, and the owner may resend the part at once.
-                self.link.log_info("given up by its end", "the node reads nothing")
+                self.link.log_info("connection closed", "the node does not read")
                 self.close()
                 return
         self._check_idle()
@@ -170,10 +170,10 @@
             if self.in_flight:
                 self.link.log_info("connection lost", str(problem))
         except nf.FrameError as problem:
-            # The part has run, and the connection is of no use to those that wait behind it.
+            # The part has run, and nothing behind the invalid frame can be read.
             self.link.invalid_answers += 1
             if self.in_flight:
-                self.link.log_info("spoilt answer", f"{problem.part_id or 'of no part'}: {problem}")
+                self.link.log_info("malformed answer", f"{problem.part_id or 'of no part'}: {problem}")
             self._end_outcome = policy.Outcome.ERROR
         finally:
             self._finish()
@@ -248,8 +248,9 @@
     # Writing.
 
     def _write_calls(self) -> None:
-        """Write calls while the socket takes them: one that waits here has provably not left, and can be
-        withdrawn.
+        """Write calls while the socket accepts them.
+
+        A call that waits here has not been sent, so its attempts can be reported as never sent.
         """
         stream = self.stream
         if stream is None or self._writing_calls:  # on_flushed may be called while a call is written
@@ -299,7 +300,7 @@
         self._idle_time.rests()
 
     def _finish(self) -> None:
-        """The connection is gone: what had not been written whole provably never ran, the rest may have."""
+        """End what is in flight: what had not been written completely never ran, the rest may have."""
         if self._finished:
             return
         self._finished = True
@@ -338,13 +339,13 @@
         return written_bytes
 
     def _end_unsent(self, in_flight: dict[str, InFlightAttempt], written_bytes: int) -> None:
-        """Report the attempts that had not been written whole, and remove them from ``in_flight``."""
+        """Report the attempts that had not been written completely, and remove them from ``in_flight``."""
         unsent = [
             attempt
             for attempt in in_flight.values()
             if attempt.frame_end is None or attempt.frame_end > written_bytes
         ]
-        # Only a connection that was never established tells that its node is unreachable.
+        # Only a connection that was never established shows that its node is unreachable.
         never_established = self.stream is None and not self._closed_by_us
         outcome = policy.Outcome.UNREACHABLE if never_established else policy.Outcome.NEVER_SENT
         for attempt in unsent:
--- a/heathwell/gateway/process.py
+++ b/heathwell/gateway/process.py
@@ -24,8 +24,8 @@
 
 ACCEPT_AFTER_TERMINATE_US = 600_000  # after SIGTERM, during which clients still connect
 SHUTDOWN_CHECK_INTERVAL_US = 20_000
-# By the platform's protocol SIGKILL follows SIGTERM after the longest timeout of a class, counted as at most
-# the first figure, and the second.
+# By the platform's protocol SIGKILL follows SIGTERM after the longest timeout of a class, which counts as
+# MAX_KILL_TIMEOUT_US at most, plus KILL_GRACE_US.
 MAX_KILL_TIMEOUT_US = 3_000_000
 KILL_GRACE_US = 700_000
 SHUTDOWN_MARGIN_US = 100_000  # before that: replies leave, and the process ends by itself
--- a/heathwell/gateway/requests.py
+++ b/heathwell/gateway/requests.py
@@ -118,6 +118,7 @@
         if kind not in self._classes:
             raise BadRequestError(f"Req-Kind: no class {kind[:64]!r}", 404)
         if path != kind:
+            # A text of the wire, which clients receive.
             raise BadRequestError(f"Req-Kind: {kind!r}, but the path says {path[:64]!r}")
         if request.method != "POST":
             raise BadRequestError(f"{request.method}: a query is a POST", 405)
