--- a/heathwell/fleet/rollout/__init__.py
+++ b/heathwell/fleet/rollout/__init__.py
@@ -6,7 +6,8 @@
 - ``errors``: the exceptions;
 - ``plan``: stages, and which brokers each one updates;
 - ``observations``, ``verdict``: what brokers did in a window, and what can be concluded;
-- ``sequential_test``, ``fault_detector``, ``immediate_checks``, ``canary_analysis``: the analysis of a stage;
+- ``sequential_analysis``, ``fault_detector``, ``immediate_checks``, ``canary_analysis``: the analysis of
+  a stage;
 - ``rollout_controller``: the state machine of a rollout;
 - ``preflight_settings``, ``preflight``: checks of new settings before a rollout begins;
 - ``broker_supervisor``: the processes of one broker on its machine.
--- a/heathwell/fleet/rollout/canary_analysis.py
+++ b/heathwell/fleet/rollout/canary_analysis.py
@@ -2,7 +2,7 @@
 
 Each window gives, by class, the difference of a query's mean goodput between canary and baseline, zone by
 zone: what hits both sides cancels. Over windows a weighted t-test asks whether the mean difference is below
-zero. It is repeated during the stage, and its error is shared out over looks (:mod:`sequential_test`) and
+zero. It is repeated during the stage, and its error is shared out over looks (:mod:`sequential_analysis`) and
 over classes (Bonferroni).
 
 Owns the evidence of one stage; pure. Imports the other modules of this package below the controller.
@@ -23,7 +23,7 @@
     split_by_version,
     statistics_by_class,
 )
-from heathwell.fleet.rollout.sequential_test import (
+from heathwell.fleet.rollout.sequential_analysis import (
     DifferenceSeries,
     ErrorSpending,
     WeightedValue,
--- a/heathwell/fleet/rollout/sequential_test.py
+++ b/heathwell/fleet/rollout/sequential_analysis.py
@@ -1,8 +1,8 @@
 """Statistics of the canary analysis: a weighted mean with its error, and a test that is repeated.
 
-The test is asked several times during a stage, so the error that is allowed is spent over these looks as by
-O'Brien and Fleming's boundary (Lan, DeMets, 1983), each look with what it may spend alone: by the union bound
-the sum holds whatever the looks have in common.
+The test is repeated during a stage, so the allowed error is spent over these interim analyses by O'Brien and
+Fleming's boundary (Lan, DeMets, 1983), each with its own part of the error: by the union bound the sum holds
+however the interim analyses are correlated.
 
 Owns series and spent error; pure. Imports nothing of heathwell; scipy is loaded by the first call, as most
 processes that import this module make none.
