--- a/heathwell/fleet/control/coordinator_metrics.py
+++ b/heathwell/fleet/control/coordinator_metrics.py
@@ -50,12 +50,12 @@
         yield members
         yield GaugeMetricFamily(
             "heathwell_fractions_owned",
-            "Fractions that this keeper may lend of",
+            "Fractions of which this coordinator may grant",
             value=len(coordinator.held_fractions(now)),
         )
         granted = GaugeMetricFamily(
             "heathwell_budget_given",
-            "What members may hold of this keeper's fractions; of a rate thousandths a second",
+            "What members may hold of this coordinator's fractions; of a rate thousandths a second",
             labels=("budget", "fraction"),
         )
         for (name, fraction), ledger in coordinator.ledgers.items():
--- a/heathwell/fleet/control/evacuation_coordinator.py
+++ b/heathwell/fleet/control/evacuation_coordinator.py
@@ -34,7 +34,7 @@
 
 
 class ZoneQuery(StrEnum):
-    """The word of an operator's command that changes nothing."""
+    """An operator's command that only reads."""
 
     STATUS = "status"
 
@@ -43,7 +43,7 @@
     """An operator's order reached a coordinator that does not decide."""
 
     def __init__(self) -> None:
-        super().__init__("this keeper does not decide: ask another")
+        super().__init__("this coordinator does not decide: ask another")
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,7 +128,7 @@
         return totals
 
     def on_operator_command(self, now_us: int, command: frames.OperatorCommand) -> frames.ZonesStatus:
-        """Carry out an operator's command; the reply says how zones stand, and an error in its ``text``."""
+        """Carry out an operator's command; the reply has the zones' states, and an error in ``text``."""
         error_text = ""
         if command.word != ZoneQuery.STATUS:
             try:
--- a/heathwell/fleet/control/fleet_view.py
+++ b/heathwell/fleet/control/fleet_view.py
@@ -1,4 +1,4 @@
-"""What a rollout's controller knows of the fleet: each machine's last report, and changes between reports.
+"""The fleet as a rollout's controller sees it: each machine's last report, and changes between reports.
 
 Owns the last status of each broker, when its machine reported it, and the statuses that windows and exits are
 counted from. Imports the wire's records and the observations of the rollout package.
--- a/heathwell/fleet/control/node_agent.py
+++ b/heathwell/fleet/control/node_agent.py
@@ -258,7 +258,7 @@
         if ready.digests == expected:
             actions = supervisor.on_process_ready(self.loop.now(), run)
         else:
-            reason = f"it says that it runs {ready.digests}, its files are {expected}"
+            reason = f"it reports that it runs {ready.digests}, its files are {expected}"
             actions = supervisor.on_process_rejected(self.loop.now(), run, reason)
         self._execute(broker, actions)
         self._save_state()
@@ -354,7 +354,7 @@
     # State file.
 
     def _save_state(self) -> None:
-        """Write the state file; where the disk is full only the file is lost, and the log says so."""
+        """Write the state file; where the disk is full only the file is lost, which is logged."""
         brokers = {broker.name: broker.to_state() for broker in self.brokers.values()}
         try:
             save_agent_state(self.folder, AgentState(self.versions, brokers))
--- a/heathwell/fleet/control/quota_coordinator.py
+++ b/heathwell/fleet/control/quota_coordinator.py
@@ -212,7 +212,7 @@
             self.log(
                 "error", "control: of another fleet", peer=hello.name, theirs=hello.fleet, ours=self.fleet
             )
-            refusal = frames.VersionMismatch(f"this is a keeper of fleet '{self.fleet}'")
+            refusal = frames.VersionMismatch(f"this is a quota coordinator of fleet '{self.fleet}'")
             stream.offer(frames.encode(refusal))
             stream.close()
         self.streams[stream] = hello.name
@@ -300,7 +300,7 @@
             )
 
     def view(self, now: int) -> frames.FleetView:
-        """What this coordinator knows of members, budgets and grants; durations (us) are from ``now``."""
+        """This coordinator's members, budgets and grants; durations (us) are from ``now``."""
         return frames.FleetView(
             self.name,
             self.coordinator.incarnation,
--- a/heathwell/fleet/control/rollout.py
+++ b/heathwell/fleet/control/rollout.py
@@ -171,7 +171,7 @@
             link.send(frames.MachineRequest())
         if not self.is_leader():
             self._warn_once(
-                "another controller has the fleet's lease, or no keeper can be reached: nothing is begun"
+                "another controller has the fleet's lease, or no quota coordinator can be reached: it waits"
             )
             return
         if self._is_unsaved and not self._save():
@@ -236,7 +236,7 @@
             failed += [
                 name
                 for name, status in self.fleet.statuses.items()
-                if status.state == SupervisorState.GAVE_UP and name in updated
+                if status.state == SupervisorState.FAILED and name in updated
             ]
         return failed
 
--- a/heathwell/fleet/control/state_file.py
+++ b/heathwell/fleet/control/state_file.py
@@ -1,4 +1,4 @@
-"""The state file of a node agent: which versions it knows, and which broker processes it has started.
+"""The state file of a node agent: which versions it has, and which broker processes it has started.
 
 The agent writes it before it acts, so that the agent started after it can adopt the processes that still
 serve. Owns the file's name and layout (:func:`save_agent_state` and :func:`load_agent_state` are the only
@@ -66,7 +66,7 @@
 
 
 class _BrokerRecord(TypedDict):
-    """A broker in the file; of a process pid, version, start ticks and ready file."""
+    """A broker in the file, whose keys these are; of a process pid, version, start ticks and ready file."""
 
     address: str
     wanted: str
@@ -108,7 +108,7 @@
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Replace a file's content as a whole, durably: after a loss of power it is the old or the new one.
+    """Replace a file's content atomically and durably: after a loss of power it is the old or the new.
 
     Raises :class:`OSError`; the file is unchanged then, unless only the sync of its folder failed.
     """
--- a/heathwell/fleet/evacuation/decision.py
+++ b/heathwell/fleet/evacuation/decision.py
@@ -15,7 +15,7 @@
     """What all brokers are to do with one zone.
 
     ``traffic_share`` of its usual first attempts goes there, from 0 (none) to 1 (as usual).
-    ``query_classes`` are those evacuated where it is not the whole zone; empty: all. ``state`` is a value of
+    ``query_classes`` are those evacuated where it is not the entire zone; empty: all. ``state`` is a value of
     `ZoneState`, held as the string that came over the wire: a later version may send one that is not known
     here.
     """
--- a/heathwell/fleet/evacuation/drill.py
+++ b/heathwell/fleet/evacuation/drill.py
@@ -1,6 +1,6 @@
 """An evacuation drill: a healthy zone is evacuated and restored on purpose, and the cost is reported.
 
-The fleet's own controller evacuates and restores; the drill says when, counts the loss in other zones
+The fleet's own controller evacuates and restores; the drill decides when, counts the loss in other zones
 meanwhile, and cancels itself at once where that is beyond its limit. Pure: counts in, orders out; the clock
 is handed in, in microseconds. Owns the course of one drill. May import the evidence's records, the states
 and the orders.
@@ -101,7 +101,7 @@
 class Drill:
     """A drill of one zone, which stays evacuated for ``hold_us``.
 
-    ``loss_limit`` is the share that may be lost in other zones beyond the usual; ``cancel_reason`` says why
+    ``loss_limit`` is the share that may be lost in other zones beyond the usual; ``cancel_reason`` is why
     the drill was cancelled, if it was.
     """
 
--- a/heathwell/fleet/evacuation/evidence.py
+++ b/heathwell/fleet/evacuation/evidence.py
@@ -120,7 +120,7 @@
         self.duration_us += duration_us
 
     def to_counts(self) -> AttemptCounts:
-        """The counts as they are reported, with the duration in whole milliseconds."""
+        """The counts as they are reported, with the duration in milliseconds, rounded down."""
         return AttemptCounts(self.good, self.late, self.bad, self.duration_us // 1000)
 
 
--- a/heathwell/fleet/evacuation/plan.py
+++ b/heathwell/fleet/evacuation/plan.py
@@ -79,7 +79,7 @@
         return self._plan_within(zone, capacity)
 
     def _plan_within(self, zone: str, capacity: float) -> EvacuationPlan:
-        """The whole zone where its load fits, else the most valuable classes, else a share."""
+        """The entire zone where its load fits, else the most valuable classes, else a share."""
         total_rate = sum(self.load.rate.values())
         usable = self.usable_capacity_fraction * capacity
         if total_rate <= usable:
@@ -98,7 +98,7 @@
         return EvacuationPlan(remaining_share, (), f"{remaining_share:.0%} stays: {shortage}")
 
     def _most_valuable_classes(self, zone: str, free_rate: float) -> QueryClassNames:
-        """The classes that fit whole into ``free_rate``, by descending priority weight.
+        """The classes that fit completely into ``free_rate``, by descending priority weight.
 
         Empty where all or none of them fit, or where no weight is known.
         """
--- a/heathwell/fleet/membership/membership_table.py
+++ b/heathwell/fleet/membership/membership_table.py
@@ -133,7 +133,7 @@
         return entry
 
     def _refresh(self, now_us: int, entry: MemberEntry, report: MembershipReport) -> list[MemberTransition]:
-        """Take over what a report of the entry's incarnation says."""
+        """Take over a report of the entry's incarnation."""
         entry.last_report_at_us = now_us
         entry.zone = report.zone
         entry.version = report.version
--- a/heathwell/fleet/membership/messages.py
+++ b/heathwell/fleet/membership/messages.py
@@ -32,7 +32,7 @@
 class MembershipReply:
     """A coordinator's reply to a report: the ``state`` that its table now has, and the reply's own number
     within the coordinator's incarnation. ``minimum_incarnation`` is the lowest incarnation under which the
-    name may come back; it counts only where the state is final.
+    name may rejoin; it counts only where the state is final.
     """
 
     state: MemberState
--- a/heathwell/fleet/quotas/__init__.py
+++ b/heathwell/fleet/quotas/__init__.py
@@ -1,7 +1,7 @@
-"""Quotas: budgets of a whole fleet, divided among its brokers by leases.
+"""Quotas: budgets of a fleet, divided among its brokers by leases.
 
 Job: let each broker use its quota without asking anybody at the moment of use, and never let the fleet hold
-more than a budget's total. Pure: instants are handed in and amounts are whole numbers. May import
+more than a budget's total. Pure: instants are handed in and amounts are integers. May import
 :mod:`heathwell.fleet.membership`.
 
 Why no more than the total is ever held, whatever is lost, restarted or stopped (`docs/fleet.md` at length):
--- a/heathwell/fleet/quotas/budget.py
+++ b/heathwell/fleet/quotas/budget.py
@@ -3,7 +3,7 @@
 Job: the checked record of one fleet-wide budget, and the names of budgets that exist once for each host. Owns
 no state. May import this package's errors only.
 
-A *budget* is the limit for the whole fleet; a *quota* is the part of it that one broker may use now.
+A *budget* is the limit for the entire fleet; a *quota* is the part of it that one broker may use now.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """One limit for the whole fleet: ``total`` milliunits a second of a rate, units of a count.
+    """One limit for the entire fleet: ``total`` milliunits a second of a rate, units of a count.
 
     - ``reserved`` of the total is divided equally among ``max_brokers`` brokers beforehand, as the minimum
       that each may use without any coordinator; the rest is cut into ``fraction_count`` fractions.
--- a/heathwell/fleet/quotas/fraction_lease.py
+++ b/heathwell/fleet/quotas/fraction_lease.py
@@ -4,8 +4,8 @@
 and received (:class:`LeaseCandidate`). May import this package's lease and messages.
 
 A voter votes for one candidate of a fraction at a time, a candidate being one incarnation of one coordinator.
-Nothing is on disk: a new incarnation knows nothing, so as a voter it stays silent for as long as a vote of an
-earlier incarnation may last, and as a candidate it is a stranger to votes for that incarnation, which have to
+Nothing is on disk: a new incarnation holds no state. So as a voter it stays silent for as long as a vote of
+an earlier incarnation may last, and as a candidate it cannot use votes for that incarnation, which have to
 expire first.
 """
 
--- a/heathwell/fleet/quotas/messages.py
+++ b/heathwell/fleet/quotas/messages.py
@@ -3,7 +3,7 @@
 Job: the typed records of renewals, grants and fraction leases; the codec's frames carry them on the wire.
 Owns no state. May import membership's messages.
 
-Every ``requested_at_us`` is of the requester's own clock and comes back unchanged with the answer, so that a
+Every ``requested_at_us`` is of the requester's own clock and is returned unchanged with the answer, so that a
 lease can be counted from before it was requested.
 """
 
--- a/heathwell/fleet/quotas/quota_holder.py
+++ b/heathwell/fleet/quotas/quota_holder.py
@@ -68,7 +68,7 @@
             return False
         expires_at_us = Lease(grant.duration_us, self.clock_drift).holder_expires_at_us(grant.requested_at_us)
         self._accrue(now_us)
-        # A fraction's lease has one holder at a time, so the numbers of earlier ones say nothing any more.
+        # A fraction's lease has one holder at a time, so the numbers of earlier ones do not apply.
         self.latest_numbers.pop(grant.fraction, None)
         self.latest_numbers[grant.fraction] = GrantNumber(grant.grantor, grant.number)
         if expires_at_us <= now_us:
@@ -160,9 +160,7 @@
         return min((held.expires_at_us - now_us for held in self.grants.values()), default=None)
 
     def request(self, now_us: int, fraction: int, grantor: str, member: str) -> GrantRequest:
-        """What to request of a fraction: all demand goes to each, as each grantor knows of its own grants
-        alone.
-        """
+        """What to request of a fraction: all demand goes to each, as each grantor has only its own grants."""
         number = self.active_grant_number(now_us, fraction, grantor)
         return GrantRequest(member, self.demand(now_us), now_us, number)
 
--- a/heathwell/fleet/rollout/broker_supervisor.py
+++ b/heathwell/fleet/rollout/broker_supervisor.py
@@ -3,7 +3,7 @@
 The new process is started beside the old one and shares its listening socket. Only once it serves, and has
 reported the digests that its files have, is the old one asked to end, and it finishes what is in flight. A
 process that crashes is started again after a delay that doubles; after too many crashes the previous version
-is run, or the supervisor gives up and waits for an operator.
+is run, or the supervisor stops and waits for an operator.
 
 Owns the processes' roles, delays and failures of one broker; pure: what is to be done comes out as actions.
 Imports the errors of this package. All instants are of one monotonic clock, in microseconds.
@@ -27,7 +27,7 @@
     DRAINING = "draining"
     APPLYING = "applying"
     WAITING = "waiting"
-    GAVE_UP = "gave up"
+    FAILED = "gave up"
 
 
 @dataclass(frozen=True, slots=True)
@@ -223,7 +223,7 @@
         self._failed_starts = 0
         self._crashes = 0
         self._next_start_at_us = now_us
-        if self.state is SupervisorState.GAVE_UP:
+        if self.state is SupervisorState.FAILED:
             self.state = SupervisorState.EMPTY
         if self.starting is not None and self.starting.version != version:
             self._kill_starting(now_us, self.starting)  # it has taken no connection yet
@@ -277,7 +277,7 @@
         self._log("error", f"{process.version} did not end in order: {exit_code}, {in_flight} held")
 
     def _back_off(self, now_us: int) -> None:
-        """Delay the next start after a crash; after too many fall back to the previous version or give up."""
+        """Delay the next start after a crash; after too many run the previous version, or none."""
         last_crash_at_us = self._last_crash_at_us
         recent = last_crash_at_us is not None and now_us - last_crash_at_us < self.limits.crash_interval_us
         self._crashes = self._crashes + 1 if recent else 1
@@ -289,16 +289,16 @@
         if self.previous_version and self.desired_version not in self.failures:
             self.failures[self.desired_version] = f"ended {self._crashes} times in a row"
             self._crashes = 0
-            self._log("error", f"{self.desired_version} is given up, back to {self.previous_version}")
+            self._log("error", f"{self.desired_version} is abandoned, back to {self.previous_version}")
         else:
-            self.state = SupervisorState.GAVE_UP
-            self._log("error", f"given up after {self._crashes} ends in a row: it needs an operator")
+            self.state = SupervisorState.FAILED
+            self._log("error", f"abandoned after {self._crashes} crashes in a row: it needs an operator")
 
     # Processes.
 
     def _reconcile(self, now_us: int) -> None:
         """Start the process that is due, and set the state."""
-        if self.state is SupervisorState.GAVE_UP:
+        if self.state is SupervisorState.FAILED:
             return
         if self._is_start_due(now_us):
             self._start(now_us, self._version_to_start())
@@ -320,7 +320,7 @@
 
     def _current_state(self) -> SupervisorState:
         """The state follows from the processes alone, so it is derived here and has no transition table; only
-        GAVE_UP is entered by an event (:meth:`_back_off`) and left by a new decision.
+        FAILED is entered by an event (:meth:`_back_off`) and left by a new decision.
         """
         if self.serving is not None and self.applying_version:
             return SupervisorState.APPLYING
--- a/heathwell/fleet/rollout/plan.py
+++ b/heathwell/fleet/rollout/plan.py
@@ -39,7 +39,7 @@
 
     Before the last stage at most ``max_zone_fraction`` of a zone is updated, so that every zone keeps a
     baseline. At any time at most that fraction of a zone, and ``max_concurrent`` brokers in all, are being
-    replaced. Raises :class:`InvalidPlanError` unless the stages grow to the whole fleet.
+    replaced. Raises :class:`InvalidPlanError` unless the stages grow to the entire fleet.
     """
 
     stages: tuple[Stage, ...] = (Stage(0.0), Stage(0.05), Stage(0.25, require_proof=True), Stage(1.0))
--- a/heathwell/fleet/rollout/preflight.py
+++ b/heathwell/fleet/rollout/preflight.py
@@ -1,4 +1,4 @@
-"""Checks of new settings before a rollout begins: those that are well formed and would still do harm.
+"""Checks of new settings before a rollout begins: those that are well formed and would still cause a fault.
 
 Owns the rules; pure. Imports the protocols of the settings in this package.
 """
@@ -90,7 +90,7 @@
 def _check_capacity(new: PreflightSettings) -> Iterator[PreflightWarning]:
     for budget in new.fleet.budgets:
         if budget.name != "connections" and budget.whole < 1:
-            yield PreflightWarning(f"budget {budget.name}: a whole of {budget.whole:g} a second is nothing")
+            yield PreflightWarning(f"budget {budget.name}: {budget.whole:g} a second is less than one use")
     open_cap = new.limits.open_cap
     widest_query = max((space.parts for space in new.keys), default=1)
     if open_cap and open_cap < widest_query + 1:
--- a/heathwell/fleet/rollout/preflight_settings.py
+++ b/heathwell/fleet/rollout/preflight_settings.py
@@ -42,7 +42,7 @@
 
 
 class BudgetSettings(Protocol):
-    """A budget that the brokers of the fleet divide; ``whole`` is for all of them."""
+    """A budget that the brokers of the fleet divide; ``whole`` (the settings' key) is its total."""
 
     whole: float
 
@@ -78,7 +78,7 @@
 
     @property
     def budgets(self) -> Sequence[BudgetSettings]:
-        """Budgets of the whole fleet."""
+        """Budgets of the entire fleet."""
 
 
 class BrokerLimits(Protocol):
--- a/heathwell/fleet/rollout/rollout_controller.py
+++ b/heathwell/fleet/rollout/rollout_controller.py
@@ -263,7 +263,9 @@
             return self.apply_event(RolloutEvent.REGRESSED, verdict.reason)
         if verdict.kind is VerdictKind.FAULT:
             if self.analysis.fault_windows >= FAULT_WINDOWS:
-                return self.apply_event(RolloutEvent.FAULT_DETECTED, f"trouble: {verdict.reason}")
+                return self.apply_event(
+                    RolloutEvent.FAULT_DETECTED, f"{RolloutEvent.FAULT_DETECTED}: {verdict.reason}"
+                )
         else:
             # A window in a fault is no evidence on the new version, so it does not count.
             self.observed_duration_us += self.window_duration_us
@@ -273,7 +275,9 @@
         self.healthy_windows = 0 if _is_faulty(windows) else self.healthy_windows + 1
         if self.healthy_windows < RECOVERY_WINDOWS:
             return None
-        return self.apply_event(RolloutEvent.FAULT_CLEARED, "the trouble on both sides is over")
+        return self.apply_event(
+            RolloutEvent.FAULT_CLEARED, f"the {RolloutEvent.FAULT_DETECTED} on both sides is over"
+        )
 
     def _is_stage_over(self, analysis: CanaryAnalysis) -> bool:
         """Whether the stage lasted long enough. One that needs proof goes on until it has it, but for the
--- a/heathwell/fleet/rollout/verdict.py
+++ b/heathwell/fleet/rollout/verdict.py
@@ -16,7 +16,7 @@
     WORSE = "worse"
     NOT_WORSE = "fine"
     INSUFFICIENT_DATA = "too little"
-    FAULT = "troubled"  # the baseline does worse than before: nothing can be said of the new version
+    FAULT = "troubled"  # the baseline does worse than before: nothing can be concluded on the new version
 
 
 @dataclass(frozen=True, slots=True)
--- a/heathwell/testing/modelcheck/lease_state.py
+++ b/heathwell/testing/modelcheck/lease_state.py
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class CoordinatorState:
-    """One incarnation of a quota coordinator; a restart replaces it whole."""
+    """One incarnation of a quota coordinator; a restart replaces all of it."""
 
     voter: LeaseVoter
     candidate: LeaseCandidate
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class FleetState:
-    """The whole fleet at one instant. ``remaining_restarts`` may still happen."""
+    """The entire fleet at one instant. ``remaining_restarts`` may still happen."""
 
     now: int
     coordinators: list[CoordinatorState]
--- a/tests/test_broker_supervisor.py
+++ b/tests/test_broker_supervisor.py
@@ -104,7 +104,7 @@
 def test_crashes_are_followed_by_starts_with_backoff_and_then_by_giving_up():
     supervisor, now, starts, messages = running(), 2 * S, [], []
     supervisor.on_process_exited(now, 1, 1)
-    while supervisor.state != SupervisorState.GAVE_UP:
+    while supervisor.state != SupervisorState.FAILED:
         assert supervisor.state == SupervisorState.WAITING
         for action in supervisor.tick(now):
             if isinstance(action, StartProcess):
@@ -209,7 +209,7 @@
             SupervisorState.REPLACING,
             SupervisorState.DRAINING,
             SupervisorState.WAITING,
-            SupervisorState.GAVE_UP,
+            SupervisorState.FAILED,
         )
         if (
             supervisor.desired_version
@@ -217,7 +217,7 @@
             and supervisor.starting is None
             and supervisor.draining is None
         ):
-            assert supervisor.state in (SupervisorState.WAITING, SupervisorState.GAVE_UP)
+            assert supervisor.state in (SupervisorState.WAITING, SupervisorState.FAILED)
 
 
 @pytest.mark.parametrize("code", [1, -15])
