--- a/heathwell/gateway/broker.py
+++ b/heathwell/gateway/broker.py
@@ -173,7 +173,7 @@
             return
         unavailable = self._update_addresses(targets)
         self.on_endpoint_update(self._endpoint_update(targets))
-        # Unsent attempts are withdrawn after the update, so that they are placed by the new list.
+        # Unsent attempts are reported after the update, so that replicas are selected from the new list.
         unavailable |= {
             target.uid for target in targets.targets if endpoint_state(target) != policy.EndpointState.LIVE
         }
@@ -244,13 +244,13 @@
             part.id,
             seq,
             partial(
-                nf.part_call,
+                nf.encode_part,
                 part.id,
                 part.plan.shard,
                 text=query.request.text,
                 key=query.request.key,
                 answered=query.answered_shards if is_second_step else (),
-                whole=query.complete if is_second_step else None,
+                complete=query.complete if is_second_step else None,
             ),
             self.loop.now() + remaining_us,
         )
