--- a/heathwell/servers/memcached.py
+++ b/heathwell/servers/memcached.py
@@ -22,6 +22,7 @@
 from heathwell.broker.replies import ANSWERED, FAILED, MISS, Age, Reply
 from heathwell.codec import memcached as mc
 from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken
+from heathwell.servers.client_connection import ClientConnection
 from heathwell.service.coverage import encode
 from heathwell.service.retry_storms import Doors
 from heathwell.service.service_broker import ServiceBroker
@@ -63,7 +64,9 @@
         self.total += 1
         connection = Connection(self, stream)
         stays, victim = self.doors.opened(
-            connection.number, stream.peer.rpartition(":")[0], lambda number: self.numbers[number].idle
+            connection.number,
+            stream.peer.rpartition(":")[0],
+            lambda number: self.numbers[number].close_if_idle(),
         )
         if not stays:
             stream.write(mc.server_error("heathwell too many connections"))
@@ -71,7 +74,6 @@
         self.numbers[connection.number] = connection
         if victim is not None:
             self.log("info", "client closed for another", client=self.numbers[victim].stream.peer)
-            self.numbers[victim].stream.close()
         self.connections[connection] = None
         try:
             yield from connection.run()
@@ -96,17 +98,20 @@
         if not broker.client_drain.cut:
             return
         known = {connection.number: connection for connection in self.connections}
-        for number in broker.client_drain.due(now, ((c.number, c.since) for c in self.connections if c.idle)):
-            self.log("debug", "client let go", client=known[number].stream.peer)
-            known[number].stream.close()
+        for number in broker.client_drain.due(
+            now, ((c.number, c.since) for c in self.connections if c.is_idle)
+        ):
+            if known[number].close_if_idle():
+                self.log("debug", "client let go", client=known[number].stream.peer)
+            else:
+                broker.client_drain.let_go -= 1  # its request is served first; it is drawn anew
 
     def hand_over(self) -> int:
         """Close the connections on which nothing is asked: another process takes what comes next. How many
         are left.
         """
         for connection in list(self.connections):
-            if connection.idle:
-                connection.stream.close()
+            connection.close_if_idle()
         return sum(not connection.stream.closed for connection in self.connections)
 
     def stats(self) -> dict[str, object]:
@@ -130,11 +135,12 @@
         }
 
 
-class Connection:
+class Connection(ClientConnection):
     """One client: commands in, replies out in their order, a bounded number at work."""
 
     def __init__(self, front: MemcachedFront, stream: Stream) -> None:
-        self.front, self.stream = front, stream
+        super().__init__(stream)
+        self.front = front
         self.number, self.since = front.total, front.broker.loop.now()
         limits = front.broker.service_settings.limits
         self.parser = mc.Requests(limits.line, limits.keys_a_get)
@@ -151,7 +157,7 @@
         """Read until the client has no more to ask and everything asked is answered."""
         self.stream.on_close = self.gone
         while not self.quitting:
-            data = yield from self.stream.read()
+            data = yield from self.read()
             if not data:
                 break
             for command in self.parser.feed(data):
@@ -164,7 +170,7 @@
         yield from self._flush_out()
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing is asked, nothing is half said either way."""
         return not self.slots and not self.stream.unsent and not self.parser.midway
 
--- a/heathwell/servers/vector.py
+++ b/heathwell/servers/vector.py
@@ -21,6 +21,7 @@
 from heathwell.codec.http import Request, Response, ServerSide
 from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken, sleep
 from heathwell.servers import vector_api as api
+from heathwell.servers.client_connection import ClientConnection
 from heathwell.servers.memcached import DRAIN_LOOK_US
 from heathwell.service.admission.cost import cut_batch, search_figures
 from heathwell.service.key_spaces import consecutive_shards, place
@@ -69,8 +70,10 @@
         """One connection, from its first byte to its last."""
         self.total += 1
         connection = Connection(self, stream, self.total)
-        stays, victim = self.doors.opened(
-            connection.number, stream.peer.rpartition(":")[0], lambda number: self.numbers[number].idle
+        stays, _ = self.doors.opened(
+            connection.number,
+            stream.peer.rpartition(":")[0],
+            lambda number: self.numbers[number].close_if_idle(),
         )
         if not stays:
             connection.side.closing = True
@@ -87,8 +90,6 @@
                 )
             )
             return
-        if victim is not None:
-            self.numbers[victim].stream.close()
         self.numbers[connection.number] = connection
         try:
             yield from connection.run()
@@ -105,12 +106,13 @@
         return consecutive_shards(place(spec.name, fleet.shards), spec.parts or fleet.shards, fleet.shards)
 
 
-class Connection:
+class Connection(ClientConnection):
     """One client: requests in turn, its end noticed while one is at work."""
 
     def __init__(self, front: VectorFront, stream: Stream, number: int) -> None:
+        super().__init__(stream)
         self.number = number
-        self.front, self.stream, self.loop = front, stream, front.broker.loop
+        self.front, self.loop = front, front.broker.loop
         self.limits = front.broker.service_settings.vector
         self.side = ServerSide(self.limits.body, self.limits.head)
         self.since = self.loop.now()
@@ -125,7 +127,7 @@
         self._handles: list[Handle] = []
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing is asked, and no request has begun."""
         return not self._busy and not self._chunks and not self.side.midway
 
@@ -173,7 +175,7 @@
                 while self._held > HELD_MOST:
                     self._room.clear()
                     yield from self._room.wait()
-                data = yield from self.stream.read()
+                data = yield from self.read()
                 if not data:
                     break
                 if not self._chunks and not self.side.midway and not self._busy:
@@ -222,8 +224,10 @@
                         )
                     )
                 )
-            self.stream.close()
-            return
+                self.stream.close()
+                return
+            if self.close_if_idle():
+                return
         self.loop.call_at(now + min(self.limits.slow, self.limits.idle) // 2, self._watch)
 
     def gone(self) -> None:
