--- a/heathwell/service/records.py
+++ b/heathwell/service/records.py
@@ -97,7 +97,8 @@
         poll_mode=service_settings.discovery.ask,
         poll_within_us=rules.must_ask,
         parts_per_call=limits.parts_a_call,
-        clients_mark_retries=limits.marks_retry,
+        # The service broker marks the queries that may be retries itself, by `ServiceBroker.enter_query`.
+        clients_mark_retries=True,
         drain_grace_us=rules.drain_grace,
         overload_multiple=rules.fall_multiple,
         overload_after_us=rules.fall_after,
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -263,7 +263,21 @@
         """Hand a query to the module."""
         parts = query.plan.parts
         work_us = part_work_us(query.plan, query.settings_version)
-        self.enter(query, self._planned(query, parts, work_us), len(parts), work_us * len(parts))
+        self.enter(
+            query,
+            self._planned(query, parts, work_us),
+            len(parts),
+            work_us * len(parts),
+            retry=self._may_be_retry(query.plan),
+        )
+
+    def _may_be_retry(self, plan: Plan) -> bool:
+        """Whether a query with less time than usual may be a retry with the time that remained to its client.
+
+        Not if its client chose the time-out itself: its latency objective counts from now on.
+        """
+        has_own_timeout = plan.search is not None and plan.search.timeout_us > 0
+        return not self.service_settings.limits.marks_retry and not has_own_timeout
 
     def _planned(
         self, query: ServiceQuery, plans: tuple[PartPlan, ...], work: int
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -19,7 +19,7 @@
 from qdrant_client.http.exceptions import UnexpectedResponse
 
 from heathwell.codec import frames
-from heathwell.codec.http import Response, ServerSide
+from heathwell.codec.http import ClientSide, Response, ServerSide
 from heathwell.eventloop import sleep, socket_loop
 from heathwell.service.vectors.filters import FilterError, check
 from heathwell.service.vectors.masks import Columns, mask_of
@@ -31,6 +31,8 @@
 from heathwell.testing.simulation.fleet import LocalFleet
 from heathwell.testing.standins.vectors import made, shard_of
 
+from .fleet import World
+
 SHARDS = 6
 MARKET = """
 (class price-search (aim 1s) (limit 2s) (need 75%) (work 5ms))
@@ -474,16 +476,38 @@
         assert len(answered) > 0.9 * len(replies) > 5
 
 
+def posted(world, target, body, headers=()):
+    """The response to a POST on a connection of its own, on the world's virtual time."""
+    stream = yield from world.net.connect(world.fleet.brokers[0].vector_address, 1_000_000, "client")
+    side = ClientSide("broker")
+    stream.write(side.request("POST", target, headers, json.dumps(body).encode()))
+    while True:
+        data = yield from stream.read()
+        if (response := side.feed(data)) is not None:
+            stream.close()
+            return response
+
+
 def test_a_search_without_time_is_refused_before_it_costs_anything():
-    with running(MARKET.replace("(work 2ms))\n(collection far", "(work 80ms))\n(collection far")) as one:
-        url, query = f"{one.base}/collections/prices/points/query", {"query": vector(1, 16)}
+    """Virtual time: whether a search is shed depends on how fast hosts answer, here exactly their work."""
+    slow = MARKET.replace("(work 2ms))\n(collection far", "(work 80ms))\n(collection far")
+    world = World(text=slow)
+    url, query = "/collections/prices/points/query", {"query": vector(1, 16)}
+
+    def main():
+        for _ in range(3):
+            assert (yield from posted(world, url, query)).status == 200
+        arrived = len(world.seen("arrive"))
+        got = yield from posted(world, url, query, [("x-heathwell-timeout-ms", "30")])
+        assert got.status == 503 and b"no time" in got.body
+        assert len(world.seen("arrive")) == arrived
+        # A time-out that the client chose itself leaves enough; it is no retry with what time remains.
         for _ in range(3):
-            assert httpx.post(url, json=query).status_code == 200
-        arrived = sum(event["ev"] == "arrive" for event in one.events)
-        got = httpx.post(url, json=query, headers={"x-heathwell-timeout-ms": "30"})
-        assert got.status_code == 503 and "no time" in got.json()["status"]["error"]
-        assert sum(event["ev"] == "arrive" for event in one.events) == arrived
-        assert httpx.post(url + "?timeout=1", json=query).status_code == 200
+            got = yield from posted(world, url + "?timeout=1", query)
+            assert got.status == 200, got.body
+
+    world.run(main())
+    world.close()
 
 
 def test_http_clients_over_their_limit_are_told():
