--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -33,7 +33,7 @@
 from heathwell.observability.event_log import EventLog, FileEvents, NoEvents
 from heathwell.servers.admin import AdminFront
 from heathwell.servers.memcached import SPARE, MemcachedFront
-from heathwell.servers.vector import VectorFront
+from heathwell.servers.vector import VectorSearchServer
 from heathwell.service.records import module_settings
 from heathwell.service.service_broker import ServiceBroker
 from heathwell.service.service_statistics import ServiceStatistics
@@ -245,7 +245,7 @@
         if service_settings.vector.listen:
             vector_door = net.listen(
                 service_settings.vector.listen,
-                VectorFront(served, process.log).serve,
+                VectorSearchServer(served, process.log).serve,
                 "searcher",
                 service_settings.limits.clients + SPARE,
             )
--- a/heathwell/servers/client_connection.py
+++ b/heathwell/servers/client_connection.py
@@ -1,10 +1,16 @@
-"""What the connections of all client protocols have in common: how an idle one is closed."""
+"""What the servers of all client protocols have in common: their connections, and how many there may be."""
 
 from __future__ import annotations
 
 from abc import ABC, abstractmethod
+from dataclasses import dataclass
+from typing import Generic, TypeVar
 
 from heathwell.eventloop import Coro, Stream
+from heathwell.service.retry_storms import Doors
+
+EXTRA_CONNECTIONS = 64  # accepted over the limit, so that the server rejects them in its own protocol
+DRAIN_CHECK_INTERVAL_US = 250_000
 
 
 class ClientConnection(ABC):
@@ -13,8 +19,10 @@
     :meth:`close_if_idle` is the only way in which the server closes a connection for being idle.
     """
 
-    def __init__(self, stream: Stream) -> None:
+    def __init__(self, stream: Stream, number: int) -> None:
         self.stream = stream
+        self.number = number
+        self.address = stream.peer.rpartition(":")[0]
         self._has_unread_request = False
 
     @property
@@ -40,3 +48,44 @@
             return True
         self._has_unread_request = True
         return False
+
+
+ConnectionT = TypeVar("ConnectionT", bound=ClientConnection)
+
+
+@dataclass(frozen=True, slots=True)
+class Registration(Generic[ConnectionT]):
+    """Whether a new connection may stay, and the idle one that was closed for it, if any."""
+
+    accepted: bool
+    evicted: ConnectionT | None = None
+
+
+class ClientRegistry(Generic[ConnectionT]):
+    """The open connections of one server by number, limited in all and by client address."""
+
+    def __init__(self, max_clients: int, max_clients_per_address: int) -> None:
+        self.connections: dict[int, ConnectionT] = {}
+        self.limiter = Doors(max_clients, max_clients_per_address)
+
+    def register(self, connection: ConnectionT) -> Registration[ConnectionT]:
+        """Take in a new connection. At the limit an idle one is closed for it, or it is rejected."""
+        accepted, evicted_number = self.limiter.opened(
+            connection.number,
+            connection.address,
+            lambda number: self.connections[number].close_if_idle(),
+        )
+        if not accepted:
+            return Registration(accepted=False)
+        self.connections[connection.number] = connection
+        evicted = None if evicted_number is None else self.connections[evicted_number]
+        return Registration(accepted=True, evicted=evicted)
+
+    def on_request(self, connection: ConnectionT) -> None:
+        """Note that a connection is in use: the longest unused one is evicted first."""
+        self.limiter.used(connection.number)
+
+    def remove(self, connection: ConnectionT) -> None:
+        """Forget a connection that has ended."""
+        self.connections.pop(connection.number, None)
+        self.limiter.closed(connection.number)
--- a/heathwell/servers/memcached.py
+++ b/heathwell/servers/memcached.py
@@ -139,9 +139,9 @@
     """One client: commands in, replies out in their order, a bounded number at work."""
 
     def __init__(self, front: MemcachedFront, stream: Stream) -> None:
-        super().__init__(stream)
+        super().__init__(stream, front.total)
         self.front = front
-        self.number, self.since = front.total, front.broker.loop.now()
+        self.since = front.broker.loop.now()
         limits = front.broker.service_settings.limits
         self.parser = mc.Requests(limits.line, limits.keys_a_get)
         self.most = limits.pipelined
--- /dev/null
+++ b/heathwell/servers/vector_answers.py
@@ -0,0 +1,207 @@
+"""The responses of the vector search server, in the shape of Qdrant's REST API. Pure."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable, Iterator, Sequence
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
+from heathwell.broker.replies import Age, Reply
+from heathwell.codec.http import Response
+from heathwell.servers.answer_age import age_fields
+from heathwell.servers.vector_api import ApiError
+from heathwell.service.merging import Merged
+from heathwell.service.vectors.wire import Hit
+from heathwell.settings.schema import Collection
+
+JSON = "application/json"
+_encoder = msgspec.json.Encoder()
+
+
+class Point(msgspec.Struct, frozen=True):
+    """A row of a search in the API's form."""
+
+    id: int | str
+    version: int
+    score: float
+    payload: dict[str, Any] | msgspec.UnsetType = msgspec.UNSET
+    vector: list[float] | msgspec.UnsetType = msgspec.UNSET
+
+
+class QueryResult(msgspec.Struct, frozen=True):
+    """The result of a search by ``points/query``; by ``points/search`` it is the list alone."""
+
+    points: list[Point]
+
+
+def results(merged_rows: Iterable[Merged], distance: str, form: str) -> Iterator[QueryResult | list[Point]]:
+    """Yield the results of a request's searches, in the form of the call."""
+    for merged in merged_rows:
+        found = points(merged, distance)
+        yield QueryResult(found) if form == "query" else found
+
+
+def points(merged: Merged, distance: str) -> list[Point]:
+    """Return the rows of a search in the API's form."""
+    sign = -1.0 if distance == "euclid" else 1.0
+    hits: list[Hit] = [row.data for row in merged.rows]
+    return [
+        Point(
+            hit.id,
+            hit.version,
+            sign * hit.score,
+            msgspec.UNSET if hit.payload is None else hit.payload,
+            msgspec.UNSET if hit.vector is None else hit.vector,
+        )
+        for hit in hits
+    ]
+
+
+class CoverageFields(msgspec.Struct, frozen=True):
+    """How complete an answer is, in the names that docs/clients-vector.md describes."""
+
+    whole: bool
+    parts: tuple[int, int]
+    moot: int
+    weight: float
+    need: float
+    floor: float
+    missing: list[int]
+    recall: float
+
+    def to_header(self) -> str:
+        """Return the same as a header, for clients that do not read the body."""
+        answered_parts, requested_parts = self.parts
+        return (
+            f"whole={'yes' if self.whole else 'no'}; parts={answered_parts}/{requested_parts}; "
+            f"moot={self.moot}; weight={self.weight:g}; recall={self.recall:g}"
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class AnswerQuality:
+    """How complete an answer is and how old its data, where that is known."""
+
+    coverage: CoverageFields
+    age: Age | None
+
+    def to_fields(self) -> dict[str, Any]:
+        """Return the object that stands in an answer's field ``heathwell``."""
+        fields: dict[str, Any] = msgspec.to_builtins(self.coverage)
+        if self.age is not None:
+            fields |= age_fields(self.age)
+        return fields
+
+
+def quality_of(replies: Sequence[Reply]) -> AnswerQuality:
+    """Return the quality of an answer that rests on several replies: the least and oldest of theirs."""
+    covers = [reply.coverage for reply in replies]
+    least = min(covers, key=lambda cover: cover.weight)
+    recalls = [merged.recall for reply in replies for merged in reply.body["searches"]]
+    coverage = CoverageFields(
+        whole=all(reply.complete for reply in replies),
+        parts=(least.answered_parts, least.requested_parts),
+        moot=least.superseded,
+        weight=least.weight,
+        need=least.required_fraction,
+        floor=least.minimum_fraction,
+        missing=sorted({shard for cover in covers for shard in cover.missing}),
+        recall=round(min(recalls, default=0.0), 4),
+    )
+    ages = [reply.age for reply in replies if reply.age is not None]
+    oldest = max(ages, key=lambda age: math.inf if age.bound_us is None else age.bound_us, default=None)
+    return AnswerQuality(coverage, oldest)
+
+
+def answered(result: object, duration_us: int, quality: AnswerQuality | None = None) -> Response:
+    """Return a successful response; clients of the plain API skip the field ``heathwell``."""
+    body: dict[str, object] = {"result": result, "status": "ok", "time": duration_us / 1e6}
+    if quality is None:
+        return Response(200, _encoder.encode(body), JSON)
+    body["heathwell"] = quality.to_fields()
+    headers = (("x-heathwell-coverage", quality.coverage.to_header()),)
+    return Response(200, _encoder.encode(body), JSON, headers)
+
+
+def failed(error: ApiError, duration_us: int) -> Response:
+    """Return an error in the API's shape; its headers hold when to retry, in seconds and milliseconds."""
+    headers: tuple[tuple[str, str], ...] = ()
+    if error.retry_after_us:
+        headers = (
+            ("retry-after", str(max(1, -(-error.retry_after_us // 1_000_000)))),
+            ("x-heathwell-retry-after-ms", str(-(-error.retry_after_us // 1000))),
+        )
+    body = {"status": {"error": error.text}, "time": duration_us / 1e6}
+    return Response(error.status, _encoder.encode(body), JSON, headers)
+
+
+class VectorParameters(msgspec.Struct, frozen=True):
+    """The vectors of a collection."""
+
+    size: int
+    distance: str
+
+
+class CollectionParameters(msgspec.Struct, frozen=True):
+    """The layout of a collection."""
+
+    vectors: VectorParameters
+    shard_number: int
+    replication_factor: int
+    write_consistency_factor: int = 1
+    on_disk_payload: bool = False
+
+
+class IndexConfiguration(msgspec.Struct, frozen=True):
+    """The API's usual values: the shards' own indexes are not set here."""
+
+    m: int = 16
+    ef_construct: int = 100
+    full_scan_threshold: int = 10_000
+
+
+class OptimizerConfiguration(msgspec.Struct, frozen=True):
+    """The API's usual values: the shards' own stores are not set here."""
+
+    deleted_threshold: float = 0.2
+    vacuum_min_vector_number: int = 1000
+    default_segment_number: int = 0
+    flush_interval_sec: int = 5
+
+
+class CollectionConfiguration(msgspec.Struct, frozen=True):
+    """The configuration of a collection."""
+
+    params: CollectionParameters
+    hnsw_config: IndexConfiguration = IndexConfiguration()
+    optimizer_config: OptimizerConfiguration = OptimizerConfiguration()
+
+
+class CollectionInformation(msgspec.Struct, frozen=True):
+    """A collection as ``GET /collections/NAME`` describes it; ``points_count`` is None until known."""
+
+    status: str
+    optimizer_status: str
+    points_count: int | None
+    segments_count: int
+    indexed_vectors_count: int | None
+    config: CollectionConfiguration
+    payload_schema: dict[str, str] = {}
+
+
+def collection_information(
+    spec: Collection, shard_count: int, replica_count: int, point_count: int | None
+) -> CollectionInformation:
+    """Return the description of a collection."""
+    vectors = VectorParameters(spec.size, spec.distance.capitalize())
+    return CollectionInformation(
+        status="green",
+        optimizer_status="ok",
+        points_count=point_count,
+        segments_count=shard_count,
+        indexed_vectors_count=point_count if spec.index == "hnsw" else 0,
+        config=CollectionConfiguration(CollectionParameters(vectors, shard_count, replica_count)),
+    )
--- a/heathwell/servers/vector_api.py
+++ b/heathwell/servers/vector_api.py
@@ -1,45 +1,42 @@
-"""The vector front's protocol: Qdrant's REST form of searches, read and written. Pure.
+"""The requests of the vector search server: Qdrant's REST form of searches, parsed and checked. Pure.
 
 Served: ``points/query`` and ``points/search`` with their batch forms, of plain dense vectors. What a request
-names that is not served is an error that says so; nothing is skipped in silence. Errors have the API's own
-shape.
+names that is not served is an error that names it; nothing is skipped in silence. Errors have the API's own
+shape; their texts are read by clients and stay as they are.
 """
 
 from __future__ import annotations
 
-import math
 import re
 from array import array
-from collections.abc import Iterator, Sequence
+from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, TypeVar
 from urllib.parse import parse_qs
 
 import msgspec
 
-from heathwell.broker.replies import Reply
-from heathwell.codec.http import Request, Response
-from heathwell.servers.memcached import age_words
-from heathwell.service.merging import Merged
+from heathwell.codec.http import Request
 from heathwell.service.vectors.filters import FilterError
 from heathwell.service.vectors.filters import check as check_filter
-from heathwell.service.vectors.wire import Hit, SearchAsk, Want, encode
+from heathwell.service.vectors.wire import SearchAsk, Want, encode
 from heathwell.settings.schema import Collection, Vector
 
-JSON = "application/json"
-FLOAT_MOST = 3.4e38
-LIMIT_USUAL = 10
+MAX_FLOAT32 = 3.4e38
+DEFAULT_LIMIT = 10
 TIMEOUT_HEADER = "x-heathwell-timeout-ms"
 ROUTE = re.compile(r"/collections/([^/]+)/points/(query|search)(/batch)?")
 INFO = re.compile(r"/collections/([^/]+)(/exists)?")
 
 
 class ApiError(Exception):
-    """An error of the API's own shape; ``after_us`` is advice when to come back."""
+    """An error of the API's own shape; the client may retry after ``retry_after_us``, if not 0."""
 
-    def __init__(self, status: int, text: str, after_us: int = 0) -> None:
+    def __init__(self, status: int, text: str, retry_after_us: int = 0) -> None:
         super().__init__(text)
-        self.status, self.text, self.after_us = status, text, after_us
+        self.status = status
+        self.text = text
+        self.retry_after_us = retry_after_us
 
 
 class _Body(msgspec.Struct, forbid_unknown_fields=True):
@@ -103,135 +100,163 @@
     "query": msgspec.json.Decoder(QueryBody),
     "search": msgspec.json.Decoder(SearchBody),
 }
-_encoder = msgspec.json.Encoder()
 
 
 def read_batch(body: bytes, limits: Vector) -> list[msgspec.Raw]:
-    """The searches of a batch, not read yet; raises :class:`ApiError`."""
+    """Return the searches of a batch, each not parsed yet; raise :class:`ApiError`."""
     try:
-        searches = _batches.decode(body)
-    except msgspec.MsgspecError as problem:
-        raise ApiError(400, f"Format error in JSON body: {problem}") from None
-    if len(searches.searches) > limits.batch:
-        raise ApiError(400, f"searches: {len(searches.searches)} in one batch, {limits.batch} are served")
-    return searches.searches
+        searches = _batches.decode(body).searches
+    except msgspec.MsgspecError as error:
+        raise ApiError(400, f"Format error in JSON body: {error}") from None
+    if len(searches) > limits.batch:
+        raise ApiError(400, f"searches: {len(searches)} in one batch, {limits.batch} are served")
+    return searches
 
 
 def read_search(
     form: str, body: bytes | msgspec.Raw, spec: Collection, limits: Vector, path: str = ""
 ) -> Search:
-    """One search of the form ``query`` or ``search``; raises :class:`ApiError` naming the field."""
+    """Parse one search of the form ``query`` or ``search``; raise :class:`ApiError` naming the field."""
     try:
-        made = _bodies[form].decode(body)
-    except msgspec.MsgspecError as problem:
-        raise ApiError(400, f"Format error in JSON body: {path}{problem}") from None
+        parsed = _bodies[form].decode(body)
+    except msgspec.MsgspecError as error:
+        raise ApiError(400, f"Format error in JSON body: {path}{error}") from None
+    _check_unsupported_fields(parsed, path)
+    vector = _read_vector(parsed, spec, path)
+    limit = DEFAULT_LIMIT if parsed.limit is None else parsed.limit
+    offset = parsed.offset or 0
+    _check_range(limit, offset, limits, path)
+    _check_filter(parsed, path)
+    params = Params()
+    if parsed.params is not None:
+        params = _convert(parsed.params, Params, f"{path}params")
+    threshold = parsed.score_threshold
+    if threshold is not None and spec.distance == "euclid":
+        threshold = -threshold
+    payload = _read_payload_selection(parsed.with_payload, path)
+    want = Want(
+        offset + limit,
+        parsed.filter or None,
+        threshold,
+        bool(params.exact),
+        params.hnsw_ef or 0,
+        payload.included,
+        payload.excluded,
+        _read_vector_selection(parsed.with_vector, path),
+    )
+    return Search(vector, want, limit, offset)
+
+
+def _check_unsupported_fields(body: QueryBody | SearchBody, path: str) -> None:
     for name in ("prefetch", "lookup_from", "shard_key"):
-        if getattr(made, name, None) is not None:
+        if getattr(body, name, None) is not None:
             raise ApiError(400, f"{path}{name}: not served here")
-    if getattr(made, "using", None):
+    using = getattr(body, "using", None)
+    if using:
         raise ApiError(
-            400, f"{path}using: there is no vector named '{made.using}'; the collection has one, unnamed"
+            400, f"{path}using: there is no vector named '{using}'; the collection has one, unnamed"
         )
-    name, raw = ("query", made.query) if form == "query" else ("vector", made.vector)
-    if isinstance(raw, dict) and form == "query":
-        if set(raw) != {"nearest"}:
-            raise ApiError(
-                400, f"{path}query: of {', '.join(sorted(raw)) or 'nothing'} only 'nearest' alone is served"
-            )
-        name, raw = "query.nearest", raw["nearest"]
-    vector = _vector(raw, spec, path + name)
-    limit = LIMIT_USUAL if made.limit is None else made.limit
-    offset = made.offset or 0
-    for field, value, least in (("limit", limit, 1), ("offset", offset, 0)):
-        if value < least:
+
+
+def _read_vector(body: QueryBody | SearchBody, spec: Collection, path: str) -> bytes:
+    """Return the vector as float32 values; it stands in ``vector``, ``query`` or ``query.nearest``."""
+    if isinstance(body, SearchBody):
+        return _to_float32(body.vector, spec, f"{path}vector")
+    if not isinstance(body.query, dict):
+        return _to_float32(body.query, spec, f"{path}query")
+    if set(body.query) != {"nearest"}:
+        names = ", ".join(sorted(body.query)) or "nothing"
+        raise ApiError(400, f"{path}query: of {names} only 'nearest' alone is served")
+    return _to_float32(body.query["nearest"], spec, f"{path}query.nearest")
+
+
+def _check_range(limit: int, offset: int, limits: Vector, path: str) -> None:
+    for field, value, minimum in (("limit", limit, 1), ("offset", offset, 0)):
+        if value < minimum:
             raise ApiError(
                 422,
                 f"Validation error in JSON body: [{path}{field}: value {value} invalid, must be "
-                f"{least} or larger]",
+                f"{minimum} or larger]",
             )
     if offset + limit > limits.rows:
         raise ApiError(400, f"{path}limit: {offset + limit} rows with the offset, {limits.rows} are served")
-    if made.filter is not None:
-        try:
-            check_filter(made.filter, f"{path}filter")
-        except FilterError as problem:
-            raise ApiError(400, f"Format error in JSON body: {problem}") from None
-    params = _as(made.params, Params, f"{path}params") if made.params is not None else Params()
-    threshold = made.score_threshold
-    if threshold is not None and spec.distance == "euclid":
-        threshold = -threshold
-    include, without = _payload(made.with_payload, path)
-    return Search(
-        vector,
-        Want(
-            offset + limit,
-            made.filter or None,
-            threshold,
-            bool(params.exact),
-            params.hnsw_ef or 0,
-            include,
-            without,
-            _vectors(made.with_vector, path),
-        ),
-        limit,
-        offset,
-    )
 
 
-def _vector(raw: Any, spec: Collection, path: str) -> bytes:
-    if not isinstance(raw, list):
+def _check_filter(body: QueryBody | SearchBody, path: str) -> None:
+    if body.filter is None:
+        return
+    try:
+        check_filter(body.filter, f"{path}filter")
+    except FilterError as error:
+        raise ApiError(400, f"Format error in JSON body: {error}") from None
+
+
+def _to_float32(numbers: object, spec: Collection, path: str) -> bytes:
+    if not isinstance(numbers, list):
         raise ApiError(
             400,
             f"Format error in JSON body: {path}: a list of {spec.size} numbers expected; points by id, "
             "sparse and named vectors are not served",
         )
-    if len(raw) != spec.size:
+    if len(numbers) != spec.size:
         raise ApiError(
-            400, f"Wrong input: Vector dimension error: expected dim: {spec.size}, got {len(raw)} (at {path})"
+            400,
+            f"Wrong input: Vector dimension error: expected dim: {spec.size}, got {len(numbers)} (at {path})",
         )
-    for at, number in enumerate(raw):
-        if not isinstance(number, int | float) or isinstance(number, bool) or not abs(number) <= FLOAT_MOST:
-            raise ApiError(400, f"Format error in JSON body: {path}[{at}]: a finite number expected")
-    if spec.distance == "cosine" and not any(raw):
+    for index, number in enumerate(numbers):
+        is_number = isinstance(number, int | float) and not isinstance(number, bool)
+        if not is_number or not abs(number) <= MAX_FLOAT32:
+            raise ApiError(400, f"Format error in JSON body: {path}[{index}]: a finite number expected")
+    if spec.distance == "cosine" and not any(numbers):
         raise ApiError(400, f"Wrong input: {path}: a zero vector has no direction to compare by cosine")
-    return array("f", raw).tobytes()
+    return array("f", numbers).tobytes()
+
+
+ConvertedT = TypeVar("ConvertedT")
 
 
-def _as(raw: Any, kind: Any, path: str) -> Any:
+def _convert(value: object, kind: type[ConvertedT], path: str) -> ConvertedT:
     try:
-        return msgspec.convert(raw, kind)
-    except msgspec.ValidationError as problem:
-        raise ApiError(400, f"Format error in JSON body: {path}: {problem}") from None
-
-
-def _payload(raw: Any, path: str) -> tuple[bool | list[str], list[str]]:
-    if raw is None or isinstance(raw, bool):
-        return bool(raw), []
-    if isinstance(raw, list):
-        return _as(raw, list[str], f"{path}with_payload"), []
-    chosen = _as(raw, Selector, f"{path}with_payload")
-    if (chosen.include is None) == (chosen.exclude is None):
+        return msgspec.convert(value, kind)
+    except msgspec.ValidationError as error:
+        raise ApiError(400, f"Format error in JSON body: {path}: {error}") from None
+
+
+@dataclass(frozen=True, slots=True)
+class PayloadSelection:
+    """Which payload fields are returned: all, none or those named, but for the excluded ones."""
+
+    included: bool | list[str]
+    excluded: list[str]
+
+
+def _read_payload_selection(value: object, path: str) -> PayloadSelection:
+    if value is None or isinstance(value, bool):
+        return PayloadSelection(bool(value), [])
+    if isinstance(value, list):
+        return PayloadSelection(_convert(value, list[str], f"{path}with_payload"), [])
+    selector = _convert(value, Selector, f"{path}with_payload")
+    if (selector.include is None) == (selector.exclude is None):
         raise ApiError(400, f"Format error in JSON body: {path}with_payload: names one of include, exclude")
-    return chosen.include if chosen.include is not None else False, chosen.exclude or []
+    if selector.include is not None:
+        return PayloadSelection(selector.include, [])
+    return PayloadSelection(included=False, excluded=selector.exclude or [])
 
 
-def _vectors(raw: Any, path: str) -> bool:
-    if raw is None or isinstance(raw, bool):
-        return bool(raw)
-    if raw in ([], [""]):
-        return bool(raw)
+def _read_vector_selection(value: object, path: str) -> bool:
+    if value is None or isinstance(value, bool) or value in ([], [""]):
+        return bool(value)
     raise ApiError(400, f"{path}with_vector: the collection has one vector, unnamed")
 
 
-def ask_of(collection: str, searches: Sequence[Search]) -> bytes:
-    """The body of a part that carries these searches."""
-    return encode(
-        SearchAsk(collection, b"".join(one.vector for one in searches), [one.want for one in searches])
-    )
+def encode_searches(collection: str, searches: Sequence[Search]) -> bytes:
+    """Return the body of a part that carries these searches."""
+    vectors = b"".join(search.vector for search in searches)
+    return encode(SearchAsk(collection, vectors, [search.want for search in searches]))
 
 
-def timeout_of(request: Request) -> int:
-    """The client's own time (us), 0 where it stated none; raises :class:`ApiError`."""
+def client_timeout_us(request: Request) -> int:
+    """Return the time-out that the client set itself, 0 if none; raise :class:`ApiError`."""
     stated = parse_qs(request.query).get("timeout", [""])[0]
     header = request.headers.get(TIMEOUT_HEADER, "")
     for name, text, unit in (("timeout", stated, 1_000_000), (TIMEOUT_HEADER, header, 1_000)):
@@ -240,114 +265,3 @@
                 raise ApiError(400, f"{name}: a whole number from 1 on expected, got '{text}'")
             return int(text) * unit
     return 0
-
-
-def points(merged: Merged, distance: str) -> list[dict[str, Any]]:
-    """The rows of a search in the API's form."""
-    sign = -1.0 if distance == "euclid" else 1.0
-    out = []
-    for row in merged.rows:
-        hit: Hit = row.data
-        point: dict[str, Any] = {"id": hit.id, "version": hit.version, "score": sign * hit.score}
-        if hit.payload is not None:
-            point["payload"] = hit.payload
-        if hit.vector is not None:
-            point["vector"] = hit.vector
-        out.append(point)
-    return out
-
-
-def honesty(replies: Sequence[Reply]) -> dict[str, Any]:
-    """What is said of an answer's coverage, the least of its replies; the fields are in
-    docs/clients-vector.md.
-    """
-    covers = [reply.coverage for reply in replies]
-    least = min(covers, key=lambda cover: cover.weight)
-    recalls = [merged.recall for reply in replies for merged in reply.body["searches"]]
-    words: dict[str, Any] = {
-        "whole": all(reply.complete for reply in replies),
-        "parts": [least.answered_parts, least.requested_parts],
-        "moot": least.superseded,
-        "weight": least.weight,
-        "need": least.required_fraction,
-        "floor": least.minimum_fraction,
-        "missing": sorted({shard for cover in covers for shard in cover.missing}),
-        "recall": round(min(recalls, default=0.0), 4),
-    }
-    ages = [reply.age for reply in replies if reply.age is not None]
-    if ages:
-        oldest = max(ages, key=lambda age: math.inf if age.bound_us is None else age.bound_us)
-        words |= age_words(oldest)
-    return words
-
-
-def header_of(words: dict[str, Any]) -> str:
-    """The same as a header, for those who read no body."""
-    return (
-        f"whole={'yes' if words['whole'] else 'no'}; parts={words['parts'][0]}/{words['parts'][1]}; "
-        f"moot={words['moot']}; weight={words['weight']:g}; recall={words['recall']:g}"
-    )
-
-
-def answered(result: Any, took_us: int, words: dict[str, Any] | None = None) -> Response:
-    """A good reply; unaware clients skip the field ``heathwell``."""
-    body: dict[str, Any] = {"result": result, "status": "ok", "time": took_us / 1e6}
-    if words is None:
-        return Response(200, _encoder.encode(body), JSON)
-    return Response(
-        200,
-        _encoder.encode({**body, "heathwell": words}),
-        JSON,
-        (("x-heathwell-coverage", header_of(words)),),
-    )
-
-
-def failed(problem: ApiError, took_us: int) -> Response:
-    """An error in the API's shape; a refusal says when to come back, in whole seconds and in milliseconds."""
-    headers: tuple[tuple[str, str], ...] = ()
-    if problem.after_us:
-        headers = (
-            ("retry-after", str(max(1, -(-problem.after_us // 1_000_000)))),
-            ("x-heathwell-retry-after-ms", str(-(-problem.after_us // 1000))),
-        )
-    return Response(
-        problem.status,
-        _encoder.encode({"status": {"error": problem.text}, "time": took_us / 1e6}),
-        JSON,
-        headers,
-    )
-
-
-def info(spec: Collection, shards: int, width: int, points_seen: int | None) -> dict[str, Any]:
-    """A collection as ``GET /collections/NAME`` tells it."""
-    return {
-        "status": "green",
-        "optimizer_status": "ok",
-        "points_count": points_seen,
-        "segments_count": shards,
-        "indexed_vectors_count": points_seen if spec.index == "hnsw" else 0,
-        "config": {
-            "params": {
-                "vectors": {"size": spec.size, "distance": spec.distance.capitalize()},
-                "shard_number": shards,
-                "replication_factor": width,
-                "write_consistency_factor": 1,
-                "on_disk_payload": False,
-            },
-            "hnsw_config": {"m": 16, "ef_construct": 100, "full_scan_threshold": 10_000},
-            "optimizer_config": {
-                "deleted_threshold": 0.2,
-                "vacuum_min_vector_number": 1000,
-                "default_segment_number": 0,
-                "flush_interval_sec": 5,
-            },
-        },
-        "payload_schema": {},
-    }
-
-
-def each(rows: Sequence[Merged], distance: str, form: str) -> Iterator[Any]:
-    """The results of a batch, in the form of the call."""
-    for merged in rows:
-        found = points(merged, distance)
-        yield {"points": found} if form == "query" else found
--- /dev/null
+++ b/heathwell/servers/vector_connection.py
@@ -0,0 +1,205 @@
+"""One HTTP connection of the vector search server: requests in turn, read ahead within bounds, timeouts."""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass
+from typing import Protocol
+
+from heathwell.codec.http import Request, Response, ServerSide
+from heathwell.eventloop import Coro, Event, Stream, StreamBroken
+from heathwell.servers import vector_answers as answers
+from heathwell.servers import vector_api as api
+from heathwell.servers.client_connection import ClientConnection, ClientRegistry
+from heathwell.servers.vector_routes import VectorRoutes
+from heathwell.servers.vector_search import ChunkedSearch, SearchResults
+from heathwell.service.service_broker import ServiceBroker
+
+MAX_READ_AHEAD_BYTES = 262_144  # while a request is in progress
+
+
+@dataclass(slots=True)
+class VectorServerStatistics:
+    """What a server has served, and what it could not serve."""
+
+    requests: int = 0
+    searches: int = 0
+    errors: int = 0
+    slow_requests: int = 0
+    disconnected_clients: int = 0  # with a search in progress
+
+
+class VectorServer(Protocol):
+    """What a connection uses of its server."""
+
+    broker: ServiceBroker
+    clients: ClientRegistry[VectorConnection]
+    routes: VectorRoutes
+    statistics: VectorServerStatistics
+
+
+class VectorConnection(ClientConnection):
+    """One client: requests in turn; its end is noticed while one is in progress."""
+
+    def __init__(self, server: VectorServer, stream: Stream, number: int) -> None:
+        super().__init__(stream, number)
+        self.loop = server.broker.loop
+        self.opened_at_us = self.loop.now()
+        self.closes_with_answer = False
+        self.has_ended = False
+        self._server = server
+        self._limits = server.broker.service_settings.vector
+        self._protocol = ServerSide(self._limits.body, self._limits.head)
+        self._unparsed: deque[bytes] = deque()
+        self._unparsed_bytes = 0
+        self._is_busy = False
+        self._quiet_since_us = self.loop.now()  # the last complete request, or the connection's begin
+        self._has_data = Event()
+        self._has_capacity = Event()
+        self._search: ChunkedSearch | None = None
+        self._search_count = 0
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether no request is in progress and none has begun."""
+        return not self._is_busy and not self._is_receiving
+
+    @property
+    def _is_receiving(self) -> bool:
+        return bool(self._unparsed) or self._protocol.midway
+
+    def run(self) -> Coro[None]:
+        """Serve until either side ends the connection."""
+        self.stream.on_close = self.on_connection_lost
+        reader = self.loop.spawn(self._read_ahead(), f"reads {self.stream.peer}")
+        self._check_timeouts()
+        try:
+            yield from self._serve_requests()
+        finally:
+            reader.cancel()
+
+    def reject(self, error: api.ApiError, duration_us: int = 0) -> None:
+        """Write an error, after which the connection closes."""
+        self._protocol.closing = True
+        self.stream.write(self._protocol.respond(answers.failed(error, duration_us)))
+
+    def run_search(self, search: ChunkedSearch) -> Coro[SearchResults]:
+        """Run a search, which is cancelled when the client disconnects."""
+        self._server.statistics.searches += search.search_count
+        if self.has_ended:
+            search.cancel()
+        self._search = search
+        try:
+            return (yield from search.run())
+        finally:
+            self._search = None
+
+    def request_name(self, request: Request) -> str:
+        """Return the client's own id of its request, or a new one."""
+        self._search_count += 1
+        return request.headers.get("x-request-id", f"{self.stream.peer}#{self._search_count}")
+
+    def on_connection_lost(self) -> None:
+        """Cancel the search in progress: nobody waits for its answer."""
+        if self._search is not None and self._search.cancel():
+            self._server.statistics.disconnected_clients += 1
+        self.has_ended = True
+        self._has_data.set()
+
+    def _serve_requests(self) -> Coro[None]:
+        while True:
+            message = next(self._protocol.events(), None)
+            interim = self._protocol.take_interim()
+            if interim:
+                self.stream.write(interim)
+            if message is not None:
+                yield from self._serve_message(message)
+            elif not self._protocol.closing and (yield from self._parse_more()):
+                continue
+            else:
+                return
+            if self._protocol.closing:
+                return
+
+    def _serve_message(self, message: Request | Response) -> Coro[None]:
+        """Answer a request; a response is the protocol's error for what is none."""
+        if isinstance(message, Response):
+            self._server.statistics.errors += 1
+            response = answers.failed(api.ApiError(message.status, message.body.decode().strip()), 0)
+        else:
+            response = yield from self._answer(message)
+        if self.closes_with_answer or self._server.broker.stopping:
+            self._protocol.closing = True
+        self._quiet_since_us = self.loop.now()
+        self.stream.write(self._protocol.respond(response))
+        yield from self.stream.drain()
+
+    def _answer(self, request: Request) -> Coro[Response]:
+        self._is_busy = True
+        self._server.clients.on_request(self)
+        self._server.statistics.requests += 1
+        started_at_us = self.loop.now()
+        try:
+            response = yield from self._server.routes.answer(request, self)
+        except api.ApiError as error:
+            self._server.statistics.errors += 1
+            response = answers.failed(error, self.loop.now() - started_at_us)
+        self._is_busy = False
+        return response
+
+    def _read_ahead(self) -> Coro[None]:
+        """Read within bounds, so that the client's end is noticed while its request is in progress."""
+        try:
+            while data := (yield from self._read_within_bounds()):
+                if self.is_idle:
+                    self._quiet_since_us = self.loop.now()
+                self._unparsed.append(data)
+                self._unparsed_bytes += len(data)
+                self._has_data.set()
+        except StreamBroken:
+            pass
+        self.has_ended = True
+        self._has_data.set()
+        if self._is_busy:
+            # As other HTTP servers: a client that closes does not wait for the answer.
+            self.on_connection_lost()
+
+    def _read_within_bounds(self) -> Coro[bytes]:
+        while self._unparsed_bytes > MAX_READ_AHEAD_BYTES:
+            self._has_capacity.clear()
+            yield from self._has_capacity.wait()
+        return (yield from self.read())
+
+    def _parse_more(self) -> Coro[bool]:
+        """Wait for bytes and pass them to the parser; return false at the client's end."""
+        while not self._unparsed:
+            if self.has_ended:
+                return False
+            self._has_data.clear()
+            yield from self._has_data.wait()
+        data = self._unparsed.popleft()
+        self._unparsed_bytes -= len(data)
+        self._has_capacity.set()
+        self._protocol.receive(data)
+        return True
+
+    def _check_timeouts(self) -> None:
+        """Close the connection of a request that takes too long to arrive, or one that is idle too long."""
+        if self.stream.closed:
+            return
+        now = self.loop.now()
+        timeout_us = self._limits.slow if self._is_receiving else self._limits.idle
+        if not self._is_busy and now - self._quiet_since_us >= timeout_us:
+            if self._is_receiving:
+                self._server.statistics.slow_requests += 1
+                self._fail_slow_request(timeout_us)
+                return
+            if self.close_if_idle():
+                return
+        self.loop.call_at(now + min(self._limits.slow, self._limits.idle) // 2, self._check_timeouts)
+
+    def _fail_slow_request(self, timeout_us: int) -> None:
+        # Clients receive this text.
+        text = f"the request was not whole within {timeout_us / 1e6:g} s"
+        self.reject(api.ApiError(408, text), timeout_us)
+        self.stream.close()
--- /dev/null
+++ b/heathwell/servers/vector_search.py
@@ -0,0 +1,223 @@
+"""The searches of one request as queries of the broker: split by cost, a bounded number in flight."""
+
+from __future__ import annotations
+
+import zlib
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from functools import partial
+
+from heathwell.broker.query_state import Handle
+from heathwell.broker.replies import ANSWERED, REFUSED, Reply
+from heathwell.eventloop import Coro, Event, StreamBroken
+from heathwell.servers import vector_api as api
+from heathwell.service.admission.cost import CostModel, cut_batch, search_figures
+from heathwell.service.key_spaces import consecutive_shards, place
+from heathwell.service.merging import Merged, TopK
+from heathwell.service.records import PartPlan, Plan, SearchPlan
+from heathwell.service.service_broker import ServiceBroker
+from heathwell.service.vectors.wire import OP
+from heathwell.settings.schema import Collection
+
+SLOW_START_CHUNKS = 4  # answered for each additional chunk in flight
+COST_FEATURES = 4  # of `search_figures`
+
+
+@dataclass(frozen=True, slots=True)
+class SearchRequest:
+    """The searches of one request. ``timeout_us`` is the client's own time-out, 0 if it set none."""
+
+    spec: Collection
+    searches: Sequence[api.Search]
+    timeout_us: int
+    is_batch: bool
+    name: str
+    client_address: str
+
+
+@dataclass(frozen=True, slots=True)
+class SearchResults:
+    """The replies to all chunks in order, and the merged rows of each search."""
+
+    replies: Sequence[Reply]
+    merged: Sequence[Merged]
+
+
+class SearchPlanner:
+    """Makes the broker's plans for searches; its costs are learned from earlier answers."""
+
+    def __init__(self, broker: ServiceBroker) -> None:
+        settings = broker.service_settings
+        class_indices = {spec.name: index for index, spec in enumerate(settings.classes)}
+        self.collections = {spec.name: spec for spec in settings.collections}
+        self._broker = broker
+        self._single_classes = {spec.name: class_indices[spec.query_class] for spec in settings.collections}
+        self._batch_classes = {
+            spec.name: class_indices[spec.batch_class or spec.query_class] for spec in settings.collections
+        }
+
+    def query_class(self, collection: str, *, is_batch: bool) -> int:
+        """Return the index of the query class that searches of a collection belong to."""
+        return (self._batch_classes if is_batch else self._single_classes)[collection]
+
+    def shards(self, spec: Collection) -> list[int]:
+        """Return the shards that hold a collection."""
+        fleet = self._broker.service_settings.fleet
+        return consecutive_shards(place(spec.name, fleet.shards), spec.parts or fleet.shards, fleet.shards)
+
+    def chunks(self, request: SearchRequest) -> list[list[api.Search]]:
+        """Split the searches of a request, in order, so that no chunk occupies an endpoint for long."""
+        limits = self._broker.service_settings.vector
+        model = self._cost_model(request.spec)
+        costs = [model.predict(_cost_features([search])) for search in request.searches]
+        indices = cut_batch(costs, limits.chunk, limits.chunk_searches)
+        return [[request.searches[index] for index in chunk] for chunk in indices]
+
+    def plan(self, request: SearchRequest, searches: Sequence[api.Search]) -> Plan:
+        """Return the plan of one chunk."""
+        spec = request.spec
+        shards = self.shards(spec)
+        query_class = self.query_class(spec.name, is_batch=request.is_batch)
+        return Plan(
+            query_class,
+            "vectors",
+            zlib.crc32(searches[0].vector),
+            _model_name(spec),
+            tuple(PartPlan(shard, 1 / len(shards), OP, spec.name) for shard in shards),
+            search=self._search_plan(request, searches, query_class),
+            front="vector",
+        )
+
+    def _search_plan(
+        self, request: SearchRequest, searches: Sequence[api.Search], query_class: int
+    ) -> SearchPlan:
+        spec = request.spec
+        features = _cost_features(searches)
+        top = TopK(
+            [search.limit for search in searches],
+            [search.offset for search in searches],
+            [search.want.threshold for search in searches],
+        )
+        class_timeout_us = self._broker.settings.classes[query_class].timeout_us
+        return SearchPlan(
+            _model_name(spec),
+            api.encode_searches(spec.name, searches),
+            top,
+            features,
+            int(self._cost_model(spec).predict(features)),
+            request.timeout_us,
+            class_timeout_us // 2 if request.is_batch else 0,
+        )
+
+    def _cost_model(self, spec: Collection) -> CostModel:
+        return self._broker.costs.model(_model_name(spec), float(spec.work), COST_FEATURES)
+
+
+class ChunkedSearch:
+    """The searches of one request in progress; :meth:`cancel` ends it early."""
+
+    def __init__(self, broker: ServiceBroker, planner: SearchPlanner, request: SearchRequest) -> None:
+        self.search_count = len(request.searches)
+        self._broker = broker
+        self._planner = planner
+        self._request = request
+        self._chunks = planner.chunks(request)
+        self._replies: dict[int, Reply] = {}
+        self._first_failure: Reply | None = None
+        self._started_count = 0
+        self._handles: list[Handle] = []
+        self._is_cancelled = False
+        self._changed = Event()
+
+    def run(self) -> Coro[SearchResults]:
+        """Return the results of all searches.
+
+        Raise :class:`~heathwell.servers.vector_api.ApiError` with the first chunk that is rejected or fails,
+        ``StreamBroken`` once the search is cancelled.
+        """
+        while self._is_in_progress():
+            if self._may_start():
+                self._start_next()
+                continue
+            self._changed.clear()
+            yield from self._changed.wait()
+        if self._first_failure is not None:
+            self._disconnect()
+            raise _error_of(self._first_failure)
+        if self._is_cancelled:
+            raise StreamBroken("the client left")
+        replies = [self._replies[index] for index in range(len(self._chunks))]
+        return SearchResults(replies, [merged for reply in replies for merged in reply.body["searches"]])
+
+    def cancel(self) -> bool:
+        """End the search as its client has disconnected; return whether any chunk had been started."""
+        self._is_cancelled = True
+        self._changed.set()
+        return self._disconnect()
+
+    def _is_in_progress(self) -> bool:
+        """Whether all chunks so far succeeded and some are left: with one that fails, all do."""
+        is_ended = self._is_cancelled or self._first_failure is not None
+        return not is_ended and len(self._replies) < len(self._chunks)
+
+    def _may_start(self) -> bool:
+        """Whether another chunk may be in flight.
+
+        Their number starts low: the latency of endpoints is measured by answers alone, and a burst on few of
+        them looks like overload.
+        """
+        chunks_at_once = self._broker.service_settings.vector.chunks_at_once
+        allowed = min(chunks_at_once, 1 + len(self._replies) // SLOW_START_CHUNKS)
+        in_flight = self._started_count - len(self._replies)
+        return self._started_count < len(self._chunks) and in_flight < allowed
+
+    def _start_next(self) -> None:
+        request = self._request
+        index = self._started_count
+        self._started_count += 1
+        handle = self._broker.begin(
+            self._planner.plan(request, self._chunks[index]),
+            self._on_reply(index),
+            request.name if len(self._chunks) == 1 else f"{request.name}/{index}",
+            request.client_address,
+        )
+        if handle is not None:
+            self._handles.append(handle)
+
+    def _on_reply(self, index: int) -> Callable[[Reply], None]:
+        return partial(self._record_reply, index)
+
+    def _record_reply(self, index: int, reply: Reply) -> None:
+        self._replies[index] = reply
+        if reply.kind != ANSWERED and self._first_failure is None:
+            self._first_failure = reply
+        self._changed.set()
+
+    def _disconnect(self) -> bool:
+        """Disconnect from the queries started; those that are answered already ignore it."""
+        handles, self._handles = self._handles, []
+        for handle in handles:
+            handle.disconnect()
+        return bool(handles)
+
+
+def _error_of(reply: Reply) -> api.ApiError:
+    """Return the API's error for a reply that holds no answer; clients read its text."""
+    if reply.kind == REFUSED:
+        reason = reply.reason or "overloaded"
+        retry_after_ms = -(-reply.retry_after_us // 1000)
+        text = f"Service unavailable: refused ({reason}); come back in {retry_after_ms} ms"
+        return api.ApiError(503, text, max(reply.retry_after_us, 1))
+    return api.ApiError(500, f"Service internal error: {reply.reason or 'no answer could be had'}")
+
+
+def _model_name(spec: Collection) -> str:
+    return f"vector:{spec.name}"
+
+
+def _cost_features(searches: Sequence[api.Search]) -> tuple[float, ...]:
+    return search_figures(
+        len(searches),
+        sum(search.want.limit for search in searches),
+        sum(search.want.filter is not None for search in searches),
+    )
--- a/heathwell/testing/simulation/fleet.py
+++ b/heathwell/testing/simulation/fleet.py
@@ -19,7 +19,7 @@
 from heathwell.observability.event_log import EventLog, ListEvents, NoEvents
 from heathwell.servers.admin import AdminFront
 from heathwell.servers.memcached import SPARE, MemcachedFront
-from heathwell.servers.vector import VectorFront
+from heathwell.servers.vector import VectorSearchServer
 from heathwell.service.service_broker import ServiceBroker
 from heathwell.service.zone_observer import ZoneObserver, observe_zones
 from heathwell.settings import ServiceSettings
@@ -121,10 +121,10 @@
         ]
         self.address, self.admin_address = (listener.address for listener in self.listeners)
         self.broker.pace(self.listeners[0])
-        self.vector: VectorFront | None = None
+        self.vector: VectorSearchServer | None = None
         self.vector_address = ""
         if service_settings.vector.listen:
-            self.vector = VectorFront(self.broker, fleet.log)
+            self.vector = VectorSearchServer(self.broker, fleet.log)
             self.listeners.append(
                 net.listen(
                     service_settings.vector.listen,
@@ -160,7 +160,7 @@
         for connection in list(self.front.connections):
             connection.slots.clear()
             connection.stream.abort()
-        for searcher in list(self.vector.numbers.values()) if self.vector is not None else ():
+        for searcher in list(self.vector.clients.connections.values()) if self.vector is not None else ():
             searcher.stream.abort()
 
 
--- a/heathwell/testing/simulation/searches.py
+++ b/heathwell/testing/simulation/searches.py
@@ -58,8 +58,10 @@
     def _search(self, broker: int, collection: str, wishes: list[dict[str, Any]]) -> Coro[None]:
         """One request on a connection of its own."""
         running = self.fleet.brokers[broker]
-        plan = running.vector.classes[collection][len(wishes) > 1] if running.vector is not None else 0
-        limit = self.service_settings.classes[plan].timeout_us
+        query_class = 0
+        if running.vector is not None:
+            query_class = running.vector.query_class(collection, is_batch=len(wishes) > 1)
+        limit = self.service_settings.classes[query_class].timeout_us
         try:
             stream = yield from self.net.connect(running.vector_address, 1_000_000, "client")
         except ConnectFailed:
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -130,13 +130,13 @@
         self.front, self.address = servers.running.vector, servers.running.vector_address
 
     def connections(self) -> list[Any]:
-        return list(self.front.numbers.values())
+        return list(self.front.clients.connections.values())
 
     def close(self, by: str) -> None:
         assert by == "its patience"
         for connection in self.connections():
-            connection._since = -(1 << 60)
-            connection._watch()
+            connection._quiet_since_us = -(1 << 60)
+            connection._check_timeouts()
 
 
 CASES = [(front, by) for front in (Memcached, Vector) for by in front.closers]
