--- a/heathwell/broker/query_registry.py
+++ b/heathwell/broker/query_registry.py
@@ -9,6 +9,7 @@
 from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey, Link
 from heathwell.broker.driver_hooks import DriverHooks, ResultT
+from heathwell.broker.endpoint_entries import to_endpoint_entry
 from heathwell.broker.query_state import Handle, PartT, QueryT, SettingsVersion
 from heathwell.broker.replies import OnReply, Reply
 from heathwell.eventloop import Event, Loop
@@ -79,14 +80,7 @@
         the rest anew. ``extension`` is stored in the version.
         """
         live_endpoints = tuple(
-            policy.EndpointEntry(
-                endpoint.node,
-                endpoint.replica_group,
-                policy.EndpointState.LIVE,
-                endpoint.started_at_us,
-                endpoint.rating,
-                endpoint.zone,
-            )
+            to_endpoint_entry(endpoint, policy.EndpointState.LIVE)
             for endpoint in self.aggregator.endpoints.values()
             if endpoint.live
         )
@@ -98,6 +92,11 @@
         )
         return self.current_version
 
+    def next_job(self) -> int:
+        """Return the number of a new query; numbers increase by 1."""
+        self.last_job += 1
+        return self.last_job
+
     def admit(self, query: QueryT) -> Handle:
         """Register a query and start its deadline timer; it is held until its last attempt has ended."""
         self.queries[query.id] = query
--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -34,7 +34,8 @@
 from heathwell.servers.admin import AdminFront
 from heathwell.servers.memcached import SPARE, MemcachedFront
 from heathwell.servers.vector import VectorFront
-from heathwell.service.records import module_settings
+from heathwell.service.broker_options import BrokerOptions
+from heathwell.service.module_settings import module_settings
 from heathwell.service.service_broker import ServiceBroker
 from heathwell.service.service_statistics import ServiceStatistics
 from heathwell.service.settings_change import SettingsChangeError
@@ -46,7 +47,7 @@
 
 if TYPE_CHECKING:
     from heathwell.fleet.control.fleet_agent import FleetAgent
-    from heathwell.service.zone_observer import ZoneObserver
+    from heathwell.service.zone_observer import ZoneBroker, ZoneObserver
 
 PACKAGE = Path(__file__).resolve().parent.parent
 HAND_OVER_US = 2_000_000  # for clients to come to a moment at which nothing is asked
@@ -218,17 +219,19 @@
             loop,
             net,
             service_settings,
-            name=process.name,
-            zone=zone,
-            seed=seed,
-            discovery=discovery,
-            source=source,
-            siblings=max(1, service_settings.fleet.brokers),
+            BrokerOptions(
+                name=process.name,
+                zone=zone,
+                seed=seed,
+                discovery_address=discovery,
+                source_address=source,
+                aggregator_count=max(1, service_settings.fleet.brokers),
+                agent=agent,
+                make_zone_observer=_zone_observer_factory(service_settings, agent, zone, seed),
+                statistics=_service_statistics(service_settings, zone) if report else None,
+            ),
             events=process.events,
             log=process.log,
-            agent=agent,
-            observe_zones=_zone_observer_factory(service_settings, agent, zone, seed),
-            service=ServiceStatistics(module_settings(service_settings, zone, 1).classes) if report else None,
         )
         front = MemcachedFront(served, process.log)
         admin = AdminFront(served, front)
@@ -327,9 +330,13 @@
     )
 
 
+def _service_statistics(service_settings: ServiceSettings, zone: int) -> ServiceStatistics:
+    return ServiceStatistics(module_settings(service_settings, zone, 1).classes)
+
+
 def _zone_observer_factory(
     service_settings: ServiceSettings, agent: FleetAgent | None, zone: int, seed: int
-) -> Callable[[ServiceBroker], ZoneObserver] | None:
+) -> Callable[[ZoneBroker], ZoneObserver] | None:
     """What makes a broker's zone observer; without evacuation nothing of it is imported."""
     if agent is None or not service_settings.fleet.evacuate:
         return None
--- /dev/null
+++ b/heathwell/service/part_planner.py
@@ -0,0 +1,78 @@
+"""Makes the parts of a query's steps, and the request of each attempt of a part."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Iterator
+from typing import Protocol
+
+from heathwell import policy
+from heathwell.codec import frames
+from heathwell.service import key_spaces
+from heathwell.service.query_cost import part_work_us
+from heathwell.service.records import PartPlan
+from heathwell.service.service_records import ServicePart, ServiceQuery
+from heathwell.service.settings_change import ServiceSnapshot
+
+UNREACHABLE_PART_STATUS = "no live host holds it, or all lie behind a link that is down"
+
+
+class PlanningBroker(Protocol):
+    """What :class:`PartPlanner` uses of its broker."""
+
+    def query_class_of(self, query: ServiceQuery) -> policy.QueryClass:
+        """Return a query's class, by the settings that it is decided under."""
+
+    def snapshot_of(self, query: ServiceQuery) -> ServiceSnapshot:
+        """Return what is derived from the settings that a query is decided under."""
+
+    def hold_part(self, query: ServiceQuery, part: ServicePart) -> None:
+        """Register a part that is not passed to the decision module."""
+
+
+class PartPlanner:
+    """The planner of one broker. A step is made lazily: each part is numbered when it is taken."""
+
+    def __init__(self, broker: PlanningBroker) -> None:
+        self._broker = broker
+
+    def first_step(self, query: ServiceQuery) -> Iterator[tuple[ServicePart, int | None]]:
+        """Yield the parts of the plan with their work (us)."""
+        return self._make_parts(query, query.plan.parts, part_work_us(query.plan, query.settings_version))
+
+    def second_step(self, query: ServiceQuery) -> Iterator[tuple[ServicePart, int | None]]:
+        """Yield parts for item detail, with their work (us), at shards that answered the first step."""
+        answered = [part.plan for part in query.parts.values() if part.data is not None]
+        spec = self._broker.snapshot_of(query).service_settings.classes[query.query_class]
+        count = self._broker.query_class_of(query).second_step_parts
+        plans = key_spaces.second_step(answered, count)
+        return self._make_parts(query, plans, int(spec.work * spec.fetch_work))
+
+    def _make_parts(
+        self, query: ServiceQuery, plans: Iterable[PartPlan], work_us: int
+    ) -> Iterator[tuple[ServicePart, int | None]]:
+        """Yield a step's parts, except those that no endpoint within reach holds: they are only held."""
+        for plan in plans:
+            part = ServicePart(f"{query.id}/{len(query.parts)}", plan, query.step)
+            if query.step == 1 and plan in query.cut_off:
+                part.status = UNREACHABLE_PART_STATUS
+                self._broker.hold_part(query, part)
+                continue
+            yield part, work_us
+
+    def attempt_request(
+        self, query: ServiceQuery, part: ServicePart, attempt: int, remaining_us: int
+    ) -> frames.PartRequest:
+        """Return the request of an attempt, whose deadline is ``remaining_us`` from now."""
+        plan = part.plan
+        search = query.plan.search
+        return frames.PartRequest(
+            part.id,
+            attempt,
+            self._broker.query_class_of(query).name,
+            plan.op,
+            plan.key,
+            plan.shard,
+            remaining_us,
+            plan.item,
+            search.body if search is not None else b"",
+        )
--- /dev/null
+++ b/heathwell/service/query_intake.py
@@ -0,0 +1,164 @@
+"""The intake of queries: from a client's key or plan to a query that is admitted, or rejected at once."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Sequence
+from typing import Protocol
+
+from heathwell import policy
+from heathwell.broker.query_state import Handle, SettingsVersion
+from heathwell.broker.replies import FAILED, MISS, REFUSED, OnReply, Reply
+from heathwell.eventloop import Loop
+from heathwell.observability.event_log import EventLog
+from heathwell.service.fair_admission import FairAdmission
+from heathwell.service.key_spaces import KeySpaces
+from heathwell.service.query_admission import Admission, AdmissionRejectedError, QueryAdmission
+from heathwell.service.records import Plan
+from heathwell.service.service_records import ServiceQuery
+from heathwell.service.service_statistics import ServiceStatistics
+from heathwell.settings import ServiceSettings
+
+
+class IntakeBroker(Protocol):
+    """What :class:`QueryIntake` uses of its broker."""
+
+    @property
+    def name(self) -> str:
+        """The broker's name, with its incarnation."""
+
+    @property
+    def loop(self) -> Loop:
+        """The event loop."""
+
+    @property
+    def events(self) -> EventLog:
+        """The event log."""
+
+    @property
+    def counters(self) -> Counter[tuple[str, ...]]:
+        """Its counters, by labels."""
+
+    @property
+    def settings(self) -> policy.Settings:
+        """The module's settings for queries that are admitted now."""
+
+    @property
+    def service_settings(self) -> ServiceSettings:
+        """The settings for queries that are admitted now."""
+
+    @property
+    def current_version(self) -> SettingsVersion:
+        """The version of the settings for queries that are admitted now."""
+
+    @property
+    def keys(self) -> KeySpaces:
+        """The key spaces for queries that are admitted now."""
+
+    def next_job(self) -> int:
+        """Return the number of a new query."""
+
+    def admit(self, query: ServiceQuery) -> Handle:
+        """Register a query and start its deadline timer."""
+
+    def enter_query(self, query: ServiceQuery) -> None:
+        """Pass a query to the decision module."""
+
+
+class QueryIntake:
+    """The intake of one broker; ``fair_admission`` and ``statistics`` are optional."""
+
+    def __init__(
+        self,
+        broker: IntakeBroker,
+        admission: QueryAdmission,
+        fair_admission: FairAdmission | None,
+        statistics: ServiceStatistics | None,
+    ) -> None:
+        self._broker = broker
+        self._admission = admission
+        self._fair_admission = fair_admission
+        self._statistics = statistics
+
+    def ask(self, key: str, on_reply: OnReply, request: str, client: str) -> Handle | None:
+        """Start the query of a key; its one reply is given to ``on_reply``, never before this returns.
+
+        A key of no key space is a miss, and one that is malformed fails; neither reaches the decision
+        module. Return ``None`` in those cases and where :meth:`begin` does.
+        """
+        plan = self._broker.keys.plan(key)
+        if plan is None:
+            self._broker.loop.call_soon(on_reply, Reply(MISS, reason="no such key space"))
+            return None
+        if plan.wrong:
+            self._broker.loop.call_soon(on_reply, Reply(FAILED, reason=plan.wrong))
+            return None
+        return self.begin(plan, on_reply, request, client)
+
+    def begin(self, plan: Plan, on_reply: OnReply, request: str, client: str) -> Handle | None:
+        """Start the query of a plan; return ``None`` where it is rejected at admission."""
+        spec = self._broker.settings.classes[plan.query_class]
+        who = f"{client}|{plan.subject}"
+        if self._statistics is not None:
+            self._statistics.asked(self._broker.loop.now(), who, plan.key, spec.name)
+        try:
+            admission = self._admission.admit(plan, who)
+        except AdmissionRejectedError as rejection:
+            self._reject(plan, who, request, on_reply, rejection)
+            return None
+        query = self._make_query(plan, who, on_reply, admission)
+        self._log_admission(query, request)
+        handle = self._broker.admit(query)
+        if self._fair_admission is not None:
+            self._fair_admission.offer(query)
+        else:
+            self._broker.enter_query(query)
+        return handle
+
+    def _make_query(self, plan: Plan, who: str, on_reply: OnReply, admission: Admission) -> ServiceQuery:
+        now = self._broker.loop.now()
+        job = self._broker.next_job()
+        limits = self._broker.service_settings.limits
+        time_left_us = max(admission.timeout_us - limits.transit, limits.tick)
+        return ServiceQuery(
+            f"{self._broker.name}.{job}",
+            job,
+            plan.query_class,
+            now,
+            now + time_left_us,
+            on_reply,
+            plan=plan,
+            cut_off=admission.cut_off_parts,
+            who=who,
+        )
+
+    def _log_admission(self, query: ServiceQuery, request: str) -> None:
+        plan = query.plan
+        search_fields: dict[str, Sequence[float | None]] = {}
+        if plan.search is not None:
+            search_fields = {"wanted": plan.search.top.wanted, "least": plan.search.top.thresholds}
+        self._broker.events(
+            "take",
+            q=query.id,
+            ver=self._broker.current_version.version,
+            req=request,
+            key=plan.key,
+            klass=self._broker.settings.classes[plan.query_class].name,
+            parts=len(plan.parts),
+            deadline=query.deadline_us - query.started_at_us,
+            shards=[part.shard for part in plan.parts],
+            **search_fields,
+        )
+
+    def _reject(
+        self, plan: Plan, who: str, request: str, on_reply: OnReply, rejection: AdmissionRejectedError
+    ) -> None:
+        """Reply to a query that never reaches the decision module."""
+        class_name = self._broker.settings.classes[plan.query_class].name
+        reason = rejection.reason.value
+        self._broker.counters["door", class_name, reason] += 1
+        self._broker.events("door", req=request, key=plan.key, klass=class_name, why=reason)
+        reply = Reply(REFUSED, query_class=class_name, retry_after_us=rejection.retry_after_us, reason=reason)
+        if self._statistics is not None:
+            self._statistics.ended(self._broker.loop.now(), who, plan.key, reply)
+        self._broker.loop.call_soon(on_reply, reply)
--- /dev/null
+++ b/heathwell/service/reply_recorder.py
@@ -0,0 +1,99 @@
+"""Records each reply: in the statistics, the storm control, the event log and the explanations."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from heathwell import policy
+from heathwell.broker.replies import ANSWERED, MISS, Reply
+from heathwell.eventloop import Loop
+from heathwell.observability.event_log import EventLog
+from heathwell.service.query_cost import query_cost_us
+from heathwell.service.query_explanations import ExplainedQuery, QueryExplanations
+from heathwell.service.service_records import ServiceQuery
+from heathwell.service.service_statistics import ServiceStatistics
+from heathwell.service.storm_control import StormControl
+from heathwell.settings import ServiceSettings
+
+
+class RecorderBroker(Protocol):
+    """What :class:`ReplyRecorder` uses of its broker."""
+
+    @property
+    def loop(self) -> Loop:
+        """The event loop."""
+
+    @property
+    def events(self) -> EventLog:
+        """The event log."""
+
+    @property
+    def service_settings(self) -> ServiceSettings:
+        """The settings for queries that are admitted now."""
+
+    def query_class_of(self, query: ServiceQuery) -> policy.QueryClass:
+        """Return a query's class, by the settings that it is decided under."""
+
+
+class ReplyRecorder:
+    """The records of one broker's replies; ``statistics`` and ``storm_control`` are optional."""
+
+    def __init__(
+        self,
+        broker: RecorderBroker,
+        explanations: QueryExplanations,
+        statistics: ServiceStatistics | None,
+        storm_control: StormControl | None,
+    ) -> None:
+        self._broker = broker
+        self._explanations = explanations
+        self._statistics = statistics
+        self._storm_control = storm_control
+
+    def record(self, query: ServiceQuery, reply: Reply, duration_us: int) -> None:
+        """Record the reply to a query that was admitted ``duration_us`` ago."""
+        now = self._broker.loop.now()
+        query_class = self._broker.query_class_of(query)
+        if self._statistics is not None:
+            self._statistics.ended(now, query.who, query.plan.key, reply)
+        if self._storm_control is not None:
+            self._storm_control.record_reply(
+                query_cost_us(query.plan, query.settings_version),
+                is_answer=reply.kind in (ANSWERED, MISS),
+                within_objective=duration_us <= query_class.latency_objective_us,
+            )
+        if self._broker.events.on:  # the lists are costly to make
+            self._log(query, reply, duration_us)
+        self._explanations.record(
+            ExplainedQuery(query, query_class.name, reply, duration_us, now),
+            self._broker.service_settings.freshness.explain,
+        )
+
+    def _log(self, query: ServiceQuery, reply: Reply, duration_us: int) -> None:
+        answered = [part for part in query.parts.values() if part.data is not None]
+        age = reply.age
+        self._broker.events(
+            "final",
+            q=query.id,
+            ver=query.settings_version.version,
+            kind=reply.kind,
+            whole=reply.complete,
+            got=reply.coverage.answered_parts,
+            asked=reply.coverage.requested_parts,
+            weight=reply.coverage.weight,
+            after=reply.retry_after_us,
+            took=duration_us,
+            parts=[part.id for part in answered],
+            moot=_superseded_part_ids(query),
+            used={part.id: part.seq for part in answered},
+            age=age.bound_us if age is not None else None,
+            age_at=age.at_us - self._broker.loop.now() if age is not None else None,
+        )
+
+
+def _superseded_part_ids(query: ServiceQuery) -> list[str]:
+    """Return the ids of the unanswered parts that could not have changed the reply."""
+    if query.plan.search is None:
+        return []
+    superseded = query.plan.search.superseded
+    return [part.id for part in query.parts.values() if part.data is None and part.id in superseded]
--- a/heathwell/testing/simulation/fleet.py
+++ b/heathwell/testing/simulation/fleet.py
@@ -20,8 +20,9 @@
 from heathwell.servers.admin import AdminFront
 from heathwell.servers.memcached import SPARE, MemcachedFront
 from heathwell.servers.vector import VectorFront
+from heathwell.service.broker_options import BrokerOptions
 from heathwell.service.service_broker import ServiceBroker
-from heathwell.service.zone_observer import ZoneObserver, observe_zones
+from heathwell.service.zone_observer import ZoneBroker, ZoneObserver, observe_zones
 from heathwell.settings import ServiceSettings
 from heathwell.testing.standins.discovery import Discovery
 from heathwell.testing.standins.leaf import Leaf
@@ -94,22 +95,23 @@
                 log=fleet.log,
                 events=self.events,
             )
+        seed = fleet.seed * 1000 + number * 10 + run
         self.broker = ServiceBroker(
             fleet.loop,
             net,
             service_settings,
-            name=self.name,
-            zone=self.zone,
-            seed=fleet.seed * 1000 + number * 10 + run,
-            discovery=fleet.discovery.address,
-            source=fleet.source.address if fleet.source is not None else "",
-            siblings=max(1, service_settings.fleet.brokers),
+            BrokerOptions(
+                name=self.name,
+                zone=self.zone,
+                seed=seed,
+                discovery_address=fleet.discovery.address,
+                source_address=fleet.source.address if fleet.source is not None else "",
+                aggregator_count=max(1, service_settings.fleet.brokers),
+                agent=self.agent,
+                make_zone_observer=self._zone_observer_factory(service_settings, seed),
+            ),
             events=self.events,
             log=fleet.log,
-            agent=self.agent,
-            observe_zones=self._zone_observer_factory(
-                service_settings, fleet.seed * 1000 + number * 10 + run
-            ),
         )
         self.front = MemcachedFront(self.broker, fleet.log)
         self.admin = AdminFront(self.broker, self.front)
@@ -138,7 +140,7 @@
 
     def _zone_observer_factory(
         self, service_settings: ServiceSettings, seed: int
-    ) -> Callable[[ServiceBroker], ZoneObserver] | None:
+    ) -> Callable[[ZoneBroker], ZoneObserver] | None:
         """What makes the broker's zone observer; None where its settings evacuate no zones."""
         if self.agent is None or not service_settings.fleet.evacuate:
             return None
