--- a/heathwell/broker/driver.py
+++ b/heathwell/broker/driver.py
@@ -197,7 +197,7 @@
         for query in leaving:
             self._closed(query)
         if self.events.on:
-            self.events.flush()  # type: ignore[attr-defined]  # before the sends and replies recorded
+            self.events.flush()  # before the sends and replies recorded
         self._send_calls(calls)
         self._give_replies()
 
--- a/heathwell/fleet/control/fleet_agent.py
+++ b/heathwell/fleet/control/fleet_agent.py
@@ -182,7 +182,7 @@
         renewals = self.quotas.renewals(now, leaving=self.is_leaving)
         if self.is_leaving and self.events.on:
             self._log_holders(now)
-            self.events.flush()  # type: ignore[attr-defined]
+            self.events.flush()
         for addressed in renewals:
             message = messages.renewal_to_frame(addressed.renewal)
             if report is not None:
--- a/heathwell/fleet/control/quota_coordinator.py
+++ b/heathwell/fleet/control/quota_coordinator.py
@@ -250,7 +250,7 @@
         self._log_transitions(outcome.transitions)
         if self.events.on:
             self._log_grants(message, outcome.reply)
-            self.events.flush()  # type: ignore[attr-defined]
+            self.events.flush()
         return outcome.reply
 
     def _log_grants(self, message: frames.RenewalRequest, reply: QuotaRenewalReply) -> None:
--- a/heathwell/observability/event_log.py
+++ b/heathwell/observability/event_log.py
@@ -7,58 +7,82 @@
 
 import msgspec
 
+EventRecord = dict[str, Any]
+"""An event: its time ``t`` (us), who logged it, its name ``ev``, and its own fields, each of a JSON type."""
+
+
+class EventClock(Protocol):
+    """The clock that events are logged by."""
+
+    def now(self) -> int:
+        """Return the time (us)."""
+
 
 class EventLog(Protocol):
-    """Where events go."""
+    """Where events go; ``on`` is false where they are dropped, so that costly fields need not be made."""
 
     on: bool
 
     def __call__(self, event: str, **fields: Any) -> None:  # noqa: ANN401  # of any JSON type
-        """Note an event at the clock's time."""
+        """Log an event at the clock's time."""
+
+    def flush(self) -> None:
+        """Write the events logged so far."""
+
+    def close(self) -> None:
+        """Log an orderly end, flush and close."""
 
 
 class NoEvents:
-    """No log: what runs by default."""
+    """No event log: the default."""
 
     on = False
 
     def __call__(self, event: str, **fields: Any) -> None:  # noqa: ANN401  # of any JSON type
-        """Nothing."""
+        """Do nothing."""
+
+    def flush(self) -> None:
+        """Do nothing."""
+
+    def close(self) -> None:
+        """Do nothing."""
 
 
 class FileEvents:
-    """Lines in a file, written before the turn's end so that a killed process leaves what it did.
+    """Lines in a file, flushed before a turn of the loop ends, so that a killed process leaves what it did.
 
-    A line holds the time ``t`` (microseconds on the machine's monotonic clock, less the run's
-    ``offset``), who wrote it, the event and its fields.
+    A line is an :data:`EventRecord`; its time is that of the clock less ``offset_us``, which is the start of
+    the run.
     """
 
     on = True
 
-    def __init__(self, path: str, who: str, role: str, clock: Any, offset_us: int = 0) -> None:  # noqa: ANN401  # whatever has now()
-        self._fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o644)
-        self._who, self._clock, self._offset = who, clock, offset_us
+    def __init__(self, path: str, who: str, role: str, clock: EventClock, offset_us: int = 0) -> None:
+        self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o644)
+        self._who = who
+        self._clock = clock
+        self._offset_us = offset_us
         self._encoder = msgspec.json.Encoder()
         self._lines: list[bytes] = []
         self("opened", role=role)
 
     def __call__(self, event: str, **fields: Any) -> None:  # noqa: ANN401  # of any JSON type
-        """Note an event."""
-        line = {"t": self._clock.now() - self._offset, "who": self._who, "ev": event, **fields}
+        """Log an event at the clock's time."""
+        line = {"t": self._clock.now() - self._offset_us, "who": self._who, "ev": event, **fields}
         self._lines.append(self._encoder.encode(line))
 
     def flush(self) -> None:
-        """Write what was noted."""
+        """Write the events logged so far."""
         if self._lines:
             data = b"\n".join(self._lines) + b"\n"
             self._lines.clear()
-            os.write(self._fd, data)
+            os.write(self._file, data)
 
     def close(self) -> None:
-        """Note an orderly end and close."""
+        """Log an orderly end, flush and close."""
         self("closed")
         self.flush()
-        os.close(self._fd)
+        os.close(self._file)
 
 
 class ListEvents:
@@ -66,17 +90,19 @@
 
     on = True
 
-    def __init__(self, into: list[dict[str, Any]], who: str, role: str, clock: Any) -> None:  # noqa: ANN401  # whatever has now()
-        self._into, self._who, self._clock = into, who, clock
+    def __init__(self, into: list[EventRecord], who: str, role: str, clock: EventClock) -> None:
+        self._into = into
+        self._who = who
+        self._clock = clock
         self("opened", role=role)
 
     def __call__(self, event: str, **fields: Any) -> None:  # noqa: ANN401  # of any JSON type
-        """Note an event."""
+        """Log an event at the clock's time."""
         self._into.append({"t": self._clock.now(), "who": self._who, "ev": event, **fields})
 
     def flush(self) -> None:
-        """Nothing to do."""
+        """Do nothing: each event is in the list at once."""
 
     def close(self) -> None:
-        """Note an orderly end."""
+        """Log an orderly end."""
         self("closed")
--- a/heathwell/testing/simulation/simulated.py
+++ b/heathwell/testing/simulation/simulated.py
@@ -96,9 +96,9 @@
         """Play it; raises the first error that any task ended by."""
         self.loop.run(self.loop.spawn(self._main(), "day"))
         for broker in self.fleet.brokers:
-            broker.events.close()  # type: ignore[attr-defined]
+            broker.events.close()
         for leaf in self.fleet.leaves:
-            leaf.events.close()  # type: ignore[attr-defined]
+            leaf.events.close()
         if self.errors:
             raise RuntimeError(f"task {self.errors[0][0]} failed") from self.errors[0][1]
         return self
