--- a/heathwell/broker/driver.py
+++ b/heathwell/broker/driver.py
@@ -11,20 +11,21 @@
 from __future__ import annotations
 
 import time
-from typing import Any
+from typing import Generic
 
 from heathwell import policy
-from heathwell.broker.driver_contract import AttemptKey, EndpointSource, Link
+from heathwell.broker.call_batches import CallBatches
+from heathwell.broker.driver_contract import AttemptKey, EndpointSource, Link, RequestT
 from heathwell.broker.driver_hooks import ResultT
 from heathwell.broker.query_registry import QueryRegistry
-from heathwell.broker.query_state import PartT, QueryT, SettingsVersion
+from heathwell.broker.query_state import ExtensionT, PartT, QueryT, SettingsVersion
 from heathwell.broker.replies import FAILED, REFUSED, OnReply, Reply
 
-Calls = dict[str, list[list[Any]]]
-"""By endpoint, the calls to make at the end of a batch, each a list of attempt requests."""
 
-
-class Driver(QueryRegistry[QueryT, PartT, ResultT]):
+class Driver(
+    QueryRegistry[QueryT, PartT, ResultT, RequestT, ExtensionT],
+    Generic[QueryT, PartT, ResultT, RequestT, ExtensionT],
+):
     """One aggregator with its queries, links and endpoint list.
 
     Subclasses provide the methods of :class:`~heathwell.broker.driver_hooks.DriverHooks`.
@@ -105,7 +106,7 @@
                 part.seq = key[1]
                 self.on_part_answered(query, part, key, result)
                 if part.attempt_count > 1:
-                    # Additional attempts that still wait for their connection are of no use now.
+                    # Additional attempts that still wait for their connection are not needed any more.
                     self._withdraw(query, key[0])
             else:
                 # Ends as an error of that endpoint: the aggregator retries elsewhere where its rules allow.
@@ -177,13 +178,13 @@
             for timer in version.timers.values():
                 timer.cancel()
 
-    def _handle_batch(self, version: SettingsVersion) -> None:
+    def _handle_batch(self, version: SettingsVersion[ExtensionT]) -> None:
         batch = version.inbox
         version.inbox = []
         quota_update = self.quota_update()
         if quota_update is not None:
             batch.insert(0, quota_update)
-        calls: Calls = {}
+        calls: CallBatches[RequestT] = CallBatches(self.settings.parts_per_call)
         started_at_ns = time.thread_time_ns()
         actions = version.aggregator.handle(self.loop.now(), batch)
         self.decision_time_ns += time.thread_time_ns() - started_at_ns
@@ -201,14 +202,13 @@
         self._send_calls(calls)
         self._give_replies()
 
-    def _send_calls(self, calls: Calls) -> None:
-        for node, batches in calls.items():
-            for requests in batches:
-                needed = [
-                    request for request in requests if self._is_still_needed(node, (request.id, request.seq))
-                ]
-                if needed:
-                    self._link(node).send(needed)
+    def _send_calls(self, calls: CallBatches[RequestT]) -> None:
+        for node, requests in calls:
+            needed = [
+                request for request in requests if self._is_still_needed(node, (request.id, request.seq))
+            ]
+            if needed:
+                self._link(node).send(needed)
 
     def _give_replies(self) -> None:
         replies = self._replies
@@ -229,7 +229,7 @@
         return False
 
     def _execute(  # noqa: C901  # one case for each type of action
-        self, action: policy.Action, calls: Calls, version: SettingsVersion
+        self, action: policy.Action, calls: CallBatches[RequestT], version: SettingsVersion[ExtensionT]
     ) -> None:
         match action:
             case policy.Send():
@@ -259,7 +259,7 @@
             case policy.QuotaExhausted():
                 self.on_quota_exhausted()
 
-    def _send(self, action: policy.Send, calls: Calls) -> None:
+    def _send(self, action: policy.Send, calls: CallBatches[RequestT]) -> None:
         part_id = action.id
         node = action.node
         query = self.parts[part_id]
@@ -289,19 +289,12 @@
             shard=part.plan.shard,
             **({"further": True} if action.additional else {}),
         )
-        batches = calls.setdefault(node, [])
-        if not batches or len(batches[-1]) >= self.settings.parts_per_call:
-            batches.append([])
-        batches[-1].append(self.attempt_request(query, part, key[1], query.deadline_us - now))
+        calls.add(node, self.attempt_request(query, part, key[1], query.deadline_us - now))
 
-    def _abandon(self, calls: Calls, node: str, key: AttemptKey) -> None:
+    def _abandon(self, calls: CallBatches[RequestT], node: str, key: AttemptKey) -> None:
         """Cancel an attempt, which may be of this very batch and not with its link yet."""
-        for requests in calls.get(node, []):
-            for request in requests:
-                if (request.id, request.seq) == key:
-                    requests.remove(request)
-                    return
-        self._link(node).abandon(key)
+        if not calls.remove(node, key):
+            self._link(node).abandon(key)
 
     def _reply_without_answer(self, query_id: str, kind: str, retry_after_us: int) -> None:
         query = self.queries.get(query_id)
@@ -357,7 +350,7 @@
                 del query.in_flight[key]
                 self._ended(query, key, node, policy.Outcome.NEVER_SENT, None)
 
-    def _link(self, node: str) -> Link:
+    def _link(self, node: str) -> Link[RequestT]:
         link = self.links.get(node)
         if link is None:
             link = self.links[node] = self.new_link(node)
--- a/heathwell/broker/driver_contract.py
+++ b/heathwell/broker/driver_contract.py
@@ -5,12 +5,17 @@
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from collections import Counter
+from typing import Protocol, TypeVar
 
 AttemptKey = tuple[str, int]
 """A part's id and the attempt's number within that part, counted from 0."""
 
 
+Counters = Counter[tuple[str, ...]]
+"""Numbers of occurrences, by labels."""
+
+
 class PlannedPart(Protocol):
     """What the driver reads of the plan of a part."""
 
@@ -35,6 +40,9 @@
         """The number of the attempt within its part."""
 
 
+RequestT = TypeVar("RequestT", bound=AttemptRequest)
+
+
 class AttemptResult(Protocol):
     """What an endpoint answered to an attempt."""
 
@@ -47,7 +55,7 @@
         """The part's value."""
 
 
-class Link(Protocol):
+class Link(Protocol[RequestT]):
     """The connections to one endpoint; reports exactly one outcome for each attempt and each probe."""
 
     @property
@@ -58,8 +66,8 @@
     def up(self) -> bool:
         """Whether a connection is established."""
 
-    def send(self, parts: list[Any]) -> None:
-        """Send attempts (each an :class:`AttemptRequest` of the link's own type) in one call."""
+    def send(self, parts: list[RequestT]) -> None:
+        """Send attempts in one call."""
 
     def abandon(self, key: AttemptKey) -> bool:
         """Stop waiting for an attempt whose outcome the caller records itself; true if it was in flight."""
--- a/heathwell/broker/driver_hooks.py
+++ b/heathwell/broker/driver_hooks.py
@@ -6,26 +6,26 @@
 from typing import Generic, TypeVar
 
 from heathwell import policy
-from heathwell.broker.driver_contract import AttemptKey, AttemptRequest, AttemptResult, Link
-from heathwell.broker.query_state import PartT, QueryT
+from heathwell.broker.driver_contract import AttemptKey, AttemptResult, Link, RequestT
+from heathwell.broker.query_state import HintedPart, PartT, QueryT
 from heathwell.broker.replies import Reply
 
 ResultT = TypeVar("ResultT", bound=AttemptResult)
 
 
-class DriverHooks(Generic[QueryT, PartT, ResultT]):
+class DriverHooks(Generic[QueryT, PartT, ResultT, RequestT]):
     """The methods that a subclass of the driver overrides; the driver calls them, and only from its loop."""
 
-    def new_link(self, node: str) -> Link:
+    def new_link(self, node: str) -> Link[RequestT]:
         """Return a link to an endpoint that has none yet."""
         raise NotImplementedError
 
-    def attempt_request(self, query: QueryT, part: PartT, seq: int, remaining_us: int) -> AttemptRequest:
+    def attempt_request(self, query: QueryT, part: PartT, seq: int, remaining_us: int) -> RequestT:
         """Return the request for attempt ``seq`` of a part, whose deadline is ``remaining_us`` from now."""
         raise NotImplementedError
 
-    def second_step(self, query: QueryT, *, complete: bool) -> Iterable[tuple[PartT, int | None]]:
-        """Return the parts of the second step, not yet registered, each with its work hint (us)."""
+    def second_step(self, query: QueryT, *, complete: bool) -> Iterable[HintedPart[PartT]]:
+        """Return the parts of the second step, not yet registered."""
         raise NotImplementedError
 
     def merge(self, query: QueryT, *, complete: bool) -> Reply:
--- a/heathwell/broker/query_registry.py
+++ b/heathwell/broker/query_registry.py
@@ -2,22 +2,23 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable, Iterable
-from typing import Any
+from typing import Generic
 
 from heathwell import policy
-from heathwell.broker.driver_contract import AttemptKey, Link
+from heathwell.broker.driver_contract import AttemptKey, Counters, Link, RequestT
 from heathwell.broker.driver_hooks import DriverHooks, ResultT
 from heathwell.broker.endpoint_entries import to_endpoint_entry
-from heathwell.broker.query_state import Handle, PartT, QueryT, SettingsVersion
+from heathwell.broker.query_state import ExtensionT, Handle, HintedPart, PartT, QueryT, SettingsVersion
 from heathwell.broker.replies import OnReply, Reply
 from heathwell.eventloop import Event, Loop
 from heathwell.observability.event_log import EventLog, NoEvents
 from heathwell.policy.aggregator import Aggregator
 
 
-class QueryRegistry(DriverHooks[QueryT, PartT, ResultT]):
+class QueryRegistry(
+    DriverHooks[QueryT, PartT, ResultT, RequestT], Generic[QueryT, PartT, ResultT, RequestT, ExtensionT]
+):
     """Holds queries from admission to their last outcome and queues the events about them.
 
     ``open_count`` is the number of queries and parts held; ``decision_time_ns`` is CPU time spent in the
@@ -28,6 +29,7 @@
         self,
         loop: Loop,
         settings: policy.Settings,
+        extension: ExtensionT,
         seed: int,
         *,
         name: str,
@@ -38,18 +40,18 @@
         self.name = name
         self.events: EventLog = events or NoEvents()
         self.log = log or (lambda *_args, **_fields: None)
-        self.current_version = SettingsVersion(settings, Aggregator(settings, seed))
+        self.current_version = SettingsVersion(settings, Aggregator(settings, seed), extension)
         self.versions = [self.current_version]
         self.queries: dict[str, QueryT] = {}
         self.parts: dict[str, QueryT] = {}
-        self.links: dict[str, Link] = {}
+        self.links: dict[str, Link[RequestT]] = {}
         self.open_count = 0
         self.last_job = 0
         self.stopping = False
         self.dead = False
         self.shutdown_at_us: int | None = None  # end of the process by the loop's clock, once known
         self.idle = Event()
-        self.counters: Counter[tuple[str, ...]] = Counter()
+        self.counters: Counters = Counters()
         self.on_final: Callable[[QueryT, Reply, int], None] | None = None
         self.decision_time_ns = 0
         self._replies: list[tuple[OnReply, Reply]] = []
@@ -72,8 +74,8 @@
         settings: policy.Settings,
         seed: int,
         version: str,
-        extension: Any = None,  # noqa: ANN401  # the subclass's own
-    ) -> SettingsVersion:
+        extension: ExtensionT,
+    ) -> SettingsVersion[ExtensionT]:
         """Decide queries that are admitted from now on under other settings; open queries keep theirs.
 
         Call it between two batches. The new aggregator starts with the list of live endpoints and learns
@@ -84,7 +86,7 @@
             for endpoint in self.aggregator.endpoints.values()
             if endpoint.live
         )
-        self.current_version = SettingsVersion(settings, Aggregator(settings, seed), version, extension)
+        self.current_version = SettingsVersion(settings, Aggregator(settings, seed), extension, version)
         self.versions.append(self.current_version)
         self._push(
             policy.EndpointUpdate(policy.UpdateKind.FULL, live_endpoints, requested=False),
@@ -111,14 +113,14 @@
     def enter(
         self,
         query: QueryT,
-        parts: Iterable[tuple[PartT, int | None]],
+        parts: Iterable[HintedPart[PartT]],
         count: int,
         hint_us: int | None,
         *,
         retry: bool = False,
         tenant: int = 0,
     ) -> None:
-        """Queue the arrival of a query with ``count`` parts, each with its work hint (us)."""
+        """Queue the arrival of a query with ``count`` parts; ``hint_us`` is the work expected of all."""
         query.queued = False
         self._push(
             policy.QueryArrived(
@@ -135,13 +137,19 @@
         )
         self.add_parts(query, parts)
 
-    def add_parts(self, query: QueryT, parts: Iterable[tuple[PartT, int | None]]) -> None:
+    def add_parts(self, query: QueryT, parts: Iterable[HintedPart[PartT]]) -> None:
         """Register the parts of a step and queue their arrival."""
-        for part, hint_us in parts:
+        for hinted in parts:
+            part = hinted.part
             self.hold_part(query, part)
             self._push(
                 policy.PartArrived(
-                    part.id, query.job, part.plan.shard, part.plan.weight, hint_us, self.subject(query)
+                    part.id,
+                    query.job,
+                    part.plan.shard,
+                    part.plan.weight,
+                    hinted.work_hint_us,
+                    self.subject(query),
                 ),
                 query.settings_version,
             )
@@ -162,14 +170,14 @@
         self.stopping = True
         self._check_idle()
 
-    def _push(self, event: policy.Event, version: SettingsVersion | None = None) -> None:
+    def _push(self, event: policy.Event, version: SettingsVersion[ExtensionT] | None = None) -> None:
         """Queue an event for the next batch of one settings version, or of all if ``version`` is ``None``."""
         if self._handling and not any(known.inbox for known in self.versions):
             self.loop.call_soon(_nothing)  # events of a batch being handled belong to the next turn
         for recipient in self.versions if version is None else (version,):
             recipient.inbox.append(event)
 
-    def _set_timer(self, version: SettingsVersion, at_us: int, label: str) -> None:
+    def _set_timer(self, version: SettingsVersion[ExtensionT], at_us: int, label: str) -> None:
         """Keep one timer for each label, the earliest; the aggregator sets it again whenever it fires."""
         pending = version.timers.get(label)
         if pending is not None and pending.call is not None:
--- a/heathwell/broker/query_state.py
+++ b/heathwell/broker/query_state.py
@@ -11,20 +11,22 @@
 from heathwell.eventloop import Timer
 from heathwell.policy.aggregator import Aggregator
 
+ExtensionT = TypeVar("ExtensionT")
+
 
 @dataclass(slots=True)
-class SettingsVersion:
+class SettingsVersion(Generic[ExtensionT]):
     """One version of the settings with the aggregator that decides under it.
 
     A query belongs to one version from its admission to its end; a version that was replaced stays until its
-    last query has ended. ``extension`` is what a subclass of the driver keeps by version, of its own type;
+    last query has ended. ``extension`` is what a subclass of the driver derives from its own settings;
     ``inbox`` holds the events of the current turn of the loop, ``timers`` the pending timers by label.
     """
 
     settings: policy.Settings
     aggregator: Aggregator
+    extension: ExtensionT
     version: str = ""
-    extension: Any = None
     inbox: list[policy.Event] = field(default_factory=list)
     timers: dict[str, Timer] = field(default_factory=dict)
     open_queries: int = 0
@@ -52,8 +54,16 @@
 PartT = TypeVar("PartT", bound=PartState)
 
 
+@dataclass(frozen=True, slots=True)
+class HintedPart(Generic[PartT]):
+    """A part to register, with the work that it is expected to take; ``None`` where that is not known."""
+
+    part: PartT
+    work_hint_us: int | None
+
+
 @dataclass(slots=True)
-class QueryState(Generic[PartT]):
+class QueryState(Generic[PartT, ExtensionT]):
     """A query from its arrival until its last attempt has ended.
 
     ``on_reply`` is ``None`` once the reply was given or the client has disconnected; ``in_flight`` maps each
@@ -72,16 +82,16 @@
     timer: Timer | None = None
     queued: bool = False
     woken: bool = False
-    admitted_under: SettingsVersion | None = None
+    admitted_under: SettingsVersion[ExtensionT] | None = None
 
     @property
-    def settings_version(self) -> SettingsVersion:
+    def settings_version(self) -> SettingsVersion[ExtensionT]:
         """The version that the query is decided under; defined from its admission on."""
         assert self.admitted_under is not None
         return self.admitted_under
 
 
-QueryT = TypeVar("QueryT", bound=QueryState[Any])
+QueryT = TypeVar("QueryT", bound=QueryState[Any, Any])
 
 
 class DisconnectListener(Protocol):
--- a/heathwell/gateway/broker.py
+++ b/heathwell/gateway/broker.py
@@ -15,7 +15,7 @@
 from heathwell import policy
 from heathwell.broker.driver import Driver
 from heathwell.broker.driver_contract import AttemptKey
-from heathwell.broker.query_state import Handle, PartState, QueryState
+from heathwell.broker.query_state import Handle, HintedPart, PartState, QueryState
 from heathwell.broker.replies import ANSWERED, REFUSED, OnReply, Reply
 from heathwell.codec import nodeframes as nf
 from heathwell.eventloop import Loop, Net
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class PlatformQuery(QueryState[PlatformPart]):
+class PlatformQuery(QueryState[PlatformPart, None]):
     """A query with its request.
 
     ``answered_shards`` and ``complete`` are the result of the first step, once it has ended.
@@ -53,7 +53,7 @@
     complete: bool | None = None
 
 
-class PlatformBroker(Driver[PlatformQuery, PlatformPart, nf.PartAnswer]):
+class PlatformBroker(Driver[PlatformQuery, PlatformPart, nf.PartAnswer, NodeRequest, None]):
     """One broker on the platform.
 
     ``unix_us`` returns Unix time; it is read once, to convert the starts of nodes to the loop's clock.
@@ -71,7 +71,7 @@
         events: EventLog | None = None,
         unix_us: Callable[[], int] = lambda: time.time_ns() // 1000,
     ) -> None:
-        super().__init__(loop, config.settings, config.seed, name=config.name, events=events, log=log)
+        super().__init__(loop, config.settings, None, config.seed, name=config.name, events=events, log=log)
         self.net = net
         self.config = config
         self.pool_limit = ConnectionPoolLimit(config.node_sockets)
@@ -113,13 +113,12 @@
         if self.is_full(len(request.parts)):
             self._reject(spec, on_reply)
             return None
-        self.last_job += 1
         deadline_us = max(
             arrived_at_us + request.wait_us - DEADLINE_MARGIN_US, arrived_at_us + self.settings.tick_us
         )
         query = PlatformQuery(
             request.id,
-            self.last_job,
+            self.next_job(),
             request.query_class,
             arrived_at_us,
             deadline_us,
@@ -131,7 +130,10 @@
         hints_us = [part.hint_us for part in request.parts if part.hint_us is not None]
         self.enter(
             query,
-            ((PlatformPart(f"{query.id}.{part.shard}", part, 1), part.hint_us) for part in request.parts),
+            (
+                HintedPart(PlatformPart(f"{query.id}.{part.shard}", part, 1), part.hint_us)
+                for part in request.parts
+            ),
             len(request.parts),
             sum(hints_us) if hints_us else None,
             retry=request.retry,
@@ -265,21 +267,15 @@
         """Keep the score, by which the shards of a second step are chosen."""
         part.score = result.score
 
-    def second_step(
-        self, query: PlatformQuery, *, complete: bool
-    ) -> Iterator[tuple[PlatformPart, int | None]]:
+    def second_step(self, query: PlatformQuery, *, complete: bool) -> Iterator[HintedPart[PlatformPart]]:
         """Yield parts, without hints, at the shards of the highest scores among those answered."""
         answered = [part for part in query.parts.values() if part.data is not None]
         query.answered_shards = tuple(sorted(part.plan.shard for part in answered))
         query.complete = complete
         best = sorted(answered, key=lambda part: -part.score)[: self._query_class(query).second_step_parts]
         for part in best:
-            yield (
-                PlatformPart(
-                    part.id + SECOND_STEP_SUFFIX, RequestedPart(part.plan.shard, 1 / len(best), None), 2
-                ),
-                None,
-            )
+            plan = RequestedPart(part.plan.shard, 1 / len(best), None)
+            yield HintedPart(PlatformPart(part.id + SECOND_STEP_SUFFIX, plan, 2), None)
 
     def merge(self, query: PlatformQuery, *, complete: bool) -> Reply:
         """Return the reply with the values of the last step's answered parts, as the nodes gave them."""
--- a/heathwell/observability/http_pages.py
+++ b/heathwell/observability/http_pages.py
@@ -1,4 +1,4 @@
-"""Pages of HTTP on a stream, for the admin ports of brokers and keepers."""
+"""Pages of HTTP on a stream, for the admin ports of brokers and quota coordinators."""
 
 from __future__ import annotations
 
--- a/heathwell/service/part_planner.py
+++ b/heathwell/service/part_planner.py
@@ -6,6 +6,7 @@
 from typing import Protocol
 
 from heathwell import policy
+from heathwell.broker.query_state import HintedPart
 from heathwell.codec import frames
 from heathwell.service import key_spaces
 from heathwell.service.query_cost import part_work_us
@@ -35,12 +36,12 @@
     def __init__(self, broker: PlanningBroker) -> None:
         self._broker = broker
 
-    def first_step(self, query: ServiceQuery) -> Iterator[tuple[ServicePart, int | None]]:
-        """Yield the parts of the plan with their work (us)."""
+    def first_step(self, query: ServiceQuery) -> Iterator[HintedPart[ServicePart]]:
+        """Yield the parts of the plan."""
         return self._make_parts(query, query.plan.parts, part_work_us(query.plan, query.settings_version))
 
-    def second_step(self, query: ServiceQuery) -> Iterator[tuple[ServicePart, int | None]]:
-        """Yield parts for item detail, with their work (us), at shards that answered the first step."""
+    def second_step(self, query: ServiceQuery) -> Iterator[HintedPart[ServicePart]]:
+        """Yield parts for item detail at shards that answered the first step."""
         answered = [part.plan for part in query.parts.values() if part.data is not None]
         spec = self._broker.snapshot_of(query).service_settings.classes[query.query_class]
         count = self._broker.query_class_of(query).second_step_parts
@@ -49,7 +50,7 @@
 
     def _make_parts(
         self, query: ServiceQuery, plans: Iterable[PartPlan], work_us: int
-    ) -> Iterator[tuple[ServicePart, int | None]]:
+    ) -> Iterator[HintedPart[ServicePart]]:
         """Yield a step's parts, except those that no endpoint within reach holds: they are only held."""
         for plan in plans:
             part = ServicePart(f"{query.id}/{len(query.parts)}", plan, query.step)
@@ -57,7 +58,7 @@
                 part.status = UNREACHABLE_PART_STATUS
                 self._broker.hold_part(query, part)
                 continue
-            yield part, work_us
+            yield HintedPart(part, work_us)
 
     def attempt_request(
         self, query: ServiceQuery, part: ServicePart, attempt: int, remaining_us: int
--- a/heathwell/service/query_admission.py
+++ b/heathwell/service/query_admission.py
@@ -11,6 +11,7 @@
 from heathwell.broker.query_state import SettingsVersion
 from heathwell.service.query_cost import query_cost_us
 from heathwell.service.records import PartPlan, Plan
+from heathwell.service.settings_change import ServiceSnapshot
 from heathwell.service.shard_reachability import ShardReachability
 from heathwell.service.storm_control import StormControl
 from heathwell.settings import ServiceSettings
@@ -64,7 +65,7 @@
         """The settings for queries that come now."""
 
     @property
-    def current_version(self) -> SettingsVersion:
+    def current_version(self) -> SettingsVersion[ServiceSnapshot]:
         """The version of the settings for queries that come now."""
 
     def is_full(self, parts: int) -> bool:
@@ -105,7 +106,11 @@
         return Admission(timeout_us, cut_off_parts)
 
     def retry_after_us(
-        self, plan: Plan, client: str, version: SettingsVersion, otherwise_us: int | None = None
+        self,
+        plan: Plan,
+        client: str,
+        version: SettingsVersion[ServiceSnapshot],
+        otherwise_us: int | None = None,
     ) -> int:
         """After how long the client of a rejected query may retry.
 
@@ -146,6 +151,6 @@
         return timeout_us - self._broker.service_settings.limits.transit < least_us
 
     def _is_answerable_without(self, parts: tuple[PartPlan, ...], query_class: int) -> bool:
-        """Whether the other parts can make an answer; if not, waiting for the deadline is of no use."""
+        """Whether the other parts can make an answer; if not, waiting for the deadline is pointless."""
         minimum_fraction = self._broker.settings.classes[query_class].minimum_fraction
         return 1 - sum(part.weight for part in parts) >= minimum_fraction - WEIGHT_TOLERANCE
--- a/heathwell/service/query_cost.py
+++ b/heathwell/service/query_cost.py
@@ -9,15 +9,14 @@
 ROUNDING_UP = 0.999
 
 
-def part_work_us(plan: Plan, version: SettingsVersion) -> int:
+def part_work_us(plan: Plan, version: SettingsVersion[ServiceSnapshot]) -> int:
     """The work of one part, by a version of the settings."""
     if plan.search is not None:
         return plan.search.work
-    snapshot: ServiceSnapshot = version.extension
-    return snapshot.service_settings.classes[plan.query_class].work
+    return version.extension.service_settings.classes[plan.query_class].work
 
 
-def query_cost_us(plan: Plan, version: SettingsVersion) -> float:
+def query_cost_us(plan: Plan, version: SettingsVersion[ServiceSnapshot]) -> float:
     """The work of the parts that make a complete answer."""
     required_fraction = version.settings.classes[plan.query_class].required_fraction
     required_parts = max(1, int(len(plan.parts) * required_fraction + ROUNDING_UP))
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -17,6 +17,7 @@
 from heathwell.service.records import Plan
 from heathwell.service.service_records import ServiceQuery
 from heathwell.service.service_statistics import ServiceStatistics
+from heathwell.service.settings_change import ServiceSnapshot
 from heathwell.settings import ServiceSettings
 
 
@@ -48,7 +49,7 @@
         """The settings for queries that are admitted now."""
 
     @property
-    def current_version(self) -> SettingsVersion:
+    def current_version(self) -> SettingsVersion[ServiceSnapshot]:
         """The version of the settings for queries that are admitted now."""
 
     @property
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -10,7 +10,7 @@
 from heathwell.broker.driver import Driver
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.broker.endpoint_entries import to_endpoint_entry
-from heathwell.broker.query_state import Handle
+from heathwell.broker.query_state import Handle, HintedPart
 from heathwell.broker.replies import FAILED, REFUSED, OnReply, Reply
 from heathwell.codec import frames
 from heathwell.eventloop import Listener, Loop, Net
@@ -36,7 +36,7 @@
 VERSION_SEED_BITS = 48
 
 
-class ServiceBroker(Driver[ServiceQuery, ServicePart, frames.Result]):
+class ServiceBroker(Driver[ServiceQuery, ServicePart, frames.Result, frames.PartRequest, ServiceSnapshot]):
     """One aggregator with its connections and components.
 
     It owns the versions of the settings; each other concern is a component
@@ -54,9 +54,9 @@
         log: Callable[..., None] | None = None,
     ) -> None:
         settings = module_settings(service_settings, options.zone, options.aggregator_count)
-        super().__init__(loop, settings, options.seed, name=options.name, events=events, log=log)
+        snapshot = ServiceSnapshot.from_settings(service_settings)
+        super().__init__(loop, settings, snapshot, options.seed, name=options.name, events=events, log=log)
         self._options = options
-        self.current_version.extension = ServiceSnapshot.from_settings(service_settings)
         self.service_statistics = options.statistics
         self._draw = random.Random(options.seed ^ BROKER_SEED_MASK)
         components = build_components(self, net, options, self._draw)
@@ -90,14 +90,12 @@
     @property
     def service_settings(self) -> ServiceSettings:
         """The settings for queries that are admitted now."""
-        snapshot: ServiceSnapshot = self.current_version.extension
-        return snapshot.service_settings
+        return self.current_version.extension.service_settings
 
     @property
     def keys(self) -> key_spaces.KeySpaces:
         """The key spaces for queries that are admitted now."""
-        snapshot: ServiceSnapshot = self.current_version.extension
-        return snapshot.keys
+        return self.current_version.extension.keys
 
     @property
     def class_names(self) -> list[str]:
@@ -106,8 +104,7 @@
 
     def snapshot_of(self, query: ServiceQuery) -> ServiceSnapshot:
         """Return what is derived from the settings that a query is decided under."""
-        snapshot: ServiceSnapshot = query.settings_version.extension
-        return snapshot
+        return query.settings_version.extension
 
     def query_class_of(self, query: ServiceQuery) -> policy.QueryClass:
         """Return a query's class, by the settings that it is decided under."""
@@ -317,7 +314,7 @@
         """Return the request of an attempt, in the inner protocol."""
         return self._planner.attempt_request(query, part, seq, remaining_us)
 
-    def second_step(self, query: ServiceQuery, *, complete: bool) -> Iterator[tuple[ServicePart, int | None]]:  # noqa: ARG002  # part of a hook
+    def second_step(self, query: ServiceQuery, *, complete: bool) -> Iterator[HintedPart[ServicePart]]:  # noqa: ARG002  # part of a hook
         """Return the parts for item detail, at shards that answered."""
         return self._planner.second_step(query)
 
--- a/heathwell/service/service_records.py
+++ b/heathwell/service/service_records.py
@@ -6,6 +6,7 @@
 
 from heathwell.broker.query_state import PartState, QueryState
 from heathwell.service.records import PartPlan, Plan
+from heathwell.service.settings_change import ServiceSnapshot
 
 
 @dataclass(slots=True)
@@ -20,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class ServiceQuery(QueryState[ServicePart]):
+class ServiceQuery(QueryState[ServicePart, ServiceSnapshot]):
     """A query with its plan; ``cut_off`` are parts that no endpoint within reach holds, ``who`` names its
     client and subject.
     """
