--- a/heathwell/broker/driver_contract.py
+++ b/heathwell/broker/driver_contract.py
@@ -1,4 +1,5 @@
-"""Protocols between the driver and what it drives: links to endpoints and the source of the endpoint list.
+"""Protocols between the driver and what it drives: links to endpoints and the source of the endpoint list;
+and what the components of a broker use of their driver.
 
 The module owns no state and imports nothing of the driver, so that links need not import it either.
 """
@@ -6,8 +7,12 @@
 from __future__ import annotations
 
 from collections import Counter
+from collections.abc import Callable
 from typing import Protocol, TypeVar
 
+from heathwell.eventloop import Loop
+from heathwell.observability.event_log import EventLog
+
 AttemptKey = tuple[str, int]
 """A part's id and the attempt's number within that part, counted from 0."""
 
@@ -93,3 +98,31 @@
 
     def close(self) -> None:
         """Request no more."""
+
+
+class DriverContext(Protocol):
+    """What the components of a broker use of its driver; each adds what it needs beyond, beside itself."""
+
+    @property
+    def name(self) -> str:
+        """The broker's name, with its incarnation."""
+
+    @property
+    def loop(self) -> Loop:
+        """The event loop."""
+
+    @property
+    def dead(self) -> bool:
+        """Whether the broker is killed; nothing more is decided or sent."""
+
+    @property
+    def events(self) -> EventLog:
+        """The event log."""
+
+    @property
+    def log(self) -> Callable[..., None]:
+        """The log: called with a level, a message and fields."""
+
+    @property
+    def counters(self) -> Counters:
+        """The broker's counters."""
--- a/heathwell/service/answer_freshness.py
+++ b/heathwell/service/answer_freshness.py
@@ -2,41 +2,14 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable, Sequence
-from typing import Protocol
 
-from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.broker.replies import Age
 from heathwell.codec import frames
-from heathwell.eventloop import Loop
-from heathwell.observability.event_log import EventLog
 from heathwell.service.freshness import Freshness, SourceClock, Watermark, make_token
+from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServicePart, ServiceQuery
-from heathwell.service.settings_change import ServiceSnapshot
-
-
-class FreshnessBroker(Protocol):
-    """What :class:`AnswerFreshness` uses of its broker."""
-
-    @property
-    def loop(self) -> Loop:
-        """The event loop."""
-
-    @property
-    def events(self) -> EventLog:
-        """The event log."""
-
-    @property
-    def counters(self) -> Counter[tuple[str, ...]]:
-        """Its counters, by labels."""
-
-    def query_class_of(self, query: ServiceQuery) -> policy.QueryClass:
-        """A query's class, by the settings that it is decided under."""
-
-    def snapshot_of(self, query: ServiceQuery) -> ServiceSnapshot:
-        """What is derived from the settings that a query is decided under."""
 
 
 class AnswerFreshness:
@@ -45,7 +18,7 @@
     ``replicas_of`` gives the live nodes that hold a shard.
     """
 
-    def __init__(self, broker: FreshnessBroker, replicas_of: Callable[[int], list[str]]) -> None:
+    def __init__(self, broker: ServiceContext, replicas_of: Callable[[int], list[str]]) -> None:
         self.clock = SourceClock()
         self._broker = broker
         self._decider = Freshness(self.clock, replicas_of)
--- a/heathwell/service/broker_components.py
+++ b/heathwell/service/broker_components.py
@@ -11,10 +11,10 @@
 from heathwell.eventloop import Net
 from heathwell.policy.records import Endpoint
 from heathwell.service.admission import Costs
-from heathwell.service.answer_freshness import AnswerFreshness, FreshnessBroker
+from heathwell.service.answer_freshness import AnswerFreshness
 from heathwell.service.broker_options import BrokerOptions
 from heathwell.service.discovery import DiscoveryClient
-from heathwell.service.endpoint_connections import ConnectingBroker, EndpointConnections
+from heathwell.service.endpoint_connections import EndpointConnections
 from heathwell.service.endpoint_restrictions import EndpointRestrictions, RestrictionsBroker
 from heathwell.service.fair_admission import FairAdmission, FairAdmissionBroker
 from heathwell.service.host_link import AttemptObserver
@@ -24,9 +24,9 @@
 from heathwell.service.query_intake import IntakeBroker, QueryIntake
 from heathwell.service.quota_gate import QuotaBroker, QuotaGate
 from heathwell.service.regions import ClientDrain
-from heathwell.service.reply_recorder import RecorderBroker, ReplyRecorder
+from heathwell.service.reply_recorder import ReplyRecorder
 from heathwell.service.search_answers import SearchAnswers, SearchBroker
-from heathwell.service.shard_reachability import ReachabilityBroker, ShardReachability
+from heathwell.service.shard_reachability import ShardReachability
 from heathwell.service.source_clock import SourceClockClient
 from heathwell.service.storm_control import StormBroker, StormControl
 
@@ -39,14 +39,10 @@
 class ComponentsBroker(
     AdmissionBroker,
     AttemptObserver,
-    ConnectingBroker,
     FairAdmissionBroker,
-    FreshnessBroker,
     IntakeBroker,
     PlanningBroker,
     QuotaBroker,
-    ReachabilityBroker,
-    RecorderBroker,
     RestrictionsBroker,
     SearchBroker,
     StormBroker,
--- a/heathwell/service/endpoint_connections.py
+++ b/heathwell/service/endpoint_connections.py
@@ -4,43 +4,22 @@
 
 from collections.abc import Callable
 from functools import partial
-from typing import Protocol
 
-from heathwell.eventloop import Loop, Net
+from heathwell.eventloop import Net
 from heathwell.service.host_link import AttemptObserver, HostLink
 from heathwell.service.host_pool import HostPool
 from heathwell.service.quota_gate import CONNECTIONS, QuotaGate
-from heathwell.settings import ServiceSettings
+from heathwell.service.service_context import ServiceContext
 from heathwell.settings.schema import Limits
 
 ADDITIONAL_IDLE_TIMEOUT_US = 2_000_000  # of a connection beyond the first
 
 
-class ConnectingBroker(Protocol):
-    """What :class:`EndpointConnections` uses of its broker."""
-
-    @property
-    def loop(self) -> Loop:
-        """The event loop."""
-
-    @property
-    def name(self) -> str:
-        """The broker's name, with its incarnation."""
-
-    @property
-    def log(self) -> Callable[..., None]:
-        """The log."""
-
-    @property
-    def service_settings(self) -> ServiceSettings:
-        """The settings for queries that come now."""
-
-
 class EndpointConnections:
     """Makes the connections of one broker; ``owner`` hears how attempts and probes end."""
 
     def __init__(
-        self, broker: ConnectingBroker, owner: AttemptObserver, net: Net, quota_gate: QuotaGate | None
+        self, broker: ServiceContext, owner: AttemptObserver, net: Net, quota_gate: QuotaGate | None
     ) -> None:
         self._broker = broker
         self._owner = owner
--- a/heathwell/service/endpoint_restrictions.py
+++ b/heathwell/service/endpoint_restrictions.py
@@ -6,16 +6,13 @@
 
 from __future__ import annotations
 
-from collections import Counter
-from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
 
 from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey
-from heathwell.eventloop import Loop
-from heathwell.observability.event_log import EventLog
 from heathwell.service.regions import Regions, Way
+from heathwell.service.service_context import ServiceContext
 from heathwell.settings import ServiceSettings
 
 TICK_INTERVAL_US = 25_000  # between two looks at the links between regions
@@ -33,33 +30,9 @@
     excluded: frozenset[str] = NO_NODES
 
 
-class RestrictionsBroker(Protocol):
+class RestrictionsBroker(ServiceContext, Protocol):
     """What :class:`EndpointRestrictions` uses of its broker."""
 
-    @property
-    def loop(self) -> Loop:
-        """The event loop."""
-
-    @property
-    def dead(self) -> bool:
-        """Whether the broker is closed."""
-
-    @property
-    def events(self) -> EventLog:
-        """The event log."""
-
-    @property
-    def log(self) -> Callable[..., None]:
-        """The log."""
-
-    @property
-    def counters(self) -> Counter[tuple[str, ...]]:
-        """Its counters, by labels."""
-
-    @property
-    def service_settings(self) -> ServiceSettings:
-        """The settings for queries that come now."""
-
     def restrict_endpoints(self, restrictions: policy.HolderRestrictions) -> None:
         """Hand restrictions to the module."""
 
--- a/heathwell/service/fair_admission.py
+++ b/heathwell/service/fair_admission.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Mapping
 from typing import Protocol
 
-from heathwell import policy
-from heathwell.eventloop import Loop, Timer
+from heathwell.eventloop import Timer
 from heathwell.service.admission import GO, WAIT, FairGate, Window
 from heathwell.service.query_cost import query_cost_us
+from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServiceQuery
 from heathwell.settings import ServiceSettings
 
@@ -18,36 +17,13 @@
 MINIMUM_TICK_INTERVAL_US = 1000
 
 
-class FairAdmissionBroker(Protocol):
+class FairAdmissionBroker(ServiceContext, Protocol):
     """What :class:`FairAdmission` uses of its broker."""
 
-    @property
-    def loop(self) -> Loop:
-        """The event loop."""
-
-    @property
-    def dead(self) -> bool:
-        """Whether the broker is closed."""
-
-    @property
-    def counters(self) -> Counter[tuple[str, ...]]:
-        """Its counters, by labels."""
-
-    @property
-    def settings(self) -> policy.Settings:
-        """The module's settings for queries that come now."""
-
-    @property
-    def service_settings(self) -> ServiceSettings:
-        """The settings for queries that come now."""
-
     @property
     def queries(self) -> Mapping[str, ServiceQuery]:
         """The queries that it holds, by id."""
 
-    def query_class_of(self, query: ServiceQuery) -> policy.QueryClass:
-        """A query's class, by the settings that it is decided under."""
-
     def enter_query(self, query: ServiceQuery) -> None:
         """Hand a query to the module."""
 
--- a/heathwell/service/part_planner.py
+++ b/heathwell/service/part_planner.py
@@ -5,27 +5,20 @@
 from collections.abc import Iterable, Iterator
 from typing import Protocol
 
-from heathwell import policy
 from heathwell.broker.query_state import HintedPart
 from heathwell.codec import frames
 from heathwell.service import key_spaces
 from heathwell.service.query_cost import part_work_us
 from heathwell.service.records import PartPlan
+from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServicePart, ServiceQuery
-from heathwell.service.settings_change import ServiceSnapshot
 
 UNREACHABLE_PART_STATUS = "no live host holds it, or all lie behind a link that is down"
 
 
-class PlanningBroker(Protocol):
+class PlanningBroker(ServiceContext, Protocol):
     """What :class:`PartPlanner` uses of its broker."""
 
-    def query_class_of(self, query: ServiceQuery) -> policy.QueryClass:
-        """Return a query's class, by the settings that it is decided under."""
-
-    def snapshot_of(self, query: ServiceQuery) -> ServiceSnapshot:
-        """Return what is derived from the settings that a query is decided under."""
-
     def hold_part(self, query: ServiceQuery, part: ServicePart) -> None:
         """Register a part that is not passed to the decision module."""
 
--- a/heathwell/service/query_admission.py
+++ b/heathwell/service/query_admission.py
@@ -7,14 +7,13 @@
 from enum import StrEnum
 from typing import Protocol
 
-from heathwell import policy
 from heathwell.broker.query_state import SettingsVersion
 from heathwell.service.query_cost import query_cost_us
 from heathwell.service.records import PartPlan, Plan
+from heathwell.service.service_context import ServiceContext
 from heathwell.service.settings_change import ServiceSnapshot
 from heathwell.service.shard_reachability import ShardReachability
 from heathwell.service.storm_control import StormControl
-from heathwell.settings import ServiceSettings
 
 # Of a class's mean latency of a part: no answer is expected within less.
 MINIMUM_LATENCY_FRACTION = 0.5
@@ -49,25 +48,13 @@
     cut_off_parts: tuple[PartPlan, ...]
 
 
-class AdmissionBroker(Protocol):
+class AdmissionBroker(ServiceContext, Protocol):
     """What :class:`QueryAdmission` uses of its broker."""
 
     @property
     def stopping(self) -> bool:
         """Whether the broker shuts down."""
 
-    @property
-    def settings(self) -> policy.Settings:
-        """The module's settings for queries that come now."""
-
-    @property
-    def service_settings(self) -> ServiceSettings:
-        """The settings for queries that come now."""
-
-    @property
-    def current_version(self) -> SettingsVersion[ServiceSnapshot]:
-        """The version of the settings for queries that come now."""
-
     def is_full(self, parts: int) -> bool:
         """Whether there is no room for a query of so many parts."""
 
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -2,56 +2,23 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Sequence
 from typing import Protocol
 
-from heathwell import policy
-from heathwell.broker.query_state import Handle, SettingsVersion
+from heathwell.broker.query_state import Handle
 from heathwell.broker.replies import FAILED, MISS, REFUSED, OnReply, Reply
-from heathwell.eventloop import Loop
-from heathwell.observability.event_log import EventLog
 from heathwell.service.fair_admission import FairAdmission
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.service.query_admission import Admission, AdmissionRejectedError, QueryAdmission
 from heathwell.service.records import Plan
+from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServiceQuery
 from heathwell.service.service_statistics import ServiceStatistics
-from heathwell.service.settings_change import ServiceSnapshot
-from heathwell.settings import ServiceSettings
 
 
-class IntakeBroker(Protocol):
+class IntakeBroker(ServiceContext, Protocol):
     """What :class:`QueryIntake` uses of its broker."""
 
-    @property
-    def name(self) -> str:
-        """The broker's name, with its incarnation."""
-
-    @property
-    def loop(self) -> Loop:
-        """The event loop."""
-
-    @property
-    def events(self) -> EventLog:
-        """The event log."""
-
-    @property
-    def counters(self) -> Counter[tuple[str, ...]]:
-        """Its counters, by labels."""
-
-    @property
-    def settings(self) -> policy.Settings:
-        """The module's settings for queries that are admitted now."""
-
-    @property
-    def service_settings(self) -> ServiceSettings:
-        """The settings for queries that are admitted now."""
-
-    @property
-    def current_version(self) -> SettingsVersion[ServiceSnapshot]:
-        """The version of the settings for queries that are admitted now."""
-
     @property
     def keys(self) -> KeySpaces:
         """The key spaces for queries that are admitted now."""
--- a/heathwell/service/quota_gate.py
+++ b/heathwell/service/quota_gate.py
@@ -8,12 +8,11 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Mapping
 from typing import Protocol
 
 from heathwell import policy
-from heathwell.eventloop import Loop
+from heathwell.broker.driver_contract import DriverContext
 from heathwell.service.host_pool import HostPool
 
 AttemptKey = tuple[str, int]
@@ -85,21 +84,9 @@
         """Whether it is listed as live."""
 
 
-class QuotaBroker(Protocol):
+class QuotaBroker(DriverContext, Protocol):
     """What the gate uses of its broker."""
 
-    @property
-    def loop(self) -> Loop:
-        """The event loop."""
-
-    @property
-    def dead(self) -> bool:
-        """Whether the broker is closed."""
-
-    @property
-    def counters(self) -> Counter[tuple[str, ...]]:
-        """Its counters, by labels."""
-
     @property
     def links(self) -> Mapping[str, object]:
         """By node, its connection or its :class:`HostPool`."""
--- a/heathwell/service/reply_recorder.py
+++ b/heathwell/service/reply_recorder.py
@@ -2,37 +2,13 @@
 
 from __future__ import annotations
 
-from typing import Protocol
-
-from heathwell import policy
 from heathwell.broker.replies import ANSWERED, MISS, Reply
-from heathwell.eventloop import Loop
-from heathwell.observability.event_log import EventLog
 from heathwell.service.query_cost import query_cost_us
 from heathwell.service.query_explanations import ExplainedQuery, QueryExplanations
+from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServiceQuery
 from heathwell.service.service_statistics import ServiceStatistics
 from heathwell.service.storm_control import StormControl
-from heathwell.settings import ServiceSettings
-
-
-class RecorderBroker(Protocol):
-    """What :class:`ReplyRecorder` uses of its broker."""
-
-    @property
-    def loop(self) -> Loop:
-        """The event loop."""
-
-    @property
-    def events(self) -> EventLog:
-        """The event log."""
-
-    @property
-    def service_settings(self) -> ServiceSettings:
-        """The settings for queries that are admitted now."""
-
-    def query_class_of(self, query: ServiceQuery) -> policy.QueryClass:
-        """Return a query's class, by the settings that it is decided under."""
 
 
 class ReplyRecorder:
@@ -40,7 +16,7 @@
 
     def __init__(
         self,
-        broker: RecorderBroker,
+        broker: ServiceContext,
         explanations: QueryExplanations,
         statistics: ServiceStatistics | None,
         storm_control: StormControl | None,
--- a/heathwell/service/search_answers.py
+++ b/heathwell/service/search_answers.py
@@ -4,43 +4,25 @@
 
 from __future__ import annotations
 
-from collections import Counter
-from collections.abc import Callable
 from typing import Protocol
 
 import msgspec
 
-from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.codec import frames
-from heathwell.observability.event_log import EventLog
 from heathwell.service.admission import Costs
 from heathwell.service.merging import Malformed, Row
 from heathwell.service.records import SearchPlan
+from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServicePart, ServiceQuery
 from heathwell.service.vectors.wire import read_answer
 
 INITIAL_COST = 1.0
 
 
-class SearchBroker(Protocol):
+class SearchBroker(ServiceContext, Protocol):
     """What :class:`SearchAnswers` uses of its broker."""
 
-    @property
-    def events(self) -> EventLog:
-        """The event log."""
-
-    @property
-    def log(self) -> Callable[..., None]:
-        """The log."""
-
-    @property
-    def counters(self) -> Counter[tuple[str, ...]]:
-        """Its counters, by labels."""
-
-    def query_class_of(self, query: ServiceQuery) -> policy.QueryClass:
-        """A query's class, by the settings that it is decided under."""
-
     def supersede_attempt(self, query: ServiceQuery, part_id: str, attempt: int) -> None:
         """Tell the module that an attempt can't change its query's answer any more."""
 
--- a/heathwell/service/shard_reachability.py
+++ b/heathwell/service/shard_reachability.py
@@ -3,45 +3,22 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Protocol
 
-from heathwell import policy
-from heathwell.eventloop import Loop
 from heathwell.service.endpoint_restrictions import HOME_REGION_ONLY, EndpointRestrictions
 from heathwell.service.records import PartPlan, Plan
 from heathwell.service.regions import answerable
-from heathwell.settings import ServiceSettings
+from heathwell.service.service_context import ServiceContext
 
 UPDATE_DELAY_US = 25_000  # after an endpoint update, by when the module has taken it in
 MINIMUM_REACHABLE_FRACTION = 0.5  # of the shards; a broker with less is cut off
 
 
-class ReachabilityBroker(Protocol):
-    """What :class:`ShardReachability` uses of its broker."""
-
-    @property
-    def loop(self) -> Loop:
-        """The event loop."""
-
-    @property
-    def dead(self) -> bool:
-        """Whether the broker is closed."""
-
-    @property
-    def settings(self) -> policy.Settings:
-        """The module's settings for queries that come now."""
-
-    @property
-    def service_settings(self) -> ServiceSettings:
-        """The settings for queries that come now."""
-
-
 class ShardReachability:
     """The view of one broker. ``replicas_of`` gives the live nodes that hold a shard."""
 
     def __init__(
         self,
-        broker: ReachabilityBroker,
+        broker: ServiceContext,
         restrictions: EndpointRestrictions,
         replicas_of: Callable[[int], list[str]],
     ) -> None:
--- a/heathwell/service/storm_control.py
+++ b/heathwell/service/storm_control.py
@@ -2,12 +2,11 @@
 
 from __future__ import annotations
 
-from collections import Counter
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from typing import Protocol
 
-from heathwell.eventloop import Listener, Loop
-from heathwell.observability.event_log import EventLog
+from heathwell.broker.driver_contract import DriverContext
+from heathwell.eventloop import Listener
 from heathwell.service.retry_storms import Limits, Storms
 from heathwell.service.retry_storms.decider import TICK_US
 from heathwell.settings import ServiceSettings
@@ -28,29 +27,9 @@
         """Whether it is listed as live."""
 
 
-class StormBroker(Protocol):
+class StormBroker(DriverContext, Protocol):
     """What :class:`StormControl` uses of its broker."""
 
-    @property
-    def loop(self) -> Loop:
-        """The event loop."""
-
-    @property
-    def dead(self) -> bool:
-        """Whether the broker is closed."""
-
-    @property
-    def events(self) -> EventLog:
-        """The event log."""
-
-    @property
-    def log(self) -> Callable[..., None]:
-        """The log."""
-
-    @property
-    def counters(self) -> Counter[tuple[str, ...]]:
-        """Its counters, by labels."""
-
     @property
     def endpoints(self) -> Mapping[str, StormEndpoint]:
         """All endpoints that its module knows, by node."""
--- a/heathwell/service/zone_observer.py
+++ b/heathwell/service/zone_observer.py
@@ -10,11 +10,11 @@
 
 import hashlib
 import random
-from collections.abc import Callable, Iterable, Mapping, Sequence
+from collections.abc import Iterable, Mapping, Sequence
 from typing import Protocol
 
 from heathwell import policy
-from heathwell.eventloop import Loop
+from heathwell.broker.driver_contract import DriverContext
 from heathwell.fleet.evacuation import (
     PROBE_CLASS,
     AttemptResult,
@@ -24,7 +24,6 @@
     ZoneDirective,
     ZoneState,
 )
-from heathwell.observability.event_log import EventLog
 
 TICK_INTERVAL_US = 500_000
 PROBE_PROBABILITY = 0.3  # of a broker to probe one endpoint of an evacuated zone, each tick
@@ -54,29 +53,9 @@
         """The number of its zone."""
 
 
-class ZoneBroker(Protocol):
+class ZoneBroker(DriverContext, Protocol):
     """What the observer uses of its broker."""
 
-    @property
-    def name(self) -> str:
-        """The broker's name, with its incarnation."""
-
-    @property
-    def loop(self) -> Loop:
-        """The event loop."""
-
-    @property
-    def dead(self) -> bool:
-        """Whether the broker is closed."""
-
-    @property
-    def events(self) -> EventLog:
-        """The event log."""
-
-    @property
-    def log(self) -> Callable[..., None]:
-        """The log."""
-
     @property
     def endpoints(self) -> Mapping[str, ZoneEndpoint]:
         """All endpoints that its module knows, by node."""
