--- a/heathwell/broker/driver_contract.py
+++ b/heathwell/broker/driver_contract.py
@@ -1,16 +1,26 @@
-"""Protocols between the driver and what it drives: links to endpoints and the source of the endpoint list.
+"""Protocols between the driver and what it drives: links to endpoints and the source of the endpoint list;
+and what the components of a broker use of their driver.
 
 The module owns no state and imports nothing of the driver, so that links need not import it either.
 """
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from collections import Counter
+from collections.abc import Callable
+from typing import Protocol, TypeVar
+
+from heathwell.eventloop import Loop
+from heathwell.observability.event_log import EventLog
 
 AttemptKey = tuple[str, int]
 """A part's id and the attempt's number within that part, counted from 0."""
 
 
+Counters = Counter[tuple[str, ...]]
+"""Numbers of occurrences, by labels."""
+
+
 class PlannedPart(Protocol):
     """What the driver reads of the plan of a part."""
 
@@ -35,6 +45,9 @@
         """The number of the attempt within its part."""
 
 
+RequestT = TypeVar("RequestT", bound=AttemptRequest)
+
+
 class AttemptResult(Protocol):
     """What an endpoint answered to an attempt."""
 
@@ -47,7 +60,7 @@
         """The part's value."""
 
 
-class Link(Protocol):
+class Link(Protocol[RequestT]):
     """The connections to one endpoint; reports exactly one outcome for each attempt and each probe."""
 
     @property
@@ -58,8 +71,8 @@
     def up(self) -> bool:
         """Whether a connection is established."""
 
-    def send(self, parts: list[Any]) -> None:
-        """Send attempts (each an :class:`AttemptRequest` of the link's own type) in one call."""
+    def send(self, parts: list[RequestT]) -> None:
+        """Send attempts in one call."""
 
     def abandon(self, key: AttemptKey) -> bool:
         """Stop waiting for an attempt whose outcome the caller records itself; true if it was in flight."""
@@ -85,3 +98,31 @@
 
     def close(self) -> None:
         """Request no more."""
+
+
+class DriverContext(Protocol):
+    """What the components of a broker use of its driver; each adds what it needs beyond, beside itself."""
+
+    @property
+    def name(self) -> str:
+        """The broker's name, with its incarnation."""
+
+    @property
+    def loop(self) -> Loop:
+        """The event loop."""
+
+    @property
+    def dead(self) -> bool:
+        """Whether the broker is killed; nothing more is decided or sent."""
+
+    @property
+    def events(self) -> EventLog:
+        """The event log."""
+
+    @property
+    def log(self) -> Callable[..., None]:
+        """The log: called with a level, a message and fields."""
+
+    @property
+    def counters(self) -> Counters:
+        """The broker's counters."""
--- a/heathwell/service/query_admission.py
+++ b/heathwell/service/query_admission.py
@@ -7,13 +7,13 @@
 from enum import StrEnum
 from typing import Protocol
 
-from heathwell import policy
 from heathwell.broker.query_state import SettingsVersion
 from heathwell.service.query_cost import query_cost_us
 from heathwell.service.records import PartPlan, Plan
+from heathwell.service.service_context import ServiceContext
+from heathwell.service.settings_change import ServiceSnapshot
 from heathwell.service.shard_reachability import ShardReachability
 from heathwell.service.storm_control import StormControl
-from heathwell.settings import ServiceSettings
 
 # Of a class's mean latency of a part: no answer is expected within less.
 MINIMUM_LATENCY_FRACTION = 0.5
@@ -48,25 +48,13 @@
     cut_off_parts: tuple[PartPlan, ...]
 
 
-class AdmissionBroker(Protocol):
+class AdmissionBroker(ServiceContext, Protocol):
     """What :class:`QueryAdmission` uses of its broker."""
 
     @property
     def stopping(self) -> bool:
         """Whether the broker shuts down."""
 
-    @property
-    def settings(self) -> policy.Settings:
-        """The module's settings for queries that come now."""
-
-    @property
-    def service_settings(self) -> ServiceSettings:
-        """The settings for queries that come now."""
-
-    @property
-    def current_version(self) -> SettingsVersion:
-        """The version of the settings for queries that come now."""
-
     def is_full(self, parts: int) -> bool:
         """Whether there is no room for a query of so many parts."""
 
@@ -105,7 +93,11 @@
         return Admission(timeout_us, cut_off_parts)
 
     def retry_after_us(
-        self, plan: Plan, client: str, version: SettingsVersion, otherwise_us: int | None = None
+        self,
+        plan: Plan,
+        client: str,
+        version: SettingsVersion[ServiceSnapshot],
+        otherwise_us: int | None = None,
     ) -> int:
         """After how long the client of a rejected query may retry.
 
@@ -146,6 +138,6 @@
         return timeout_us - self._broker.service_settings.limits.transit < least_us
 
     def _is_answerable_without(self, parts: tuple[PartPlan, ...], query_class: int) -> bool:
-        """Whether the other parts can make an answer; if not, waiting for the deadline is of no use."""
+        """Whether the other parts can make an answer; if not, waiting for the deadline is pointless."""
         minimum_fraction = self._broker.settings.classes[query_class].minimum_fraction
         return 1 - sum(part.weight for part in parts) >= minimum_fraction - WEIGHT_TOLERANCE
