--- a/heathwell/servers/admin.py
+++ b/heathwell/servers/admin.py
@@ -138,8 +138,8 @@
                 "heathwell_crossed", "Attempts over a link", labels=("region", "which")
             )
             for way in broker.regions.links.values():
-                crossed.add_metric((way.region, "first"), way.crossed - way.further)
-                crossed.add_metric((way.region, "further"), way.further)
+                crossed.add_metric((way.region, "first"), way.crossed_count - way.additional_crossed_count)
+                crossed.add_metric((way.region, "further"), way.additional_crossed_count)
             yield crossed
             shares = GaugeMetricFamily(
                 "heathwell_answerable",
@@ -152,7 +152,7 @@
             yield CounterMetricFamily(
                 "heathwell_clients_let_go",
                 "Idle clients closed while cut off or in a left zone",
-                value=broker.client_drain.let_go,
+                value=broker.client_drain.closed_count,
             )
         if broker.quota_gate is not None:
             shares = GaugeMetricFamily(
@@ -307,10 +307,10 @@
                 {
                     "region": link.region,
                     "state": link.state,
-                    "for_ms": (now - link.since) // 1000 if link.since else None,
+                    "for_ms": (now - link.since_us) // 1000 if link.since_us else None,
                     "why": link.evidence,
-                    "crossed": link.crossed,
-                    "further_crossed": link.further,
+                    "crossed": link.crossed_count,
+                    "further_crossed": link.additional_crossed_count,
                 }
                 for link in broker.regions.links.values()
             ]
--- a/heathwell/servers/memcached.py
+++ b/heathwell/servers/memcached.py
@@ -23,6 +23,7 @@
 from heathwell.codec import memcached as mc
 from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken
 from heathwell.service.coverage import encode
+from heathwell.service.regions import IdleClient
 from heathwell.service.retry_storms import Doors
 from heathwell.service.service_broker import ServiceBroker
 
@@ -55,7 +56,7 @@
         limits = broker.service_settings.limits
         self.doors = Doors(limits.clients, limits.clients_an_address)
         self.total = self.gets = self.cut_slow = self.bad = self.refused_writes = 0
-        if broker.client_drain.over:
+        if broker.client_drain.spread_us:
             broker.loop.call_at(self.started + DRAIN_LOOK_US, self._let_go)
 
     def serve(self, stream: Stream) -> Coro[None]:
@@ -92,11 +93,12 @@
         if broker.dead:
             return
         broker.loop.call_at(now + DRAIN_LOOK_US, self._let_go)
-        broker.client_drain.look(now, broker.sends_away)
-        if not broker.client_drain.cut:
+        broker.client_drain.tick(now, is_cut_off=broker.sends_away)
+        if not broker.client_drain.is_active:
             return
         known = {connection.number: connection for connection in self.connections}
-        for number in broker.client_drain.due(now, ((c.number, c.since) for c in self.connections if c.idle)):
+        idle = (IdleClient(each.number, each.since) for each in self.connections if each.idle)
+        for number in broker.client_drain.take_due(now, idle):
             self.log("debug", "client let go", client=known[number].stream.peer)
             known[number].stream.close()
 
--- a/heathwell/servers/vector.py
+++ b/heathwell/servers/vector.py
@@ -54,16 +54,16 @@
             for spec in broker.service_settings.collections
         }
         self.requests = self.errors = self.slow = self.left = self.searches = 0
-        if broker.client_drain.over:
+        if broker.client_drain.spread_us:
             broker.loop.call_at(broker.loop.now() + DRAIN_LOOK_US, self._let_go)
 
     def _let_go(self) -> None:
         """While the broker is cut off answers close their connections: clients find another."""
         if not self.broker.dead:
             self.broker.loop.call_at(self.broker.loop.now() + DRAIN_LOOK_US, self._let_go)
-            closing = self.broker.client_drain.cut
+            closing = self.broker.client_drain.is_active
             for connection in self.numbers.values():
-                connection.last = closing and connection.since < self.broker.client_drain.cut_since
+                connection.last = closing and connection.since < self.broker.client_drain.cut_since_us
 
     def serve(self, stream: Stream) -> Coro[None]:
         """One connection, from its first byte to its last."""
--- a/heathwell/service/endpoint_restrictions.py
+++ b/heathwell/service/endpoint_restrictions.py
@@ -15,7 +15,7 @@
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.eventloop import Loop
 from heathwell.observability.event_log import EventLog
-from heathwell.service.regions import Regions, Way
+from heathwell.service.regions import RegionLinks, RegionRoute
 from heathwell.settings import ServiceSettings
 
 TICK_INTERVAL_US = 25_000  # between two looks at the links between regions
@@ -80,7 +80,7 @@
         self._from_links = Restriction()
         self._evacuated: dict[int | None, frozenset[str]] = {}
         self.remote_nodes: frozenset[str] = NO_NODES
-        self.regions: Regions | None = None
+        self.regions: RegionLinks | None = None
         if _needs_regions(broker.service_settings):
             home = self._region_by_zone[zone]
             self.regions = _make_regions(broker.service_settings, home, shortest_objective_us, seed)
@@ -110,7 +110,7 @@
             self._region_by_node[entry.node] = self._region_by_zone.get(entry.zone, "")
             if entry.state == policy.EndpointState.GONE:
                 del self._region_by_node[entry.node]
-        self.regions.listed(self._region_by_node)
+        self.regions.set_endpoints(self._region_by_node)
 
     def restrict_remote_nodes(self) -> None:
         """Restrict endpoints in other regions for the classes that stay at home.
@@ -145,23 +145,23 @@
     def on_attempt_sent(self, node: str, key: AttemptKey) -> None:
         """Record an attempt that is handed to its connection."""
         if self.regions is not None:
-            self.regions.sent(self._broker.loop.now(), node, key)
+            self.regions.on_attempt_sent(self._broker.loop.now(), node, key)
 
     def on_attempt_ended(self, node: str, key: AttemptKey, outcome: policy.Outcome, duration_us: int) -> None:
         """Record the end of an attempt."""
         if self.regions is not None:
-            self.regions.ended(self._broker.loop.now(), node, key, outcome, duration_us)
+            self.regions.on_attempt_ended(self._broker.loop.now(), node, key, outcome, duration_us)
 
     def on_probe_result(self, node: str, outcome: policy.Outcome) -> None:
         """Record the end of a probe."""
         if self.regions is not None:
-            self.regions.probed(self._broker.loop.now(), node, outcome)
+            self.regions.on_probe_ended(self._broker.loop.now(), node, outcome)
             self._log_link_changes(self.regions)
 
     def on_late_answer(self, node: str) -> None:
         """Record an answer that came too late: it shows that the link is up."""
         if self.regions is not None:
-            self.regions.heard(self._broker.loop.now(), node)
+            self.regions.on_late_answer(self._broker.loop.now(), node)
             self._log_link_changes(self.regions)
 
     # Periodic work.
@@ -176,7 +176,8 @@
             self._broker.counters["link probe",] += 1
             self._broker.probe_endpoint(node)
         self._log_link_changes(self.regions)
-        from_links = Restriction(*self.regions.holdings(now))
+        restrictions = self.regions.restrictions(now)
+        from_links = Restriction(restrictions.deprioritized, restrictions.excluded)
         if from_links != self._from_links:
             self._from_links = from_links
             self._push(None)
@@ -191,8 +192,9 @@
             )
         )
 
-    def _log_link_changes(self, regions: Regions) -> None:
-        for region, state, why in regions.news():
+    def _log_link_changes(self, regions: RegionLinks) -> None:
+        for change in regions.take_changes():
+            region, state, why = change.region, change.state.value, change.evidence
             self._broker.counters["link", region, state] += 1
             self._broker.events("link", region=region, state=state, why=why)
             self._broker.log("warning", "link to region", region=region, state=state, why=why)
@@ -218,25 +220,25 @@
 
 def _make_regions(
     service_settings: ServiceSettings, home: str, shortest_objective_us: int, seed: int
-) -> Regions:
+) -> RegionLinks:
     across = service_settings.across
-    return Regions(
+    return RegionLinks(
         home,
         [region.name for region in across.regions],
         shortest_objective_us,
         seed ^ REGIONS_SEED_MASK,
-        prefer=across.prefer_home,
-        cross_most=across.cross_most,
-        judge=across.decide,
-        budget=across.cross_budget,
-        ways=_ways_from(home, service_settings),
+        prefers_home=across.prefer_home,
+        maximum_additional_crossings=across.cross_most,
+        judges_links=across.decide,
+        crossing_cost_budget=across.cross_budget,
+        routes=_routes_from(home, service_settings),
     )
 
 
-def _ways_from(home: str, service_settings: ServiceSettings) -> dict[str, Way]:
+def _routes_from(home: str, service_settings: ServiceSettings) -> dict[str, RegionRoute]:
     """By region, the round trip and the cost of its link with home."""
     return {
-        (set(link.between) - {home}).pop(): Way(2 * link.delay, link.cost)
+        (set(link.between) - {home}).pop(): RegionRoute(2 * link.delay, link.cost)
         for link in service_settings.across.links
         if home in link.between
     }
--- a/heathwell/service/regions/__init__.py
+++ b/heathwell/service/regions/__init__.py
@@ -1,9 +1,24 @@
-"""One service across regions: is it the link or a host, which holders a part may go to, and how to
-come back.
-"""
+"""One service across regions: faults of links, and the restrictions of endpoints that follow."""
 
-from heathwell.service.regions.clients import ClientDrain
-from heathwell.service.regions.links import DOWN, HALF, OPEN, SLOW, LinkState, Regions, Way
-from heathwell.service.regions.reach import answerable
+from heathwell.service.regions.answerable_fraction import answerable_fraction
+from heathwell.service.regions.client_drain import ClientDrain, IdleClient
+from heathwell.service.regions.link_state import (
+    LinkChange,
+    LinkRestrictions,
+    LinkState,
+    RegionLink,
+    RegionRoute,
+)
+from heathwell.service.regions.region_links import RegionLinks
 
-__all__ = ["DOWN", "HALF", "OPEN", "SLOW", "ClientDrain", "LinkState", "Regions", "Way", "answerable"]
+__all__ = [
+    "ClientDrain",
+    "IdleClient",
+    "LinkChange",
+    "LinkRestrictions",
+    "LinkState",
+    "RegionLink",
+    "RegionLinks",
+    "RegionRoute",
+    "answerable_fraction",
+]
--- /dev/null
+++ b/heathwell/service/regions/client_drain.py
@@ -0,0 +1,76 @@
+"""Which clients a broker disconnects while it is cut off, so that they connect to another broker. Pure.
+
+Memcached's protocol has no unsolicited message, so closing the connection is the only signal. Only idle
+connections are closed, at instants spread by seed to avoid a reconnect storm at the other brokers, and each
+client at most once a cut: a client that connected after the cut began found no better broker and is kept.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable, Sequence
+from typing import NamedTuple
+
+CONFIRMATION_US = 1_000_000  # cut off for so long before a client is closed; half-open steps end within it
+RECOVERY_US = 3_000_000  # connected for so long before the next cut counts as a new one
+NEVER_AT_US = -1
+
+
+class IdleClient(NamedTuple):
+    """A client connection without a request."""
+
+    number: int
+    connected_at_us: int
+
+
+class ClientDrain:
+    """Draws for each client the instant at which it is closed.
+
+    ``spread_us`` is the time over which all clients are closed; with 0 every client is kept.
+    """
+
+    def __init__(self, spread_us: int, seed: int) -> None:
+        self.spread_us = spread_us
+        self.cut_since_us = NEVER_AT_US
+        self.closed_count = 0
+        self._random = random.Random(seed)
+        self._recovered_since_us = NEVER_AT_US
+        self._close_at_us: dict[int, int] = {}
+
+    def tick(self, now_us: int, *, is_cut_off: bool) -> None:
+        """Record whether the broker is cut off now."""
+        if not self.spread_us:
+            return
+        if is_cut_off:
+            self._recovered_since_us = NEVER_AT_US
+            if self.cut_since_us < 0:
+                self.cut_since_us = now_us
+        elif self.cut_since_us >= 0:
+            if self._recovered_since_us < 0:
+                self._recovered_since_us = now_us
+            if now_us - self._recovered_since_us >= RECOVERY_US:
+                self.cut_since_us = NEVER_AT_US
+                self._close_at_us.clear()
+
+    @property
+    def is_active(self) -> bool:
+        """Whether clients are being closed."""
+        return self.cut_since_us >= 0 and self._recovered_since_us < 0
+
+    def take_due(self, now_us: int, idle_clients: Iterable[IdleClient]) -> Sequence[int]:
+        """Return the numbers of the clients to close now."""
+        first_close_at_us = self.cut_since_us + CONFIRMATION_US
+        if not self.is_active or now_us < first_close_at_us:
+            return ()
+        due = []
+        for client in idle_clients:
+            if client.connected_at_us >= self.cut_since_us:
+                continue
+            if client.number not in self._close_at_us:
+                delay_us = int(self._random.random() * self.spread_us)
+                self._close_at_us[client.number] = first_close_at_us + delay_us
+            if self._close_at_us[client.number] <= now_us:
+                due.append(client.number)
+                del self._close_at_us[client.number]
+        self.closed_count += len(due)
+        return due
--- /dev/null
+++ b/heathwell/service/regions/link_state.py
@@ -0,0 +1,94 @@
+"""Records of the links to other regions and of the endpoints behind them."""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+from enum import StrEnum
+
+FLAP_FALLS = 2  # falls within :data:`FLAP_WINDOW_US` that make a link a flapping one
+FLAP_WINDOW_US = 10_000_000
+LATENCY_SAMPLES = 32  # latest answers by which the delay of a link is judged
+FIRST_TRIAL_INTERVAL_US = 500_000
+SUSPICION_INTERVAL_US = 1_000_000  # between two suspicions of one link
+NEVER_AT_US = -1
+
+AttemptKey = tuple[str, int]  # the id of a part, and the number of the attempt
+PROBE: AttemptKey = ("probe", 0)
+
+
+class LinkState(StrEnum):
+    """The state of a link as one broker observes it."""
+
+    OPEN = "open"
+    SLOW = "slow"
+    DOWN = "down"
+    HALF_OPEN = "half"
+
+
+@dataclass(frozen=True, slots=True)
+class RegionRoute:
+    """The route to a region by settings: its usual round trip (us), and the cost of a part that crosses."""
+
+    round_trip_us: int = 0
+    cost: float = 1.0
+
+
+@dataclass(frozen=True, slots=True)
+class LinkChange:
+    """A change of state of the link to a region, with its evidence in words."""
+
+    region: str
+    state: LinkState
+    evidence: str
+
+
+@dataclass(frozen=True, slots=True)
+class LinkRestrictions:
+    """``deprioritized`` endpoints serve only where no other does, ``excluded`` ones not at all."""
+
+    deprioritized: frozenset[str]
+    excluded: frozenset[str]
+
+
+@dataclass(slots=True)
+class EndpointActivity:
+    """The last results of one endpoint, and when each of its pending attempts was sent."""
+
+    node: str
+    region: str
+    last_ok_at_us: int = NEVER_AT_US
+    last_failed_at_us: int = NEVER_AT_US
+    pending_since_us: dict[AttemptKey, int] = field(default_factory=dict)
+
+
+@dataclass(slots=True)
+class RegionLink:
+    """One link as this broker observes it; ``evidence`` tells why it is in its state, for the log."""
+
+    region: str
+    state: LinkState = LinkState.OPEN
+    since_us: int = 0
+    evidence: str = ""
+    trial_at_us: int = 0
+    trial_interval_us: int = FIRST_TRIAL_INTERVAL_US
+    recovery_step: int = 0
+    recovery_step_at_us: int = 0
+    ok_count: int = 0
+    latencies_us: deque[int] = field(default_factory=lambda: deque(maxlen=LATENCY_SAMPLES))
+    crossed_count: int = 0
+    additional_crossed_count: int = 0
+    route: RegionRoute = field(default_factory=RegionRoute)
+    late_answer_at_us: dict[str, int] = field(default_factory=dict)
+    probe_sent_at_us: dict[str, int] = field(default_factory=dict)
+    quick_probe_count: int = 0
+    suspected_at_us: int = -SUSPICION_INTERVAL_US
+    fell_at_us: deque[int] = field(default_factory=lambda: deque(maxlen=FLAP_FALLS))
+
+    def fell_repeatedly_within(self, now_us: int, window_us: int) -> bool:
+        """Return whether the last :data:`FLAP_FALLS` falls are all within a window."""
+        return len(self.fell_at_us) == FLAP_FALLS and now_us - self.fell_at_us[0] < window_us
+
+    def is_flapping(self, now_us: int) -> bool:
+        """Return whether the link fell repeatedly not long ago."""
+        return self.fell_repeatedly_within(now_us, 2 * FLAP_WINDOW_US)
--- /dev/null
+++ b/heathwell/service/regions/region_links.py
@@ -0,0 +1,338 @@
+"""The links of one broker to other regions: events of attempts and probes in, restrictions out. Pure.
+
+Which endpoints are *excluded* (nothing may be sent to them) and which are *deprioritized* (used only where no
+other can serve) follows from the state of their region's link; the decision module selects among the rest.
+
+- *open*, at the start and after half open: no restriction.
+- *slow*, when its quickest answers take ``SLOW_FRACTION`` of the shortest latency objective longer than those
+  of the home region: the region's endpoints are deprioritized.
+- *down*, when endpoints of the region failed together while home answers (:mod:`link_faults`): they are
+  excluded, and a few are probed at growing, jittered intervals. Late answers of ``LATE_ENDPOINTS`` make the
+  link slow.
+- *half open*, when a probe was answered: a growing, random fraction of the endpoints is usable, one step each
+  ``RECOVERY_STEP_US`` while answers arrive.
+"""
+
+from __future__ import annotations
+
+import random
+from collections import deque
+from collections.abc import Mapping, Sequence
+
+from heathwell.policy import Outcome
+from heathwell.service.regions.crossing_budget import CrossingBudget
+from heathwell.service.regions.link_faults import (
+    HomeHealth,
+    JointFault,
+    find_joint_fault,
+    has_silent_endpoint,
+    quickest_tenth_us,
+)
+from heathwell.service.regions.link_state import (
+    FIRST_TRIAL_INTERVAL_US,
+    FLAP_FALLS,
+    FLAP_WINDOW_US,
+    LATENCY_SAMPLES,
+    NEVER_AT_US,
+    PROBE,
+    SUSPICION_INTERVAL_US,
+    AttemptKey,
+    EndpointActivity,
+    LinkChange,
+    LinkRestrictions,
+    LinkState,
+    RegionLink,
+    RegionRoute,
+)
+
+FAILURES = (Outcome.UNREACHABLE, Outcome.BROKEN, Outcome.TIMED_OUT)
+RESPONSES = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED)  # each of them crossed the link
+LATE_ENDPOINTS = 2  # endpoints whose late answers show that a link is slow and not cut
+SLOW_FRACTION = 0.15  # of the shortest objective: additional delay from which a link is slow
+FAST_FRACTION = 0.08  # of the shortest objective: additional delay below which it is open again
+MAXIMUM_TRIAL_INTERVAL_US = 2_000_000
+TRIAL_JITTER = (0.6, 1.4)
+TRIAL_ENDPOINTS = 2  # probed at a trial: one may be down by itself
+SUSPICION_ENDPOINTS = 4  # probed once an endpoint of the region is silent
+QUICK_PROBES = 4  # quick ones in a row after which a slow link is open again: one may be jitter
+RECOVERY_FRACTIONS = (0.25, 0.5, 1.0)  # of the region's endpoints that are usable while half open
+RECOVERY_STEP_US = 400_000
+LATENCY_GAIN = 0.1
+
+
+class RegionLinks:
+    """The links of one broker.
+
+    ``shortest_objective_us`` is the shortest latency objective of a class. ``prefers_home`` deprioritizes all
+    endpoints of other regions; without ``judges_links`` the state of every link stays open.
+    ``maximum_additional_crossings`` and ``crossing_cost_budget`` are the bounds of a :class:`CrossingBudget`.
+    ``routes`` gives what settings state of the route to a region.
+    """
+
+    def __init__(
+        self,
+        home: str,
+        regions: Sequence[str],
+        shortest_objective_us: int,
+        seed: int,
+        *,
+        prefers_home: bool = True,
+        judges_links: bool = True,
+        maximum_additional_crossings: int = 0,
+        crossing_cost_budget: float = 0.0,
+        routes: Mapping[str, RegionRoute] | None = None,
+    ) -> None:
+        self.home = home
+        self.crossing_budget = CrossingBudget(maximum_additional_crossings, crossing_cost_budget)
+        self.links = {
+            region: RegionLink(region, route=(routes or {}).get(region, RegionRoute()))
+            for region in regions
+            if region != home
+        }
+        self._shortest_objective_us = shortest_objective_us
+        self._prefers_home = prefers_home
+        self._judges_links = judges_links
+        self._random = random.Random(seed)
+        self._endpoints: dict[str, EndpointActivity] = {}
+        self._recovery_order: dict[str, float] = {}
+        self._home_latency_us = 0.0
+        self._home_ok_at_us = NEVER_AT_US
+        self._home_latencies_us: deque[int] = deque(maxlen=LATENCY_SAMPLES)
+        self._changes: list[LinkChange] = []
+
+    def set_endpoints(self, region_by_node: Mapping[str, str]) -> None:
+        """Take the endpoint list, with the region of each endpoint."""
+        for node, region in region_by_node.items():
+            endpoint = self._endpoints.get(node)
+            if endpoint is None or endpoint.region != region:
+                self._endpoints[node] = EndpointActivity(node, region)
+                self._recovery_order[node] = self._random.random()
+        for node in [node for node in self._endpoints if node not in region_by_node]:
+            del self._endpoints[node]
+
+    # Events of attempts and probes
+
+    def on_attempt_sent(self, now_us: int, node: str, key: AttemptKey) -> None:
+        """Record an attempt."""
+        endpoint = self._endpoints.get(node)
+        if endpoint is None:
+            return
+        endpoint.pending_since_us[key] = now_us
+        link = self.links.get(endpoint.region)
+        if link is None:
+            return
+        is_additional = key[1] > 0
+        link.crossed_count += 1
+        link.additional_crossed_count += is_additional
+        self.crossing_budget.record(now_us, link.route.cost, is_additional=is_additional)
+
+    def on_attempt_ended(
+        self, now_us: int, node: str, key: AttemptKey, outcome: str, duration_us: int
+    ) -> None:
+        """Record the end of an attempt; a cancelled one is no evidence."""
+        endpoint = self._endpoints.get(node)
+        if endpoint is None:
+            return
+        endpoint.pending_since_us.pop(key, None)
+        if outcome in FAILURES:
+            endpoint.last_failed_at_us = now_us
+        elif outcome in RESPONSES:
+            endpoint.last_ok_at_us = now_us
+            endpoint.pending_since_us.pop(PROBE, None)
+            if outcome == Outcome.OK:
+                self._record_latency(now_us, self.links.get(endpoint.region), duration_us)
+
+    def _record_latency(self, now_us: int, link: RegionLink | None, duration_us: int) -> None:
+        if link is not None:
+            link.latencies_us.append(duration_us)
+            link.ok_count += 1
+            return
+        gain = LATENCY_GAIN if self._home_latency_us else 1.0
+        self._home_latency_us += (duration_us - self._home_latency_us) * gain
+        self._home_ok_at_us = now_us
+        self._home_latencies_us.append(duration_us)
+
+    def on_late_answer(self, now_us: int, node: str) -> None:
+        """Record an answer after its attempt's end: from enough endpoints it shows that the link is up."""
+        endpoint = self._endpoints.get(node)
+        link = self.links.get(endpoint.region) if endpoint is not None else None
+        if endpoint is None or link is None:
+            return
+        endpoint.last_ok_at_us = now_us
+        endpoint.pending_since_us.pop(PROBE, None)
+        link.late_answer_at_us[node] = now_us
+        late_count = sum(at_us > link.since_us for at_us in link.late_answer_at_us.values())
+        if link.state == LinkState.DOWN and late_count >= LATE_ENDPOINTS:
+            self._enter(now_us, link, LinkState.SLOW, "answers come over it after their time")
+
+    def on_probe_ended(self, now_us: int, node: str, outcome: str) -> None:
+        """Record the end of a probe that :meth:`tick` requested."""
+        endpoint = self._endpoints.get(node)
+        link = self.links.get(endpoint.region) if endpoint is not None else None
+        if endpoint is None or link is None:
+            return
+        sent_at_us = link.probe_sent_at_us.pop(node, None)
+        if outcome == Outcome.TIMED_OUT and PROBE in endpoint.pending_since_us:
+            return  # its answer may still arrive over a slow link: it counts as silent since it was sent
+        endpoint.pending_since_us.pop(PROBE, None)
+        if outcome != Outcome.OK:
+            endpoint.last_failed_at_us = now_us
+            return
+        endpoint.last_ok_at_us = now_us
+        if link.state == LinkState.SLOW and sent_at_us is not None:
+            self._count_quick_probe(now_us, link, now_us - sent_at_us)
+        elif link.state == LinkState.DOWN:
+            link.recovery_step = 0
+            link.recovery_step_at_us = now_us
+            link.ok_count = 0
+            self._enter(now_us, link, LinkState.HALF_OPEN, f"probe of {node} answered")
+
+    def _count_quick_probe(self, now_us: int, link: RegionLink, duration_us: int) -> None:
+        """Open a slow link after enough quick probes in a row."""
+        is_quick = duration_us < FAST_FRACTION * self._shortest_objective_us + link.route.round_trip_us
+        link.quick_probe_count = link.quick_probe_count + 1 if is_quick else 0
+        if link.quick_probe_count >= QUICK_PROBES:
+            # The event log quotes the evidence, whose words stay as they are.
+            evidence = f"{QUICK_PROBES} probes in a row back within {FAST_FRACTION:g} of an aim"
+            self._enter(now_us, link, LinkState.OPEN, evidence)
+
+    # Periodic judgement
+
+    def tick(self, now_us: int) -> list[str]:
+        """Judge the links by the evidence so far, and return the endpoints to probe."""
+        if not self._judges_links:
+            return []
+        return [node for link in self.links.values() for node in self._judge(now_us, link)]
+
+    def _judge(self, now_us: int, link: RegionLink) -> list[str]:
+        endpoints = [endpoint for endpoint in self._endpoints.values() if endpoint.region == link.region]
+        nodes_to_probe: list[str] = []
+        if link.state != LinkState.DOWN:
+            home = HomeHealth(self._home_latency_us, self._home_ok_at_us)
+            fault = find_joint_fault(now_us, link, endpoints, home)
+            if fault is not None:
+                self._on_joint_fault(now_us, link, fault)
+                return []
+            if link.state != LinkState.HALF_OPEN:
+                nodes_to_probe += self._probe_on_suspicion(now_us, link, endpoints)
+        # Over a slow link too: deprioritized endpoints bring no answers by which to judge the link.
+        if link.state in (LinkState.DOWN, LinkState.SLOW) and now_us >= link.trial_at_us:
+            nodes_to_probe += self._start_trial(now_us, link, endpoints)
+        elif link.state == LinkState.HALF_OPEN and now_us >= link.recovery_step_at_us + RECOVERY_STEP_US:
+            self._advance_recovery(now_us, link, endpoints)
+        if link.state in (LinkState.OPEN, LinkState.SLOW):
+            self._compare_latency(now_us, link)
+        return nodes_to_probe
+
+    def _on_joint_fault(self, now_us: int, link: RegionLink, fault: JointFault) -> None:
+        if fault.is_silence and link.state == LinkState.OPEN:
+            # After so short a silence it may be slow and not cut: down only if the silence lasts.
+            link.suspected_at_us = now_us - SUSPICION_INTERVAL_US
+            self._enter(now_us, link, LinkState.SLOW, fault.evidence)
+            return
+        if link.state != LinkState.HALF_OPEN and not link.is_flapping(now_us):
+            link.fell_at_us.append(now_us)
+            if link.fell_repeatedly_within(now_us, FLAP_WINDOW_US):
+                # Excluding the endpoints again and again costs more than a flap delays.
+                link.late_answer_at_us.clear()
+                evidence = f"{FLAP_FALLS} falls within {FLAP_WINDOW_US // 1_000_000} s: it flaps"
+                self._enter(now_us, link, LinkState.SLOW, evidence)
+                return
+        if link.state == LinkState.HALF_OPEN:
+            link.trial_interval_us = min(2 * link.trial_interval_us, MAXIMUM_TRIAL_INTERVAL_US)
+        else:
+            link.trial_interval_us = FIRST_TRIAL_INTERVAL_US
+        link.trial_at_us = now_us + self._jittered_us(link.trial_interval_us)
+        self._enter(now_us, link, LinkState.DOWN, fault.evidence)
+
+    def _probe_on_suspicion(
+        self, now_us: int, link: RegionLink, endpoints: Sequence[EndpointActivity]
+    ) -> list[str]:
+        """Choose endpoints to probe, as one is silent, to learn whether it is the only one.
+
+        They are judged like those with pending attempts: there may be too little work to judge by.
+        """
+        is_too_early = now_us - link.suspected_at_us < SUSPICION_INTERVAL_US
+        if is_too_early or not has_silent_endpoint(now_us, endpoints):
+            return []
+        link.suspected_at_us = now_us
+        nodes = self._sample_nodes(endpoints, SUSPICION_ENDPOINTS)
+        link.probe_sent_at_us.update(dict.fromkeys(nodes, now_us))
+        for node in nodes:
+            pending_since_us = self._endpoints[node].pending_since_us
+            if pending_since_us.get(PROBE, 0) < link.since_us:
+                pending_since_us[PROBE] = now_us
+        return nodes
+
+    def _start_trial(self, now_us: int, link: RegionLink, endpoints: Sequence[EndpointActivity]) -> list[str]:
+        nodes = self._sample_nodes(endpoints, TRIAL_ENDPOINTS)
+        link.probe_sent_at_us = dict.fromkeys(nodes, now_us)
+        link.trial_interval_us = min(2 * link.trial_interval_us, MAXIMUM_TRIAL_INTERVAL_US)
+        link.trial_at_us = now_us + self._jittered_us(link.trial_interval_us)
+        return nodes
+
+    def _sample_nodes(self, endpoints: Sequence[EndpointActivity], count: int) -> list[str]:
+        nodes = [endpoint.node for endpoint in endpoints]
+        return self._random.sample(nodes, min(count, len(nodes)))
+
+    def _advance_recovery(self, now_us: int, link: RegionLink, endpoints: Sequence[EndpointActivity]) -> None:
+        if link.recovery_step + 1 >= len(RECOVERY_FRACTIONS):
+            link.trial_interval_us = FIRST_TRIAL_INTERVAL_US
+            self._enter(now_us, link, LinkState.OPEN, f"{link.ok_count} answers since the first probe")
+        elif link.ok_count or not any(endpoint.pending_since_us for endpoint in endpoints):
+            link.recovery_step += 1
+            link.recovery_step_at_us = now_us
+
+    def _compare_latency(self, now_us: int, link: RegionLink) -> None:
+        """Judge the delay of a link by its quickest answers, as endpoints differ."""
+        if min(len(link.latencies_us), len(self._home_latencies_us)) < LATENCY_SAMPLES // 2:
+            return
+        difference_us = quickest_tenth_us(link.latencies_us) - quickest_tenth_us(self._home_latencies_us)
+        extra_us = difference_us - link.route.round_trip_us
+        evidence = f"its quickest answers take {extra_us // 1000} ms longer than home's"
+        if link.state == LinkState.OPEN and extra_us > SLOW_FRACTION * self._shortest_objective_us:
+            self._enter(now_us, link, LinkState.SLOW, evidence)
+        elif link.state == LinkState.SLOW and extra_us < FAST_FRACTION * self._shortest_objective_us:
+            self._enter(now_us, link, LinkState.OPEN, evidence)
+
+    def _enter(self, now_us: int, link: RegionLink, state: LinkState, evidence: str) -> None:
+        self._changes.append(LinkChange(link.region, state, evidence))
+        link.state = state
+        link.since_us = now_us
+        link.evidence = evidence
+        link.quick_probe_count = 0
+        link.latencies_us.clear()  # earlier latencies are no evidence on the link as it is now
+        if state == LinkState.SLOW:
+            link.trial_at_us = now_us + self._jittered_us(MAXIMUM_TRIAL_INTERVAL_US)
+
+    def _jittered_us(self, interval_us: int) -> int:
+        """Return an interval with jitter, so that the trials of brokers don't coincide."""
+        return int(interval_us * self._random.uniform(*TRIAL_JITTER))
+
+    # Results
+
+    def take_changes(self) -> list[LinkChange]:
+        """Return the changes of links since the last call."""
+        changes = self._changes
+        self._changes = []
+        return changes
+
+    def restrictions(self, now_us: int) -> LinkRestrictions:
+        """Return the endpoints that are restricted now."""
+        is_budget_exhausted = self.crossing_budget.is_exhausted(now_us)
+        deprioritized = set()
+        excluded = set()
+        for node, endpoint in self._endpoints.items():
+            link = self.links.get(endpoint.region)
+            if link is None:
+                continue
+            if self._is_excluded(node, link):
+                excluded.add(node)
+            elif link.state == LinkState.SLOW or self._prefers_home or is_budget_exhausted:
+                deprioritized.add(node)
+        return LinkRestrictions(frozenset(deprioritized), frozenset(excluded))
+
+    def _is_excluded(self, node: str, link: RegionLink) -> bool:
+        if link.state == LinkState.HALF_OPEN:
+            return self._recovery_order[node] >= RECOVERY_FRACTIONS[link.recovery_step]
+        return link.state == LinkState.DOWN
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -29,7 +29,7 @@
 from heathwell.service.query_explanations import ExplainedQuery, QueryExplanations
 from heathwell.service.quota_gate import Agent, QuotaGate
 from heathwell.service.records import PartPlan, Plan, module_settings
-from heathwell.service.regions import ClientDrain, Regions
+from heathwell.service.regions import ClientDrain, RegionLinks
 from heathwell.service.reply_merging import UnmergeablePartsError, merge_reply
 from heathwell.service.retry_storms import Storms
 from heathwell.service.search_answers import SearchAnswers
@@ -310,7 +310,7 @@
     # Endpoints
 
     @property
-    def regions(self) -> Regions | None:
+    def regions(self) -> RegionLinks | None:
         """The decider on links between regions, where settings turn it on."""
         return self.restrictions.regions
 
--- a/heathwell/service/shard_reachability.py
+++ b/heathwell/service/shard_reachability.py
@@ -9,7 +9,7 @@
 from heathwell.eventloop import Loop
 from heathwell.service.endpoint_restrictions import HOME_REGION_ONLY, EndpointRestrictions
 from heathwell.service.records import PartPlan, Plan
-from heathwell.service.regions import answerable
+from heathwell.service.regions import answerable_fraction
 from heathwell.settings import ServiceSettings
 
 UPDATE_DELAY_US = 25_000  # after an endpoint update, by when the module has taken it in
@@ -95,7 +95,7 @@
             return 1.0
         reachable = self._reachable_shards(self._excluded_nodes(query_class))
         minimum_fraction = self._broker.settings.classes[query_class].minimum_fraction
-        return sum(answerable(reachable, span, minimum_fraction) for span in spans) / len(spans)
+        return sum(answerable_fraction(reachable, span, minimum_fraction) for span in spans) / len(spans)
 
     def _excluded_nodes(self, query_class: int) -> frozenset[str]:
         """The endpoints that a class may not use at all."""
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -97,7 +97,8 @@
     LayerRule(COVERAGE, (INTERFACE, CODECS)),
     LayerRule(FRESHNESS, (INTERFACE, CODECS)),
     LayerRule(MERGE, (INTERFACE,)),
-    LayerRule(REGIONS, (INTERFACE,)),
+    # Beyond the table: a sliding window of the generic structures.
+    LayerRule(REGIONS, (DATASTRUCTURES, INTERFACE)),
     LayerRule(RETRY_STORMS, (INTERFACE,)),
     LayerRule(VECTORS, (INTERFACE,)),
     LayerRule(FLEET),
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -11,7 +11,7 @@
 
 from heathwell.codec.http import Request
 from heathwell.eventloop import sleep
-from heathwell.service.regions import SLOW, ClientDrain, Way, answerable
+from heathwell.service.regions import ClientDrain, IdleClient, LinkState, RegionRoute, answerable_fraction
 from heathwell.settings import loads
 from heathwell.testing.simulation.clients import Outcome
 from heathwell.testing.simulation.sockets import services, settings
@@ -33,7 +33,7 @@
         sum(within[(first + n) % shards] for n in range(wide)) / wide >= floor - 1e-6
         for first in range(shards)
     )
-    assert answerable(within, span, floor) == met / shards
+    assert answerable_fraction(within, span, floor) == met / shards
 
 
 def test_clients_are_let_go_spread_out_once_a_cut_and_never_on_a_blip():
@@ -42,8 +42,8 @@
 
     def wait(now, until, cut, clients):
         for at in range(now, until, 250_000):
-            drain.look(at, cut)
-            for client in drain.due(at, [c for c in clients if c[0] not in left]):
+            drain.tick(at, is_cut_off=cut)
+            for client in drain.take_due(at, [IdleClient(*c) for c in clients if c[0] not in left]):
                 left[client] = at
 
     wait(0, 750_000, True, idle)
@@ -54,12 +54,12 @@
     wait(7_000_000, 7_500_000, True, idle)
     came_back = [(1000 + n, 7_400_000) for n in range(50)]
     wait(7_500_000, 12_000_000, True, idle + came_back)
-    assert sorted(left) == list(range(400)) and drain.let_go == 400
+    assert sorted(left) == list(range(400)) and drain.closed_count == 400
     assert max(sum(at == when for at in left.values()) for when in left.values()) < 90  # no herd
     wait(12_000_000, 16_000_000, False, came_back)
     wait(16_000_000, 20_000_000, True, came_back)  # a new cut: they have not heard of it
-    assert drain.let_go == 450
-    assert not ClientDrain(0, 1).due(9, idle)
+    assert drain.closed_count == 450
+    assert not ClientDrain(0, 1).take_due(9, [IdleClient(*c) for c in idle])
 
 
 def test_a_broker_cut_off_says_so_by_class_and_lets_idle_clients_go():
@@ -119,23 +119,26 @@
 
 
 def test_an_expected_delay_is_not_slowness_and_crossing_has_a_budget():
-    for way, slow in ((Way(), True), (Way(round_us=200_000), False)):
-        bench = Bench(ways={"espoo": way})
+    for way, slow in ((RegionRoute(), True), (RegionRoute(round_trip_us=200_000), False)):
+        bench = Bench(routes={"espoo": way})
         for _ in range(80):
             bench.wait(25)
             asked = [bench.ask(node) for node in FAR]
             bench.wait(25)
             for one in asked:
                 bench.end(one, took=240)
-        assert (bench.link.state == SLOW) is slow
-    bench = Bench(ways={"espoo": Way(cost=2.0)}, budget=10.0)
+        assert (bench.link.state == LinkState.SLOW) is slow
+    bench = Bench(routes={"espoo": RegionRoute(cost=2.0)}, crossing_cost_budget=10.0)
     for node in FAR[:4]:
         bench.end(bench.ask(node))
-    assert not bench.regions.holdings(bench.now)[0]
+    assert not bench.regions.restrictions(bench.now).deprioritized
     bench.end(bench.ask(FAR[4]))
-    assert bench.regions.holdings(bench.now)[0] == set(FAR)  # spent: only what home has not
+    assert bench.regions.restrictions(bench.now).deprioritized == set(FAR)  # spent: only what home has not
     bench.wait(1_100)
-    assert not bench.regions.holdings(bench.now)[0] and abs(bench.regions.spent) < 1e-9
+    assert (
+        not bench.regions.restrictions(bench.now).deprioritized
+        and abs(bench.regions.crossing_budget.spent_cost) < 1e-9
+    )
 
 
 def test_links_are_checked():
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -7,7 +7,7 @@
 from heathwell import policy
 from heathwell.codec import frames
 from heathwell.eventloop import sleep
-from heathwell.service.regions import DOWN, HALF, OPEN, SLOW, Regions
+from heathwell.service.regions import LinkState, RegionLinks
 from heathwell.testing.simulation.regional import MARKET, RegionalDay
 
 from .conftest import Driver as ModuleDriver
@@ -21,8 +21,8 @@
     """Feeds a decider; times in milliseconds."""
 
     def __init__(self, **more) -> None:
-        self.regions = Regions("hki", ["hki", "espoo"], 1_000_000, 7, prefer=False, **more)
-        self.regions.listed({**dict.fromkeys(HOME, "hki"), **dict.fromkeys(FAR, "espoo")})
+        self.regions = RegionLinks("hki", ["hki", "espoo"], 1_000_000, 7, prefers_home=False, **more)
+        self.regions.set_endpoints({**dict.fromkeys(HOME, "hki"), **dict.fromkeys(FAR, "espoo")})
         self.now, self.number = 1_000_000, 0
 
     @property
@@ -32,11 +32,11 @@
     def ask(self, node, seq=0):
         self.number += 1
         key = (f"q{self.number}/0", seq)
-        self.regions.sent(self.now, node, key)
+        self.regions.on_attempt_sent(self.now, node, key)
         return node, key
 
     def end(self, asked, outcome="ok", took=40):
-        self.regions.ended(self.now, asked[0], asked[1], outcome, took * 1000)
+        self.regions.on_attempt_ended(self.now, asked[0], asked[1], outcome, took * 1000)
 
     def wait(self, ms, home=True):
         probes = []
@@ -48,7 +48,7 @@
         return probes
 
     def shut(self):
-        return self.regions.holdings(self.now)[1]
+        return self.regions.restrictions(self.now).excluded
 
 
 def test_one_sick_host_is_the_host_and_no_link():
@@ -58,7 +58,7 @@
         bench.wait(100)
         for node in FAR[1:]:
             bench.end(bench.ask(node))
-    assert bench.link.state == OPEN and not bench.shut()
+    assert bench.link.state == LinkState.OPEN and not bench.shut()
 
 
 def test_many_silent_together_while_home_answers_are_the_link():
@@ -67,9 +67,9 @@
     for node in FAR[:4]:
         bench.ask(node)
     bench.wait(400)
-    assert bench.link.state == SLOW and not bench.shut()  # it may only be slow: avoided first
+    assert bench.link.state == LinkState.SLOW and not bench.shut()  # it may only be slow: avoided first
     bench.wait(1300)
-    assert bench.link.state == DOWN and bench.shut() == frozenset(FAR)
+    assert bench.link.state == LinkState.DOWN and bench.shut() == frozenset(FAR)
     assert "silent" in bench.link.evidence
 
 
@@ -86,9 +86,9 @@
     for _ in range(70):
         bench.wait(25)
         states.add(bench.link.state)
-        if SLOW in states:
-            assert bench.link.state != OPEN
-    assert bench.link.state == DOWN
+        if LinkState.SLOW in states:
+            assert bench.link.state != LinkState.OPEN
+    assert bench.link.state == LinkState.DOWN
 
 
 def test_everybody_silent_is_no_link():
@@ -96,7 +96,7 @@
     for node in FAR[:4] + HOME[:4]:
         bench.ask(node)
     bench.wait(1500, home=False)
-    assert bench.link.state == OPEN
+    assert bench.link.state == LinkState.OPEN
 
 
 def test_refused_connects_of_most_far_hosts_are_the_link_or_the_region():
@@ -105,7 +105,7 @@
     for node in FAR[:4]:
         bench.end(bench.ask(node), "unreachable")
     bench.wait(50)
-    assert bench.link.state == DOWN
+    assert bench.link.state == LinkState.DOWN
 
 
 def down():
@@ -121,42 +121,43 @@
     bench = down()
     probed = bench.wait(3000)
     assert 2 <= len(probed) <= 14 and set(probed) <= set(FAR)
-    bench.regions.probed(bench.now, probed[0], "ok")
-    assert bench.link.state == HALF
+    bench.regions.on_probe_ended(bench.now, probed[0], "ok")
+    assert bench.link.state == LinkState.HALF_OPEN
     sizes = []
-    while bench.link.state == HALF:
+    while bench.link.state == LinkState.HALF_OPEN:
         sizes.append(6 - len(bench.shut()))
         for node in FAR:
             if node not in bench.shut():
                 bench.end(bench.ask(node))
         bench.wait(100)
-    assert bench.link.state == OPEN and not bench.shut() and sizes == sorted(sizes) and sizes[0] < 6
+    assert bench.link.state == LinkState.OPEN and not bench.shut() and sizes == sorted(sizes) and sizes[0] < 6
 
 
 def test_a_relapse_while_half_open_shuts_again_by_new_evidence_alone():
     bench = down()
-    bench.regions.probed(bench.now, FAR[0], "ok")
+    bench.regions.on_probe_ended(bench.now, FAR[0], "ok")
     bench.wait(300)
-    assert bench.link.state == HALF  # the old failures speak of the old trouble
+    assert bench.link.state == LinkState.HALF_OPEN  # the old failures speak of the old trouble
     for node in FAR[:4]:
         bench.end(bench.ask(node), "unreachable")
     bench.wait(50)
-    assert bench.link.state == DOWN
+    assert bench.link.state == LinkState.DOWN
 
 
 def test_late_answers_show_a_slow_link_that_is_avoided_and_not_shut():
     bench = down()
     bench.wait(100)
-    bench.regions.heard(bench.now, FAR[0])
-    assert bench.link.state == DOWN
-    bench.regions.heard(bench.now, FAR[1])
-    avoid, shut = bench.regions.holdings(bench.now)
-    assert bench.link.state == SLOW and not shut and avoid == frozenset(FAR)
+    bench.regions.on_late_answer(bench.now, FAR[0])
+    assert bench.link.state == LinkState.DOWN
+    bench.regions.on_late_answer(bench.now, FAR[1])
+    restrictions = bench.regions.restrictions(bench.now)
+    avoid, shut = restrictions.deprioritized, restrictions.excluded
+    assert bench.link.state == LinkState.SLOW and not shut and avoid == frozenset(FAR)
 
 
 def test_a_slow_way_is_told_by_its_quickest_answers_and_forgiven():
     bench = Bench()
-    for extra, state in ((400, SLOW), (0, OPEN)):
+    for extra, state in ((400, LinkState.SLOW), (0, LinkState.OPEN)):
         for _ in range(40):
             bench.wait(25)
             bench.end(bench.ask(FAR[bench.number % 6]), took=40 + extra)
@@ -166,51 +167,53 @@
 def test_a_flapping_link_is_avoided_rather_than_shut_but_a_cut_after_all_shuts_it():
     bench = Bench()
     bench.wait(200)
-    for fall, state in ((1, DOWN), (2, SLOW)):
+    for fall, state in ((1, LinkState.DOWN), (2, LinkState.SLOW)):
         for node in FAR[:4]:
             bench.end(bench.ask(node), "unreachable")
         bench.wait(50)
         assert bench.link.state == state, fall
-        if state == DOWN:
-            bench.regions.probed(bench.now, FAR[0], "ok")
+        if state == LinkState.DOWN:
+            bench.regions.on_probe_ended(bench.now, FAR[0], "ok")
             bench.wait(3000)
-            assert bench.link.state == OPEN
+            assert bench.link.state == LinkState.OPEN
     assert "flaps" in bench.link.evidence and not bench.shut()
     for node in FAR[:4]:
         bench.ask(node)
     bench.wait(2000)
-    assert bench.link.state == SLOW
+    assert bench.link.state == LinkState.SLOW
     bench.wait(1500)
-    assert bench.link.state == DOWN
+    assert bench.link.state == LinkState.DOWN
 
 
 def test_a_slow_link_that_carries_nothing_is_forgiven_by_probes():
     bench = down()
     for node in FAR[:2]:
         bench.now += 1000
-        bench.regions.heard(bench.now, node)
-    assert bench.link.state == SLOW
+        bench.regions.on_late_answer(bench.now, node)
+    assert bench.link.state == LinkState.SLOW
     for _ in range(400):
         for node in bench.wait(25):
             bench.now += 2_000
-            bench.regions.probed(bench.now, node, "ok")
-    assert bench.link.state == OPEN and "probes" in bench.link.evidence
+            bench.regions.on_probe_ended(bench.now, node, "ok")
+    assert bench.link.state == LinkState.OPEN and "probes" in bench.link.evidence
 
 
 def test_further_attempts_that_cross_are_counted_and_bounded():
-    bench = Bench(cross_most=3)
+    bench = Bench(maximum_additional_crossings=3)
     for node in FAR[:3]:
         bench.end(bench.ask(node, seq=1))
-    assert bench.link.further == 3 and bench.regions.holdings(bench.now)[0] == frozenset(FAR)
+    assert bench.link.additional_crossed_count == 3 and bench.regions.restrictions(
+        bench.now
+    ).deprioritized == frozenset(FAR)
     bench.wait(1100)
-    assert not bench.regions.holdings(bench.now)[0]
+    assert not bench.regions.restrictions(bench.now).deprioritized
 
 
 def test_brokers_of_other_seeds_try_at_other_times():
     assert (
         len(
             {
-                tuple(Regions("a", ["a", "b"], 10**6, seed)._drawn(1000) for _ in range(3))
+                tuple(RegionLinks("a", ["a", "b"], 10**6, seed)._jittered_us(1000) for _ in range(3))
                 for seed in range(20)
             }
         )
@@ -329,7 +332,7 @@
     assert any(e["ev"] == "door" and e["why"] == "cut off" for e in day.events)
     assert any(e["ev"] == "link" and e["state"] == "down" for e in day.events)
     links = [link for b in day.fleet.brokers for link in b.broker.regions.links.values()]
-    assert all(link.state == OPEN for link in links)
+    assert all(link.state == LinkState.OPEN for link in links)
     if trouble != "region lost":
         home = day.spans["sale-record", 1, True]
         assert home.on_time >= 0.95 * home.asked
