--- a/heathwell/servers/admin.py
+++ b/heathwell/servers/admin.py
@@ -175,7 +175,7 @@
             yield GaugeMetricFamily(
                 "heathwell_storm_rate",
                 "Work let in a second while not calm (s); 0 while calm",
-                value=0.0 if broker.storms.state == "calm" else broker.storms.rate / 1e6,
+                value=0.0 if broker.storms.state == "calm" else broker.storms.work_rate_us / 1e6,
             )
         if broker.gate is not None:
             lanes = GaugeMetricFamily(
--- a/heathwell/servers/memcached.py
+++ b/heathwell/servers/memcached.py
@@ -24,7 +24,7 @@
 from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken
 from heathwell.service.coverage import encode
 from heathwell.service.regions import IdleClient
-from heathwell.service.retry_storms import Doors
+from heathwell.service.retry_storms import ConnectionLimiter
 from heathwell.service.service_broker import ServiceBroker
 
 # Above the bits that pymemcache and libmemcached give a meaning of their own.
@@ -54,7 +54,7 @@
         self.connections: dict[Connection, None] = {}
         self.numbers: dict[int, Connection] = {}
         limits = broker.service_settings.limits
-        self.doors = Doors(limits.clients, limits.clients_an_address)
+        self.connection_limiter = ConnectionLimiter(limits.clients, limits.clients_an_address)
         self.total = self.gets = self.cut_slow = self.bad = self.refused_writes = 0
         if broker.client_drain.spread_us:
             broker.loop.call_at(self.started + DRAIN_LOOK_US, self._let_go)
@@ -63,16 +63,16 @@
         """One connection, from its first byte to its last."""
         self.total += 1
         connection = Connection(self, stream)
-        stays, victim = self.doors.opened(
+        verdict = self.connection_limiter.admit(
             connection.number, stream.peer.rpartition(":")[0], lambda number: self.numbers[number].idle
         )
-        if not stays:
+        if not verdict.is_admitted:
             stream.write(mc.server_error("heathwell too many connections"))
             return
         self.numbers[connection.number] = connection
-        if victim is not None:
-            self.log("info", "client closed for another", client=self.numbers[victim].stream.peer)
-            self.numbers[victim].stream.close()
+        if verdict.evicted is not None:
+            self.log("info", "client closed for another", client=self.numbers[verdict.evicted].stream.peer)
+            self.numbers[verdict.evicted].stream.close()
         self.connections[connection] = None
         try:
             yield from connection.run()
@@ -82,7 +82,7 @@
         finally:
             self.connections.pop(connection, None)
             self.numbers.pop(connection.number, None)
-            self.doors.closed(connection.number)
+            self.connection_limiter.on_closed(connection.number)
             connection.gone()
 
     def _let_go(self) -> None:
@@ -125,8 +125,8 @@
             "hosts_known": len(broker.aggregator.endpoints),
             "bad_commands": self.bad,
             "clients_cut_slow": self.cut_slow,
-            "clients_refused": self.doors.refused,
-            "clients_closed_for_others": self.doors.closed_for,
+            "clients_refused": self.connection_limiter.rejected_count,
+            "clients_closed_for_others": self.connection_limiter.evicted_count,
             "writes_refused": self.refused_writes,
             "stopping": int(broker.stopping),
         }
@@ -236,7 +236,7 @@
 
     def _ask(self, slot: Slot, keys: tuple[bytes, ...]) -> None:
         broker = self.front.broker
-        self.front.doors.used(self.number)
+        self.front.connection_limiter.on_request(self.number)
         self.front.gets += len(keys)
         self.asked += 1
         request = f"{self.stream.peer}#{self.asked}"
--- a/heathwell/servers/vector.py
+++ b/heathwell/servers/vector.py
@@ -26,7 +26,7 @@
 from heathwell.service.key_spaces import consecutive_shards, place
 from heathwell.service.merging import Merged, TopK
 from heathwell.service.records import PartPlan, Plan, SearchPlan
-from heathwell.service.retry_storms import Doors
+from heathwell.service.retry_storms import ConnectionLimiter
 from heathwell.service.service_broker import ServiceBroker
 from heathwell.service.vectors.wire import OP
 from heathwell.settings.schema import Collection
@@ -45,7 +45,7 @@
         self.broker, self.log = broker, log
         self.numbers: dict[int, Connection] = {}
         limits = broker.service_settings.limits
-        self.doors = Doors(limits.clients, limits.clients_an_address)
+        self.connection_limiter = ConnectionLimiter(limits.clients, limits.clients_an_address)
         self.total = 0
         self.collections = {spec.name: spec for spec in broker.service_settings.collections}
         classes = {spec.name: index for index, spec in enumerate(broker.service_settings.classes)}
@@ -69,10 +69,10 @@
         """One connection, from its first byte to its last."""
         self.total += 1
         connection = Connection(self, stream, self.total)
-        stays, victim = self.doors.opened(
+        verdict = self.connection_limiter.admit(
             connection.number, stream.peer.rpartition(":")[0], lambda number: self.numbers[number].idle
         )
-        if not stays:
+        if not verdict.is_admitted:
             connection.side.closing = True
             stream.write(
                 connection.side.respond(
@@ -87,8 +87,8 @@
                 )
             )
             return
-        if victim is not None:
-            self.numbers[victim].stream.close()
+        if verdict.evicted is not None:
+            self.numbers[verdict.evicted].stream.close()
         self.numbers[connection.number] = connection
         try:
             yield from connection.run()
@@ -96,7 +96,7 @@
             self.log("info", "client cut off", client=stream.peer, why=str(problem))
         finally:
             self.numbers.pop(connection.number, None)
-            self.doors.closed(connection.number)
+            self.connection_limiter.on_closed(connection.number)
             connection.gone()
 
     def shards(self, spec: Collection) -> list[int]:
@@ -156,7 +156,7 @@
             whole = api.failed(api.ApiError(whole.status, whole.body.decode().strip()), 0)
         else:
             self._busy = True
-            self.front.doors.used(self.number)
+            self.front.connection_limiter.on_request(self.number)
             self.front.requests += 1
             whole = yield from self._answer(whole)
             self._busy = False
--- a/heathwell/service/retry_storms/__init__.py
+++ b/heathwell/service/retry_storms/__init__.py
@@ -1,20 +1,26 @@
-"""Retry and reconnect storms: seen early, damped at the broker, told to clients. Pure."""
+"""Retry and reconnect storms: early detection, load admission while one lasts, and retry instants. Pure."""
 
-from heathwell.service.retry_storms.advice import Calendar
-from heathwell.service.retry_storms.decider import BUILDING, CALM, DRAINING, STORM, Limits, Storms, Verdict
-from heathwell.service.retry_storms.doors import Doors
-from heathwell.service.retry_storms.sketch import Recent, Sketch
+from heathwell.service.retry_storms.connection_limiter import ConnectionLimiter, ConnectionVerdict
+from heathwell.service.retry_storms.count_min_sketch import CountMinSketch, hash_names
+from heathwell.service.retry_storms.recent_map import RecentMap
+from heathwell.service.retry_storms.retry_schedule import RetrySchedule
+from heathwell.service.retry_storms.storm_controller import StormController
+from heathwell.service.retry_storms.storm_detector import StormChange, StormState
+from heathwell.service.retry_storms.storm_records import RequestKind, StormLimits, StormVerdict
+from heathwell.service.retry_storms.storm_window import TICK_INTERVAL_US
 
 __all__ = [
-    "BUILDING",
-    "CALM",
-    "DRAINING",
-    "STORM",
-    "Calendar",
-    "Doors",
-    "Limits",
-    "Recent",
-    "Sketch",
-    "Storms",
-    "Verdict",
+    "TICK_INTERVAL_US",
+    "ConnectionLimiter",
+    "ConnectionVerdict",
+    "CountMinSketch",
+    "RecentMap",
+    "RequestKind",
+    "RetrySchedule",
+    "StormChange",
+    "StormController",
+    "StormLimits",
+    "StormState",
+    "StormVerdict",
+    "hash_names",
 ]
--- /dev/null
+++ b/heathwell/service/retry_storms/storm_detector.py
@@ -0,0 +1,105 @@
+"""The state of a retry storm, by the evidence of the last ticks. Pure."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import StrEnum
+
+from heathwell.service.retry_storms.storm_window import WindowStatistics
+
+BUILDING_REPEAT_FRACTION = 0.15
+STORM_REPEAT_FRACTION = 0.3
+LOW_REPEAT_FRACTION = 0.1
+STORM_REJECTION_FRACTION = 0.1
+CONFIRMATION_TICKS = 2
+LOW_TICKS = 4
+CALM_TICKS = 12
+RUSH_FACTOR = 5.0  # times the usual connection rate
+MINIMUM_RUSH_RATE = 20.0  # connections a second
+USUAL_RATE_GAIN = 0.02
+
+
+class StormState(StrEnum):
+    """The state of one broker; it is described at :class:`StormController`."""
+
+    CALM = "calm"
+    BUILDING = "building"
+    STORM = "storm"
+    DRAINING = "draining"
+
+
+LIMITING_STATES = (StormState.STORM, StormState.DRAINING)  # in which admission limits queries
+
+
+@dataclass(frozen=True, slots=True)
+class StormChange:
+    """A change of state with its evidence in words."""
+
+    previous: StormState
+    state: StormState
+    evidence: str
+
+
+class StormDetector:
+    """The state machine; its input is one :class:`WindowStatistics` a tick."""
+
+    def __init__(self, now_us: int, *, is_warming_up: bool) -> None:
+        self.state = StormState.DRAINING if is_warming_up else StormState.CALM
+        self.since_us = now_us
+        self.evidence = "just started" if is_warming_up else ""
+        self._usual_connection_rate = 0.0
+        self._storm_tick_count = 0
+        self._low_tick_count = 0
+
+    def update(self, now_us: int, statistics: WindowStatistics) -> StormChange | None:
+        """Take the statistics of a tick, and return the change of state that follows, if any."""
+        is_rush = statistics.connection_rate > max(
+            MINIMUM_RUSH_RATE, RUSH_FACTOR * self._usual_connection_rate
+        )
+        is_storm = (
+            statistics.repeat_fraction >= STORM_REPEAT_FRACTION
+            and statistics.rejections >= STORM_REJECTION_FRACTION * statistics.requests
+        )
+        is_low = statistics.repeat_fraction < LOW_REPEAT_FRACTION and not is_rush
+        self._storm_tick_count = self._storm_tick_count + 1 if is_storm else 0
+        self._low_tick_count = self._low_tick_count + 1 if is_low else 0
+        change = None
+        next_state = self._next_state(statistics, is_rush=is_rush)
+        if next_state is not None:
+            change = self._enter(now_us, next_state, self._describe(statistics))
+        if self.state == StormState.CALM:
+            difference = statistics.connection_rate - self._usual_connection_rate
+            self._usual_connection_rate += difference * USUAL_RATE_GAIN
+        return change
+
+    def _next_state(self, statistics: WindowStatistics, *, is_rush: bool) -> StormState | None:
+        is_confirmed = self._storm_tick_count >= CONFIRMATION_TICKS
+        is_over = self._low_tick_count >= LOW_TICKS
+        if self.state == StormState.STORM:
+            return StormState.DRAINING if is_over else None
+        if is_confirmed:
+            return StormState.STORM
+        if self.state == StormState.BUILDING:
+            return StormState.CALM if is_over else None
+        if self.state == StormState.CALM:
+            is_building = statistics.repeat_fraction >= BUILDING_REPEAT_FRACTION or is_rush
+            return StormState.BUILDING if is_building else None
+        few_rejections = statistics.rejections <= STORM_REJECTION_FRACTION * max(statistics.requests, 1)
+        return StormState.CALM if self._low_tick_count >= CALM_TICKS and few_rejections else None
+
+    def _describe(self, statistics: WindowStatistics) -> str:
+        """Return the evidence; the event log quotes it, so its words stay as they are."""
+        return (
+            f"{statistics.repeat_fraction:.0%} of {statistics.requests} asks a second are repeats that no "
+            f"advice sent, {statistics.rejections} refused, {statistics.connection_rate:.0f} connects a "
+            f"second, {self._usual_connection_rate:.0f} usual"
+        )
+
+    def _enter(self, now_us: int, state: StormState, evidence: str) -> StormChange:
+        change = StormChange(self.state, state, evidence)
+        self.state = state
+        self.since_us = now_us
+        self.evidence = evidence
+        self._storm_tick_count = 0
+        self._low_tick_count = 0
+        return change
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -31,7 +31,7 @@
 from heathwell.service.records import PartPlan, Plan, module_settings
 from heathwell.service.regions import ClientDrain, RegionLinks
 from heathwell.service.reply_merging import UnmergeablePartsError, merge_reply
-from heathwell.service.retry_storms import Storms
+from heathwell.service.retry_storms import StormController
 from heathwell.service.search_answers import SearchAnswers
 from heathwell.service.service_records import ServicePart, ServiceQuery
 from heathwell.service.service_statistics import ServiceStatistics
@@ -292,7 +292,7 @@
         return self.fair_admission.gate if self.fair_admission is not None else None
 
     @property
-    def storms(self) -> Storms | None:
+    def storms(self) -> StormController | None:
         """The storm decider, where settings turn it on."""
         return self.storm_control.decider if self.storm_control is not None else None
 
--- a/heathwell/service/storm_control.py
+++ b/heathwell/service/storm_control.py
@@ -8,12 +8,15 @@
 
 from heathwell.eventloop import Listener, Loop
 from heathwell.observability.event_log import EventLog
-from heathwell.service.retry_storms import Limits, Storms
-from heathwell.service.retry_storms.decider import TICK_US
+from heathwell.service.retry_storms import (
+    TICK_INTERVAL_US,
+    StormController,
+    StormLimits,
+    StormState,
+)
 from heathwell.settings import ServiceSettings
 
 STORM_SEED_MASK = 0x570
-STORM_STATE = "storm"
 
 
 class StormEndpoint(Protocol):
@@ -66,45 +69,48 @@
         limits = service_settings.storms
         self._broker = broker
         self._largest_live_count = 1
-        self.decider = Storms(
-            Limits(
+        self.decider = StormController(
+            StormLimits(
                 limits.useful, limits.repeat, limits.accepts, limits.first_accepts, float(limits.first_rate)
             ),
             broker.loop.now(),
             seed ^ STORM_SEED_MASK,
         )
-        broker.loop.call_at(broker.loop.now() + TICK_US, self._tick)
+        broker.loop.call_at(broker.loop.now() + TICK_INTERVAL_US, self._tick)
 
     def check(self, client: str, key: str, cost_us: float) -> int | None:
         """None where a query is accepted; else after how long (us) its client may retry."""
-        verdict = self.decider.asked(self._broker.loop.now(), client, key, cost_us)
-        self._broker.counters["asked as", verdict.kind] += 1
-        return None if verdict.admit else verdict.after_us
+        verdict = self.decider.admit(self._broker.loop.now(), client, key, cost_us)
+        self._broker.counters["asked as", verdict.kind.value] += 1
+        return None if verdict.is_admitted else verdict.retry_after_us
 
     def record_reply(self, cost_us: float, *, is_answer: bool, within_objective: bool) -> None:
         """Record the reply to a query that was accepted."""
-        self.decider.ended(self._broker.loop.now(), cost_us, is_answer, within_objective)
+        self.decider.record_reply(cost_us, is_answer=is_answer, within_objective=within_objective)
 
     def retry_after_us(self, client: str, key: str, cost_us: float) -> int:
         """After how long a client whose query is rejected may retry, by the retry schedule."""
-        return self.decider.advise(self._broker.loop.now(), client, key, cost_us)
+        return self.decider.schedule_retry(self._broker.loop.now(), client, key, cost_us)
 
     def pace(self, listener: Listener) -> None:
         """Limit the rate at which a listener accepts connections."""
-        listener.pace = lambda: self.decider.accept_wait(self._broker.loop.now())
-        listener.on_accept = self.decider.accepted
+        listener.pace = lambda: self.decider.accept_delay_us(self._broker.loop.now())
+        listener.on_accept = self.decider.on_connection_accepted
 
     def _tick(self) -> None:
         """Tell the decider what fraction of the capacity there is, and log its changes of state."""
         if self._broker.dead:
             return
         now = self._broker.loop.now()
-        self._broker.loop.call_at(now + TICK_US, self._tick)
-        for state, why in self.decider.tick(now, self._capacity_fraction()):
-            self._broker.counters["storm", state] += 1
-            self._broker.events("storm", state=state, why=why)
-            level = "warning" if state == STORM_STATE else "info"
-            self._broker.log(level, "storm decider", state=state, why=why)
+        self._broker.loop.call_at(now + TICK_INTERVAL_US, self._tick)
+        change = self.decider.tick(now, self._capacity_fraction())
+        if change is None:
+            return
+        state = change.state.value
+        self._broker.counters["storm", state] += 1
+        self._broker.events("storm", state=state, why=change.evidence)
+        level = "warning" if change.state == StormState.STORM else "info"
+        self._broker.log(level, "storm decider", state=state, why=change.evidence)
 
     def _capacity_fraction(self) -> float:
         """The capacity of the live endpoints as a fraction of that of the most that were ever live."""
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -12,18 +12,16 @@
 from heathwell.client import RetryingClient
 from heathwell.eventloop import ConnectFailed, sleep, socket_loop, virtual_loop
 from heathwell.service.retry_storms import (
-    BUILDING,
-    CALM,
-    DRAINING,
-    STORM,
-    Calendar,
-    Doors,
-    Limits,
-    Recent,
-    Sketch,
-    Storms,
+    ConnectionLimiter,
+    ConnectionVerdict,
+    CountMinSketch,
+    RecentMap,
+    RetrySchedule,
+    StormController,
+    StormLimits,
+    StormState,
+    hash_names,
 )
-from heathwell.service.retry_storms.sketch import hashed
 from heathwell.testing.simulation.stormday import HEEDS, IGNORES, StormDay
 
 from .fleet import MARKET, World
@@ -31,31 +29,31 @@
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 3_000_000)), max_size=200))
 def test_the_sketch_never_tells_less_than_was_counted(asks):
-    sketch, true, now, last = Sketch(1_000_000, width=64), {}, 0, {}
+    sketch, true, now, last = CountMinSketch(1_000_000, width=64), {}, 0, {}
     for who, pause in asks:
         now += pause
         true[who] = true.get(who, 0.0) * 0.5 ** ((now - last.get(who, now)) / 1_000_000) + 1
         last[who] = now
-        sketch.add(hashed(str(who)), now)
+        sketch.add(hash_names(str(who)), now)
     for who, count in true.items():
         faded = count * 0.5 ** ((now - last[who]) / 1_000_000)
-        assert sketch.count(hashed(str(who)), now) >= faded - 1e-6
-    assert sketch.count(hashed("nobody"), now + 60_000_000) < 1e-6
+        assert sketch.count(hash_names(str(who)), now) >= faded - 1e-6
+    assert sketch.count(hash_names("nobody"), now + 60_000_000) < 1e-6
 
 
 def test_the_sketch_stays_exact_enough_at_its_size_and_for_days():
-    sketch = Sketch(1_000_000)
+    sketch = CountMinSketch(1_000_000)
     for who in range(2000):
-        sketch.add(hashed(str(who)), 10**12)
-    over = [sketch.count(hashed(str(who)), 10**12) for who in range(2000)]
+        sketch.add(hash_names(str(who)), 10**12)
+    over = [sketch.count(hash_names(str(who)), 10**12) for who in range(2000)]
     assert sum(count > 1.01 for count in over) < 40 and min(over) >= 0.99
 
 
 def test_what_is_remembered_is_bounded_and_forgotten():
-    recent: Recent[int] = Recent(1_000_000, most=10)
+    recent: RecentMap[int] = RecentMap(1_000_000, maximum=10)
     for n in range(50):
         recent.put(n, n, 0)
-    assert len(recent) == 10 and recent.forgotten == 40 and recent.get(3, 500_000) == 3
+    assert len(recent) == 10 and recent.dropped_count == 40 and recent.get(3, 500_000) == 3
     recent.put(99, 1, 1_200_000)
     assert (
         recent.get(3, 1_200_000) == 3 and recent.get(3, 2_300_000) is None and recent.get(99, 2_300_000) == 1
@@ -64,46 +62,47 @@
 
 
 def test_advice_is_flat_fits_and_is_never_past_its_use():
-    calendar, slots = Calendar(8_000_000, 4), {}
-    times = [calendar.book(1_000_000, 100_000.0, 2.0, 0, 8_000_000) for _ in range(70)]
+    schedule, slots = RetrySchedule(4), {}
+    times = [schedule.book(1_000_000, 100_000.0, 2.0, 0, 8_000_000) for _ in range(70)]
     for at in times:
         assert 0 < at <= 8_000_000
         slots[(1_000_000 + at) // 100_000] = slots.get((1_000_000 + at) // 100_000, 0) + 1
     assert max(slots.values()) == 1  # 0.2 s of work fits a slot, four fifths of it are given away
     assert min(times) < 400_000 and max(times) > 6_500_000
-    overfull = [calendar.book(1_000_000, 100_000.0, 2.0, 0, 8_000_000) for _ in range(400)]
+    overfull = [schedule.book(1_000_000, 100_000.0, 2.0, 0, 8_000_000) for _ in range(400)]
     assert all(4_000_000 <= at <= 8_000_000 for at in overfull[-200:])  # spread over the later half
-    assert calendar.book(1_000_000, 100_000.0, 2.0, 5_000_000, 8_000_000) >= 5_000_000
-    assert calendar.book(60_000_000, 100_000.0, 2.0, 0, 8_000_000) < 400_000  # what is past is forgotten
+    assert schedule.book(1_000_000, 100_000.0, 2.0, 5_000_000, 8_000_000) >= 5_000_000
+    assert schedule.book(60_000_000, 100_000.0, 2.0, 0, 8_000_000) < 400_000  # what is past is forgotten
 
 
 class ServiceBroker:
     """Feeds a decider; the module behind it answers so much work a second and refuses the rest."""
 
     def __init__(self, limits=None, capacity=1_000_000.0):
-        self.storms = Storms(limits or Limits(), 0, 3)
+        self.storms = StormController(limits or StormLimits(), 0, 3)
         self.now, self.capacity, self.room, self.states = 0, capacity, 1.0, []
         self.draws = random.Random(1)
         self.left = 0.0
         self.admitted: dict[str, int] = {}
 
     def ask(self, client, key="k", cost=20_000.0):
-        verdict = self.storms.asked(self.now, client, key, cost)
-        if not verdict.admit:
-            return verdict.after_us
+        verdict = self.storms.admit(self.now, client, key, cost)
+        if not verdict.is_admitted:
+            return verdict.retry_after_us
         self.admitted[verdict.kind] = self.admitted.get(verdict.kind, 0) + 1
         if self.left >= cost:
             self.left -= cost
-            self.storms.ended(self.now, cost, True, True)
+            self.storms.record_reply(cost, is_answer=True, within_objective=True)
             return 0
-        after = self.storms.advise(self.now, client, key, cost)
-        self.storms.ended(self.now, cost, False, False)
+        after = self.storms.schedule_retry(self.now, client, key, cost)
+        self.storms.record_reply(cost, is_answer=False, within_objective=False)
         return after
 
     def tick(self):
         self.now += 250_000
         self.left = self.capacity * self.room * 0.25
-        self.states += [state for state, _ in self.storms.tick(self.now, self.room)]
+        change = self.storms.tick(self.now, self.room)
+        self.states += [change.state] if change is not None else []
 
 
 def test_repeats_that_no_advice_sent_make_a_storm_and_their_end_ends_it():
@@ -112,19 +111,26 @@
         for n in range(8):
             broker.ask(f"c{turn * 8 + n}")
         broker.tick()
-    assert broker.storms.state == CALM and broker.storms.capacity > 500_000
+    assert broker.storms.state == StormState.CALM and broker.storms.capacity_us > 500_000
     for turn in range(24):
         for n in range(60):  # the same few, over and over
             broker.ask(f"mad{n}")
         broker.ask(f"fresh{turn}")
         broker.tick()
-    assert broker.storms.state == STORM and STORM in broker.states and "repeats" in broker.storms.evidence
+    assert (
+        broker.storms.state == StormState.STORM
+        and StormState.STORM in broker.states
+        and "repeats" in broker.storms.evidence
+    )
     assert broker.admitted["first"] > 20
     for turn in range(40):
         for n in range(8):
             broker.ask(f"d{turn * 8 + n}")
         broker.tick()
-    assert broker.states[-2:] == [DRAINING, CALM] and broker.storms.state == CALM
+    assert (
+        broker.states[-2:] == [StormState.DRAINING, StormState.CALM]
+        and broker.storms.state == StormState.CALM
+    )
 
 
 def test_a_festival_of_first_tries_is_no_storm_though_many_are_refused():
@@ -142,11 +148,11 @@
             if after:
                 due.append((broker.now + after, client))
         broker.tick()
-    assert STORM not in broker.states
+    assert StormState.STORM not in broker.states
 
 
 def test_who_ignores_advice_waits_longer_and_goes_last():
-    broker = ServiceBroker(Limits(first_rate=400_000.0), capacity=400_000.0)
+    broker = ServiceBroker(StormLimits(initial_work_rate_us=400_000.0), capacity=400_000.0)
     served = {"heeds": 0, "ignores": 0}
     due = {("heeds", n): 0 for n in range(40)} | {("ignores", n): 0 for n in range(40)}
     for _ in range(80):
@@ -160,37 +166,39 @@
                 due[policy, n] = broker.now + after
         broker.tick()
     assert served["heeds"] > 1.5 * served["ignores"]
-    honest = broker.storms.advise(broker.now, "new", "k", 10_000.0)
-    early = [broker.storms.advise(broker.now, "ignores1", "k", 10_000.0) for _ in range(3)]
+    honest = broker.storms.schedule_retry(broker.now, "new", "k", 10_000.0)
+    early = [broker.storms.schedule_retry(broker.now, "ignores1", "k", 10_000.0) for _ in range(3)]
     assert min(early) >= 2_000_000 and honest <= 8_000_000 and max(early) <= 8_000_000
 
 
 def test_a_start_lets_connections_and_work_in_gradually():
-    storms = Storms(Limits(accepts=1000.0, first_accepts=20.0, first_rate=100_000.0), 0, 1)
-    assert storms.state == DRAINING
+    storms = StormController(
+        StormLimits(accept_rate=1000.0, initial_accept_rate=20.0, initial_work_rate_us=100_000.0), 0, 1
+    )
+    assert storms.state == StormState.DRAINING
     taken = {}
     for now in range(0, 4_000_000, 5_000):
         if now % 250_000 == 0:
             storms.tick(now, 0.2)
-        while not storms.accept_wait(now):
-            storms.accepted()
+        while not storms.accept_delay_us(now):
+            storms.on_connection_accepted()
             taken[now // 1_000_000] = taken.get(now // 1_000_000, 0) + 1
     assert taken[0] < 60 < taken[2] < taken[3] <= 1300
-    admitted = sum(storms.asked(4_000_000, f"c{n}", "k", 10_000.0).admit for n in range(500))
+    admitted = sum(storms.admit(4_000_000, f"c{n}", "k", 10_000.0).is_admitted for n in range(500))
     assert 1 <= admitted < 60  # what has not been shown to work is not let in, whoever asks
 
 
 def test_a_rush_of_connects_is_building_and_damps_no_query():
     broker = ServiceBroker()
     for _ in range(30):
-        broker.storms.accepted()
+        broker.storms.on_connection_accepted()
         broker.ask(f"a{broker.now}")
         broker.tick()
     for n in range(200):
-        broker.storms.accepted()
-        assert broker.storms.asked(broker.now, f"b{n}", "k", 1.0).admit
+        broker.storms.on_connection_accepted()
+        assert broker.storms.admit(broker.now, f"b{n}", "k", 1.0).is_admitted
     broker.tick()
-    assert broker.storms.state == BUILDING
+    assert broker.storms.state == StormState.BUILDING
 
 
 def test_listeners_leave_connections_waiting_as_told():
@@ -252,7 +260,7 @@
     assert storm.service(storm.outage_until + 9_000_000, storm.outage_until + 14_000_000)[0] > 0.9
     span = storm.outage_until, storm.outage_until + 8_000_000
     assert storm.service(*span, HEEDS)[1] > storm.service(*span, IGNORES)[1] - 0.1
-    assert any(state == STORM for _, _, state in day.states())
+    assert any(state == StormState.STORM for _, _, state in day.states())
 
 
 def test_a_heedful_client_waits_as_told_gives_up_in_time_and_tells_kinds_apart():
@@ -298,27 +306,32 @@
 
 
 def test_one_address_takes_its_own_connections_and_idle_ones_make_room():
-    doors = Doors(6, most_an_address=4)
+    limiter = ConnectionLimiter(6, maximum_per_address=4)
     busy = {0}
     for number in range(4):
-        assert doors.opened(number, "greedy", lambda n: n not in busy) == (True, None)
-    assert doors.opened(4, "greedy", lambda n: True) == (False, None)
-    assert doors.opened(5, "a", lambda n: True) == (True, None) and doors.opened(6, "b", lambda n: True) == (
+        assert limiter.admit(number, "greedy", lambda n: n not in busy) == ConnectionVerdict(True, None)
+    assert limiter.admit(4, "greedy", lambda n: True) == ConnectionVerdict(False, None)
+    assert limiter.admit(5, "a", lambda n: True) == ConnectionVerdict(True, None) and limiter.admit(
+        6, "b", lambda n: True
+    ) == ConnectionVerdict(
         True,
         None,
     )
-    doors.used(1)
-    assert doors.opened(7, "c", lambda n: n not in busy) == (
+    limiter.on_request(1)
+    assert limiter.admit(7, "c", lambda n: n not in busy) == ConnectionVerdict(
         True,
         2,
     )  # the longest idle of who holds the most
-    assert doors.opened(8, "d", lambda n: False) == (False, None)  # all are at work
-    assert doors.opened(9, "d", lambda n: n not in busy) == (True, 3)
-    assert doors.opened(10, "e", lambda n: n not in busy) == (True, 1)
-    assert doors.opened(11, "f", lambda n: True) == (False, None)  # nobody holds clearly more
+    assert limiter.admit(8, "d", lambda n: False) == ConnectionVerdict(False, None)  # all are at work
+    assert limiter.admit(9, "d", lambda n: n not in busy) == ConnectionVerdict(True, 3)
+    assert limiter.admit(10, "e", lambda n: n not in busy) == ConnectionVerdict(True, 1)
+    assert limiter.admit(11, "f", lambda n: True) == ConnectionVerdict(
+        False, None
+    )  # nobody holds clearly more
     for number in (0, 5, 6, 7, 9, 10, 99):
-        doors.closed(number)
-    assert not doors.of and not doors.address and (doors.refused, doors.closed_for) == (3, 3)
+        limiter.on_closed(number)
+    assert not len(limiter) and not limiter._numbers_by_address
+    assert (limiter.rejected_count, limiter.evicted_count) == (3, 3)
 
 
 def test_clients_over_their_limit_are_told_and_idle_ones_closed():
