--- a/heathwell/servers/admin.py
+++ b/heathwell/servers/admin.py
@@ -183,14 +183,14 @@
                 "Work of a front: out at hosts, waiting",
                 labels=("front", "where"),
             )
-            for name, lane in broker.gate.fronts.items():
-                lanes.add_metric((name, "out"), lane.out / 1e6)
-                lanes.add_metric((name, "waiting"), lane.waiting / 1e6)
+            for name, lane in broker.gate.flows.items():
+                lanes.add_metric((name, "out"), lane.in_flight_us / 1e6)
+                lanes.add_metric((name, "waiting"), lane.queued_us / 1e6)
             yield lanes
             yield GaugeMetricFamily(
                 "heathwell_window_seconds",
                 "Work that may be out at once",
-                value=broker.gate.window.size / 1e6,
+                value=broker.gate.limiter.limit_us / 1e6,
             )
         late = sum(link.late_answers for link in broker.links.values())
         yield CounterMetricFamily("heathwell_late_results", "Results after their attempt's end", value=late)
--- a/heathwell/servers/vector.py
+++ b/heathwell/servers/vector.py
@@ -22,7 +22,7 @@
 from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken, sleep
 from heathwell.servers import vector_api as api
 from heathwell.servers.memcached import DRAIN_LOOK_US
-from heathwell.service.admission.cost import cut_batch, search_figures
+from heathwell.service.admission import search_features, split_batch
 from heathwell.service.key_spaces import consecutive_shards, place
 from heathwell.service.merging import Merged, TopK
 from heathwell.service.records import PartPlan, Plan, SearchPlan
@@ -328,7 +328,7 @@
         broker = self.front.broker
         model = broker.costs.model(f"vector:{spec.name}", float(spec.work), 4)
         costs = [model.predict(_figures([one])) for one in searches]
-        chunks = cut_batch(costs, self.limits.chunk, self.limits.chunk_searches)
+        chunks = split_batch(costs, self.limits.chunk, self.limits.chunk_searches)
         self.asked += 1
         self.front.searches += len(searches)
         name = request.headers.get("x-request-id", f"{self.stream.peer}#{self.asked}")
@@ -416,7 +416,7 @@
 
 
 def _figures(searches: Sequence[api.Search]) -> tuple[float, ...]:
-    return search_figures(
+    return search_features(
         len(searches),
         sum(one.want.limit for one in searches),
         sum(one.want.filter is not None for one in searches),
--- a/heathwell/service/admission/__init__.py
+++ b/heathwell/service/admission/__init__.py
@@ -1,9 +1,17 @@
-"""Admission by cost: what work will cost, how fronts share the hosts, how a batch is cut up. Pure
-deciders.
-"""
+"""Admission by cost: the cost of work, fair sharing between servers, and the splitting of batches. Pure."""
 
-from heathwell.service.admission.cost import CostModel, Costs
-from heathwell.service.admission.fair import GO, REFUSE, WAIT, FairGate
-from heathwell.service.admission.window import Window
+from heathwell.service.admission.batch_splitting import split_batch
+from heathwell.service.admission.concurrency_limiter import ConcurrencyLimiter
+from heathwell.service.admission.cost_model import CostModel, CostModels, search_features
+from heathwell.service.admission.fair_queue import AdmissionDecision, FairQueue, QueueUpdate
 
-__all__ = ["GO", "REFUSE", "WAIT", "CostModel", "Costs", "FairGate", "Window"]
+__all__ = [
+    "AdmissionDecision",
+    "ConcurrencyLimiter",
+    "CostModel",
+    "CostModels",
+    "FairQueue",
+    "QueueUpdate",
+    "search_features",
+    "split_batch",
+]
--- /dev/null
+++ b/heathwell/service/admission/batch_splitting.py
@@ -0,0 +1,23 @@
+"""Splitting a batch of searches into chunks."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+
+def split_batch(costs_us: Sequence[float], maximum_cost_us: float, maximum_searches: int) -> list[list[int]]:
+    """Return the indices of a batch's searches in chunks of limited cost and size; linear.
+
+    Searches keep their order; one that alone exceeds the cost is a chunk of its own. An endpoint's slot is
+    held by one chunk at a time, so that other work can run between them.
+    """
+    chunks: list[list[int]] = []
+    chunk_cost_us = 0.0
+    for index, cost_us in enumerate(costs_us):
+        is_full = bool(chunks) and len(chunks[-1]) >= maximum_searches
+        if not chunks or chunk_cost_us + cost_us > maximum_cost_us or is_full:
+            chunks.append([])
+            chunk_cost_us = 0.0
+        chunks[-1].append(index)
+        chunk_cost_us += cost_us
+    return chunks
--- /dev/null
+++ b/heathwell/service/admission/cost_model.py
@@ -0,0 +1,116 @@
+"""The cost of a part to an endpoint, learned from the work that endpoints report. Pure.
+
+A search's work is nearly linear in a few of its features. The coefficients are learned by recursive least
+squares with exponential forgetting (Ljung, System Identification, 11.2), so that a change of the data or the
+endpoints is followed within some hundred answers. The stated cost stands until there are enough answers.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
+MINIMUM_ANSWERS = 20  # before predictions are used
+FORGETTING_FACTOR = 0.995
+INITIAL_VARIANCE = 100.0
+MAXIMUM_VARIANCE = 1e4
+MAXIMUM_OUTLIER_FACTOR = 8.0  # of the prediction, to which a single answer is limited
+MINIMUM_COST_FACTOR = 0.05  # of the stated cost
+MAXIMUM_COST_FACTOR = 50.0
+ERROR_GAIN = 0.05
+SMALLEST_DIVISOR = 1e-9
+ROW_SCALE = 100.0  # keeps the features of a similar size
+
+Features = Sequence[float]
+SearchFeatures = tuple[float, ...]
+Matrix = list[list[float]]
+
+
+@dataclass(slots=True)
+class CostModel:
+    """Predicts work (us) from ``size`` features of it; settings state the cost of a unit of the first."""
+
+    stated_cost_us: float
+    size: int
+    answer_count: int = 0
+    relative_error: float = 0.0
+    weights: list[float] = field(default_factory=list)
+    _covariance: Matrix = field(default_factory=list)
+
+    def __post_init__(self) -> None:
+        self.weights = [self.stated_cost_us] + [0.0] * (self.size - 1)
+        self._covariance = self._initial_covariance()
+
+    def _initial_covariance(self) -> Matrix:
+        return [
+            [INITIAL_VARIANCE * (row == column) for column in range(self.size)] for row in range(self.size)
+        ]
+
+    def predict(self, features: Features) -> float:
+        """Return the work of a part (us), within bounds around the stated cost."""
+        stated_us = self.stated_cost_us * max(features[0], SMALLEST_DIVISOR)
+        if self.answer_count < MINIMUM_ANSWERS:
+            return stated_us
+        predicted_us = _dot(self.weights, features)
+        return min(max(predicted_us, MINIMUM_COST_FACTOR * stated_us), MAXIMUM_COST_FACTOR * stated_us)
+
+    def learn(self, features: Features, work_us: float) -> None:
+        """Learn from the work of an answered part."""
+        if work_us <= 0 or len(features) != self.size:
+            return
+        predicted_us = self.predict(features)
+        if self.answer_count >= MINIMUM_ANSWERS:
+            work_us = min(work_us, MAXIMUM_OUTLIER_FACTOR * predicted_us)
+        error = abs(work_us - predicted_us) / max(work_us, 1.0)
+        self.relative_error += (error - self.relative_error) * ERROR_GAIN
+        self.answer_count += 1
+        self._update(features, work_us)
+
+    def _update(self, features: Features, work_us: float) -> None:
+        """Make one step of recursive least squares."""
+        # Scaled so that weights are about one, which keeps the covariances of a similar size.
+        scale_us = max(self.stated_cost_us, SMALLEST_DIVISOR)
+        scaled_weights = [weight / scale_us for weight in self.weights]
+        projected = [
+            sum(row[column] * features[column] for column in range(self.size)) for row in self._covariance
+        ]
+        divisor = FORGETTING_FACTOR + _dot(features, projected)
+        gains = [value / divisor for value in projected]
+        residual = work_us / scale_us - _dot(scaled_weights, features)
+        self.weights = [
+            (weight + gain * residual) * self.stated_cost_us
+            for weight, gain in zip(scaled_weights, gains, strict=True)
+        ]
+        for row, gain in zip(self._covariance, gains, strict=True):
+            for column in range(self.size):
+                row[column] = (row[column] - gain * projected[column]) / FORGETTING_FACTOR
+        if max(self._covariance[index][index] for index in range(self.size)) > MAXIMUM_VARIANCE:
+            # Features that never vary let the covariance grow without limit.
+            self._covariance = self._initial_covariance()
+
+
+def _dot(left: Features, right: Features) -> float:
+    return sum(a * b for a, b in zip(left, right, strict=True))
+
+
+class CostModels:
+    """The models of a broker by name: a class's plain parts, or a collection's searches."""
+
+    def __init__(self) -> None:
+        self._models: dict[str, CostModel] = {}
+
+    def model(self, name: str, stated_cost_us: float, size: int) -> CostModel:
+        """Return the model of a name; it is made at the first call, and anew for another size."""
+        model = self._models.get(name)
+        if model is None or model.size != size:
+            model = CostModel(stated_cost_us, size)
+            self._models[name] = model
+        return model
+
+
+def search_features(search_count: int, row_count: int, filtered_count: int) -> SearchFeatures:
+    """Return the features of a part of searches that share a matrix product.
+
+    They are the number of searches, the part's constant cost, rows to return, and searches with a filter.
+    """
+    return (float(search_count), 1.0, row_count / ROW_SCALE, float(filtered_count))
--- a/heathwell/service/fair_admission.py
+++ b/heathwell/service/fair_admission.py
@@ -8,7 +8,7 @@
 
 from heathwell import policy
 from heathwell.eventloop import Loop, Timer
-from heathwell.service.admission import GO, WAIT, FairGate, Window
+from heathwell.service.admission import AdmissionDecision, ConcurrencyLimiter, FairQueue
 from heathwell.service.query_cost import query_cost_us
 from heathwell.service.service_records import ServiceQuery
 from heathwell.settings import ServiceSettings
@@ -66,9 +66,9 @@
         initial_window = INITIAL_WINDOW_FACTOR * fronts.queue_target * groups / broker_count
         self._broker = broker
         self._timer: Timer | None = None
-        self.gate = FairGate(
+        self.queue = FairQueue(
             {"memcached": fronts.memcached, "vector": fronts.vector},
-            Window(fronts.queue_target, initial_window),
+            ConcurrencyLimiter(fronts.queue_target, initial_window),
             seed ^ GATE_SEED_MASK,
         )
 
@@ -77,10 +77,10 @@
         cost_us = query_cost_us(query.plan, query.settings_version)
         now = self._broker.loop.now()
         patience_us = self._patience_us(query, now)
-        verdict = self.gate.offer(now, query.plan.front, query.id, cost_us, patience_us)
-        if verdict == GO:
+        decision = self.queue.offer(now, query.plan.front, query.id, cost_us, patience_us)
+        if decision == AdmissionDecision.ADMIT:
             self._broker.enter_query(query)
-        elif verdict == WAIT:
+        elif decision == AdmissionDecision.QUEUE:
             query.queued = True
             self._tick()
         else:
@@ -88,8 +88,8 @@
 
     def on_query_closed(self, query: ServiceQuery) -> None:
         """Free the place of a query that has had its reply or lost its client."""
-        self.gate.ended(self._broker.loop.now(), query.id)
-        if self.gate.waiting:
+        self.queue.end(self._broker.loop.now(), query.id)
+        if self.queue.is_queueing:
             self._broker.loop.call_soon(self._tick)
 
     def on_part_answered(self, sent_at_us: int | None, work_us: int) -> None:
@@ -97,7 +97,7 @@
         if work_us:
             now = self._broker.loop.now()
             round_trip_us = now - sent_at_us if sent_at_us is not None else 0
-            self.gate.window.answered(now, round_trip_us, work_us)
+            self.queue.limiter.on_part_answered(now, round_trip_us, work_us)
 
     def _patience_us(self, query: ServiceQuery, now: int) -> int:
         """How long a query may be queued."""
@@ -113,7 +113,7 @@
         self._broker.counters["crowded", query.plan.front, query_class.name] += 1
         objective_us = query_class.latency_objective_us
         longest_us = min(objective_us, self._broker.settings.max_retry_after_us or objective_us)
-        retry_after_us = self.gate.advice(self._broker.loop.now(), query.plan.front, longest_us)
+        retry_after_us = self.queue.retry_after_us(query.plan.front, longest_us)
         query.queued = False
         self._broker.reject_crowded_query(query, retry_after_us)
 
@@ -124,10 +124,10 @@
         if self._broker.dead:
             return
         now = self._broker.loop.now()
-        ready, expired = self.gate.ready(now)
-        for query_id in ready:
+        update = self.queue.poll(now)
+        for query_id in update.admitted:
             self._enter(query_id, now)
-        for query_id in expired:
+        for query_id in update.expired:
             query = self._broker.queries.get(query_id)
             if query is not None:
                 self._broker.loop.call_soon(self._reject, query)
@@ -138,10 +138,10 @@
         if query is not None and query.on_reply is not None:
             self._broker.enter_query(query)
         else:
-            self.gate.ended(now, query_id)
+            self.queue.end(now, query_id)
 
     def _set_timer(self, now: int) -> None:
-        next_at_us = self.gate.next_look()
+        next_at_us = self.queue.next_expiry_at_us()
         if self._timer is not None:
             self._timer.cancel()
         self._timer = None
--- a/heathwell/service/search_answers.py
+++ b/heathwell/service/search_answers.py
@@ -14,7 +14,7 @@
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.codec import frames
 from heathwell.observability.event_log import EventLog
-from heathwell.service.admission import Costs
+from heathwell.service.admission import CostModels
 from heathwell.service.merging import Malformed, Row
 from heathwell.service.records import SearchPlan
 from heathwell.service.service_records import ServicePart, ServiceQuery
@@ -51,7 +51,7 @@
     ``points_seen`` holds the sizes of shards, by collection and shard, as endpoints reported them.
     """
 
-    def __init__(self, broker: SearchBroker, costs: Costs) -> None:
+    def __init__(self, broker: SearchBroker, costs: CostModels) -> None:
         self._broker = broker
         self._costs = costs
         self.points_seen: dict[str, dict[int, int]] = {}
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -16,7 +16,7 @@
 from heathwell.observability.event_log import EventLog
 from heathwell.policy.records import Endpoint
 from heathwell.service import key_spaces
-from heathwell.service.admission import Costs, FairGate
+from heathwell.service.admission import CostModels, FairQueue
 from heathwell.service.answer_freshness import AnswerFreshness
 from heathwell.service.discovery import DiscoveryClient
 from heathwell.service.endpoint_connections import EndpointConnections
@@ -96,7 +96,7 @@
             self, zone, min(spec.latency_objective_us for spec in self.settings.classes), seed
         )
         self.reachability = ShardReachability(self, self.restrictions, self.live_replicas)
-        self.costs = Costs()
+        self.costs = CostModels()
         self.search_answers = SearchAnswers(self, self.costs)
         self.fair_admission = self._make_fair_admission(seed)
         self.storm_control = self._make_storm_control(seed)
@@ -287,9 +287,9 @@
             self.fair_admission.on_query_closed(query)
 
     @property
-    def gate(self) -> FairGate | None:
+    def gate(self) -> FairQueue | None:
         """The queues of the servers, where settings turn them on."""
-        return self.fair_admission.gate if self.fair_admission is not None else None
+        return self.fair_admission.queue if self.fair_admission is not None else None
 
     @property
     def storms(self) -> StormController | None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Costs that are learned, the window that follows queueing, fair turns between fronts."""
+"""Costs that are learned, the limiter that follows queueing, fair turns between fronts."""
 
 from __future__ import annotations
 
@@ -7,8 +7,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heathwell.service.admission import GO, REFUSE, WAIT, CostModel, FairGate, Window
-from heathwell.service.admission.cost import cut_batch, search_figures
+from heathwell.service.admission import (
+    AdmissionDecision,
+    ConcurrencyLimiter,
+    CostModel,
+    FairQueue,
+    QueueUpdate,
+    search_features,
+    split_batch,
+)
 
 
 def test_costs_are_learned_followed_and_never_off_by_orders():
@@ -21,14 +28,14 @@
     def train(count, scale):
         for _ in range(count):
             searches = draws.randrange(1, 20)
-            figures = search_figures(searches, 10 * searches, draws.randrange(2) * searches)
+            figures = search_features(searches, 10 * searches, draws.randrange(2) * searches)
             model.learn(figures, true(figures, scale) * draws.uniform(0.8, 1.2))
 
-    first = search_figures(4, 40, 0)
+    first = search_features(4, 40, 0)
     assert model.predict(first) == 4000  # as stated, until it knows
     train(200, 1.0)
     for searches in (1, 5, 15):
-        figures = search_figures(searches, 10 * searches, 0)
+        figures = search_features(searches, 10 * searches, 0)
         assert 0.85 < model.predict(figures) / true(figures) < 1.15
     train(600, 3.0)  # the hosts became slower
     assert 0.8 < model.predict(first) / true(first, 3.0) < 1.2
@@ -41,42 +48,42 @@
 
 @given(st.lists(st.floats(0.1, 50), max_size=60), st.floats(1, 60), st.integers(1, 10))
 def test_a_batch_is_cut_in_order_and_within_bounds(costs, most, searches):
-    chunks = cut_batch(costs, most, searches)
+    chunks = split_batch(costs, most, searches)
     assert [n for chunk in chunks for n in chunk] == list(range(len(costs)))
     for chunk in chunks:
         assert len(chunk) <= searches and (len(chunk) == 1 or sum(costs[n] for n in chunk) <= most + 1e-9)
 
 
 def test_the_window_shrinks_by_queueing_and_grows_while_work_waits():
-    window, now = Window(50_000, 1_000_000.0), 0
+    limiter, now = ConcurrencyLimiter(50_000, 1_000_000.0), 0
     for _ in range(100):
         now += 10_000
-        window.answered(now, 10_000 + 200_000, 10_000)
-    assert window.size < 300_000
+        limiter.on_part_answered(now, 10_000 + 200_000, 10_000)
+    assert limiter.limit_us < 300_000
     for _ in range(100):
-        window.answered(now, 10_000, 10_000)
-    small = window.size
+        limiter.on_part_answered(now, 10_000, 10_000)
+    small = limiter.limit_us
     for _ in range(300):
         now += 10_000
-        window.answered(now, 10_000, 10_000)
-        window.released(10_000, more_wait=False)
-    assert window.size == small  # nobody waits: there is nothing to be learned
+        limiter.on_part_answered(now, 10_000, 10_000)
+        limiter.on_work_ended(10_000, is_more_queued=False)
+    assert limiter.limit_us == small  # nobody waits: there is nothing to be learned
     for _ in range(400):
-        window.answered(now, 10_000, 10_000)
-        window.released(10_000, more_wait=True)
-    assert window.size > 3 * small
+        limiter.on_part_answered(now, 10_000, 10_000)
+        limiter.on_work_ended(10_000, is_more_queued=True)
+    assert limiter.limit_us > 3 * small
     for _ in range(5000):
         now += 100_000
-        window.answered(now, 900_000, 10_000)
-    assert window.size >= 4 * 10_000 * 0.9
+        limiter.on_part_answered(now, 900_000, 10_000)
+    assert limiter.limit_us >= 4 * 10_000 * 0.9
 
 
 class Hosts:
     """Serves what goes out at a fixed rate, in order; clients ask at theirs."""
 
     def __init__(self, weights, seed=1):
-        self.window = Window(10**9, 100_000.0)
-        self.gate = FairGate(weights, self.window, seed)
+        self.limiter = ConcurrencyLimiter(10**9, 100_000.0)
+        self.queue = FairQueue(weights, self.limiter, seed)
         self.now, self.count, self.room = 0, 0, 0.0
         self.out: list[tuple[str, str, float, int]] = []
         self.served: dict[str, float] = dict.fromkeys(weights, 0.0)
@@ -88,10 +95,10 @@
         self.count += 1
         ident = f"{front}{self.count}"
         self.asked[ident] = self.now
-        verdict = self.gate.offer(self.now, front, ident, cost, patience)
-        if verdict == GO:
+        verdict = self.queue.offer(self.now, front, ident, cost, patience)
+        if verdict == AdmissionDecision.ADMIT:
             self.go(ident, front, cost)
-        self.refused[front] += verdict == REFUSE
+        self.refused[front] += verdict == AdmissionDecision.REJECT
         return verdict
 
     def go(self, ident, front, cost):
@@ -106,12 +113,12 @@
             ident, front, cost, _ = self.out.pop(0)
             self.room -= cost
             self.served[front] += cost
-            self.gate.ended(self.now, ident)
-        gone, late = self.gate.ready(self.now)
-        for ident in gone:
-            entry = self.gate.entries[ident]
-            self.go(ident, entry.front, entry.cost)
-        for ident in late:
+            self.queue.end(self.now, ident)
+        update = self.queue.poll(self.now)
+        for ident in update.admitted:
+            entry = self.queue.entries[ident]
+            self.go(ident, entry.flow, entry.cost_us)
+        for ident in update.expired:
             self.refused[ident.rstrip("0123456789")] += 1
 
 
@@ -143,17 +150,19 @@
 
 def test_patience_ends_a_wait_and_clients_may_leave_the_queue():
     hosts = Hosts({"a": 1.0, "b": 1.0})
-    assert hosts.offer("a", 60_000) == GO
-    assert hosts.offer("a", 60_000) == WAIT
-    assert hosts.offer("a", 60_000, patience=300_000) == WAIT
-    assert hosts.offer("b", 60_000) == GO  # b's own share is free
-    assert hosts.gate.next_look() == 300_000
-    first, second = (ident for ident, entry in hosts.gate.entries.items() if not entry.out)
-    assert hosts.gate.ready(300_000) == ([], [second])  # though the first one still waits before it
-    hosts.gate.ended(hosts.now, first)
-    hosts.gate.ended(hosts.now, "unknown")
-    assert not hosts.gate.waiting and hosts.gate.ready(400_000) == ([], [])
-    assert hosts.gate.fronts["a"].waiting == 0
+    assert hosts.offer("a", 60_000) == AdmissionDecision.ADMIT
+    assert hosts.offer("a", 60_000) == AdmissionDecision.QUEUE
+    assert hosts.offer("a", 60_000, patience=300_000) == AdmissionDecision.QUEUE
+    assert hosts.offer("b", 60_000) == AdmissionDecision.ADMIT  # b's own share is free
+    assert hosts.queue.next_expiry_at_us() == 300_000
+    first, second = (ident for ident, entry in hosts.queue.entries.items() if not entry.is_in_flight)
+    assert hosts.queue.poll(300_000) == QueueUpdate(
+        [], [second]
+    )  # though the first one still waits before it
+    hosts.queue.end(hosts.now, first)
+    hosts.queue.end(hosts.now, "unknown")
+    assert not hosts.queue.is_queueing and hosts.queue.poll(400_000) == QueueUpdate()
+    assert hosts.queue.flows["a"].queued_us == 0
 
 
 @given(
@@ -173,5 +182,7 @@
         hosts.step(10_000)
     went = sum(map(len, hosts.waits.values()))
     assert went + sum(hosts.refused.values()) == len(work)
-    assert not hosts.gate.entries and abs(hosts.gate.out) < 1e-3
-    assert all(abs(lane.out) < 1e-3 and abs(lane.waiting) < 1e-3 for lane in hosts.gate.fronts.values())
+    assert not hosts.queue.entries and abs(hosts.queue.in_flight_us) < 1e-3
+    assert all(
+        abs(flow.in_flight_us) < 1e-3 and abs(flow.queued_us) < 1e-3 for flow in hosts.queue.flows.values()
+    )
