--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -26,7 +26,7 @@
 import numpy as np
 
 from heathwell.codec import frames
-from heathwell.service.merging import Row, TopK
+from heathwell.service.merging import Row, TopKMerge
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.simulation.clients import Clients, arrivals
 from heathwell.testing.simulation.processes import ProcessFleet
@@ -338,11 +338,11 @@
 def _merged(lists: list[list[Row]]) -> float:
     began = time.thread_time()
     for _ in range(5):
-        top = TopK([10], [0], [None])
+        top = TopKMerge([10], [0], [None])
         names = [str(number) for number in range(len(lists))]
         for name, rows in zip(names, lists, strict=True):
-            top.bound(name, [rows[0].score])
-            top.add(name, [rows], 100)
+            top.add_bounds(name, [rows[0].score])
+            top.add_rows(name, [rows], 100)
         top.result(0, [], 100)
     return (time.thread_time() - began) / 5
 
--- a/heathwell/servers/vector.py
+++ b/heathwell/servers/vector.py
@@ -24,7 +24,7 @@
 from heathwell.servers.memcached import DRAIN_LOOK_US
 from heathwell.service.admission import search_features, split_batch
 from heathwell.service.key_spaces import consecutive_shards, place
-from heathwell.service.merging import Merged, TopK
+from heathwell.service.merging import MergedRows, TopKMerge
 from heathwell.service.records import PartPlan, Plan, SearchPlan
 from heathwell.service.retry_storms import ConnectionLimiter
 from heathwell.service.service_broker import ServiceBroker
@@ -321,7 +321,7 @@
 
     def _ask(
         self, spec: Collection, searches: Sequence[api.Search], request: Request, timeout: int, batch: bool
-    ) -> Coro[tuple[list[Reply], list[Merged]]]:
+    ) -> Coro[tuple[list[Reply], list[MergedRows]]]:
         """Ask the broker for all searches, cut by cost; raises
         :class:`~heathwell.servers.vector_api.ApiError`.
         """
@@ -381,7 +381,7 @@
                 )
             raise api.ApiError(500, f"Service internal error: {wrong.reason or 'no answer could be had'}")
         whole = [replies[index] for index in range(len(chunks))]
-        rows: list[Merged] = [merged for reply in whole for merged in reply.body["searches"]]
+        rows: list[MergedRows] = [merged for reply in whole for merged in reply.body["searches"]]
         return whole, rows
 
     def _plan(self, spec: Collection, searches: Sequence[api.Search], timeout: int, batch: bool) -> Plan:
@@ -390,7 +390,7 @@
         name = f"vector:{spec.name}"
         model = self.front.broker.costs.model(name, float(spec.work), len(figures))
         query_class = self.front.classes[spec.name][batch]
-        top = TopK(
+        top = TopKMerge(
             [one.limit for one in searches],
             [one.offset for one in searches],
             [one.want.threshold for one in searches],
--- a/heathwell/servers/vector_api.py
+++ b/heathwell/servers/vector_api.py
@@ -20,7 +20,7 @@
 from heathwell.broker.replies import Reply
 from heathwell.codec.http import Request, Response
 from heathwell.servers.memcached import age_words
-from heathwell.service.merging import Merged
+from heathwell.service.merging import MergedRows
 from heathwell.service.vectors.filters import FilterError
 from heathwell.service.vectors.filters import check as check_filter
 from heathwell.service.vectors.wire import Hit, SearchAsk, Want, encode
@@ -242,7 +242,7 @@
     return 0
 
 
-def points(merged: Merged, distance: str) -> list[dict[str, Any]]:
+def points(merged: MergedRows, distance: str) -> list[dict[str, Any]]:
     """The rows of a search in the API's form."""
     sign = -1.0 if distance == "euclid" else 1.0
     out = []
@@ -346,7 +346,7 @@
     }
 
 
-def each(rows: Sequence[Merged], distance: str, form: str) -> Iterator[Any]:
+def each(rows: Sequence[MergedRows], distance: str, form: str) -> Iterator[Any]:
     """The results of a batch, in the form of the call."""
     for merged in rows:
         found = points(merged, distance)
--- a/heathwell/service/merging/__init__.py
+++ b/heathwell/service/merging/__init__.py
@@ -1,5 +1,6 @@
-"""From parts' ranked rows to one answer's: pure."""
+"""The merge of the parts' ranked rows to those of one answer. Pure."""
 
-from heathwell.service.merging.topk import Malformed, Merged, Row, TopK, id_rank
+from heathwell.service.merging.ranked_rows import MalformedRowsError, MergedRows, PointId, Row, id_rank
+from heathwell.service.merging.top_k_merge import TopKMerge
 
-__all__ = ["Malformed", "Merged", "Row", "TopK", "id_rank"]
+__all__ = ["MalformedRowsError", "MergedRows", "PointId", "Row", "TopKMerge", "id_rank"]
--- a/heathwell/service/records.py
+++ b/heathwell/service/records.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from heathwell import policy
-from heathwell.service.merging import TopK
+from heathwell.service.merging import TopKMerge
 from heathwell.settings import ServiceSettings
 
 
@@ -31,7 +31,7 @@
 
     model: str
     body: bytes
-    top: TopK
+    top: TopKMerge
     figures: tuple[float, ...]
     work: int
     timeout_us: int = 0
--- a/heathwell/service/reply_merging.py
+++ b/heathwell/service/reply_merging.py
@@ -80,9 +80,9 @@
 
 
 def _search_rows(query: ServiceQuery, search: SearchPlan) -> dict[str, Any]:
-    """A search's merged rows, one :class:`~heathwell.service.merging.Merged` a search."""
+    """A search's merged rows, one :class:`~heathwell.service.merging.MergedRows` a search."""
     missing = [part.id for part in query.parts.values() if part.data is None]
-    usual_points = search.top.usual_points()
+    usual_points = search.top.usual_point_count()
     return {
         "searches": [
             search.top.result(number, missing, usual_points) for number in range(len(search.top.limits))
--- a/heathwell/service/search_answers.py
+++ b/heathwell/service/search_answers.py
@@ -15,7 +15,7 @@
 from heathwell.codec import frames
 from heathwell.observability.event_log import EventLog
 from heathwell.service.admission import CostModels
-from heathwell.service.merging import Malformed, Row
+from heathwell.service.merging import MalformedRowsError, Row
 from heathwell.service.records import SearchPlan
 from heathwell.service.service_records import ServicePart, ServiceQuery
 from heathwell.service.vectors.wire import read_answer
@@ -65,7 +65,7 @@
             return True
         try:
             self._add_rows(search, part, result)
-        except (Malformed, msgspec.MsgspecError) as error:
+        except (MalformedRowsError, msgspec.MsgspecError) as error:
             part.status = f"malformed: {error}"
             self._broker.counters["malformed", self._broker.query_class_of(query).name] += 1
             self._broker.events("malformed", p=key[0], seq=key[1], node=node, why=str(error))
@@ -76,7 +76,7 @@
     def _add_rows(self, search: SearchPlan, part: ServicePart, result: frames.Result) -> None:
         answer = read_answer(result.data)
         rows = [[Row(hit.id, hit.score, hit, hit.version) for hit in hits] for hits in answer.lists]
-        search.top.add(part.id, rows, answer.points, answer.recall)
+        search.top.add_rows(part.id, rows, answer.points, answer.recall)
         self.points_seen.setdefault(part.plan.key, {})[part.plan.shard] = answer.points
 
     def on_part_answered(self, query: ServiceQuery, result: frames.Result) -> None:
@@ -96,8 +96,8 @@
         if search is None or key not in query.in_flight:
             return
         try:
-            search.top.bound(key[0], best_scores)
-        except Malformed as error:
+            search.top.add_bounds(key[0], best_scores)
+        except MalformedRowsError as error:
             self._broker.log("warning", "a host's bounds are malformed", node=node, why=str(error))
             return
         self._supersede_attempts(query, search)
@@ -106,7 +106,7 @@
         """Tell the module of attempts in flight that can't change the result any more."""
         if query.on_reply is None:
             return
-        for part_id in search.top.newly_moot():
+        for part_id in search.top.take_superseded():
             attempt = query.parts[part_id].attempt_count - 1
             if part_id in search.superseded or (part_id, attempt) not in query.in_flight:
                 continue
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -220,7 +220,7 @@
         plan = query.plan
         search_fields: dict[str, Any] = {}
         if plan.search is not None:
-            search_fields = {"wanted": plan.search.top.wanted, "least": plan.search.top.thresholds}
+            search_fields = {"wanted": plan.search.top.requested_counts, "least": plan.search.top.thresholds}
         self.events(
             "take",
             q=query.id,
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heathwell.service.merging import Malformed, Row, TopK, id_rank
+from heathwell.service.merging import MalformedRowsError, Row, TopKMerge, id_rank
 
 SCORES = st.sampled_from([-1.0, 0.0, 0.25, 0.5, 0.5, 1.0])  # many that tie
 ROWS = st.dictionaries(st.one_of(st.integers(0, 40), st.sampled_from("abcd")), SCORES, max_size=12)
@@ -38,12 +38,12 @@
     held = [rows_of(shard, scores) for shard in shards]
     everything = {row.id: row for rows in held for row in rows if threshold is None or row.score >= threshold}
     want = ranked(everything.values())[offset : offset + limit]
-    top = TopK([limit], [offset], [threshold])
+    top = TopKMerge([limit], [offset], [threshold])
     parts = list(enumerate(held))
     order.shuffle(parts)
     for name, rows in parts:
         best = ranked(row for row in rows if threshold is None or row.score >= threshold)
-        top.add(str(name), [best[: limit + offset]], points=len(rows))
+        top.add_rows(str(name), [best[: limit + offset]], point_count=len(rows))
     assert top.result(0, [], 0).rows == want
 
 
@@ -52,19 +52,19 @@
 def test_a_part_called_moot_could_not_have_changed_the_rows(shards, limit, data):
     scores: dict = {}
     held = [rows_of(shard, scores) for shard in shards]
-    top = TopK([limit], [0], [None])
+    top = TopKMerge([limit], [0], [None])
     for name, rows in enumerate(held):
         best = max((row.score for row in rows), default=-math.inf)
-        top.bound(str(name), [best + data.draw(st.sampled_from([0.0, 0.1]))])
+        top.add_bounds(str(name), [best + data.draw(st.sampled_from([0.0, 0.1]))])
     come = data.draw(st.integers(1, len(held) - 1))
     for name in range(come):
-        top.add(str(name), [ranked(held[name])[:limit]], points=len(held[name]))
+        top.add_rows(str(name), [ranked(held[name])[:limit]], point_count=len(held[name]))
     out = [str(n) for n in range(come, len(held))]
-    moot = set(top.newly_moot())
-    assert moot <= set(out) and not top.newly_moot()
+    moot = set(top.take_superseded())
+    assert moot <= set(out) and not top.take_superseded()
     before = top.result(0, [], 0).rows
     for name in moot:
-        top.add(name, [ranked(held[int(name)])[:limit]])
+        top.add_rows(name, [ranked(held[int(name)])[:limit]])
     assert top.result(0, [], 0).rows == before
     if not moot and len(before) == limit:
         assert all(
@@ -86,42 +86,42 @@
     ],
 )
 def test_rows_that_no_sound_host_gives_are_caught(rows, why):
-    top = TopK([2], [1], [0.2])
-    top.bound("a", [0.95])
-    with pytest.raises(Malformed, match=why):
-        top.add("a", [rows])
+    top = TopKMerge([2], [1], [0.2])
+    top.add_bounds("a", [0.95])
+    with pytest.raises(MalformedRowsError, match=why):
+        top.add_rows("a", [rows])
     assert top.result(0, ["a"], 10).rows == []
-    with pytest.raises(Malformed, match="lists"):
-        top.add("a", [[], []])
-    with pytest.raises(Malformed, match="bounds"):
-        top.bound("a", [math.nan])
+    with pytest.raises(MalformedRowsError, match="lists"):
+        top.add_rows("a", [[], []])
+    with pytest.raises(MalformedRowsError, match="bounds"):
+        top.add_bounds("a", [math.nan])
 
 
 def test_recall_counts_what_is_out_unless_its_bound_rules_it_out():
-    top = TopK([2], [0], [None])
-    top.add("a", [[Row(1, 0.9), Row(2, 0.8)]], points=100)
-    assert top.result(0, ["b", "c"], top.usual_points()).recall == pytest.approx(1 / 3)
-    top.bound("b", [0.5])
-    assert top.result(0, ["b", "c"], top.usual_points()).recall == pytest.approx(0.5)
-    assert top.newly_moot() == ["b"]  # c has said nothing
-    top.add("c", [[Row(3, 0.85)]], points=100, recall=0.9)
+    top = TopKMerge([2], [0], [None])
+    top.add_rows("a", [[Row(1, 0.9), Row(2, 0.8)]], point_count=100)
+    assert top.result(0, ["b", "c"], top.usual_point_count()).recall == pytest.approx(1 / 3)
+    top.add_bounds("b", [0.5])
+    assert top.result(0, ["b", "c"], top.usual_point_count()).recall == pytest.approx(0.5)
+    assert top.take_superseded() == ["b"]  # c has said nothing
+    top.add_rows("c", [[Row(3, 0.85)]], point_count=100, recall=0.9)
     assert top.result(0, ["b"], 100).recall == pytest.approx(0.95)
     assert [row.id for row in top.result(0, [], 0).rows] == [1, 3]
 
 
 def test_of_an_id_in_two_versions_the_newer_stands():
-    top = TopK([2], [0], [None])
-    top.add("a", [[Row(1, 0.9, version=1), Row(2, 0.3)]])
-    top.add("b", [[Row(3, 0.5), Row(1, 0.4, version=2)]])
+    top = TopKMerge([2], [0], [None])
+    top.add_rows("a", [[Row(1, 0.9, version=1), Row(2, 0.3)]])
+    top.add_rows("b", [[Row(3, 0.5), Row(1, 0.4, version=2)]])
     assert [(row.id, row.score) for row in top.result(0, [], 0).rows] == [(3, 0.5), (1, 0.4)]
 
 
 def test_a_batch_is_moot_only_when_all_its_searches_are():
-    top = TopK([1, 1], [0, 0], [None, 0.7])
-    top.add("a", [[Row(1, 0.9)], []], points=5)
-    top.bound("b", [0.5, 0.8])
-    assert not top.newly_moot()
-    top.bound("c", [0.5, 0.6])  # under the threshold, though nothing has been found
-    top.bound("d", [0.5, 0.6])
-    top.bound("d", [0.95, 0.6])  # another attempt's weaker word stands
-    assert top.newly_moot() == ["c"]
+    top = TopKMerge([1, 1], [0, 0], [None, 0.7])
+    top.add_rows("a", [[Row(1, 0.9)], []], point_count=5)
+    top.add_bounds("b", [0.5, 0.8])
+    assert not top.take_superseded()
+    top.add_bounds("c", [0.5, 0.6])  # under the threshold, though nothing has been found
+    top.add_bounds("d", [0.5, 0.6])
+    top.add_bounds("d", [0.95, 0.6])  # another attempt's weaker word stands
+    assert top.take_superseded() == ["c"]
