--- a/heathwell/servers/vector.py
+++ b/heathwell/servers/vector.py
@@ -28,7 +28,7 @@
 from heathwell.service.records import PartPlan, Plan, SearchPlan
 from heathwell.service.retry_storms import ConnectionLimiter
 from heathwell.service.service_broker import ServiceBroker
-from heathwell.service.vectors.wire import OP
+from heathwell.service.vectors.search_messages import SEARCH_OPERATION
 from heathwell.settings.schema import Collection
 
 HELD_MOST = 1 << 18  # bytes read ahead of a request that is at work
@@ -401,7 +401,7 @@
             "vectors",
             zlib.crc32(searches[0].vector),
             name,
-            tuple(PartPlan(shard, 1 / len(shards), OP, spec.name) for shard in shards),
+            tuple(PartPlan(shard, 1 / len(shards), SEARCH_OPERATION, spec.name) for shard in shards),
             search=SearchPlan(
                 name,
                 body,
--- a/heathwell/servers/vector_api.py
+++ b/heathwell/servers/vector_api.py
@@ -21,9 +21,8 @@
 from heathwell.codec.http import Request, Response
 from heathwell.servers.memcached import age_words
 from heathwell.service.merging import MergedRows
-from heathwell.service.vectors.filters import FilterError
-from heathwell.service.vectors.filters import check as check_filter
-from heathwell.service.vectors.wire import Hit, SearchAsk, Want, encode
+from heathwell.service.vectors.filter_checks import FilterError, check_filter
+from heathwell.service.vectors.search_messages import Hit, SearchParameters, SearchRequest, encode_search
 from heathwell.settings.schema import Collection, Vector
 
 JSON = "application/json"
@@ -93,7 +92,7 @@
     """One search, checked."""
 
     vector: bytes
-    want: Want
+    want: SearchParameters
     limit: int
     offset: int
 
@@ -163,7 +162,7 @@
     include, without = _payload(made.with_payload, path)
     return Search(
         vector,
-        Want(
+        SearchParameters(
             offset + limit,
             made.filter or None,
             threshold,
@@ -225,8 +224,8 @@
 
 def ask_of(collection: str, searches: Sequence[Search]) -> bytes:
     """The body of a part that carries these searches."""
-    return encode(
-        SearchAsk(collection, b"".join(one.vector for one in searches), [one.want for one in searches])
+    return encode_search(
+        SearchRequest(collection, b"".join(one.vector for one in searches), [one.want for one in searches])
     )
 
 
--- a/heathwell/service/search_answers.py
+++ b/heathwell/service/search_answers.py
@@ -18,7 +18,7 @@
 from heathwell.service.merging import MalformedRowsError, Row
 from heathwell.service.records import SearchPlan
 from heathwell.service.service_records import ServicePart, ServiceQuery
-from heathwell.service.vectors.wire import read_answer
+from heathwell.service.vectors.search_messages import decode_answer
 
 INITIAL_COST = 1.0
 
@@ -74,7 +74,7 @@
         return True
 
     def _add_rows(self, search: SearchPlan, part: ServicePart, result: frames.Result) -> None:
-        answer = read_answer(result.data)
+        answer = decode_answer(result.data)
         rows = [[Row(hit.id, hit.score, hit, hit.version) for hit in hits] for hits in answer.lists]
         search.top.add_rows(part.id, rows, answer.points, answer.recall)
         self.points_seen.setdefault(part.plan.key, {})[part.plan.shard] = answer.points
--- a/heathwell/service/vectors/__init__.py
+++ b/heathwell/service/vectors/__init__.py
@@ -1,1 +1,4 @@
-"""Vector search over one shard: what brokers ask of hosts, payload filters, exact and approximate search."""
+"""Vector search over one shard: messages of broker and endpoint, payload filters, exact and indexed search.
+
+The package is imported by module: brokers need the messages and filter checks without numpy or the index.
+"""
--- a/heathwell/testing/standins/leaf.py
+++ b/heathwell/testing/standins/leaf.py
@@ -28,7 +28,12 @@
     sleep,
 )
 from heathwell.observability.event_log import EventLog, NoEvents
-from heathwell.service.vectors.wire import OP, SearchAsk, encode, read_ask
+from heathwell.service.vectors.search_messages import (
+    SEARCH_OPERATION,
+    SearchRequest,
+    decode_request,
+    encode_search,
+)
 from heathwell.settings import ServiceSettings
 from heathwell.testing.standins import data
 from heathwell.testing.standins.source import Feed, Truth
@@ -67,7 +72,7 @@
     came: int
     broker: str
     timer: Timer | None = None
-    search: SearchAsk | None = None
+    search: SearchRequest | None = None
     work_us: int = 0
     rows: list[list[tuple[int | str, float]]] | None = None
 
@@ -339,7 +344,7 @@
             warmth=round(self.warmth(), 4),
         )
         work = float(spec.work) if spec is not None else 0.0
-        if ask.op == OP and spec is not None:
+        if ask.op == SEARCH_OPERATION and spec is not None:
             try:
                 work = self._searched(job)
             except (ValueError, KeyError, msgspec.MsgspecError) as problem:
@@ -371,18 +376,18 @@
         """Read a search; its usual work (us): a product shared by all searches, rows to rank, filters to
         apply.
         """
-        job.search = search = read_ask(job.ask.body)
+        job.search = search = decode_request(job.ask.body)
         spec = self.collections[search.collection]
-        rows = sum(want.limit for want in search.wants)
-        filtered = sum(want.filter is not None for want in search.wants)
-        return spec.work * (0.6 + 0.4 * len(search.wants) + 0.1 * rows / 100 + 0.2 * filtered)
+        rows = sum(want.limit for want in search.searches)
+        filtered = sum(want.filter is not None for want in search.searches)
+        return spec.work * (0.6 + 0.4 * len(search.searches) + 0.1 * rows / 100 + 0.2 * filtered)
 
-    def _tell_bound(self, job: Job, search: SearchAsk) -> None:
+    def _tell_bound(self, job: Job, search: SearchRequest) -> None:
         """Before the queue: how good this host's best row can be."""
         shard = self.shard_of(
             self.collections[search.collection], job.ask.shard, self.service_settings.fleet.shards
         )
-        best = shard.bounds(shard.prepared(search.vectors, len(search.wants)))
+        best = shard.score_bounds(shard.read_queries(search.vectors, len(search.searches)))
         self.events("bound", p=job.ask.id, seq=job.ask.seq, node=self.address, best=best)
         self._put(job.stream, frames.encode(frames.ScoreBound(job.ask.id, job.ask.seq, best)))
 
@@ -449,7 +454,7 @@
             answer.lists = [(rows + rows if spoilt.text == "many" else rows)[::-1] for rows in answer.lists]
         if self.events.on:
             job.rows = [[(hit.id, hit.score) for hit in rows] for rows in answer.lists]
-        return encode(answer)
+        return encode_search(answer)
 
     def _effect(self, part: str, seq: int, encoded: bytes) -> None:
         now = self.loop.now()
--- a/heathwell/testing/standins/vectors.py
+++ b/heathwell/testing/standins/vectors.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from heathwell.service.vectors.shard import DISTANCES, Shard
+from heathwell.service.vectors.vector_shard import DISTANCE_BY_SETTING, VectorShard
 from heathwell.settings.schema import Collection
 from heathwell.testing.standins.data import GOODS, draw
 
@@ -52,17 +52,19 @@
     points: int,
     overlap: float,
     spread: float,
-) -> Shard:
+) -> VectorShard:
     """A shard, with the share of the one before it that it holds too. Fleets in one process share it."""
     vectors, ids = own_points(name, size, shard, points, spread)
     more = int(points * overlap)
     if more and shards > 1:
         others, other_ids = own_points(name, size, (shard - 1) % shards, points, spread)
         vectors, ids = np.concatenate([vectors, others[:more]]), [*ids, *other_ids[:more]]
-    return Shard(ids, vectors, [payload(one) for one in ids], DISTANCES[distance], index, seed=1 + shard)
+    return VectorShard(
+        ids, vectors, [payload(one) for one in ids], DISTANCE_BY_SETTING[distance], index, seed=1 + shard
+    )
 
 
-def shard_of(spec: Collection, shard: int, shards: int) -> Shard:
+def shard_of(spec: Collection, shard: int, shards: int) -> VectorShard:
     """A collection's shard."""
     return made(
         spec.name, spec.size, spec.distance, spec.index, shard, shards, spec.points, spec.overlap, spec.spread
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -21,9 +21,10 @@
 from heathwell.codec import frames
 from heathwell.codec.http import Response, ServerSide
 from heathwell.eventloop import sleep, socket_loop
-from heathwell.service.vectors.filters import FilterError, check
-from heathwell.service.vectors.masks import Columns, mask_of
-from heathwell.service.vectors.wire import SearchAsk, Want
+from heathwell.service.vectors.filter_checks import FilterError, check_filter
+from heathwell.service.vectors.filter_masks import evaluate_filter
+from heathwell.service.vectors.payload_columns import PayloadColumns
+from heathwell.service.vectors.search_messages import SearchParameters, SearchRequest
 from heathwell.settings import loads
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
@@ -133,7 +134,7 @@
     for number in range(SHARDS):
         shard = shard_of(spec, number, SHARDS)
         for point, vector, payload in zip(
-            shard.ids, shard.plain.astype(np.float64), shard.payloads, strict=True
+            shard.ids, shard.stored_vectors.astype(np.float64), shard.payloads, strict=True
         ):
             if spec.distance == "euclid":
                 score = float(np.sqrt(((vector - wide) ** 2).sum()))
@@ -206,7 +207,7 @@
     one = shard_of(fleet.service_settings.collections[0], 3, SHARDS)
     rare = models.Filter(must=[models.HasIdCondition(has_id=[one.ids[5]])])  # most shards match nothing
     [point] = client.query_points("prices", query=query, query_filter=rare, with_vectors=True).points
-    assert point.id == one.ids[5] and point.vector == pytest.approx(one.plain[5].tolist())
+    assert point.id == one.ids[5] and point.vector == pytest.approx(one.stored_vectors[5].tolist())
     for selector in (["cents"], models.PayloadSelectorInclude(include=["cents"])):
         [point] = client.query_points("prices", query=query, limit=1, with_payload=selector).points
         assert set(point.payload) == {"cents"}
@@ -416,7 +417,7 @@
     ).replace("(work 2ms))\n(collection far", "(work 150ms))\n(collection far")
     with running(text) as one:
         spec = one.service_settings.collections[0]
-        query = shard_of(spec, 2, SHARDS).plain[7].tolist()
+        query = shard_of(spec, 2, SHARDS).stored_vectors[7].tolist()
         one.order(range(6), "stall", seconds=0.0)
         for _ in range(6):
             got = httpx.post(
@@ -536,16 +537,16 @@
     def some(holds, found):
         return any(map(holds, found)) if isinstance(found, list) else found is not None and holds(found)
 
-    columns = Columns(list(range(len(payloads))), payloads)
+    columns = PayloadColumns(list(range(len(payloads))), payloads)
 
     def mask(condition):
-        check({"must": condition})
-        return mask_of({"must": condition}, columns).tolist()
+        check_filter({"must": condition})
+        return evaluate_filter({"must": condition}, columns).tolist()
 
     values = [dig(payload) for payload in payloads]
     match = {"key": key, "match": {"value": value}}
     assert mask(match) == [some(equal, v) for v in values]
-    assert mask_of({"must_not": [match]}, columns).tolist() == [not some(equal, v) for v in values]
+    assert evaluate_filter({"must_not": [match]}, columns).tolist() == [not some(equal, v) for v in values]
     if not isinstance(value, bool):
         assert mask({"key": key, "match": {"except": [value]}}) == [
             some(lambda o: not equal(o), v) for v in values
@@ -556,7 +557,7 @@
     assert mask({"key": key, "range": {"gte": 1, "lt": 3}}) == number
     assert mask({"is_empty": {"key": key}}) == [v is None or v == [] for v in values]
     both = {"min_should": {"conditions": [match, {"key": key, "range": {"gte": 1, "lt": 3}}], "min_count": 2}}
-    assert mask_of(both, columns).tolist() == [
+    assert evaluate_filter(both, columns).tolist() == [
         a and some(equal, v) for a, v in zip(number, values, strict=True)
     ]
 
@@ -573,7 +574,7 @@
         ({"must": [{"key": "a", "match": {"value": 1.5}}]}, "match"),
     ):
         with pytest.raises(FilterError, match=why):
-            check(bad)
+            check_filter(bad)
 
 
 @hypothesis_settings(max_examples=40, deadline=None)
@@ -582,7 +583,7 @@
     shard = made("bounded", 6, distance, "exact", seed % 4, 4, 50, 0.0, 0.3)
     draws = np.random.default_rng(seed)
     raw = draws.normal(0, draws.uniform(0.1, 4), (2, 6)).astype("<f4")
-    best = shard.bounds(shard.prepared(raw.tobytes(), 2))
-    answer = shard.search(SearchAsk("bounded", raw.tobytes(), [Want(limit)] * 2))
+    best = shard.score_bounds(shard.read_queries(raw.tobytes(), 2))
+    answer = shard.search(SearchRequest("bounded", raw.tobytes(), [SearchParameters(limit)] * 2))
     for rows, bound in zip(answer.lists, best, strict=True):
         assert rows[0].score <= bound + 1e-4 * max(1, abs(bound)) and len(rows) == min(limit, 50)
