--- a/heathwell/servers/client_connection.py
+++ b/heathwell/servers/client_connection.py
@@ -7,7 +7,7 @@
 from typing import Generic, TypeVar
 
 from heathwell.eventloop import Coro, Stream
-from heathwell.service.retry_storms import Doors
+from heathwell.service.retry_storms import ConnectionLimiter
 
 EXTRA_CONNECTIONS = 64  # accepted over the limit, so that the server rejects them in its own protocol
 DRAIN_CHECK_INTERVAL_US = 250_000
@@ -66,26 +66,26 @@
 
     def __init__(self, max_clients: int, max_clients_per_address: int) -> None:
         self.connections: dict[int, ConnectionT] = {}
-        self.limiter = Doors(max_clients, max_clients_per_address)
+        self.limiter = ConnectionLimiter(max_clients, max_clients_per_address)
 
     def register(self, connection: ConnectionT) -> Registration[ConnectionT]:
         """Take in a new connection. At the limit an idle one is closed for it, or it is rejected."""
-        accepted, evicted_number = self.limiter.opened(
+        verdict = self.limiter.admit(
             connection.number,
             connection.address,
             lambda number: self.connections[number].close_if_idle(),
         )
-        if not accepted:
+        if not verdict.is_admitted:
             return Registration(accepted=False)
         self.connections[connection.number] = connection
-        evicted = None if evicted_number is None else self.connections[evicted_number]
+        evicted = None if verdict.evicted is None else self.connections[verdict.evicted]
         return Registration(accepted=True, evicted=evicted)
 
     def on_request(self, connection: ConnectionT) -> None:
         """Note that a connection is in use: the longest unused one is evicted first."""
-        self.limiter.used(connection.number)
+        self.limiter.on_request(connection.number)
 
     def remove(self, connection: ConnectionT) -> None:
         """Forget a connection that has ended."""
         self.connections.pop(connection.number, None)
-        self.limiter.closed(connection.number)
+        self.limiter.on_closed(connection.number)
--- a/heathwell/servers/memcached.py
+++ b/heathwell/servers/memcached.py
@@ -23,8 +23,9 @@
 from heathwell.codec import memcached as mc
 from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken
 from heathwell.servers.client_connection import ClientConnection
-from heathwell.service.coverage import encode
-from heathwell.service.retry_storms import Doors
+from heathwell.service.coverage import encode_cover
+from heathwell.service.regions import IdleClient
+from heathwell.service.retry_storms import ConnectionLimiter
 from heathwell.service.service_broker import ServiceBroker
 
 # Above the bits that pymemcache and libmemcached give a meaning of their own.
@@ -54,26 +55,26 @@
         self.connections: dict[Connection, None] = {}
         self.numbers: dict[int, Connection] = {}
         limits = broker.service_settings.limits
-        self.doors = Doors(limits.clients, limits.clients_an_address)
+        self.connection_limiter = ConnectionLimiter(limits.clients, limits.clients_an_address)
         self.total = self.gets = self.cut_slow = self.bad = self.refused_writes = 0
-        if broker.client_drain.over:
+        if broker.client_drain.spread_us:
             broker.loop.call_at(self.started + DRAIN_LOOK_US, self._let_go)
 
     def serve(self, stream: Stream) -> Coro[None]:
         """One connection, from its first byte to its last."""
         self.total += 1
         connection = Connection(self, stream)
-        stays, victim = self.doors.opened(
+        verdict = self.connection_limiter.admit(
             connection.number,
             stream.peer.rpartition(":")[0],
             lambda number: self.numbers[number].close_if_idle(),
         )
-        if not stays:
+        if not verdict.is_admitted:
             stream.write(mc.server_error("heathwell too many connections"))
             return
         self.numbers[connection.number] = connection
-        if victim is not None:
-            self.log("info", "client closed for another", client=self.numbers[victim].stream.peer)
+        if verdict.evicted is not None:
+            self.log("info", "client closed for another", client=self.numbers[verdict.evicted].stream.peer)
         self.connections[connection] = None
         try:
             yield from connection.run()
@@ -83,7 +84,7 @@
         finally:
             self.connections.pop(connection, None)
             self.numbers.pop(connection.number, None)
-            self.doors.closed(connection.number)
+            self.connection_limiter.on_closed(connection.number)
             connection.gone()
 
     def _let_go(self) -> None:
@@ -94,17 +95,16 @@
         if broker.dead:
             return
         broker.loop.call_at(now + DRAIN_LOOK_US, self._let_go)
-        broker.client_drain.look(now, broker.sends_away)
-        if not broker.client_drain.cut:
+        broker.client_drain.tick(now, is_cut_off=broker.sends_away)
+        if not broker.client_drain.is_active:
             return
         known = {connection.number: connection for connection in self.connections}
-        for number in broker.client_drain.due(
-            now, ((c.number, c.since) for c in self.connections if c.is_idle)
-        ):
+        idle = (IdleClient(each.number, each.since) for each in self.connections if each.is_idle)
+        for number in broker.client_drain.take_due(now, idle):
             if known[number].close_if_idle():
                 self.log("debug", "client let go", client=known[number].stream.peer)
             else:
-                broker.client_drain.let_go -= 1  # its request is served first; it is drawn anew
+                broker.client_drain.closed_count -= 1  # its request is served first; it is drawn anew
 
     def hand_over(self) -> int:
         """Close the connections on which nothing is asked: another process takes what comes next. How many
@@ -128,8 +128,8 @@
             "hosts_known": len(broker.aggregator.endpoints),
             "bad_commands": self.bad,
             "clients_cut_slow": self.cut_slow,
-            "clients_refused": self.doors.refused,
-            "clients_closed_for_others": self.doors.closed_for,
+            "clients_refused": self.connection_limiter.rejected_count,
+            "clients_closed_for_others": self.connection_limiter.evicted_count,
             "writes_refused": self.refused_writes,
             "stopping": int(broker.stopping),
         }
@@ -240,7 +240,7 @@
 
     def _ask(self, slot: Slot, keys: tuple[bytes, ...]) -> None:
         broker = self.front.broker
-        self.front.doors.used(self.number)
+        self.front.connection_limiter.on_request(self.number)
         self.front.gets += len(keys)
         self.asked += 1
         request = f"{self.stream.peer}#{self.asked}"
@@ -294,7 +294,7 @@
                 "floor": cover.minimum_fraction,
                 "missing": list(cover.missing),
                 "items": [cover.second_step_answered, cover.second_step_requested],
-                **({"set": b64encode(encode(cover.cover)).decode()} if reply.age is not None else {}),
+                **({"set": b64encode(encode_cover(cover.cover)).decode()} if reply.age is not None else {}),
             },
             **(age_words(reply.age) if reply.age is not None else {}),
             **reply.body,
--- a/heathwell/servers/vector.py
+++ b/heathwell/servers/vector.py
@@ -30,7 +30,7 @@
         self.planner = SearchPlanner(broker)
         self.routes = VectorRoutes(broker, self.planner)
         self._connection_count = 0
-        if broker.client_drain.over:
+        if broker.client_drain.spread_us:
             broker.loop.call_at(broker.loop.now() + DRAIN_CHECK_INTERVAL_US, self._check_drain)
 
     def serve(self, stream: Stream) -> Coro[None]:
@@ -64,4 +64,4 @@
         self.broker.loop.call_at(self.broker.loop.now() + DRAIN_CHECK_INTERVAL_US, self._check_drain)
         drain = self.broker.client_drain
         for connection in self.clients.connections.values():
-            connection.closes_with_answer = drain.cut and connection.opened_at_us < drain.cut_since
+            connection.closes_with_answer = drain.is_active and connection.opened_at_us < drain.cut_since_us
--- a/heathwell/servers/vector_answers.py
+++ b/heathwell/servers/vector_answers.py
@@ -13,8 +13,8 @@
 from heathwell.codec.http import Response
 from heathwell.servers.answer_age import age_fields
 from heathwell.servers.vector_api import ApiError
-from heathwell.service.merging import Merged
-from heathwell.service.vectors.wire import Hit
+from heathwell.service.merging import MergedRows
+from heathwell.service.vectors.search_messages import Hit
 from heathwell.settings.schema import Collection
 
 JSON = "application/json"
@@ -37,14 +37,16 @@
     points: list[Point]
 
 
-def results(merged_rows: Iterable[Merged], distance: str, form: str) -> Iterator[QueryResult | list[Point]]:
+def results(
+    merged_rows: Iterable[MergedRows], distance: str, form: str
+) -> Iterator[QueryResult | list[Point]]:
     """Yield the results of a request's searches, in the form of the call."""
     for merged in merged_rows:
         found = points(merged, distance)
         yield QueryResult(found) if form == "query" else found
 
 
-def points(merged: Merged, distance: str) -> list[Point]:
+def points(merged: MergedRows, distance: str) -> list[Point]:
     """Return the rows of a search in the API's form."""
     sign = -1.0 if distance == "euclid" else 1.0
     hits: list[Hit] = [row.data for row in merged.rows]
--- a/heathwell/servers/vector_api.py
+++ b/heathwell/servers/vector_api.py
@@ -17,9 +17,8 @@
 import msgspec
 
 from heathwell.codec.http import Request
-from heathwell.service.vectors.filters import FilterError
-from heathwell.service.vectors.filters import check as check_filter
-from heathwell.service.vectors.wire import SearchAsk, Want, encode
+from heathwell.service.vectors.filter_checks import FilterError, check_filter
+from heathwell.service.vectors.search_messages import SearchParameters, SearchRequest, encode_search
 from heathwell.settings.schema import Collection, Vector
 
 MAX_FLOAT32 = 3.4e38
@@ -90,7 +89,7 @@
     """One search, checked."""
 
     vector: bytes
-    want: Want
+    want: SearchParameters
     limit: int
     offset: int
 
@@ -134,7 +133,7 @@
     if threshold is not None and spec.distance == "euclid":
         threshold = -threshold
     payload = _read_payload_selection(parsed.with_payload, path)
-    want = Want(
+    want = SearchParameters(
         offset + limit,
         parsed.filter or None,
         threshold,
@@ -252,7 +251,7 @@
 def encode_searches(collection: str, searches: Sequence[Search]) -> bytes:
     """Return the body of a part that carries these searches."""
     vectors = b"".join(search.vector for search in searches)
-    return encode(SearchAsk(collection, vectors, [search.want for search in searches]))
+    return encode_search(SearchRequest(collection, vectors, [search.want for search in searches]))
 
 
 def client_timeout_us(request: Request) -> int:
--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -11,16 +11,16 @@
 from heathwell.broker.replies import ANSWERED, REFUSED, Reply
 from heathwell.eventloop import Coro, Event, StreamBroken
 from heathwell.servers import vector_api as api
-from heathwell.service.admission.cost import CostModel, cut_batch, search_figures
+from heathwell.service.admission import CostModel, search_features, split_batch
 from heathwell.service.key_spaces import consecutive_shards, place
-from heathwell.service.merging import Merged, TopK
+from heathwell.service.merging import MergedRows, TopKMerge
 from heathwell.service.records import PartPlan, Plan, SearchPlan
 from heathwell.service.service_broker import ServiceBroker
-from heathwell.service.vectors.wire import OP
+from heathwell.service.vectors.search_messages import SEARCH_OPERATION
 from heathwell.settings.schema import Collection
 
 SLOW_START_CHUNKS = 4  # answered for each additional chunk in flight
-COST_FEATURES = 4  # of `search_figures`
+COST_FEATURES = 4  # of `search_features`
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
     """The replies to all chunks in order, and the merged rows of each search."""
 
     replies: Sequence[Reply]
-    merged: Sequence[Merged]
+    merged: Sequence[MergedRows]
 
 
 class SearchPlanner:
@@ -70,7 +70,7 @@
         limits = self._broker.service_settings.vector
         model = self._cost_model(request.spec)
         costs = [model.predict(_cost_features([search])) for search in request.searches]
-        indices = cut_batch(costs, limits.chunk, limits.chunk_searches)
+        indices = split_batch(costs, limits.chunk, limits.chunk_searches)
         return [[request.searches[index] for index in chunk] for chunk in indices]
 
     def plan(self, request: SearchRequest, searches: Sequence[api.Search]) -> Plan:
@@ -83,7 +83,7 @@
             "vectors",
             zlib.crc32(searches[0].vector),
             _model_name(spec),
-            tuple(PartPlan(shard, 1 / len(shards), OP, spec.name) for shard in shards),
+            tuple(PartPlan(shard, 1 / len(shards), SEARCH_OPERATION, spec.name) for shard in shards),
             search=self._search_plan(request, searches, query_class),
             front="vector",
         )
@@ -93,7 +93,7 @@
     ) -> SearchPlan:
         spec = request.spec
         features = _cost_features(searches)
-        top = TopK(
+        top = TopKMerge(
             [search.limit for search in searches],
             [search.offset for search in searches],
             [search.want.threshold for search in searches],
@@ -216,7 +216,7 @@
 
 
 def _cost_features(searches: Sequence[api.Search]) -> tuple[float, ...]:
-    return search_figures(
+    return search_features(
         len(searches),
         sum(search.want.limit for search in searches),
         sum(search.want.filter is not None for search in searches),
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -104,7 +104,7 @@
         plan = query.plan
         search_fields: dict[str, Sequence[float | None]] = {}
         if plan.search is not None:
-            search_fields = {"wanted": plan.search.top.wanted, "least": plan.search.top.thresholds}
+            search_fields = {"wanted": plan.search.top.requested_counts, "least": plan.search.top.thresholds}
         self._broker.events(
             "take",
             q=query.id,
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -17,7 +17,7 @@
 from heathwell.observability.event_log import EventLog
 from heathwell.policy.records import Endpoint
 from heathwell.service import key_spaces
-from heathwell.service.admission import FairGate
+from heathwell.service.admission import FairQueue
 from heathwell.service.broker_components import build_components, build_discovery_client
 from heathwell.service.broker_options import BrokerOptions
 from heathwell.service.host_link import HostLink
@@ -25,9 +25,9 @@
 from heathwell.service.module_settings import module_settings
 from heathwell.service.query_cost import part_work_us
 from heathwell.service.records import Plan
-from heathwell.service.regions import Regions
+from heathwell.service.regions import RegionLinks
 from heathwell.service.reply_merging import UnmergeablePartsError, merge_reply
-from heathwell.service.retry_storms import Storms
+from heathwell.service.retry_storms import StormController
 from heathwell.service.service_records import ServicePart, ServiceQuery
 from heathwell.service.settings_change import ServiceSnapshot, check_settings_change
 from heathwell.settings import ServiceSettings
@@ -185,17 +185,17 @@
     # Components that the servers of client protocols read or use.
 
     @property
-    def gate(self) -> FairGate | None:
+    def gate(self) -> FairQueue | None:
         """The queues of the servers, where settings enable them."""
-        return self._fair_admission.gate if self._fair_admission is not None else None
+        return self._fair_admission.queue if self._fair_admission is not None else None
 
     @property
-    def storms(self) -> Storms | None:
+    def storms(self) -> StormController | None:
         """The decider on retry storms, where settings enable it."""
         return self._storm_control.decider if self._storm_control is not None else None
 
     @property
-    def regions(self) -> Regions | None:
+    def regions(self) -> RegionLinks | None:
         """The decider on links between regions, where settings enable it."""
         return self._restrictions.regions
 
