--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -113,7 +113,9 @@
             return
         now = self.servers.loop.now()
         drain = self.front.broker.client_drain
-        drain.cut_since, drain.over, drain.look = now - 5_000_000, 1, lambda *_: None
+        drain.cut_since_us = now - 5_000_000
+        drain.spread_us = 1
+        drain.tick = lambda *_, **__: None
         for connection in self.connections():
             connection.since = now - 6_000_000
         self.front._let_go()
