--- a/heathwell/fleet/control/evacuation_coordinator.py
+++ b/heathwell/fleet/control/evacuation_coordinator.py
@@ -55,7 +55,7 @@
 
 
 def evacuation_coordinator_from_settings(service_settings: ServiceSettings) -> EvacuationCoordinator:
-    """The coordinator that the settings ask for."""
+    """The coordinator that the settings define."""
     return EvacuationCoordinator(
         service_settings.fleet.zones,
         zone_capacity=service_settings.fleet.zone_bears,
--- a/heathwell/fleet/control/fleet_agent.py
+++ b/heathwell/fleet/control/fleet_agent.py
@@ -29,7 +29,7 @@
 )
 from heathwell.observability.event_log import EventLog, NoEvents
 
-SILENT_SUSPECT_TIMEOUTS = 2  # a coordinator that is silent for so many is taken for gone
+SILENT_SUSPECT_TIMEOUTS = 2  # a coordinator that is silent for so many counts as lost
 SEEDS_PER_MEMBER = 64  # its links draw from seeds of their own
 UNIT_MILLIUNITS = 1_000
 
--- a/heathwell/fleet/control/link.py
+++ b/heathwell/fleet/control/link.py
@@ -26,7 +26,7 @@
     """A connection to ``address`` that introduces itself as ``name`` in ``role``.
 
     ``on_message`` is called with each message but the peer's hello. A peer that stays silent for longer than
-    ``silence_us`` is taken for gone at the next :meth:`send`, as a connection whose peer has vanished is
+    ``silence_us`` counts as lost at the next :meth:`send`, as a connection whose peer has vanished is
     never reset. ``fleet`` is the fleet's name ("" where it has none); a coordinator of another fleet
     refuses it.
     """
--- a/heathwell/fleet/control/node_agent.py
+++ b/heathwell/fleet/control/node_agent.py
@@ -1,7 +1,7 @@
-"""The agent of a node: starts, replaces and restarts the broker processes that controllers ask it to run.
+"""The agent of a node: starts, replaces and restarts the broker processes that controllers request.
 
 Owns the wiring between the supervisors, the processes, the state file and the control connections. An agent
-that starts again adopts the processes that serve, which have gone on meanwhile. Imports the records of the
+that starts again adopts the processes that serve, which have continued meanwhile. Imports the records of the
 state file, the broker processes, the supervisor and the inner protocol.
 """
 
@@ -43,7 +43,7 @@
 from heathwell.observability.digests import program_digest, settings_digest
 
 TICK_INTERVAL_US = 100_000
-POLL_INTERVAL_US = 500_000  # how often a broker is asked for its sums
+POLL_INTERVAL_US = 500_000  # between polls of a broker for its sums
 POLL_TIMEOUT_US = 1_500_000
 CONTROLLERS_MOST = 64  # connections at a time
 EXIT_NOT_STARTED = 127  # the shell's code for a command that cannot be run
@@ -127,7 +127,7 @@
         self._execute(broker, actions)
 
     def stop(self) -> None:
-        """Ask all processes to end, and start none any more."""
+        """Stop all processes, and start none any more."""
         self.stopping = True
         for broker in self.brokers.values():
             for process in broker.processes.values():
@@ -195,7 +195,7 @@
                     self.log(level, text)
 
     def _apply_settings(self, broker: SupervisedBroker, run: int, version: str) -> None:
-        """Put a version's settings in place and ask the process to read them (SIGHUP).
+        """Put a version's settings in place and have the process read them (SIGHUP).
 
         A failure is logged alone: the supervisor replaces the process after a timeout.
         """
@@ -264,7 +264,7 @@
         self._save_state()
 
     def _poll_forever(self, broker: SupervisedBroker) -> Coro[None]:
-        """Ask the serving process for its sums at intervals."""
+        """Poll the serving process for its sums."""
         while True:
             yield from sleep(self.loop, POLL_INTERVAL_US)
             serving = broker.supervisor.serving
@@ -278,7 +278,7 @@
             self._check_settings_applied(broker, serving.run, process)
 
     def _poll(self, process: RunningProcess) -> Coro[None]:
-        """Ask a process once; one that does not answer counts as silent after a while."""
+        """Poll a process once; one that does not answer counts as silent after a while."""
         try:
             report = yield from fetch_service_report(self.net, process.admin_address, POLL_TIMEOUT_US)
         except (ConnectFailed, StreamBroken, HttpError, ValueError):
@@ -288,7 +288,7 @@
             process.reported_at_us = self.loop.now()
 
     def _check_settings_applied(self, broker: SupervisedBroker, run: int, process: RunningProcess) -> None:
-        """Tell the supervisor once a process reports the settings that were handed to it."""
+        """Notify the supervisor once a process reports the settings that were handed to it."""
         supervisor = broker.supervisor
         files = self.versions.get(base_version(supervisor.applying_version))
         if files is None or process.report.settings_digest != files.digests[1]:
@@ -373,7 +373,7 @@
                 self._restore_broker(broker, broker_state)
 
     def _restore_broker(self, broker: SupervisedBroker, state: BrokerState) -> None:
-        """Adopt the process that serves and ask the others to end, which had only begun or were draining."""
+        """Adopt the process that serves and stop the others, which had only begun or were draining."""
         supervisor = broker.supervisor
         broker.address = state.address
         supervisor.desired_version = state.desired_version
--- a/heathwell/fleet/control/quota_coordinator.py
+++ b/heathwell/fleet/control/quota_coordinator.py
@@ -27,7 +27,7 @@
 from heathwell.observability.event_log import EventLog, NoEvents
 
 TICKS_PER_LEASE = 12  # how often a fraction's lease is requested anew, so that some requests may be lost
-SILENT_LEASE_FRACTION = 2  # a peer that is silent for half a lease is taken for gone
+SILENT_LEASE_FRACTION = 2  # a peer that is silent for half a lease counts as lost
 SEEDS_PER_COORDINATOR = 64  # its links draw from seeds of their own
 MAX_CONNECTIONS = 4_096
 LEADING_FRACTION = 0  # whoever holds its lease decides on zones
--- a/heathwell/fleet/control/rollout.py
+++ b/heathwell/fleet/control/rollout.py
@@ -70,10 +70,10 @@
 class RolloutRunner:
     """Runs one rollout until it has ended, which sets ``done``.
 
-    ``is_leader`` tells whether this is the fleet's controller at the moment; while it is not, nothing is
+    ``is_leader`` returns whether this is the fleet's controller at the moment; while it is not, nothing is
     begun. ``preflight`` returns what speaks against the rollout. ``files`` are the versions' by name.
     ``crash_at`` is called with the name of each point at which tests may end the process. A record in
-    ``folder`` is gone on from, under the new ``term``; errors of its reading propagate.
+    ``folder`` is continued, under the new ``term``; errors of its reading propagate.
     """
 
     def __init__(
@@ -350,7 +350,7 @@
                 self._on_rejected(broker, reason)
 
     def _on_rejected(self, broker: str, reason: str) -> None:
-        """An agent did not take a decision; a broker whose agent goes on to do so undoes the rollout."""
+        """An agent did not take a decision; a broker whose agent repeats this undoes the rollout."""
         self._rejections[broker] += 1
         self._warn_once(f"{broker}: a wish was not taken: {reason}")
         if self._rejections[broker] >= REJECTIONS_MOST and self.controller.state == RolloutState.DEPLOYING:
--- a/heathwell/fleet/control/rollout_file.py
+++ b/heathwell/fleet/control/rollout_file.py
@@ -1,4 +1,4 @@
-"""The state file of a rollout: where it stands, so that a controller started later goes on from there.
+"""The state file of a rollout: where it stands, so that a controller started later continues from there.
 
 Owns the file's name; its layout is that of :class:`RolloutRecord`. Imports the rollout package and the atomic
 write of the state files.
--- a/heathwell/fleet/evacuation/capacity.py
+++ b/heathwell/fleet/evacuation/capacity.py
@@ -1,9 +1,10 @@
-"""Estimates what a zone's hosts can bear from their answers alone; nothing is sent to find it out.
+"""Estimates the capacity of a zone's hosts from their answers alone; nothing is sent to measure it.
 
-The highest rate that a zone answered in its usual time is a lower bound. Beyond it the answers' growing
-duration tells: two servers with one queue, at a utilization `u`, answer in `1 / (1 - u ** 2)` of their idle
-time (M/M/2; hosts here have two cores). One core slows down sooner, so that its capacity is underestimated;
-more cores slow down later, and no estimate goes beyond ``MAX_EXTRAPOLATION`` times the present rate.
+The highest rate that a zone answered in its usual time is a lower bound. Beyond it the
+utilization follows from the answers' growing duration: two servers with one queue, at a utilization `u`,
+answer in `1 / (1 - u ** 2)` of their idle time (M/M/2; hosts here have two cores). One core slows down
+sooner, so that its capacity is underestimated; more cores slow down later, and no estimate goes beyond
+``MAX_EXTRAPOLATION`` times the present rate.
 
 Owns the estimate of each zone. May import the evidence's records.
 """
--- a/heathwell/fleet/evacuation/controller.py
+++ b/heathwell/fleet/evacuation/controller.py
@@ -44,7 +44,7 @@
 class EvacuationController:
     """Decides for the fleet under one term.
 
-    It goes on from ``standing_decision``, the one that brokers go by as it starts. ``priority_weights`` (of a
+    It starts from ``standing_decision``, the one that brokers follow as it starts. ``priority_weights`` (of a
     part, by query class) may be set by its owner; without them all classes are alike.
     """
 
@@ -81,13 +81,13 @@
         capacity: Mapping[str, float],
         rate_by_class: Mapping[ZoneClassKey, float] | None = None,
     ) -> None:
-        """Parts a second by zone: asked now, and borne at most; the former by (zone, class) too, if known."""
+        """Parts a second by zone, requested and possible; the former by (zone, class) too, if known."""
         self.load = FleetLoad(rate, capacity, rate_by_class or {})
 
     def assess(self, zone: str, query_class: str | None = None) -> HealthAssessment:
         """Whether the other zones agree that a zone, or one query class there, is unhealthy."""
-        # A zone that doesn't serve in full is not healthy for want of attempts: its hosts are ejected, and
-        # few attempts go there any more.
+        # A zone that doesn't serve in full is not healthy merely for lack of attempts: its hosts are ejected,
+        # and few attempts go there any more.
         is_serving = self.zones[zone].state == ZoneState.SERVING
         minimum_attempts = self.parameters.minimum_attempts if is_serving else 1
         return self.health.assess(zone, query_class, minimum_attempts)
--- a/heathwell/fleet/evacuation/load.py
+++ b/heathwell/fleet/evacuation/load.py
@@ -1,4 +1,4 @@
-"""Estimates the parts a second that are asked of each zone.
+"""Estimates the parts a second that are requested of each zone.
 
 Attempts don't measure it while a zone is unhealthy, as one part is retried again and again. So the load is
 what is answered while every zone is healthy, and the last such figure while one is not.
--- a/heathwell/fleet/evacuation/plan.py
+++ b/heathwell/fleet/evacuation/plan.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetLoad:
-    """Parts a second: asked of each zone, borne by its hosts at most, and asked by (zone, query class).
+    """Parts a second: requested of each zone, its hosts' capacity, and requested by (zone, query class).
 
     A zone without a capacity is one of which none is known. ``rate_by_class`` is empty where not known.
     """
@@ -54,7 +54,7 @@
 class EvacuationPlanner:
     """Plans against one state of the fleet.
 
-    ``priority_weights`` of a part, by query class; classes without one are not moved on their own for want of
+    ``priority_weights`` of a part, by query class; classes without one are not moved on their own for lack of
     capacity. ``usable_capacity_fraction`` of the other zones' capacity may be filled.
     """
 
@@ -65,7 +65,7 @@
     def plan(self, zone: str, healthy_zones: Collection[str], classes: ClassHealth) -> EvacuationPlan:
         """What of ``zone`` the ``healthy_zones`` take over.
 
-        No shard is left without a replica: what only this zone holds is asked there as before.
+        No shard is left without a replica: what only this zone holds is requested there as before.
         """
         if not healthy_zones:
             return EvacuationPlan(1.0, (), "no other zone is serving")
--- a/heathwell/fleet/membership/local_member.py
+++ b/heathwell/fleet/membership/local_member.py
@@ -1,6 +1,6 @@
 """A broker's own view of its membership.
 
-Job: number this process's incarnations, write its reports and notice when an incarnation has ended. Owns the
+Job: number this process's incarnations, write its reports and detect when an incarnation has ended. Owns the
 incarnation number and the positions in each coordinator's replies. May import the states and messages of this
 package only.
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncarnationEnded:
-    """This process's incarnation has ended; it goes on as the next one and holds nothing."""
+    """This process's incarnation has ended; the process continues as the next one and holds nothing."""
 
     reason: str
 
--- a/heathwell/fleet/membership/messages.py
+++ b/heathwell/fleet/membership/messages.py
@@ -1,4 +1,4 @@
-"""What a broker and a coordinator tell each other about membership.
+"""Messages between a broker and a coordinator about membership.
 
 Job: the typed records of a report and its reply; the codec's frames carry them on the wire. Owns no state.
 May import the states of this package only.
--- a/heathwell/fleet/quotas/broker_quotas.py
+++ b/heathwell/fleet/quotas/broker_quotas.py
@@ -53,9 +53,7 @@
         self._scoped_used_at_us: dict[str, int] = {}  # by full name
 
     def check_clock(self, now_us: int) -> IncarnationEnded | None:
-        """To be called first in a turn of the loop: a broker that stood still for too long holds nothing any
-        more.
-        """
+        """Drop all grants if the process was suspended for too long; called first in a turn of the loop."""
         return self._drop_if_ended(now_us, self.member.check_clock(now_us))
 
     def renewals(self, now_us: int, *, leaving: bool = False) -> list[AddressedRenewal]:
--- a/heathwell/fleet/quotas/fraction_lease.py
+++ b/heathwell/fleet/quotas/fraction_lease.py
@@ -49,8 +49,10 @@
 
 @dataclass(slots=True)
 class ReceivedVotes:
-    """Votes of one fraction: until when (our clock) each voter's vote for us lasts, and when we last asked a
-    voter that had voted for another.
+    """Votes of one fraction, by our own clock.
+
+    ``expires_at_us`` is the end of each voter's vote for us; ``other_voted_at_us`` is when we last sent a
+    request to a voter that had voted for another.
     """
 
     other_voted_at_us: int
@@ -94,7 +96,7 @@
         ]
 
     def on_vote(self, vote: FractionLeaseVote) -> None:
-        """Count a voter's answer from when we asked, on our clock."""
+        """Count a voter's answer from when we sent the request, on our clock."""
         votes = self.votes[vote.fraction]
         if vote.holder == self.incarnation:
             expires_at_us = self.lease.holder_expires_at_us(vote.requested_at_us)
--- a/heathwell/fleet/quotas/messages.py
+++ b/heathwell/fleet/quotas/messages.py
@@ -1,4 +1,4 @@
-"""What brokers and coordinators tell each other about quotas.
+"""Messages between brokers and coordinators about quotas.
 
 Job: the typed records of renewals, grants and fraction leases; the codec's frames carry them on the wire.
 Owns no state. May import membership's messages.
--- a/heathwell/fleet/quotas/quota_holder.py
+++ b/heathwell/fleet/quotas/quota_holder.py
@@ -3,8 +3,8 @@
 Job: say what may be used at this instant, and count use and demand. Owns the grants held of one budget. All
 instants are of the broker's own clock. May import this package's budget, errors, lease and messages.
 
-Every use is checked at the instant it happens: a grant that expired while the process stood still is gone at
-the first use after it.
+Every use is checked at the instant it happens: a grant that expired while the process was suspended is gone
+at the first use after it.
 """
 
 from __future__ import annotations
--- a/heathwell/fleet/rollout/broker_supervisor.py
+++ b/heathwell/fleet/rollout/broker_supervisor.py
@@ -1,7 +1,7 @@
 """One broker of a machine: which version runs, and how it is replaced while its address takes connections.
 
 The new process is started beside the old one and shares its listening socket. Only once it serves, and has
-reported the digests that its files have, is the old one asked to end, and it finishes what is in flight. A
+reported the digests that its files have, is the old one stopped, and it finishes what is in flight. A
 process that crashes is started again after a delay that doubles; after too many crashes the previous version
 is run, or the supervisor stops and waits for an operator.
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopProcess:
-    """Ask a process to end (SIGTERM), or with ``force`` end it (SIGKILL)."""
+    """Stop a process by SIGTERM, or with ``force`` by SIGKILL."""
 
     run: int
     force: bool = False
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class BrokerProcess:
-    """One process; ``stop_requested_at_us`` is None until it was asked to end."""
+    """One process; ``stop_requested_at_us`` is None until a stop was requested."""
 
     run: int
     version: str
@@ -271,7 +271,7 @@
             self.failures[version] = reason
 
     def _record_failed_drain(self, process: BrokerProcess, exit_code: int, in_flight: int) -> None:
-        """A version that is started a second time is blamed for how its first process ended."""
+        """Record a failure of a version that is started a second time, as its first process ended badly."""
         self.unexpected_exits += 1
         self.failures[self.desired_version] = f"{process.version} ended with {exit_code}, {in_flight} held"
         self._log("error", f"{process.version} did not end in order: {exit_code}, {in_flight} held")
--- a/heathwell/fleet/rollout/canary_analysis.py
+++ b/heathwell/fleet/rollout/canary_analysis.py
@@ -1,9 +1,9 @@
 """Whether brokers on the new version (canary) do worse than those of the same zone on the old one (baseline).
 
 Each window gives, by class, the difference of a query's mean goodput between canary and baseline, zone by
-zone: what hits both sides cancels. Over windows a weighted t-test asks whether the mean difference is below
-zero. It is repeated during the stage, and its error is shared out over looks (:mod:`sequential_analysis`) and
-over classes (Bonferroni).
+zone: what hits both sides cancels. Over windows a weighted t-test decides whether the mean difference is
+below zero. It is repeated during the stage, and its error is divided over these interim analyses
+(:mod:`sequential_analysis`) and over classes (Bonferroni).
 
 Owns the evidence of one stage; pure. Imports the other modules of this package below the controller.
 """
--- a/heathwell/fleet/rollout/immediate_checks.py
+++ b/heathwell/fleet/rollout/immediate_checks.py
@@ -71,7 +71,7 @@
 
 
 class MemoryGrowthCheck:
-    """Memory of the canary that has grown beyond the baseline's, and goes on growing."""
+    """Memory of the canary that has grown beyond the baseline's, and is still growing."""
 
     def __init__(self, limits: AnalysisLimits) -> None:
         self.limits = limits
--- a/heathwell/fleet/rollout/observations.py
+++ b/heathwell/fleet/rollout/observations.py
@@ -45,8 +45,8 @@
 class BrokerWindow:
     """One broker during one observation window.
 
-    ``is_canary``: it runs the new version. ``unexpected_exits`` counts ends of its process that nobody asked
-    for. ``silent``: it did not report, so that the statistics are not to be used.
+    ``is_canary``: it runs the new version. ``unexpected_exits`` counts ends of its process that were not
+    requested. ``silent``: it did not report, so that the statistics are not to be used.
     """
 
     broker: str
--- a/heathwell/fleet/rollout/rollout_controller.py
+++ b/heathwell/fleet/rollout/rollout_controller.py
@@ -101,7 +101,7 @@
 )
 RESTART_SUFFIX = "~"  # of a version that is to be started once more, so that its shutdown is observed early
 FAULT_WINDOWS = 5  # with a fault on both sides after which a rollout is held
-RECOVERY_WINDOWS = 5  # without one after which it goes on
+RECOVERY_WINDOWS = 5  # without one after which it continues
 MAX_HISTORY = 200
 FAULT_MIN_QUERIES = 10  # in a window
 FAULT_GOODPUT = 0.8  # of all queries, below which a held rollout stays held
@@ -280,7 +280,7 @@
         )
 
     def _is_stage_over(self, analysis: CanaryAnalysis) -> bool:
-        """Whether the stage lasted long enough. One that needs proof goes on until it has it, but for the
+        """Whether the stage lasted long enough. One that needs proof continues until it has it, but for the
         last stage, which leaves no baseline to prove it by.
         """
         stage = self.plan.stages[self.stage]
--- a/heathwell/gateway/config.py
+++ b/heathwell/gateway/config.py
@@ -26,7 +26,7 @@
 MIN_SOCKETS = 64
 MAX_NUMBER = 1 << 53
 NO_TIMEOUT_US = 1 << 53
-DEFAULT_HOLD_US = 1_500_000  # of a watch, if the settings state no interval to ask in
+DEFAULT_HOLD_US = 1_500_000  # of a watch, if the settings state no poll interval
 RESERVED_SOCKETS = 24  # standard streams, the poller, the listener, discovery, and those of the runtime
 
 
--- a/heathwell/gateway/discovery.py
+++ b/heathwell/gateway/discovery.py
@@ -1,7 +1,7 @@
 """The platform's discovery over HTTP: a watch that continues, call after call, from the version that is held.
 
-The module decides when to ask; from then on each answer is passed on until a call fails. The failure is
-passed on too, and the module decides when to ask again. The only timeouts are those of a call, so that a
+The module decides when to poll; from then on each answer is passed on until a call fails. The failure is
+passed on too, and the module decides when to poll again. The only timeouts are those of a call, so that a
 silent connection is noticed. :class:`Discovery` owns its connection and the version held; what an answer
 means is for its listener. Imports the HTTP codec, the decoder of answers and the event loop.
 
@@ -33,7 +33,7 @@
 # Pauses between calls while a change that was missed may take effect.
 MIN_RETRY_PAUSE_US = 100_000
 MAX_RETRY_PAUSE_US = 800_000
-# A watch waits a random fraction of its hold time, so that brokers started together ask apart.
+# A watch waits a random fraction of its hold time, so that brokers started together poll apart.
 MIN_HOLD_FRACTION = 0.75
 PATH = "/api/targets"
 MAX_BODY_BYTES = 1 << 20
@@ -97,7 +97,7 @@
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Watch if lists are pushed; otherwise the module asks first."""
+        """Watch if lists are pushed; otherwise the module polls first."""
         if self.pushed:
             self.ask()
 
--- a/heathwell/gateway/node_attempts.py
+++ b/heathwell/gateway/node_attempts.py
@@ -58,7 +58,7 @@
 
 
 class RecentIds:
-    """A set of ids that forgets each after ``retention_us``, and holds ``MAX_RECENT_IDS`` at most."""
+    """A set of ids that drops each after ``retention_us``, and holds ``MAX_RECENT_IDS`` at most."""
 
     def __init__(self, retention_us: int) -> None:
         self._retention_us = retention_us
--- a/heathwell/testing/modelcheck/lease_model.py
+++ b/heathwell/testing/modelcheck/lease_model.py
@@ -1,7 +1,7 @@
 """A small model of the quota leases: coordinators that vote and grant, brokers, one budget of one unit.
 
 Job: the events that may happen in that fleet (loss, reordering, restart, expiry) and its invariants.
-Ownership: each state belongs to the exploration that asked for it. Imports: ``heathwell.fleet.quotas``.
+Ownership: each state belongs to the exploration that requested it. Imports: ``heathwell.fleet.quotas``.
 
 Time advances in ticks. A lease lasts a few of them and all clocks agree, so that only the order of events is
 explored. Fraction leases outlast grants, as in a fleet. All coordinators request the one fraction, which is
--- a/heathwell/testing/modelcheck/lease_state.py
+++ b/heathwell/testing/modelcheck/lease_state.py
@@ -1,4 +1,4 @@
-"""The state of the lease model, and the key that tells its states apart.
+"""The state of the lease model, and the key that distinguishes its states.
 
 Job: the records of a small fleet's quota coordinators, brokers and messages in flight; copies and keys of
 them. Ownership: a state owns all that it refers to; a copy shares nothing with its original. Imports:
