--- a/heathwell/testing/audit/__init__.py
+++ b/heathwell/testing/audit/__init__.py
@@ -1,9 +1,10 @@
-"""Judges the six rules from the event logs of clients, brokers and hosts; knows nothing of their code."""
+"""Judges the six rules from the event logs of clients, brokers and hosts; it uses none of their code."""
 
 from heathwell.testing.audit.budgets import BudgetVerdict, judge_budgets
 from heathwell.testing.audit.freshness import AgeVerdict, judge_ages
+from heathwell.testing.audit.judgement import judge
 from heathwell.testing.audit.reader import Event, read_logs
-from heathwell.testing.audit.rules import Breach, Verdict, judge
+from heathwell.testing.audit.verdict import Breach, Verdict
 
 __all__ = [
     "AgeVerdict",
--- a/heathwell/testing/audit/budgets.py
+++ b/heathwell/testing/audit/budgets.py
@@ -1,29 +1,31 @@
-"""Budgets of a fleet, judged from logs alone: what was held, and what was used, at every instant.
+"""Judges the budgets of a fleet from logs alone: what was held, and what was used, at every instant.
 
-Holders log each change of what they hold (with how long yet, by their own clocks), each use of a rate, and
-how fast their clocks run; keepers log what they give; hosts log who connects and what arrives. A process that
-was killed says no more: what it held is counted until it would have run out.
+Holders log each change of what they hold (with its remaining time by their own clocks), each use of a rate,
+and the rate of their clocks; coordinators log their grants; hosts log connections and arrivals. What a killed
+process held counts until it would have expired.
 """
 
 from __future__ import annotations
 
 import heapq
 from collections import defaultdict
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import NamedTuple
 
-from heathwell.testing.audit.reader import Event
+from heathwell.testing.audit.reader import Event, JsonObject
 
-SLACK_US = 2_000  # between a deed and its line
-ROUNDING = 1_000  # thousandths: a unit is taken whole
+SLACK_US = 2_000  # between an action and its record
+ROUNDING_MILLIUNITS = 1_000  # units are not divisible
+BUCKET_TOLERANCE = ROUNDING_MILLIUNITS * 1e-6
+RESIZE_GRACE_US = 1_000_000
+CONNECTIONS = "connections"
+AT_HOSTS = "at hosts"
 
 
 @dataclass(slots=True)
 class BudgetVerdict:
-    """``breaches`` are sentences; ``nearest`` is the most that was held of each budget, as a share of what
-    may be.
-    """
+    """``breaches`` in words; ``nearest`` is the greatest held fraction of each budget's limit."""
 
     breaches: list[str] = field(default_factory=list)
     nearest: dict[str, float] = field(default_factory=dict)
@@ -32,212 +34,290 @@
 
     @property
     def kept(self) -> bool:
-        """Whether no budget was overshot; a run in which nothing was held shows nothing."""
+        """Whether no budget was exceeded; a run in which nothing was held has kept none."""
         return not self.breaches and self.lines > 0
 
+    def record_use(self, name: str, fraction: float) -> None:
+        """Record how much of a budget was held."""
+        self.nearest[name] = max(self.nearest.get(name, 0.0), fraction)
 
-@dataclass(slots=True)
-class _Share:
-    """What one holder holds of one budget now: ends and amounts (true time)."""
 
-    held: list[tuple[int, int]] = field(default_factory=list)
-    own: int = 0
-    at: int = 0
-    saved: float = 0.0  # of a rate: what it may have saved up by its own share
-    fresh: bool = False  # nothing was lent to it yet
+class _Grant(NamedTuple):
+    expires_at_us: int
+    amount: int
+
+
+class _GrantId(NamedTuple):
+    """What connects a holder's record of a grant with the coordinator's."""
+
+    member: str | None
+    incarnation: int | None
+    budget: str
+    fraction: int
+    number: int
+    amount: int
+    coordinator: str
+
+
+class _ShrunkLimit(NamedTuple):
+    """The larger limit before, and until when it may be held."""
+
+    former: int
+    until_us: int
 
-    def lent(self, now: int) -> int:
-        """What has not run out."""
-        return sum(amount for until, amount in self.held if until > now)
+
+class _Bucket(NamedTuple):
+    level: float
+    updated_at_us: int
+
+
+@dataclass(slots=True)
+class _Holding:
+    """What one holder holds of one budget; ``saved`` is the unused part of its rate."""
+
+    own: int
+    updated_at_us: int
+    grants: list[_Grant] = field(default_factory=list)
+    saved: float = 0.0
+    had_no_grant: bool = False
+
+    def granted(self, now_us: int) -> int:
+        """Return the grants that have not expired."""
+        return sum(grant.amount for grant in self.grants if grant.expires_at_us > now_us)
+
+    def save(self, now_us: int, window_us: int) -> None:
+        """Add the rate since the last update, up to that of one window."""
+        if now_us <= self.updated_at_us:
+            return
+        rate = self.own + sum(grant.amount for grant in self.grants)
+        saved = self.saved + rate * (now_us - self.updated_at_us) / 1e6
+        self.saved = min(saved, rate * window_us / 1e6)
+        self.updated_at_us = now_us
 
 
 class BudgetAudit:
-    """Fed with events in their order; :meth:`verdict` at the end. Linear but for a heap of ends."""
-
-    def __init__(self, figures: dict[str, Any]) -> None:
-        self.budgets: dict[str, dict[str, Any]] = {spec["name"]: spec for spec in figures["budgets"]}
-        self.drift = figures["drift"]
-        self.out = BudgetVerdict()
-        self.wholes: dict[str, int] = {name: spec["whole"] for name, spec in self.budgets.items()}
-        self._shrunk: dict[
-            str, tuple[int, int]
-        ] = {}  # the larger whole before, and until when it may be held yet
-        self._rates: dict[str, float] = {}
-        self._member: dict[str, str] = {}  # by writer of a log: the name that it is a member under
-        self._incs: dict[str, int] = {}
-        self._holds: dict[tuple[str, str], _Share] = {}  # by budget and writer
-        self._given: set[tuple[Any, ...]] = set()
-        self._lent: defaultdict[str, int] = defaultdict(int)
-        self._ends: list[tuple[int, str, str]] = []
-        self._bucket: dict[str, tuple[float, int]] = {}
-        self._open: defaultdict[str, int] = defaultdict(int)
-        self._grant_us = 0
-
-    def feed(self, events: Iterable[Event]) -> BudgetAudit:
-        """Take events, oldest first."""
+    """Judges events in their order; ``verdict`` is up to the last one."""
+
+    def __init__(self, parameters: JsonObject) -> None:
+        self.verdict = BudgetVerdict()
+        self._budgets: dict[str, JsonObject] = {spec["name"]: spec for spec in parameters["budgets"]}
+        self._drift: float = parameters["drift"]
+        self._limits: dict[str, int] = {name: spec["whole"] for name, spec in self._budgets.items()}
+        self._shrunk: dict[str, _ShrunkLimit] = {}
+        self._clock_rates: dict[str, float] = {}
+        self._members: dict[str, str] = {}  # by writer of a log, its name as a member
+        self._incarnations: dict[str, int] = {}
+        self._holdings: dict[tuple[str, str], _Holding] = {}  # by budget and writer
+        self._grants: set[_GrantId] = set()
+        self._granted: defaultdict[str, int] = defaultdict(int)
+        self._expiries: list[tuple[int, str, str]] = []  # a heap, with budget and writer
+        self._buckets: dict[str, _Bucket] = {}
+        self._open_connections: defaultdict[str, int] = defaultdict(int)
+        self._longest_grant_us = 0
+        self._handlers: dict[str, Callable[[Event], None]] = {
+            "clock": self._on_clock,
+            "joins": self._on_joined,
+            "dies": self._on_died,
+            "gives": self._on_granted,
+            "holds": self._on_held,
+            "spends": self._on_used,
+            "resized": self._on_resized,
+            "met": self._on_connected,
+            "unmet": self._on_disconnected,
+            "up": self._on_host_started,
+        }
+
+    def feed(self, events: Iterable[Event]) -> None:
+        """Judge events, oldest first."""
         for event in events:
-            self._run_out(event.t)
-            match event.ev:
-                case "clock":
-                    self._rates[event.who] = event["rate"]
-                case "joins":
-                    self._member[event.who], self._incs[event.who] = event["name"], event["inc"]
-                case "dies":
-                    self._incs[event.who] = event["inc"]
-                case "gives":
-                    self._gives(event)
-                case "holds":
-                    self._held(event)
-                case "spends":
-                    self._spent(event)
-                case "resized":
-                    self._resized(event)
-                case "met" if event["role"] == "broker":
-                    self._met(event, 1)
-                case "unmet" if event["role"] == "broker":
-                    self._met(event, -1)
-                case "up":
-                    self._open[event["node"]] = 0  # a new process has no connections
-        return self
-
-    def verdict(self) -> BudgetVerdict:
-        """What was found."""
-        return self.out
-
-    def _spec(self, name: str) -> dict[str, Any]:
-        return self.budgets[name.partition("@")[0]]
-
-    def _may(self, name: str, now: int) -> int:
-        base = name.partition("@")[0]
-        larger, until = self._shrunk.get(base, (0, 0))
-        return max(self.wholes[base], larger if now <= until else 0)
-
-    def _say(self, event: Event, text: str) -> None:
-        self.out.breaches.append(f"{event.t / 1e6:.3f} s: {text} [{event.at}]")
-
-    def _gives(self, event: Event) -> None:
-        self._grant_us = max(self._grant_us, event["length"])
-        self._given.add(
-            (
-                event["to"],
-                event["inc"],
-                event["budget"],
-                event["fraction"],
-                event["number"],
-                event["amount"],
-                event.who.partition("r")[0],
-            )
+            self._expire_grants(event.t)
+            handler = self._handlers.get(event.ev)
+            if handler is not None:
+                handler(event)
+
+    def _report(self, event: Event, text: str) -> None:
+        self.verdict.breaches.append(f"{event.t / 1e6:.3f} s: {text} [{event.location}]")
+
+    def _spec(self, name: str) -> JsonObject:
+        return self._budgets[_base_name(name)]
+
+    def _limit(self, name: str, now_us: int) -> int:
+        base = _base_name(name)
+        shrunk = self._shrunk.get(base)
+        former = shrunk.former if shrunk is not None and now_us <= shrunk.until_us else 0
+        return max(self._limits[base], former)
+
+    # Members, grants and limits.
+
+    def _on_clock(self, event: Event) -> None:
+        self._clock_rates[event.who] = event["rate"]
+
+    def _on_joined(self, event: Event) -> None:
+        self._members[event.who] = event["name"]
+        self._incarnations[event.who] = event["inc"]
+
+    def _on_died(self, event: Event) -> None:
+        self._incarnations[event.who] = event["inc"]
+
+    def _on_granted(self, event: Event) -> None:
+        self._longest_grant_us = max(self._longest_grant_us, event["length"])
+        grant = _GrantId(
+            event["to"],
+            event["inc"],
+            event["budget"],
+            event["fraction"],
+            event["number"],
+            event["amount"],
+            event.who.partition("r")[0],
         )
-
-    def _resized(self, event: Event) -> None:
-        base, before = event["budget"], self.wholes[event["budget"]]
-        if event["whole"] < before:
-            # Until each keeper has read it, and what is given out by then has run out, the larger one holds.
-            term = int(self._grant_us * (1 + 2 * self.drift)) + self.budgets[base]["linger"] + 1_000_000
-            self._shrunk[base] = max(before, self._shrunk.get(base, (0, 0))[0]), event.t + term
-        self.wholes[base] = event["whole"]
-
-    def _held(self, event: Event) -> None:
-        """What a holder holds from now on."""
-        name, who = event["budget"], event.who
-        self.out.lines += 1
-        rate = self._rates.get(who, 1.0)
-        fresh = (name, who) not in self._holds
-        share = self._holds.setdefault((name, who), _Share(own=event["own"], at=event.t))
-        fresh = fresh or share.fresh
-        self._save_up(name, share, event.t)
-        self._lent[name] -= share.lent(event.t)
-        share.held = []
-        for fraction, amount, left, owner, number in event["held"]:
-            until = event.t + int(left / rate) - SLACK_US
-            share.held.append((until, amount))
-            heapq.heappush(self._ends, (until, name, who))
-            backed = (
-                self._member.get(who),
-                self._incs.get(who),
+        self._grants.add(grant)
+
+    def _on_resized(self, event: Event) -> None:
+        base = event["budget"]
+        former = self._limits[base]
+        if event["whole"] < former:
+            # Until each coordinator has read the new one, and its grants by then have expired.
+            longest_us = int(self._longest_grant_us * (1 + 2 * self._drift))
+            until_us = event.t + longest_us + self._budgets[base]["linger"] + RESIZE_GRACE_US
+            shrunk = self._shrunk.get(base)
+            self._shrunk[base] = _ShrunkLimit(max(former, shrunk.former if shrunk else 0), until_us)
+        self._limits[base] = event["whole"]
+
+    # Holdings.
+
+    def _on_held(self, event: Event) -> None:
+        name = event["budget"]
+        self.verdict.lines += 1
+        key = (name, event.who)
+        had_no_grant = key not in self._holdings or self._holdings[key].had_no_grant
+        holding = self._holdings.setdefault(key, _Holding(own=event["own"], updated_at_us=event.t))
+        self._save(name, holding, event.t)
+        self._granted[name] -= holding.granted(event.t)
+        self._replace_grants(event, holding)
+        self._granted[name] += holding.granted(event.t)
+        spec = self._spec(name)
+        holding.had_no_grant = had_no_grant and not holding.grants
+        if had_no_grant and holding.grants and spec["kind"] == "rate":
+            # It may begin with a window of its first share: so much is within the burst.
+            holding.saved = (holding.own + holding.granted(event.t)) * spec["window"] / 1e6
+        self._check_granted(event, name, spec)
+
+    def _replace_grants(self, event: Event, holding: _Holding) -> None:
+        clock_rate = self._clock_rates.get(event.who, 1.0)
+        name = event["budget"]
+        holding.grants = []
+        for fraction, amount, remaining_us, owner, number in event["held"]:
+            expires_at_us = event.t + int(remaining_us / clock_rate) - SLACK_US
+            holding.grants.append(_Grant(expires_at_us, amount))
+            heapq.heappush(self._expiries, (expires_at_us, name, event.who))
+            grant = _GrantId(
+                self._members.get(event.who),
+                self._incarnations.get(event.who),
                 name,
                 fraction,
                 number,
                 amount,
                 str(owner).partition(".")[0],
             )
-            if amount and backed not in self._given:
-                self._say(
+            if amount and grant not in self._grants:
+                self._report(
                     event,
-                    f"{who} holds {amount} of {name}, fraction {fraction}, by number {number} of {owner}: "
-                    "no keeper's log has given that",
+                    f"{event.who} holds {amount} of {name}, fraction {fraction}, by number {number} of "
+                    f"{owner}: no keeper's log has given that",
                 )
-        self._lent[name] += share.lent(event.t)
-        spec = self._spec(name)
-        share.fresh = fresh and not share.held
-        if fresh and share.held and spec["kind"] == "rate":
-            # It may begin with a window of its first share: so much is within the burst.
-            share.saved = (share.own + share.lent(event.t)) * spec["window"] / 1e6
-        lendable = self._may(name, event.t) - spec["own"] * spec["most"]
-        if self._lent[name] > lendable:
-            self._say(event, f"{self._lent[name]} of {name} are lent out, of {lendable} that may be")
-        if lendable > 0:
-            seen = self._lent[name] / lendable
-            self.out.nearest[spec["name"]] = max(self.out.nearest.get(spec["name"], 0.0), seen)
-
-    def _run_out(self, now: int) -> None:
-        while self._ends and self._ends[0][0] <= now:
-            until, name, who = heapq.heappop(self._ends)
-            share = self._holds[name, who]
-            gone = sum(amount for end, amount in share.held if end == until)
-            if gone:
-                self._save_up(name, share, until)
-                share.held = [(end, amount) for end, amount in share.held if end != until]
-                self._lent[name] -= gone
-
-    # Uses of a rate: of the whole, and of each holder's own share.
-
-    def _save_up(self, name: str, share: _Share, now: int) -> None:
+
+    def _check_granted(self, event: Event, name: str, spec: JsonObject) -> None:
+        grantable = self._limit(name, event.t) - spec["own"] * spec["most"]
+        granted = self._granted[name]
+        if granted > grantable:
+            self._report(event, f"{granted} of {name} are lent out, of {grantable} that may be")
+        if grantable > 0:
+            self.verdict.record_use(spec["name"], granted / grantable)
+
+    def _expire_grants(self, now_us: int) -> None:
+        while self._expiries and self._expiries[0][0] <= now_us:
+            expired_at_us, name, who = heapq.heappop(self._expiries)
+            holding = self._holdings[name, who]
+            expired = sum(grant.amount for grant in holding.grants if grant.expires_at_us == expired_at_us)
+            if expired:
+                self._save(name, holding, expired_at_us)
+                holding.grants = [grant for grant in holding.grants if grant.expires_at_us != expired_at_us]
+                self._granted[name] -= expired
+
+    # Uses of a rate: of the budget, and of each holder's own share.
+
+    def _save(self, name: str, holding: _Holding, now_us: int) -> None:
         spec = self._spec(name)
-        if spec["kind"] == "rate" and now > share.at:
-            a_second = share.own + sum(amount for _, amount in share.held)
-            share.saved = min(
-                share.saved + a_second * (now - share.at) / 1e6, a_second * spec["window"] / 1e6
-            )
-            share.at = now
-
-    def _spent(self, event: Event) -> None:
-        name, spec, amount = event["budget"], self._spec(event["budget"]), event["amount"]
-        self.out.uses += 1
-        may = self._may(name, event.t)
-        saved, at = self._bucket.get(name, (may * spec["window"] / 1e6, event.t))
-        saved = min(saved + may * (event.t - at) / 1e6, may * spec["window"] / 1e6) - amount
-        self._bucket[name] = saved, event.t
-        if saved < -ROUNDING * 1e-6:
-            self._say(event, f"more of {name} was used than {may / 1000:g} a second and its burst")
-        share = self._holds.get((name, event.who))
-        if share is None:
-            self._say(event, f"{event.who} used {name} and has logged no share of it")
+        if spec["kind"] == "rate":
+            holding.save(now_us, spec["window"])
+
+    def _on_used(self, event: Event) -> None:
+        name = event["budget"]
+        amount = event["amount"]
+        self.verdict.uses += 1
+        self._use_of_budget(event, name, amount)
+        holding = self._holdings.get((name, event.who))
+        if holding is None:
+            self._report(event, f"{event.who} used {name} and has logged no share of it")
             return
-        self._save_up(name, share, event.t)
-        share.saved -= amount
-        if share.saved < -ROUNDING:
-            self._say(event, f"{event.who} used more of {name} than its own share saved up")
-            share.saved = 0.0
+        self._save(name, holding, event.t)
+        holding.saved -= amount
+        if holding.saved < -ROUNDING_MILLIUNITS:
+            self._report(event, f"{event.who} used more of {name} than its own share saved up")
+            holding.saved = 0.0
+
+    def _use_of_budget(self, event: Event, name: str, amount: int) -> None:
+        limit = self._limit(name, event.t)
+        full = limit * self._spec(name)["window"] / 1e6
+        bucket = self._buckets.get(name, _Bucket(full, event.t))
+        refill = limit * (event.t - bucket.updated_at_us) / 1e6
+        level = min(bucket.level + refill, full) - amount
+        self._buckets[name] = _Bucket(level, event.t)
+        if level < -BUCKET_TOLERANCE:
+            self._report(event, f"more of {name} was used than {limit / 1000:g} a second and its burst")
+
+    # Connections, by the hosts' records.
+
+    def _on_connected(self, event: Event) -> None:
+        if event["role"] != "broker" or CONNECTIONS not in self._budgets:
+            return
+        self.verdict.uses += 1
+        fraction = self._change_connections(event, 1)
+        if fraction > 1:
+            node = event["node"]
+            limit = self._connection_limit(event.t)
+            text = f"{self._open_connections[node]} connections of brokers at {node}, of {limit}"
+            self._report(event, text)
 
-    # Connections, as hosts see them.
+    def _on_disconnected(self, event: Event) -> None:
+        if event["role"] == "broker" and CONNECTIONS in self._budgets:
+            self._change_connections(event, -1)
 
-    def _met(self, event: Event, change: int) -> None:
-        if "connections" not in self.budgets:
-            return
-        node = event["node"]
-        self._open[node] += change
-        self.out.uses += change > 0
-        whole = self._may("connections", event.t) + self.budgets["connections"]["apart"]
-        seen = self._open[node] / whole
-        self.out.nearest["at hosts"] = max(self.out.nearest.get("at hosts", 0.0), seen)
-        if seen > 1 and change > 0:
-            self._say(event, f"{self._open[node]} connections of brokers at {node}, of {whole}")
+    def _on_host_started(self, event: Event) -> None:
+        self._open_connections[event["node"]] = 0
+
+    def _change_connections(self, event: Event, change: int) -> float:
+        """Count a host's connections, and return them as a fraction of their limit."""
+        self._open_connections[event["node"]] += change
+        fraction = self._open_connections[event["node"]] / self._connection_limit(event.t)
+        self.verdict.record_use(AT_HOSTS, fraction)
+        return fraction
+
+    def _connection_limit(self, now_us: int) -> int:
+        apart: int = self._budgets[CONNECTIONS]["apart"]
+        return self._limit(CONNECTIONS, now_us) + apart
+
+
+def _base_name(name: str) -> str:
+    """Return the name of a budget without the zone or tenant that a part of it is for."""
+    return name.partition("@")[0]
 
 
 def judge_budgets(events: list[Event]) -> BudgetVerdict:
-    """Judge a run; raises :class:`ValueError` where its figures are missing."""
+    """Judge a run; raise :class:`ValueError` where it has no budgets."""
     for event in events:
         if event.ev == "run" and event["figures"].get("budgets"):
-            return BudgetAudit(event["figures"]).feed(events).verdict()
+            audit = BudgetAudit(event["figures"])
+            audit.feed(events)
+            return audit.verdict
     raise ValueError("no 'run' event with budgets: there is nothing to judge by")
--- a/heathwell/testing/audit/freshness.py
+++ b/heathwell/testing/audit/freshness.py
@@ -1,23 +1,28 @@
-"""Holds the ages that answers state against the truth: what each host had really applied, and the source's
-clock.
+"""Judges the ages that answers state against the source time that each host had applied.
 
-The truth comes from the hosts' logs (``true``: the source time up to which a host's data was applied when it
-answered, never sent over the wire) and from the run's figures (the source's clock against the machine's).
+That time is in the hosts' logs (``true``: the source time up to which a host's data was applied when it
+answered, never sent over the wire); the source's clock against the machine's is a parameter of the run.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 from statistics import quantiles
 
+from heathwell.testing.audit.completeness import ANSWERS
 from heathwell.testing.audit.reader import Event
-from heathwell.testing.audit.rules import Breach
+from heathwell.testing.audit.verdict import Breach, breach_from
+
+RULE = 5
+QUANTILES = 1000
+Marks = dict[tuple[str, int], Event]  # by part and number of the attempt
 
 
 @dataclass(slots=True)
 class AgeVerdict:
-    """What was found: breaches (of rule 5, honesty), answers judged, those of unknown age, and the bound's
-    excess.
+    """Breaches, and of the judged answers: those of unknown age, how much older than in truth the others are
+    stated (us), and the true ages (us).
     """
 
     breaches: list[Breach] = field(default_factory=list)
@@ -32,80 +37,88 @@
         """Whether no stated age was too young, and some were judged."""
         return self.judged > 0 and not self.breaches
 
-    def excess_at(self, share: float) -> float:
-        """How much older than the truth the stated age is, in microseconds, at a share of the answers."""
+    def excess_at(self, fraction: float) -> float:
+        """Return a quantile of the excess of stated ages (us)."""
         if len(self.excess) < 2:
             return float(self.excess[0]) if self.excess else 0.0
-        return quantiles(self.excess, n=1000)[min(998, max(0, int(share * 1000) - 1))]
+        position = int(fraction * QUANTILES) - 1
+        return quantiles(self.excess, n=QUANTILES)[min(QUANTILES - 2, max(0, position))]
+
+
+@dataclass(frozen=True, slots=True)
+class _JudgedAnswer:
+    final: Event
+    true_age_us: int
 
 
 def judge_ages(events: list[Event], slack: int = 0) -> AgeVerdict:
-    """Judge every answer of a run; ``slack`` (microseconds) is the time between an answer and its
-    log line.
+    """Judge every answer of a run.
+
+    ``slack`` (us) is the time between an answer and its record. Raise :class:`ValueError` where the run has
+    no clock of the source.
     """
-    out = AgeVerdict()
     runs = [event for event in events if event.ev == "run"]
-    offset = runs[0].fields["figures"].get("source_offset") if runs else None
-    if offset is None:
+    offset_us = runs[0].fields["figures"].get("source_offset") if runs else None
+    if offset_us is None:
         raise ValueError("no 'run' event with a source_offset: ages can't be judged")
-    true = {(e["p"], e["seq"]): e for e in events if e.ev == "done" and "true" in e.fields}
-    finals = [e for e in events if e.ev == "final" and e["kind"] in ("answered", "miss")]
-    by_query: dict[str, tuple[int, Event]] = {}
-    for final in finals:
-        marks = [true.get((part, seq)) for part, seq in final["used"].items()]
-        if not marks:
-            continue
-        if any(mark is None for mark in marks):
-            lost = [
-                part for (part, _), mark in zip(final["used"].items(), marks, strict=True) if mark is None
-            ]
-            out.breaches.append(
-                Breach(5, final["q"], f"rests on {lost[0]}, which no host answered", (final.at,))
-            )
-            continue
-        oldest = min((mark for mark in marks if mark is not None), key=lambda mark: int(mark["true"]))
-        # The log line is written a little after the answer was put together.
-        age = final.t + (final["age_at"] or 0) + offset - oldest["true"]
-        by_query[final["q"]] = (age, final)
-        out.judged += 1
-        out.true_ages.append(age)
-        stated = final["age"]
-        if stated is None:
-            out.unknown += 1
-        elif stated < age - slack:
-            out.breaches.append(
-                Breach(
-                    5,
-                    final["q"],
-                    f"states an age of {stated} us, its data was {age} us old",
-                    (final.at, oldest.at),
-                )
-            )
-        else:
-            out.excess.append(stated - age)
-    _told(events, by_query, slack, out)
-    return out
-
-
-def _told(events: list[Event], by_query: dict[str, tuple[int, Event]], slack: int, out: AgeVerdict) -> None:
-    """What clients were told, against the truth of the query that it came from."""
-    takes: dict[tuple[str, str], list[str]] = {}
+    marks = {
+        (event["p"], event["seq"]): event for event in events if event.ev == "done" and "true" in event.fields
+    }
+    verdict = AgeVerdict()
+    answers: dict[str, _JudgedAnswer] = {}
+    for final in events:
+        if final.ev == "final" and final["kind"] in ANSWERS:
+            answer = _judge_answer(final, marks, offset_us, slack, verdict)
+            if answer is not None:
+                answers[final["q"]] = answer
+    verdict.breaches += _check_client_ages(events, answers, slack)
+    return verdict
+
+
+def _judge_answer(
+    final: Event, marks: Marks, offset_us: int, slack_us: int, verdict: AgeVerdict
+) -> _JudgedAnswer | None:
+    used = final["used"].items()
+    if not used:
+        return None
+    unmarked = [part for part, seq in used if (part, seq) not in marks]
+    if unmarked:
+        text = f"rests on {unmarked[0]}, which no host answered"
+        verdict.breaches.append(breach_from(RULE, final["q"], text, final))
+        return None
+    oldest = min((marks[part, seq] for part, seq in used), key=lambda mark: int(mark["true"]))
+    # The record is written a little after the answer was merged.
+    age_us = final.t + (final["age_at"] or 0) + offset_us - oldest["true"]
+    verdict.judged += 1
+    verdict.true_ages.append(age_us)
+    stated_us = final["age"]
+    if stated_us is None:
+        verdict.unknown += 1
+    elif stated_us < age_us - slack_us:
+        text = f"states an age of {stated_us} us, its data was {age_us} us old"
+        verdict.breaches.append(breach_from(RULE, final["q"], text, final, oldest))
+    else:
+        verdict.excess.append(stated_us - age_us)
+    return _JudgedAnswer(final, age_us)
+
+
+def _check_client_ages(
+    events: list[Event], answers: dict[str, _JudgedAnswer], slack_us: int
+) -> Iterator[Breach]:
+    """Check the ages that clients received against the answers of their queries."""
+    queries: dict[tuple[str, str], list[str]] = {}
     for event in events:
         if event.ev == "take":
-            takes.setdefault((event["req"], event["key"]), []).append(event["q"])
+            queries.setdefault((event["req"], event["key"]), []).append(event["q"])
     for reply in events:
         if reply.ev != "reply":
             continue
         for value in reply.fields.get("values", []):
-            told = value.get("age_ms")
-            queries = [by_query[q] for q in takes.get((reply["req"], value["key"]), []) if q in by_query]
-            if told is not None and queries and all(told * 1000 < age - slack for age, _ in queries):
-                age, final = queries[0]
-                out.breaches.append(
-                    Breach(
-                        5,
-                        final["q"],
-                        f"the client was told {told} ms of data {age} us old",
-                        (reply.at, final.at),
-                    )
-                )
+            stated_ms = value.get("age_ms")
+            ids = queries.get((reply["req"], value["key"]), [])
+            judged = [answers[query_id] for query_id in ids if query_id in answers]
+            if stated_ms is None or not judged:
+                continue
+            if all(stated_ms * 1000 < answer.true_age_us - slack_us for answer in judged):
+                text = f"the client was told {stated_ms} ms of data {judged[0].true_age_us} us old"
+                yield breach_from(RULE, judged[0].final["q"], text, reply, judged[0].final)
