--- a/heathwell/broker/driver.py
+++ b/heathwell/broker/driver.py
@@ -11,6 +11,7 @@
 from __future__ import annotations
 
 import time
+from collections.abc import Sequence
 from typing import Generic
 
 from heathwell import policy
@@ -21,6 +22,8 @@
 from heathwell.broker.query_state import ExtensionT, PartT, QueryT, SettingsVersion
 from heathwell.broker.replies import FAILED, REFUSED, OnReply, Reply
 
+IN_OBJECTIVE = "in aim"  # an interface: a metric has this label
+
 
 class Driver(
     QueryRegistry[QueryT, PartT, ResultT, RequestT, ExtensionT],
@@ -34,12 +37,12 @@
     discovery: EndpointSource
 
     def begin_service(
-        self, discovery: EndpointSource, known_endpoints: tuple[policy.EndpointEntry, ...]
+        self, discovery: EndpointSource, known_endpoints: Sequence[policy.EndpointEntry]
     ) -> None:
         """Start with the endpoint list as last known, and subscribe to its source."""
         self.discovery = discovery
         self.loop.at_turn_end(self._turn_end)
-        self._push(policy.EndpointUpdate(policy.UpdateKind.FULL, known_endpoints, requested=False))
+        self._push(policy.EndpointUpdate(policy.UpdateKind.FULL, tuple(known_endpoints), requested=False))
         self.discovery.start()
 
     def on_client_disconnected(self, query_id: str) -> None:
@@ -324,7 +327,7 @@
     def _final(self, query: QueryT, reply: Reply, on_reply: OnReply) -> None:
         duration_us = self.loop.now() - query.started_at_us
         spec = self._query_class(query)
-        timeliness = "in aim" if duration_us <= spec.latency_objective_us else "late"
+        timeliness = IN_OBJECTIVE if duration_us <= spec.latency_objective_us else "late"
         kind = "partial" if reply.kind == "answered" and not reply.complete else reply.kind
         self.counters["final", spec.name, kind, timeliness] += 1
         self.on_reply_made(query, reply, duration_us)
--- a/heathwell/broker/idle_connections.py
+++ b/heathwell/broker/idle_connections.py
@@ -8,7 +8,7 @@
 
 
 class IdleTime:
-    """Closes what has rested for ``span_us``; ``busy`` says whether anybody waits for something there."""
+    """Closes a connection that was idle for ``span_us``; ``busy`` returns whether a reply is awaited."""
 
     def __init__(self, loop: Loop, span_us: int, busy: Callable[[], bool], close: Callable[[], None]) -> None:
         self._loop = loop
--- a/heathwell/broker/replies.py
+++ b/heathwell/broker/replies.py
@@ -1,4 +1,4 @@
-"""What fronts get back from the broker: the one final word on a query."""
+"""What a broker gives to the servers of client protocols: the one final reply to each query."""
 
 from __future__ import annotations
 
@@ -14,13 +14,17 @@
 MISS = "miss"
 
 
+JsonObject = dict[str, Any]
+"""The body of a reply, as endpoints' answers were merged to it."""
+
+
 @dataclass(frozen=True, slots=True)
 class Coverage:
-    """Which parts an answer rests on; weights are shares of the first step.
+    """Which parts a reply rests on; ``weight`` is a fraction of the first step's.
 
-    ``missing`` names the shards that are not in it; ``moot`` counts those that could not have changed it;
-    ``items`` counts the second step's parts; ``cover`` is the same as sets of shards, to be merged with
-    others'.
+    ``missing`` are the shards without an answer, of which ``superseded`` could not have changed the reply;
+    ``second_step_requested`` and ``second_step_answered`` count the second step's parts; ``cover`` holds the
+    same as sets of shards, to be merged with those of other replies.
     """
 
     requested_parts: int = 0
@@ -37,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The one final word on a query. ``after_us`` is advice when to come back, 0 for none."""
+    """The one final reply to a query. ``retry_after_us`` is 0 where there is no advice."""
 
     kind: str
     query: str = ""
     query_class: str = ""
     complete: bool = False
     coverage: Coverage = field(default_factory=Coverage)
-    body: dict[str, Any] = field(default_factory=dict)
+    body: JsonObject = field(default_factory=dict)
     retry_after_us: int = 0
     reason: str = ""
     age: Age | None = None
@@ -52,11 +56,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Age:
-    """How old an answer's data is: the greatest age it can have (None: unknown), against what was wanted.
+    """How old a reply's data is: ``bound_us`` is its greatest possible age at ``at_us``, None if unknown.
 
-    ``consistent`` is false where item detail is older than the totals it belongs to, ``behind`` names shards
-    whose data is older than what the client's token says it has seen; ``at_us`` is the broker's time that the
-    age is of.
+    ``stale`` is true where that exceeds the age that the class asks for, ``consistent`` is false where item
+    detail is older than the totals it belongs to; ``behind`` are shards whose data is older than what the
+    client has received already, by its token.
     """
 
     bound_us: int | None = None
--- a/heathwell/service/answer_freshness.py
+++ b/heathwell/service/answer_freshness.py
@@ -11,6 +11,8 @@
 from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServicePart, ServiceQuery
 
+TURNED_DOWN = "turned down"  # an interface: the label of a metric, and a reason on the admin page
+
 
 class AnswerFreshness:
     """Judges answers by the position of the data source that they stand at.
@@ -55,8 +57,8 @@
         part.known_age = ruling.age_us is not None
         if not ruling.accept:
             part.turned_down += 1
-            part.status = f"turned down: {ruling.why}"
-            self._broker.counters["turned down", query_class.name, ruling.why] += 1
+            part.status = f"{TURNED_DOWN}: {ruling.why}"
+            self._broker.counters[TURNED_DOWN, query_class.name, ruling.why] += 1
             self._broker.events("turned", p=key[0], seq=key[1], node=node, why=ruling.why)
         return ruling.accept
 
@@ -68,8 +70,8 @@
         bound_us = None
         if all(part.known_age for part in parts):
             bound_us = self.clock.age(now, min(part.source_us for part in parts))
-        wanted_us = self._broker.snapshot_of(query).freshness_policies[query.plan.query_class].wanted_us
-        is_stale = bool(wanted_us) and (bound_us is None or bound_us > wanted_us)
+        desired_age_us = self._broker.snapshot_of(query).freshness_policies[query.plan.query_class].wanted_us
+        is_stale = bool(desired_age_us) and (bound_us is None or bound_us > desired_age_us)
         first_positions = {part.plan.shard: part.position for part in parts if part.step == 1}
         is_consistent = all(
             part.position >= first_positions.get(part.plan.shard, 0) for part in parts if part.step == 2
--- a/heathwell/service/endpoint_connections.py
+++ b/heathwell/service/endpoint_connections.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from functools import partial
 
 from heathwell.eventloop import Net
@@ -15,8 +16,16 @@
 ADDITIONAL_IDLE_TIMEOUT_US = 2_000_000  # of a connection beyond the first
 
 
+@dataclass(frozen=True, slots=True)
+class ConnectionQuota:
+    """Acquires, if possible, and releases the quota of one additional connection to an endpoint."""
+
+    acquire: Callable[[], bool]
+    release: Callable[[], None]
+
+
 class EndpointConnections:
-    """Makes the connections of one broker; ``owner`` hears how attempts and probes end."""
+    """Makes the connections of one broker; ``owner`` is notified of the ends of attempts and probes."""
 
     def __init__(
         self, broker: ServiceContext, owner: AttemptObserver, net: Net, quota_gate: QuotaGate | None
@@ -33,23 +42,25 @@
         if limits.host_connections == 1:
             return self._make_link(node, limits, limits.idle_close)
         idle_timeout_us = min(limits.idle_close, ADDITIONAL_IDLE_TIMEOUT_US)
-        acquire, release = self._quota_of(node)
+        quota = self._quota_of(node)
         return HostPool(
             self._broker.loop,
             lambda on_closed: self._make_link(node, limits, idle_timeout_us, on_closed),
             most=limits.host_connections,
             busy=limits.busy_connection,
             linger_us=self._linger_us,
-            take=acquire,
-            give_back=release,
+            take=quota.acquire,
+            give_back=quota.release,
         )
 
-    def _quota_of(self, node: str) -> tuple[Callable[[], bool], Callable[[], None]]:
-        """What acquires and releases the quota of a further connection."""
+    def _quota_of(self, node: str) -> ConnectionQuota:
+        """Return the quota of additional connections to an endpoint."""
         quota_gate = self._quota_gate
         if quota_gate is None or not quota_gate.has_budget(CONNECTIONS):
-            return _always, _nothing
-        return partial(quota_gate.acquire_connection, node), partial(quota_gate.release_connection, node)
+            return ConnectionQuota(_always, _nothing)
+        return ConnectionQuota(
+            partial(quota_gate.acquire_connection, node), partial(quota_gate.release_connection, node)
+        )
 
     def _make_link(
         self,
--- a/heathwell/service/endpoint_restrictions.py
+++ b/heathwell/service/endpoint_restrictions.py
@@ -15,7 +15,7 @@
 from heathwell.service.service_context import ServiceContext
 from heathwell.settings import ServiceSettings
 
-TICK_INTERVAL_US = 25_000  # between two looks at the links between regions
+TICK_INTERVAL_US = 25_000  # between two checks of the links between regions
 REGIONS_SEED_MASK = 0x11A5
 ANY_REGION = "any"
 HOME_REGION_ONLY = "never"
--- a/heathwell/service/fair_admission.py
+++ b/heathwell/service/fair_admission.py
@@ -25,10 +25,10 @@
         """The queries that it holds, by id."""
 
     def enter_query(self, query: ServiceQuery) -> None:
-        """Hand a query to the module."""
+        """Pass a query to the decision module."""
 
     def reject_crowded_query(self, query: ServiceQuery, retry_after_us: int) -> None:
-        """Reject a query that waits too long; its client may retry after so long."""
+        """Reject a query that waits too long; its client may retry after ``retry_after_us``."""
 
 
 class FairAdmission:
@@ -49,7 +49,7 @@
         )
 
     def offer(self, query: ServiceQuery) -> None:
-        """Let a new query enter at once, queue it, or reject it."""
+        """Pass a new query on at once, queue it, or reject it."""
         cost_us = query_cost_us(query.plan, query.settings_version)
         now = self._broker.loop.now()
         patience_us = self._patience_us(query, now)
@@ -94,8 +94,8 @@
         self._broker.reject_crowded_query(query, retry_after_us)
 
     def _tick(self) -> None:
-        """Let queries enter whose turn it is, reject those that have waited too long, and come back when the
-        next will have.
+        """Pass on queries whose turn it is, reject those that were queued for too long, and schedule the next
+        tick.
         """
         if self._broker.dead:
             return
--- a/heathwell/service/host_link.py
+++ b/heathwell/service/host_link.py
@@ -51,9 +51,10 @@
 
 
 class HostLink:
-    """One broker's way to one host: connects when there is something to send, closes when idle. With
-    ``quiet_us`` the host may close it when nothing came for so long, and a ping goes out in time.
-    ``on_closed`` is told of each end, and whether the host has seen it.
+    """One broker's connection to one endpoint: opened when there is something to send, closed when idle.
+
+    With ``quiet_us`` the endpoint may close a connection that was silent for so long, and pings are sent in
+    time. ``on_closed`` is called at each end of a connection, with whether the endpoint has observed it.
     """
 
     def __init__(
--- a/heathwell/service/host_pool.py
+++ b/heathwell/service/host_pool.py
@@ -1,9 +1,9 @@
-"""Several connections to one host, where settings allow: each broker's first is its own, more are taken when
-those that stand are all busy, and let go when they rest or their share is over.
+"""Several connections to one endpoint, where settings allow. The first is a broker's own; more are opened
+when all are busy, and closed when they are idle or their quota has expired.
 
-One connection carries answers in order, so a lost packet or a half-sent answer holds up all that is behind
-it. Which host a part goes to is decided before; here only the connection is chosen: the one with the fewest
-parts out.
+One connection carries answers in order, so a lost packet or a half-sent answer delays all that is behind it.
+Which endpoint a part is sent to is decided before; here only the connection is chosen: the one with the
+fewest parts in flight.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
     @property
     def late_answers(self) -> int:
-        """Answers told to nobody."""
+        """Number of answers to attempts whose outcome was already reported."""
         return self._late + sum(link.late_answers for link in self.links())
 
     @property
--- a/heathwell/service/key_spaces.py
+++ b/heathwell/service/key_spaces.py
@@ -1,4 +1,4 @@
-"""From a client's key to a query's parts, and from the parts that are in to one answer. Pure.
+"""From a client's key to a query's parts, and from the answered parts to one body. Pure.
 
 Shards are placed by a checksum of the trader or term, so that every broker, host and checker agrees.
 """
@@ -8,10 +8,10 @@
 import zlib
 from collections.abc import Iterable
 from dataclasses import replace
-from typing import Any
 
 import msgspec
 
+from heathwell.broker.replies import JsonObject
 from heathwell.service.freshness import TokenError, read_token
 from heathwell.service.records import PartPlan, Plan
 from heathwell.settings import ServiceSettings
@@ -19,7 +19,7 @@
 
 MAXIMUM_SEARCH_RESULTS = 10
 TOKEN_MARK = "@~"  # before a token at a key's end
-_json = msgspec.json.Decoder(dict[str, Any])
+_json = msgspec.json.Decoder(JsonObject)
 
 
 def place(name: str, shards: int) -> int:
@@ -86,21 +86,21 @@
         )
 
 
-def second_step(answered: Iterable[PartPlan], count: int) -> tuple[PartPlan, ...]:
-    """Item parts at shards that answered, as many as stated, or as parts were in if those are fewer."""
+def second_step(answered: Iterable[PartPlan], count: int) -> list[PartPlan]:
+    """Return at most ``count`` parts for item detail, one at each shard that answered."""
     first = list(answered)[:count]
-    return tuple(PartPlan(part.shard, 1 / len(first), "items", part.key, n) for n, part in enumerate(first))
+    return [PartPlan(part.shard, 1 / len(first), "items", part.key, n) for n, part in enumerate(first)]
 
 
-def merge(shape: str, first: Iterable[bytes], second: Iterable[bytes]) -> dict[str, Any]:
-    """One body from the parts' data, the same whichever order they came in."""
+def merge(shape: str, first: Iterable[bytes], second: Iterable[bytes]) -> JsonObject:
+    """Return one body from the parts' data, independent of their order."""
     heads = [_json.decode(data) for data in first]
     if shape == "record":
         return heads[0] if heads else {}
     if shape == "search":
-        rows = [row for head in heads for row in head["rows"]]
-        rows.sort(key=lambda row: (row["price"], row["id"]))
-        return {"rows": rows[:MAXIMUM_SEARCH_RESULTS], "found": len(rows)}
+        offers = [offer for head in heads for offer in head["rows"]]
+        offers.sort(key=lambda offer: (offer["price"], offer["id"]))
+        return {"rows": offers[:MAXIMUM_SEARCH_RESULTS], "found": len(offers)}
     totals: dict[str, int] = {"count": 0, "cents": 0}
     for head in heads:
         for name in totals:
--- a/heathwell/service/part_planner.py
+++ b/heathwell/service/part_planner.py
@@ -63,7 +63,7 @@
             part.id,
             attempt,
             self._broker.query_class_of(query).name,
-            plan.op,
+            plan.operation,
             plan.key,
             plan.shard,
             remaining_us,
--- a/heathwell/service/query_admission.py
+++ b/heathwell/service/query_admission.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from collections.abc import Sequence
 from dataclasses import dataclass
 from enum import StrEnum
 from typing import Protocol
@@ -45,7 +46,7 @@
     """A query that is admitted: the time it has, and the parts that no endpoint within reach holds."""
 
     timeout_us: int
-    cut_off_parts: tuple[PartPlan, ...]
+    cut_off_parts: Sequence[PartPlan]
 
 
 class AdmissionBroker(ServiceContext, Protocol):
@@ -137,7 +138,7 @@
         least_us = MINIMUM_LATENCY_FRACTION * self._broker.mean_part_latency_us(query_class)
         return timeout_us - self._broker.service_settings.limits.transit < least_us
 
-    def _is_answerable_without(self, parts: tuple[PartPlan, ...], query_class: int) -> bool:
+    def _is_answerable_without(self, parts: Sequence[PartPlan], query_class: int) -> bool:
         """Whether the other parts can make an answer; if not, waiting for the deadline is pointless."""
         minimum_fraction = self._broker.settings.classes[query_class].minimum_fraction
         return 1 - sum(part.weight for part in parts) >= minimum_fraction - WEIGHT_TOLERANCE
--- a/heathwell/service/query_explanations.py
+++ b/heathwell/service/query_explanations.py
@@ -4,7 +4,8 @@
 
 from collections import OrderedDict
 from dataclasses import dataclass
-from typing import Any
+
+import msgspec
 
 from heathwell.broker.replies import Reply
 from heathwell.service.answer_freshness import AnswerFreshness
@@ -13,6 +14,36 @@
 MICROSECONDS_PER_MILLISECOND = 1000
 
 
+class PartExplanation(msgspec.Struct, frozen=True):
+    """One part: its endpoint, its attempts, the age of its data, and why it is missing, if so.
+
+    The names in JSON are an interface: that of the admin page.
+    """
+
+    part: str
+    shard: int
+    step: int
+    answered: bool = msgspec.field(name="in")
+    node: str | None = msgspec.field(name="host")
+    attempts: int
+    sent_to: list[str]
+    age_ms: float | None
+    why_missing: str | None
+
+
+class QueryExplanation(msgspec.Struct, frozen=True):
+    """What the reply to a query rested on; the names in JSON are those of the admin page."""
+
+    query: str
+    key: str
+    class_name: str = msgspec.field(name="class")
+    kind: str
+    complete: bool = msgspec.field(name="whole")
+    duration_ms: float = msgspec.field(name="took_ms")
+    age_ms: float | None
+    parts: list[PartExplanation]
+
+
 @dataclass(frozen=True, slots=True)
 class ExplainedQuery:
     """A query that has had its reply. ``replied_at_us`` is an instant of the broker's loop."""
@@ -44,40 +75,37 @@
         while len(self._queries) > capacity:
             self._queries.popitem(last=False)
 
-    def explain(self, query_id: str) -> dict[str, Any] | None:
-        """A query as the admin page shows it: each part, its endpoint, the age of its data, and why one is
-        missing; None where it is not kept.
-        """
+    def explain(self, query_id: str) -> QueryExplanation | None:
+        """Return what a query rested on; ``None`` where it is not cached."""
         explained = self._queries.get(query_id)
         if explained is None:
             return None
         query = explained.query
         reply = explained.reply
-        age_us = reply.age.bound_us if reply.age is not None else None
-        return {
-            "query": query.id,
-            "key": query.plan.key,
-            "class": explained.class_name,
-            "kind": reply.kind,
-            "whole": reply.complete,
-            "took_ms": explained.duration_us / MICROSECONDS_PER_MILLISECOND,
-            "age_ms": _to_milliseconds(age_us),
-            "parts": [self._explain_part(part, explained.replied_at_us) for part in query.parts.values()],
-        }
-
-    def _explain_part(self, part: ServicePart, replied_at_us: int) -> dict[str, Any]:
+        return QueryExplanation(
+            query=query.id,
+            key=query.plan.key,
+            class_name=explained.class_name,
+            kind=reply.kind,
+            complete=reply.complete,
+            duration_ms=explained.duration_us / MICROSECONDS_PER_MILLISECOND,
+            age_ms=_to_milliseconds(reply.age.bound_us if reply.age is not None else None),
+            parts=[self._explain_part(part, explained.replied_at_us) for part in query.parts.values()],
+        )
+
+    def _explain_part(self, part: ServicePart, replied_at_us: int) -> PartExplanation:
         age_us = self._freshness.age_at_us(part, replied_at_us) if self._freshness is not None else None
-        return {
-            "part": part.id,
-            "shard": part.plan.shard,
-            "step": part.step,
-            "in": part.data is not None,
-            "host": part.node or None,
-            "attempts": part.attempt_count,
-            "sent_to": part.attempted_nodes,
-            "age_ms": _to_milliseconds(age_us),
-            "why_missing": None if part.data is not None else part.status,
-        }
+        return PartExplanation(
+            part=part.id,
+            shard=part.plan.shard,
+            step=part.step,
+            answered=part.data is not None,
+            node=part.node or None,
+            attempts=part.attempt_count,
+            sent_to=part.attempted_nodes,
+            age_ms=_to_milliseconds(age_us),
+            why_missing=None if part.data is not None else part.status,
+        )
 
 
 def _to_milliseconds(duration_us: int | None) -> float | None:
--- a/heathwell/service/quota_gate.py
+++ b/heathwell/service/quota_gate.py
@@ -1,4 +1,4 @@
-"""Quotas of the whole fleet at the point of use in a broker: additional attempts, parts to endpoints in slow
+"""Quotas of the fleet at the point of use in a broker: additional attempts, parts to endpoints in slow
 start, and connections to one endpoint.
 
 The module learns before each batch how much it may send (:class:`~heathwell.policy.QuotaUpdate`). A unit is
@@ -12,18 +12,16 @@
 from typing import Protocol
 
 from heathwell import policy
-from heathwell.broker.driver_contract import DriverContext
+from heathwell.broker.driver_contract import AttemptKey, DriverContext
 from heathwell.service.host_pool import HostPool
 
-AttemptKey = tuple[str, int]
-
 # Names of the budgets, as settings and metrics have them.
 ADDITIONAL_ATTEMPTS = "further"
 SLOW_START_PARTS = "cold"
 CONNECTIONS = "connections"
 
 UNIT_MILLIUNITS = 1_000
-TICK_INTERVAL_US = 50_000  # between two looks at slow start and at connections beyond the quota
+TICK_INTERVAL_US = 50_000  # between two checks of slow start and of connections beyond the quota
 RATE_WINDOW_US = 2_000_000  # over which the usual number of parts an endpoint is counted
 MICROSECONDS_PER_SECOND = 1_000_000
 
@@ -66,7 +64,7 @@
         """This broker's side of one budget."""
 
     def budget(self, name: str) -> tuple[int, int] | None:
-        """Whole and linger (us) of a budget that is set; None where it is not."""
+        """Return total and linger time (us) of a budget that is set; ``None`` where it is not."""
 
     def statistics(self) -> dict[str, dict[str, float]]:
         """By budget: its quota, and what was used and refused; those of each endpoint summed."""
@@ -93,7 +91,7 @@
 
     @property
     def endpoints(self) -> Mapping[str, QuotaEndpoint]:
-        """All endpoints that its module knows, by node."""
+        """All listed endpoints, by node."""
 
     @property
     def slow_start_capacity(self) -> float:
--- a/heathwell/service/records.py
+++ b/heathwell/service/records.py
@@ -9,28 +9,28 @@
 
 @dataclass(frozen=True, slots=True)
 class PartPlan:
-    """One part of a query: its shard, its share of the step's weight and what the host is asked."""
+    """One part of a query: its shard, its fraction of the step's weight and the request to an endpoint."""
 
     shard: int
     weight: float
-    op: str
+    operation: str
     key: str
     item: int = 0
 
 
 @dataclass(slots=True)
 class SearchPlan:
-    """What makes a query one of vectors: its parts' body, its merge, and what a part is taken to cost (us).
+    """What a vector search has beyond other queries: its parts' body, its merge, and a part's work (us).
 
-    ``figures`` are what the cost is learned from, under the model's name; ``limit_us`` is the client's own
-    time and ``patience_us`` how long it may wait for its turn, 0 for the class's; ``moot`` are parts that
-    could not change the answer, and so were not waited for.
+    ``cost_features`` are what the cost is learned from, under the name of the ``model``; ``timeout_us`` is
+    the client's own and ``patience_us`` how long the query may be queued, 0 for the class's; ``superseded``
+    are parts that could not change the answer any more, and so were not awaited.
     """
 
     model: str
     body: bytes
     top: TopK
-    figures: tuple[float, ...]
+    cost_features: tuple[float, ...]
     work: int
     timeout_us: int = 0
     patience_us: int = 0
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a client's key asks for."""
+    """The query that a client's key requests."""
 
     query_class: int
     shape: str
@@ -53,5 +53,5 @@
     front: str = "memcached"
 
     def at_least(self, shard: int) -> int:
-        """The position of a shard that the client has seen already, by its token."""
+        """Return the source position of a shard that the client has received already, by its token."""
         return self.seen.get(shard, self.seen_least)
--- a/heathwell/service/reply_merging.py
+++ b/heathwell/service/reply_merging.py
@@ -2,10 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from heathwell import policy
-from heathwell.broker.replies import ANSWERED, MISS, Age, Coverage, Reply
+from heathwell.broker.replies import ANSWERED, MISS, Age, Coverage, JsonObject, Reply
 from heathwell.service import key_spaces
 from heathwell.service.coverage import Cover
 from heathwell.service.records import SearchPlan
@@ -31,8 +29,8 @@
     coverage = coverage_of(query, query_class)
     search = query.plan.search
     if search is not None:
-        rows = _search_rows(query, search)
-        return Reply(ANSWERED, query.id, query_class.name, complete, coverage, rows, age=age)
+        body = _search_body(query, search)
+        return Reply(ANSWERED, query.id, query_class.name, complete, coverage, body, age=age)
     try:
         body = key_spaces.merge(query.plan.shape, _answers(query, step=1), _answers(query, step=2))
     except (ValueError, KeyError, TypeError) as error:
@@ -79,8 +77,8 @@
     return [part.data for part in _parts_of_step(query, step) if part.data is not None]
 
 
-def _search_rows(query: ServiceQuery, search: SearchPlan) -> dict[str, Any]:
-    """A search's merged rows, one :class:`~heathwell.service.merging.Merged` a search."""
+def _search_body(query: ServiceQuery, search: SearchPlan) -> JsonObject:
+    """Return a search's merged rows, one :class:`~heathwell.service.merging.Merged` a search."""
     missing = [part.id for part in query.parts.values() if part.data is None]
     usual_points = search.top.usual_points()
     return {
--- a/heathwell/service/search_answers.py
+++ b/heathwell/service/search_answers.py
@@ -38,15 +38,15 @@
         self._costs = costs
         self.points_seen: dict[str, dict[int, int]] = {}
 
-    def merge_rows(
+    def merge_hits(
         self, query: ServiceQuery, part: ServicePart, node: str, key: AttemptKey, result: frames.Result
     ) -> bool:
-        """Merge an answer's rows at once; false where they are malformed. True for what is no search."""
+        """Merge an answer's hits at once; false where they are malformed. True for what is no search."""
         search = query.plan.search
         if search is None:
             return True
         try:
-            self._add_rows(search, part, result)
+            self._add_hits(search, part, result)
         except (Malformed, msgspec.MsgspecError) as error:
             part.status = f"malformed: {error}"
             self._broker.counters["malformed", self._broker.query_class_of(query).name] += 1
@@ -55,10 +55,10 @@
             return False
         return True
 
-    def _add_rows(self, search: SearchPlan, part: ServicePart, result: frames.Result) -> None:
+    def _add_hits(self, search: SearchPlan, part: ServicePart, result: frames.Result) -> None:
         answer = read_answer(result.data)
-        rows = [[Row(hit.id, hit.score, hit, hit.version) for hit in hits] for hits in answer.lists]
-        search.top.add(part.id, rows, answer.points, answer.recall)
+        hits_by_search = [[Row(hit.id, hit.score, hit, hit.version) for hit in hits] for hits in answer.lists]
+        search.top.add(part.id, hits_by_search, answer.points, answer.recall)
         self.points_seen.setdefault(part.plan.key, {})[part.plan.shard] = answer.points
 
     def on_part_answered(self, query: ServiceQuery, result: frames.Result) -> None:
@@ -66,8 +66,8 @@
         search = query.plan.search
         if search is None:
             return
-        model = self._costs.model(search.model, INITIAL_COST, len(search.figures))
-        model.learn(search.figures, result.work_us)
+        model = self._costs.model(search.model, INITIAL_COST, len(search.cost_features))
+        model.learn(search.cost_features, result.work_us)
         self._supersede_attempts(query, search)
 
     def on_score_bound(
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -4,7 +4,6 @@
 
 import random
 from collections.abc import Callable, Iterator, Mapping
-from typing import Any
 
 from heathwell import policy
 from heathwell.broker.driver import Driver
@@ -24,6 +23,7 @@
 from heathwell.service.host_pool import HostPool
 from heathwell.service.module_settings import module_settings
 from heathwell.service.query_cost import part_work_us
+from heathwell.service.query_explanations import QueryExplanation
 from heathwell.service.records import Plan
 from heathwell.service.regions import Regions
 from heathwell.service.reply_merging import UnmergeablePartsError, merge_reply
@@ -164,7 +164,7 @@
         """Report to the decision module that an attempt can't change its query's answer any more."""
         self._push(policy.AttemptSuperseded(part_id, attempt), query.settings_version)
 
-    def explain(self, query_id: str) -> dict[str, Any] | None:
+    def explain(self, query_id: str) -> QueryExplanation | None:
         """Return what a recent query rested on; ``None`` where it is not cached."""
         return self.explanations.explain(query_id)
 
@@ -337,7 +337,7 @@
         is_fresh = self.freshness is None or self.freshness.is_acceptable(
             query, part, node, key, result, self._sent_at_us[key]
         )
-        return is_fresh and self.search_answers.merge_rows(query, part, node, key, result)
+        return is_fresh and self.search_answers.merge_hits(query, part, node, key, result)
 
     def subject(self, query: ServiceQuery) -> int | None:
         """Return the number of the query's trader or term."""
--- a/heathwell/service/service_records.py
+++ b/heathwell/service/service_records.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import dataclass
 
 from heathwell.broker.query_state import PartState, QueryState
@@ -27,5 +28,5 @@
     """
 
     plan: Plan = Plan(0, "", 0, "", ())
-    cut_off: tuple[PartPlan, ...] = ()
+    cut_off: Sequence[PartPlan] = ()
     who: str = ""
--- a/heathwell/service/service_statistics.py
+++ b/heathwell/service/service_statistics.py
@@ -8,8 +8,9 @@
 import os
 import time
 from collections import OrderedDict
+from collections.abc import Sequence
 from pathlib import Path
-from typing import Any
+from typing import TypedDict
 
 from heathwell import policy
 from heathwell.broker.replies import ANSWERED, MISS, REFUSED, Reply
@@ -18,15 +19,23 @@
 COUNTER_NAMES = ("asked", "worth", "in_aim", "refused", "failed", "partial")
 
 
+class ServicePage(TypedDict):
+    """What a node agent reads of a broker: sums by class, processor time, and memory (bytes)."""
+
+    classes: dict[str, dict[str, float]]
+    cpu_us: int
+    memory: int
+
+
 class ServiceStatistics:
     """Sums since the start, under the names that the statistics page has.
 
-    ``worth`` is the weight that its class gives a query's reply: 1 for a complete one within the latency
-    objective, less for a late or partial one. It is added when the query ends, so that the weights and the
-    number of queries in an interval are of the same queries.
+    The sum of weights adds what a class gives a query's reply: 1 for a complete one within the latency
+    objective, less for a late or partial one. A weight is added when the query ends, so that the
+    weights and the number of queries in an interval are of the same queries.
     """
 
-    def __init__(self, classes: tuple[policy.QueryClass, ...]) -> None:
+    def __init__(self, classes: Sequence[policy.QueryClass]) -> None:
         self.classes = {spec.name: spec for spec in classes}
         self.sums: dict[str, dict[str, float]] = {
             spec.name: dict.fromkeys(COUNTER_NAMES, 0.0) for spec in classes
@@ -65,7 +74,7 @@
         if (who, key) in self._first:
             self._first[who, key] = arrived_at_us, max(weight, credited)
 
-    def page(self) -> dict[str, Any]:
+    def page(self) -> ServicePage:
         """Return sums by class, processor time (us) and memory (bytes), for the node agent."""
         pages = int(Path("/proc/self/statm").read_text().split()[1])
         return {
--- a/heathwell/service/settings_change.py
+++ b/heathwell/service/settings_change.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
-from typing import Any
 
 import msgspec
 
@@ -56,12 +55,20 @@
         raise SettingsChangeError(f"limits: {', '.join(changed)}", MADE_AT_START)
 
 
-def _check_sections(current: dict[str, Any], proposed: dict[str, Any]) -> None:
+def _check_sections(current: Mapping[str, object], proposed: Mapping[str, object]) -> None:
     names = (current.keys() | proposed.keys()) - CHANGEABLE_SECTIONS
     changed = sorted(name for name in names if current.get(name) != proposed.get(name))
     if changed:
         raise SettingsChangeError(", ".join(changed), MADE_AT_START)
 
 
-def _class_layout(service_settings: ServiceSettings) -> Sequence[tuple[str, str]]:
-    return [(spec.name, spec.across) for spec in service_settings.classes]
+@dataclass(frozen=True, slots=True)
+class _ClassLayout:
+    """What is fixed of a query class, beside its place among the others."""
+
+    name: str
+    across: str
+
+
+def _class_layout(service_settings: ServiceSettings) -> Sequence[_ClassLayout]:
+    return [_ClassLayout(spec.name, spec.across) for spec in service_settings.classes]
--- a/heathwell/service/shard_reachability.py
+++ b/heathwell/service/shard_reachability.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 
 from heathwell.service.endpoint_restrictions import HOME_REGION_ONLY, EndpointRestrictions
 from heathwell.service.records import PartPlan, Plan
@@ -38,7 +38,7 @@
         """Look for shards without a live replica once the module has taken an endpoint update in."""
         self._broker.loop.call_at(self._broker.loop.now() + UPDATE_DELAY_US, self._find_unheld_shards)
 
-    def cut_off_parts(self, plan: Plan) -> tuple[PartPlan, ...]:
+    def cut_off_parts(self, plan: Plan) -> Sequence[PartPlan]:
         """Parts of a plan whose every live replica is excluded, or that have had none for half the class's
         latency objective.
         """
--- a/heathwell/service/storm_control.py
+++ b/heathwell/service/storm_control.py
@@ -32,7 +32,7 @@
 
     @property
     def endpoints(self) -> Mapping[str, StormEndpoint]:
-        """All endpoints that its module knows, by node."""
+        """All listed endpoints, by node."""
 
     def slow_start_fraction(self, node: str) -> float:
         """The fraction of its capacity that an endpoint has by now."""
@@ -74,7 +74,7 @@
         listener.on_accept = self.decider.accepted
 
     def _tick(self) -> None:
-        """Tell the decider what fraction of the capacity there is, and log its changes of state."""
+        """Update the decider with the present fraction of the capacity, and log its changes of state."""
         if self._broker.dead:
             return
         now = self._broker.loop.now()
--- a/heathwell/service/zone_observer.py
+++ b/heathwell/service/zone_observer.py
@@ -58,7 +58,7 @@
 
     @property
     def endpoints(self) -> Mapping[str, ZoneEndpoint]:
-        """All endpoints that its module knows, by node."""
+        """All listed endpoints, by node."""
 
     @property
     def class_names(self) -> Sequence[str]:
@@ -128,7 +128,7 @@
         self._evidence.record_attempt(self._broker.loop.now(), zone, subject, evidence, answered_in_us)
 
     def report(self, now: int) -> BrokerReport:
-        """What the quota coordinators are told of this broker's evidence."""
+        """Return this broker's evidence for the quota coordinators."""
         return self._evidence.report(now)
 
     # Decisions.
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -6,6 +6,7 @@
 import copy
 import json
 
+import msgspec
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
@@ -322,7 +323,7 @@
         client = yield from world.client()
         yield from client.get("price:tea")
         broker = world.fleet.brokers[0].broker
-        told = broker.explain(world.seen("final")[0]["q"])
+        told = msgspec.to_builtins(broker.explain(world.seen("final")[0]["q"]))
         assert len(told["parts"]) == 8 and sum(p["in"] for p in told["parts"]) == 6
         for part in told["parts"]:
             assert (part["age_ms"] > 0 and part["host"]) if part["in"] else part["why_missing"] == "not sent"
