--- a/heathwell/service/broker_components.py
+++ b/heathwell/service/broker_components.py
@@ -141,8 +141,8 @@
         options.discovery_address,
         options.name,
         discovery.timeout,
-        push=not discovery.ask,
-        news=broker.on_endpoint_update,
+        is_pushed=not discovery.ask,
+        on_update=broker.on_endpoint_update,
         log=broker.log,
     )
 
--- a/heathwell/service/discovery.py
+++ b/heathwell/service/discovery.py
@@ -54,19 +54,19 @@
         net: Net,
         address: str,
         name: str,
-        timeout: int,
+        timeout_us: int,
         *,
-        push: bool,
-        news: Callable[[policy.EndpointUpdate], None],
+        is_pushed: bool,
+        on_update: Callable[[policy.EndpointUpdate], None],
         log: Callable[..., None],
     ) -> None:
         self.loop = loop
         self.net = net
         self.address = address
         self.name = name
-        self.timeout = timeout
-        self.push = push
-        self.news = news
+        self.timeout_us = timeout_us
+        self.is_pushed = is_pushed
+        self.on_update = on_update
         self.log = log
         self._endpoint_list = EndpointListReader()
         self._stream: Stream | None = None
@@ -76,7 +76,7 @@
 
     def start(self) -> None:
         """Connect and stay connected, where the list is pushed."""
-        if self.push:
+        if self.is_pushed:
             self._task = self.loop.spawn(self._watch(), "discovery")
 
     def ask(self) -> None:
@@ -99,7 +99,7 @@
 
     def _start_timeout(self) -> None:
         number = self._pending_requests
-        self.loop.call_at(self.loop.now() + self.timeout, self._on_timeout, number)
+        self.loop.call_at(self.loop.now() + self.timeout_us, self._on_timeout, number)
 
     def _on_timeout(self, number: int) -> None:
         if self._pending_requests >= number and self._pending_requests and self._stream is not None:
@@ -118,7 +118,7 @@
 
     def _run_connection(self) -> Coro[None]:
         try:
-            stream = yield from self.net.connect(self.address, self.timeout)
+            stream = yield from self.net.connect(self.address, self.timeout_us)
             self._stream = stream
             self._index = 0
             stream.write(frames.encode(frames.Hello(frames.VERSION, self.name, "broker")))
@@ -130,7 +130,7 @@
         except (ConnectFailed, StreamBroken, frames.FrameError) as error:
             self.log("info", "discovery: call failed or watch broken", why=str(error))
             self._pending_requests = 0
-            self.news(policy.EndpointUpdate(policy.UpdateKind.FAILED))
+            self.on_update(policy.EndpointUpdate(policy.UpdateKind.FAILED))
         finally:
             if self._stream is not None:
                 self._stream.abort()
@@ -140,4 +140,4 @@
         if isinstance(message, frames.EndpointList):
             self._pending_requests = 0
             self._index = message.index
-            self.news(self._endpoint_list.to_update(self.loop.now(), message.kind, message.entries))
+            self.on_update(self._endpoint_list.to_update(self.loop.now(), message.kind, message.entries))
--- a/heathwell/service/endpoint_connections.py
+++ b/heathwell/service/endpoint_connections.py
@@ -46,11 +46,11 @@
         return HostPool(
             self._broker.loop,
             lambda on_closed: self._make_link(node, limits, idle_timeout_us, on_closed),
-            most=limits.host_connections,
-            busy=limits.busy_connection,
+            maximum_connections=limits.host_connections,
+            busy_at=limits.busy_connection,
             linger_us=self._linger_us,
-            take=quota.acquire,
-            give_back=quota.release,
+            acquire=quota.acquire,
+            release=quota.release,
         )
 
     def _quota_of(self, node: str) -> ConnectionQuota:
@@ -75,11 +75,11 @@
             node,
             self._broker.name,
             self._owner,
-            connect_timeout=limits.connect_timeout,
-            probe_timeout=limits.probe_timeout,
-            idle_close=idle_timeout_us,
+            connect_timeout_us=limits.connect_timeout,
+            probe_timeout_us=limits.probe_timeout,
+            idle_timeout_us=idle_timeout_us,
             log=self._broker.log,
-            quiet_us=self._linger_us,
+            endpoint_idle_timeout_us=self._linger_us,
             on_closed=on_closed,
         )
 
--- a/heathwell/service/host_link.py
+++ b/heathwell/service/host_link.py
@@ -45,16 +45,17 @@
 
 @dataclass(slots=True)
 class InFlightAttempt:
-    """An attempt; ``starts`` is where its frame begins in the stream, None while it is unsent."""
+    """An attempt; its frame begins at ``frame_offset`` of the stream, ``None`` while it is unsent."""
 
-    starts: int | None = None
+    frame_offset: int | None = None
 
 
 class HostLink:
     """One broker's connection to one endpoint: opened when there is something to send, closed when idle.
 
-    With ``quiet_us`` the endpoint may close a connection that was silent for so long, and pings are sent in
-    time. ``on_closed`` is called at each end of a connection, with whether the endpoint has observed it.
+    After ``endpoint_idle_timeout_us`` of silence the endpoint may close a connection, so pings are sent in
+    time; 0 means that it does not. ``on_closed`` is called at each end of a connection, with whether the
+    endpoint has observed it.
     """
 
     def __init__(
@@ -65,11 +66,11 @@
         name: str,
         owner: AttemptObserver,
         *,
-        connect_timeout: int,
-        probe_timeout: int,
-        idle_close: int,
+        connect_timeout_us: int,
+        probe_timeout_us: int,
+        idle_timeout_us: int,
         log: Callable[..., None],
-        quiet_us: int = 0,
+        endpoint_idle_timeout_us: int = 0,
         on_closed: Callable[[bool], None] | None = None,
     ) -> None:
         self.loop = loop
@@ -78,29 +79,32 @@
         self.name = name
         self.owner = owner
         self.log = log
-        self.connect_timeout = connect_timeout
-        self.probe_timeout = probe_timeout
-        self.quiet_us = quiet_us
+        self.connect_timeout_us = connect_timeout_us
+        self.probe_timeout_us = probe_timeout_us
+        self.endpoint_idle_timeout_us = endpoint_idle_timeout_us
         self.on_closed = on_closed
         self._heartbeat_timer: Timer | None = None
         self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
         self.stream: Stream | None = None
-        self.connects = self.late_answers = 0
+        self.late_answers = 0
         self._waiting: list[list[frames.PartRequest]] = []
         self._task: Task | None = None
         self._probes: dict[int, Timer] = {}
         self._probe_number = 0
         self._idle = IdleTime(
-            loop, idle_close, lambda: self.stream is None or bool(self.in_flight or self._probes), self.close
+            loop,
+            idle_timeout_us,
+            lambda: self.stream is None or bool(self.in_flight or self._probes),
+            self.close,
         )
 
     @property
     def up(self) -> bool:
-        """Whether the connection stands."""
+        """Whether the connection is established."""
         return self.stream is not None
 
     def send(self, parts: list[frames.PartRequest]) -> None:
-        """Send attempts in one call; each will end once."""
+        """Send attempts in one call; each ends with one outcome."""
         for part in parts:
             self.in_flight[part.id, part.seq] = InFlightAttempt()
         if self.stream is None:
@@ -114,7 +118,7 @@
         sent = self.in_flight.pop(key, None)
         if sent is None:
             return False
-        if sent.starts is None:
+        if sent.frame_offset is None:
             for parts in self._waiting:
                 parts[:] = [part for part in parts if (part.id, part.seq) != key]
         elif self.stream is not None:
@@ -124,14 +128,14 @@
 
     def withdraw(self, key: AttemptKey) -> bool:
         """Withdraw an attempt that is unsent."""
-        return key in self.in_flight and self.in_flight[key].starts is None and self.abandon(key)
+        return key in self.in_flight and self.in_flight[key].frame_offset is None and self.abandon(key)
 
     def probe(self) -> None:
         """Send a ping; the probe ends with one outcome."""
         self._probe_number += 1
         number = self._probe_number
         self._probes[number] = self.loop.call_at(
-            self.loop.now() + self.probe_timeout, self._probe_over, number, policy.Outcome.TIMED_OUT
+            self.loop.now() + self.probe_timeout_us, self._probe_over, number, policy.Outcome.TIMED_OUT
         )
         if self.stream is None:
             self._connect()
@@ -152,11 +156,14 @@
         outcome = policy.Outcome.UNREACHABLE
         seen = False
         try:
-            self.connects += 1
-            stream = yield from self.net.connect(self.node, self.connect_timeout)
+            stream = yield from self.net.connect(self.node, self.connect_timeout_us)
             outcome = policy.Outcome.BROKEN
             self.stream = stream
-            self._write(frames.encode(frames.Hello(frames.VERSION, self.name, "broker", self.quiet_us)))
+            self._write(
+                frames.encode(
+                    frames.Hello(frames.VERSION, self.name, "broker", self.endpoint_idle_timeout_us)
+                )
+            )
             self._send_heartbeat()
             for number in self._probes:
                 self._write(frames.encode(frames.Ping(number)))
@@ -188,9 +195,10 @@
         """Ping at intervals, where the endpoint closes silent connections."""
         if self._heartbeat_timer is not None:
             self._heartbeat_timer.cancel()
-        if self.quiet_us and self.stream is not None:
+        if self.endpoint_idle_timeout_us and self.stream is not None:
             self._heartbeat_timer = self.loop.call_at(
-                self.loop.now() + self.quiet_us // HEARTBEATS_PER_TIMEOUT, self._send_heartbeat
+                self.loop.now() + self.endpoint_idle_timeout_us // HEARTBEATS_PER_TIMEOUT,
+                self._send_heartbeat,
             )
             self._write(frames.encode(frames.Ping(0)))
 
@@ -217,10 +225,10 @@
 
     def _write_call(self, parts: list[frames.PartRequest]) -> None:
         assert self.stream is not None
-        starts = self.stream.queued
+        frame_offset = self.stream.queued
         for part in parts:
             if (part.id, part.seq) in self.in_flight:
-                self.in_flight[part.id, part.seq].starts = starts
+                self.in_flight[part.id, part.seq].frame_offset = frame_offset
         self._write(frames.encode(frames.Call(parts)))
 
     def _write(self, data: bytes) -> None:
@@ -228,14 +236,15 @@
             self.stream.offer(data)  # the reading side reports that a connection is broken
 
     def _on_connection_lost(self, stream: Stream | None, outcome: policy.Outcome) -> None:
-        """The connection is gone: what had not left provably never ran, the rest may have."""
+        """Report the outcomes of a lost connection: what was unsent provably never ran, the rest may have."""
         sent_bytes = stream.sent if stream is not None else 0
-        self.stream = self._task = None
+        self.stream = None
+        self._task = None
         in_flight = self.in_flight
         self.in_flight = {}
         self._waiting = []
         for key, attempt in in_flight.items():
-            is_unsent = attempt.starts is None or attempt.starts >= sent_bytes
+            is_unsent = attempt.frame_offset is None or attempt.frame_offset >= sent_bytes
             self.owner.on_attempt_result(
                 self.node, key, policy.Outcome.UNREACHABLE if is_unsent else outcome, None
             )
--- a/heathwell/service/host_pool.py
+++ b/heathwell/service/host_pool.py
@@ -15,124 +15,137 @@
 from heathwell.eventloop import Loop
 from heathwell.service.host_link import HostLink
 
-WHERE_MOST = 256  # attempts noted, ended ones included, from which those are forgotten
+MAXIMUM_RECORDED_ATTEMPTS = 256  # ended ones included; beyond it, those that have ended are dropped
 
 
 class HostPool:
-    """A way to a host of up to ``most`` connections. ``take`` asks for a further one, ``give_back`` tells
-    that one is provably gone; a host closes what is silent for ``linger_us``, by its own clock.
+    """Up to ``maximum_connections`` to one endpoint.
+
+    An additional one is opened where all have ``busy_at`` attempts in flight and ``acquire`` grants its
+    quota; ``release`` returns that once the endpoint is known to have closed the connection. The endpoint
+    closes a connection that is silent for ``linger_us``, by its own clock.
     """
 
     def __init__(
         self,
         loop: Loop,
-        make: Callable[[Callable[[bool], None]], HostLink],
+        make_link: Callable[[Callable[[bool], None]], HostLink],
         *,
-        most: int,
-        busy: int,
+        maximum_connections: int,
+        busy_at: int,
         linger_us: int,
-        take: Callable[[], bool],
-        give_back: Callable[[], None],
+        acquire: Callable[[], bool],
+        release: Callable[[], None],
     ) -> None:
-        self.loop = loop
-        self.make = make
-        self.most = most
-        self.busy = busy
-        self.linger_us = linger_us
-        self.take = take
-        self.give_back = give_back
-        self.first = make(lambda _seen: None)
-        self.more: list[HostLink] = []
-        self.closing: list[HostLink] = []  # no new parts: they end with what they have
-        self.waits = 0  # units of connections whose end the host may not have seen
-        self._late = 0
-        self._where: dict[AttemptKey, HostLink] = {}
+        self._loop = loop
+        self._make_link = make_link
+        self._maximum_connections = maximum_connections
+        self._busy_at = busy_at
+        self._linger_us = linger_us
+        self._acquire = acquire
+        self._release = release
+        self._first = make_link(lambda _seen: None)
+        self._additional: list[HostLink] = []
+        self._closing: list[HostLink] = []  # these get no new parts, and end with what is in flight
+        self._lingering_count = 0  # closed connections whose end the endpoint may not have observed
+        self._late_answers = 0  # of connections that have ended
+        self._link_of_attempt: dict[AttemptKey, HostLink] = {}
 
     @property
     def node(self) -> str:
-        """The host."""
-        return self.first.node
+        """The endpoint."""
+        return self._first.node
 
     @property
     def late_answers(self) -> int:
         """Number of answers to attempts whose outcome was already reported."""
-        return self._late + sum(link.late_answers for link in self.links())
+        return self._late_answers + sum(link.late_answers for link in self._links())
 
     @property
     def up(self) -> bool:
-        """Whether a connection stands."""
-        return any(link.up for link in self.links())
+        """Whether a connection is established."""
+        return any(link.up for link in self._links())
+
+    @property
+    def has_additional(self) -> bool:
+        """Whether there are connections beside the first."""
+        return bool(self._additional or self._closing)
 
-    def links(self) -> list[HostLink]:
-        """All connections, those that are ending too."""
-        return [self.first, *self.more, *self.closing]
+    def _links(self) -> list[HostLink]:
+        """Return all connections, those that are closing included."""
+        return [self._first, *self._additional, *self._closing]
 
     def send(self, parts: list[frames.PartRequest]) -> None:
-        """Send attempts in one call; each will end once."""
-        link = min([self.first, *self.more], key=lambda link: len(link.in_flight))
-        held = 1 + len(self.more) + len(self.closing) + self.waits
-        if len(link.in_flight) >= self.busy and held < self.most and self.take():
+        """Send attempts in one call; each ends with one outcome."""
+        link = min([self._first, *self._additional], key=lambda link: len(link.in_flight))
+        held_count = 1 + len(self._additional) + len(self._closing) + self._lingering_count
+        is_busy = len(link.in_flight) >= self._busy_at
+        if is_busy and held_count < self._maximum_connections and self._acquire():
             link = self._open()
-        if len(self._where) > WHERE_MOST:
-            self._where = {key: where for key, where in self._where.items() if key in where.in_flight}
-        for ask in parts:
-            self._where[ask.id, ask.seq] = link
+        if len(self._link_of_attempt) > MAXIMUM_RECORDED_ATTEMPTS:
+            self._link_of_attempt = {
+                key: used for key, used in self._link_of_attempt.items() if key in used.in_flight
+            }
+        for part in parts:
+            self._link_of_attempt[part.id, part.seq] = link
         link.send(parts)
 
     def _open(self) -> HostLink:
-        link = self.make(lambda seen: self._closed(link, seen=seen))
-        self.more.append(link)
+        link = self._make_link(lambda seen: self._on_closed(link, seen=seen))
+        self._additional.append(link)
         return link
 
-    def _closed(self, link: HostLink, *, seen: bool) -> None:
-        """A further connection is gone: its unit is free once the host has seen the end, or has closed by
-        itself.
+    def _on_closed(self, link: HostLink, *, seen: bool) -> None:
+        """Release the quota of an additional connection once the endpoint has closed it too.
+
+        ``seen`` is whether the endpoint is known to have observed the end; otherwise it closes the connection
+        by itself.
         """
-        for links in (self.more, self.closing):
-            if link in links:
-                links.remove(link)
-                self._late += link.late_answers
-                if seen:
-                    self.give_back()
-                else:
-                    self.waits += 1
-                    self.loop.call_at(self.loop.now() + self.linger_us, self._gone)
-                return
-
-    def _gone(self) -> None:
-        self.waits -= 1
-        self.give_back()
+        for links in (self._additional, self._closing):
+            if link not in links:
+                continue
+            links.remove(link)
+            self._late_answers += link.late_answers
+            if seen:
+                self._release()
+            else:
+                self._lingering_count += 1
+                self._loop.call_at(self._loop.now() + self._linger_us, self._on_linger_over)
+            return
+
+    def _on_linger_over(self) -> None:
+        self._lingering_count -= 1
+        self._release()
 
     def shrink(self, units: int) -> None:
-        """Let go of so many further connections, each as soon as it has nothing out."""
-        for link in sorted(self.more, key=lambda link: len(link.in_flight))[
-            : max(0, units - len(self.closing) - self.waits)
-        ]:
-            self.more.remove(link)
-            self.closing.append(link)
-        for link in [link for link in self.closing if not link.in_flight]:
+        """Close ``units`` additional connections, each as soon as it has nothing in flight."""
+        count = max(0, units - len(self._closing) - self._lingering_count)
+        for link in sorted(self._additional, key=lambda link: len(link.in_flight))[:count]:
+            self._additional.remove(link)
+            self._closing.append(link)
+        for link in [link for link in self._closing if not link.in_flight]:
             link.close()
 
     def drop(self, units: int) -> None:
-        """Let go of so many now, whatever they have out."""
-        for link in [*self.closing, *self.more][:units]:
+        """Close ``units`` additional connections now, whatever they have in flight."""
+        for link in [*self._closing, *self._additional][:units]:
             link.close()
 
     def abandon(self, key: AttemptKey) -> bool:
-        """Stop waiting for an attempt; true if it was out."""
-        link = self._where.pop(key, None)
+        """Stop waiting for an attempt; true if it was in flight."""
+        link = self._link_of_attempt.pop(key, None)
         return link is not None and link.abandon(key)
 
     def withdraw(self, key: AttemptKey) -> bool:
-        """Take back an attempt that is not written yet."""
-        link = self._where.get(key)
+        """Take back an attempt if none of its bytes were sent; true if so."""
+        link = self._link_of_attempt.get(key)
         return link is not None and link.withdraw(key)
 
     def probe(self) -> None:
-        """Ask for a sign of life, on the first."""
-        self.first.probe()
+        """Probe the endpoint on the first connection."""
+        self._first.probe()
 
     def close(self) -> None:
-        """Let go of all."""
-        for link in self.links():
+        """Close all connections."""
+        for link in self._links():
             link.close()
--- a/heathwell/service/quota_gate.py
+++ b/heathwell/service/quota_gate.py
@@ -1,9 +1,9 @@
 """Quotas of the fleet at the point of use in a broker: additional attempts, parts to endpoints in slow
 start, and connections to one endpoint.
 
-The module learns before each batch how much it may send (:class:`~heathwell.policy.QuotaUpdate`). A unit is
-used at the moment an attempt leaves, by the clock of that moment, so that nothing leaves on a grant that has
-run out meanwhile.
+The decision module receives before each batch how much it may send (:class:`~heathwell.policy.QuotaUpdate`).
+A unit is acquired at the moment an attempt is sent, by the clock of that moment, so that no attempt uses a
+grant that has expired meanwhile.
 """
 
 from __future__ import annotations
@@ -128,21 +128,21 @@
     # Attempts.
 
     def quota_update(self) -> policy.QuotaUpdate | None:
-        """What the module may send now; None where no budget concerns attempts."""
+        """Return what the decision module may send now; ``None`` where no budget concerns attempts."""
         now = self.agent.check_incarnation()
         if not self._budgets & {ADDITIONAL_ATTEMPTS, SLOW_START_PARTS}:
             return None
         return policy.QuotaUpdate(self._additional_attempts(now), self._slow_start_parts(now))
 
     def _additional_attempts(self, now: int) -> int | None:
-        """How many additional attempts may be sent; None without such a budget."""
+        """Return how many additional attempts may be sent; ``None`` without such a budget."""
         if not self.has_budget(ADDITIONAL_ATTEMPTS):
             return None
         holder = self.agent.holder(ADDITIONAL_ATTEMPTS)
         return holder.capacity(now) // UNIT_MILLIUNITS if holder is not None else None
 
     def _slow_start_parts(self, now: int) -> dict[str, int] | None:
-        """By endpoint in slow start, how many parts may be sent to it; None without such a budget."""
+        """Return, by endpoint in slow start, how many parts may be sent; ``None`` without such a budget."""
         if not self.has_budget(SLOW_START_PARTS):
             return None
         parts: dict[str, int] = {}
@@ -153,9 +153,9 @@
         return parts
 
     def acquire(self, send: policy.Send, key: AttemptKey) -> bool:
-        """Use what an attempt needs; false where a quota does not cover it.
+        """Acquire what an attempt needs; false where a quota does not cover it.
 
-        The clock may have gone on since the module got its update, so a grant may have run out.
+        Time may have passed since the decision module got its update, so a grant may have expired.
         """
         self._sent_in_window += 1
         budgets: list[str] = []
@@ -169,11 +169,11 @@
             if not self.agent.acquire(ADDITIONAL_ATTEMPTS):
                 return False
             budgets.append(ADDITIONAL_ATTEMPTS)
-        self._note_expiry(key, budgets)
+        self._record_expiry(key, budgets)
         return True
 
-    def _note_expiry(self, key: AttemptKey, budgets: list[str]) -> None:
-        """Note when the first grant runs out that an attempt was paid from."""
+    def _record_expiry(self, key: AttemptKey, budgets: list[str]) -> None:
+        """Record when the first of the grants expires that an attempt was acquired from."""
         now = self._broker.loop.now()
         terms_us: list[int] = []
         for budget in budgets:
@@ -191,7 +191,7 @@
         return until_us is None or now < until_us
 
     def forget_attempt(self, key: AttemptKey) -> None:
-        """Drop what is kept of an attempt that has ended."""
+        """Drop the record of an attempt that has ended."""
         self._sendable_until_us.pop(key, None)
 
     def record_exhausted(self) -> None:
@@ -204,7 +204,7 @@
     # Connections.
 
     def acquire_connection(self, node: str) -> bool:
-        """Use a unit for one more connection to an endpoint; false where the quota does not cover it."""
+        """Acquire a unit for one more connection to an endpoint; false where the quota does not cover it."""
         acquired = self.agent.acquire(_of_endpoint(CONNECTIONS, node))
         if not acquired:
             self._broker.counters["lacked", CONNECTIONS] += 1
@@ -257,7 +257,7 @@
     def _close_excess_connections(self, now: int) -> None:
         """Close connections beyond the quota: idle ones where there is time, any where there is none."""
         for node, link in self._broker.links.items():
-            if not isinstance(link, HostPool) or not (link.more or link.closing):
+            if not isinstance(link, HostPool) or not link.has_additional:
                 continue
             holder = self.agent.holder(_of_endpoint(CONNECTIONS, node))
             if holder is not None:
--- a/heathwell/service/source_clock.py
+++ b/heathwell/service/source_clock.py
@@ -8,8 +8,10 @@
 from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
 from heathwell.service.freshness import SourceClock
 
+CONNECT_TIMEOUT_US = 1_000_000
 MAXIMUM_ROUND_TRIP_US = 2_000_000  # a slower reply bounds the clock too loosely to be used
 FIRST_SAMPLES = 4  # in quick succession, so that the first bound is the tightest of a few
+FIRST_SAMPLES_SPEEDUP = 20
 
 
 class SourceClockClient:
@@ -21,7 +23,7 @@
         net: Net,
         address: str,
         name: str,
-        every: int,
+        interval_us: int,
         clock: SourceClock,
         log: Callable[..., None],
     ) -> None:
@@ -29,7 +31,7 @@
         self.net = net
         self.address = address
         self.name = name
-        self.every = every
+        self.interval_us = interval_us
         self.clock = clock
         self.log = log
         self._sent_at_us: dict[int, int] = {}
@@ -44,7 +46,7 @@
         while True:
             stream: Stream | None = None
             try:
-                stream = yield from self.net.connect(self.address, 1_000_000)
+                stream = yield from self.net.connect(self.address, CONNECT_TIMEOUT_US)
                 stream.write(frames.encode(frames.Hello(frames.VERSION, self.name, "broker")))
                 requests = self.loop.spawn(
                     self._send_requests(stream), "source clock asks", parent=self._task
@@ -58,7 +60,7 @@
             finally:
                 if stream is not None:
                     stream.abort()
-            yield from sleep(self.loop, self.every)
+            yield from sleep(self.loop, self.interval_us)
 
     def _send_requests(self, stream: Stream) -> Coro[None]:
         request_count = 0
@@ -70,7 +72,10 @@
                 stream.write(frames.encode(frames.ClockRequest(self._request_number)))
             except StreamBroken:
                 return
-            yield from sleep(self.loop, self.every if request_count >= FIRST_SAMPLES else self.every // 20)
+            is_settled = request_count >= FIRST_SAMPLES
+            yield from sleep(
+                self.loop, self.interval_us if is_settled else self.interval_us // FIRST_SAMPLES_SPEEDUP
+            )
 
     def _on_message(self, message: frames.AnyMessage) -> None:
         if isinstance(message, frames.ClockReply):
