--- a/heathwell/eventloop/__init__.py
+++ b/heathwell/eventloop/__init__.py
@@ -1,24 +1,47 @@
 """An event loop on `select.epoll` with generators as coroutines, and the same loop on virtual time.
 
-A coroutine is a generator that is driven with ``yield from``. What it waits for is a *trap*: a callable
-that is handed the waiting :class:`~heathwell.eventloop.loop.Task` and returns how to call the wait off.
-The clock, the poller and the net are handed in, so the same coroutines run on sockets and in memory.
+A coroutine is a generator that is driven with ``yield from``. To wait, it yields a *trap*: a callable that
+receives the waiting :class:`~heathwell.eventloop.loop.Task` and returns a function that aborts the wait.
+Clock, poller and net are parameters, so the same coroutines run on sockets and in memory.
 """
 
 from heathwell.eventloop.clock import MonotonicClock, SkewedClock, VirtualClock
-from heathwell.eventloop.collector import calm_collector
-from heathwell.eventloop.loop import Cancelled, Coro, Event, Loop, Stalled, Task, Timer, sleep
-from heathwell.eventloop.net import ConnectFailed, Listener, Net, Overrun, Stream, StreamBroken
-from heathwell.eventloop.sockets import EpollPoller, SocketNet, socket_loop
-from heathwell.eventloop.virtual import HostNet, VirtualNet, VirtualPoller, virtual_loop
+from heathwell.eventloop.epoll import EpollPoller
+from heathwell.eventloop.errors import (
+    CancelledError,
+    ConcurrentReadError,
+    ConnectError,
+    EventLoopError,
+    StalledError,
+    StreamBrokenError,
+    StreamOverrunError,
+    WorkerQueueFullError,
+)
+from heathwell.eventloop.garbage_collection import configure_garbage_collector
+from heathwell.eventloop.loop import Coro, Event, Loop, Task, Timer, sleep
+from heathwell.eventloop.net import Listener, Net, Stream
+from heathwell.eventloop.sockets import SocketNet, SocketRuntime, socket_loop
+from heathwell.eventloop.virtual import HostNet, VirtualNet, VirtualPoller, VirtualRuntime, virtual_loop
 from heathwell.eventloop.worker import Worker
 
+# The names before the exceptions were renamed, for importers that are not yet adapted.
+Cancelled = CancelledError
+ConnectFailed = ConnectError
+Overrun = StreamOverrunError
+Stalled = StalledError
+StreamBroken = StreamBrokenError
+calm_collector = configure_garbage_collector
+
 __all__ = [
     "Cancelled",
+    "CancelledError",
+    "ConcurrentReadError",
+    "ConnectError",
     "ConnectFailed",
     "Coro",
     "EpollPoller",
     "Event",
+    "EventLoopError",
     "HostNet",
     "Listener",
     "Loop",
@@ -27,16 +50,23 @@
     "Overrun",
     "SkewedClock",
     "SocketNet",
+    "SocketRuntime",
     "Stalled",
+    "StalledError",
     "Stream",
     "StreamBroken",
+    "StreamBrokenError",
+    "StreamOverrunError",
     "Task",
     "Timer",
     "VirtualClock",
     "VirtualNet",
     "VirtualPoller",
+    "VirtualRuntime",
     "Worker",
+    "WorkerQueueFullError",
     "calm_collector",
+    "configure_garbage_collector",
     "sleep",
     "socket_loop",
     "virtual_loop",
--- a/heathwell/eventloop/clock.py
+++ b/heathwell/eventloop/clock.py
@@ -1,4 +1,4 @@
-"""Clocks: whole microseconds that never step back."""
+"""Clocks: integer microseconds that never decrease."""
 
 from __future__ import annotations
 
@@ -7,46 +7,49 @@
 
 
 class Clock(Protocol):
-    """What the loop reads its time from."""
+    """The source of the loop's time."""
 
     def now(self) -> int:
-        """Microseconds from an arbitrary start."""
+        """Return microseconds since an arbitrary start."""
 
 
 class MonotonicClock:
-    """The machine's monotonic clock: one time line for all processes of a machine."""
+    """The machine's monotonic clock, shared by all processes of the machine."""
 
     def now(self) -> int:
-        """Microseconds since the machine's own start."""
+        """Return microseconds since the machine's own start."""
         return time.monotonic_ns() // 1000
 
 
 class SkewedClock:
-    """A clock that runs faster or slower than the machine's, from its making on: for tests of what clocks are
-    trusted with.
+    """A clock that runs at ``rate`` times the speed of the machine's clock, from its creation on.
+
+    For tests of clock drift.
     """
 
     def __init__(self, rate: float) -> None:
-        self.rate, self._true = rate, MonotonicClock()
-        self._start = self._true.now()
+        self.rate = rate
+        self._reference = MonotonicClock()
+        self._started_at_us = self._reference.now()
 
     def now(self) -> int:
-        """Microseconds by this clock."""
-        return self._start + int((self._true.now() - self._start) * self.rate)
+        """Return microseconds by this clock."""
+        elapsed_us = self._reference.now() - self._started_at_us
+        return self._started_at_us + int(elapsed_us * self.rate)
 
 
 class VirtualClock:
     """A clock that stands still until it is advanced."""
 
-    def __init__(self, start: int = 1_000_000) -> None:
-        self._now = start
+    def __init__(self, start_us: int = 1_000_000) -> None:
+        self._now_us = start_us
 
     def now(self) -> int:
-        """Virtual microseconds."""
-        return self._now
-
-    def advance(self, to: int) -> None:
-        """Move on to a time; going back is an error."""
-        if to < self._now:
-            raise ValueError(f"clock: {to} lies before {self._now}")
-        self._now = to
+        """Return virtual microseconds."""
+        return self._now_us
+
+    def advance(self, to_us: int) -> None:
+        """Set the time; raise :class:`ValueError` if it lies in the past."""
+        if to_us < self._now_us:
+            raise ValueError(f"clock: {to_us} lies before {self._now_us}")
+        self._now_us = to_us
--- a/heathwell/eventloop/net.py
+++ b/heathwell/eventloop/net.py
@@ -1,4 +1,4 @@
-"""Streams, listeners and nets, whatever carries their bytes."""
+"""Streams, listeners and nets: what sockets and virtual time have in common."""
 
 from __future__ import annotations
 
@@ -6,130 +6,129 @@
 from abc import ABC, abstractmethod
 from collections import deque
 from collections.abc import Callable
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
+from heathwell.eventloop.errors import ConcurrentReadError, StreamBrokenError, StreamOverrunError
 from heathwell.eventloop.loop import Abort, Coro, Loop, Task, sleep
 
-READ_SIZE = 65_536
-HIGH_WATER = 262_144  # bytes queued for sending above which `drain` waits
-HARD_LIMIT = 16_777_216  # bytes queued for sending above which a stream is given up
-READS_IN_A_ROW = 16  # reads without a wait after which the other tasks get a turn
-LINGER_US = 5_000_000  # how long a closed stream may still send what is queued
-
-
-class StreamBroken(Exception):
-    """The connection was reset, or this side has closed it."""
-
-
-class Overrun(StreamBroken):
-    """The other side reads too slowly: its share of the buffer is used up and the stream was reset."""
-
-
-class ConnectFailed(Exception):
-    """No connection was established; the text says why."""
-
-    @property
-    def reset(self) -> bool:
-        """Whether the other side was there and ended it: nothing is known of the next one."""
-        return str(self) == "ECONNRESET"
+READ_SIZE_BYTES = 65_536
+HIGH_WATER_BYTES = 262_144  # queued for sending, above which `drain` waits
+HARD_LIMIT_BYTES = 16_777_216  # queued for sending, above which a stream is reset
+MAX_CONSECUTIVE_READS = 16  # reads without a wait, after which the other tasks get a turn
+LINGER_DURATION_US = 5_000_000  # how long a closed stream may still send its queued bytes
+MAX_CONNECTIONS = 20_000  # default of a listener
+MAX_PORT = 65_535
 
 
 class Stream(ABC):
     """A two-way stream of bytes with bounded buffers.
 
-    ``sent`` counts the bytes handed to the carrier and ``queued`` those written in all: what lies
-    beyond ``sent`` has provably not left.
+    ``queued`` counts all bytes written and ``sent`` those handed to the transport: the bytes beyond ``sent``
+    have provably not left this process.
+
+    Subclasses are transports: they implement :meth:`_receive`, :meth:`_flush`, :meth:`_send_eof` and
+    :meth:`_drop`.
     """
 
     def __init__(self, loop: Loop, peer: str) -> None:
-        self.loop, self.peer = loop, peer
-        self.high_water, self.hard_limit = HIGH_WATER, HARD_LIMIT
+        self.loop = loop
+        self.peer = peer
+        self.high_water = HIGH_WATER_BYTES
+        self.hard_limit = HARD_LIMIT_BYTES
         self.closed = False
-        self.sent = self.queued = 0
-        self._ending = self._eof_sent = False
+        self.sent = 0
+        self.queued = 0
+        self.on_close: Callable[[], None] | None = None
+        self.on_flushed: Callable[[], None] | None = None  # called when no byte is queued any more
+        self.on_hangup: Callable[[], None] | None = None
+        self.hung_up = False  # the peer sent its end or reset the stream; earlier bytes may be unread
+        self._ending = False
+        self._eof_sent = False
         self._reader: Task | None = None
         self._drainers: list[Task] = []
         self._chunks: deque[bytes] = deque()
-        self._row = 0
-        self._linger_at = 0
-        self.on_close: Callable[[], None] | None = None
-        self.on_flushed: Callable[[], None] | None = None  # all that was queued has left
-        self.on_hangup: Callable[[], None] | None = None
-        self.hung_up = False  # the other side has ended or is gone, though what it sent may be unread
         self._unread: deque[bytes] = deque()
+        self._consecutive_reads = 0
+        self._linger_until_us = 0
 
-    # What a carrier provides.
+    # Implemented by transports.
 
     @abstractmethod
     def _receive(self, size: int) -> bytes | None:
-        """Bytes at hand, b"" at the end, None when there are none yet; raises :class:`StreamBroken`."""
+        """Return received bytes, b"" at the end, None if there are none yet.
+
+        Raise :class:`StreamBrokenError` if the connection is lost.
+        """
 
     @abstractmethod
     def _flush(self) -> None:
-        """Hand on as much of what is queued as the carrier takes."""
+        """Pass on as many queued bytes as the transport accepts."""
 
     @abstractmethod
     def _send_eof(self) -> None:
-        """Tell the other side that nothing more follows."""
+        """Send the end of the stream to the peer."""
 
     @abstractmethod
-    def _drop(self, reset: bool) -> None:
-        """Let go of the carrier."""
+    def _drop(self, *, reset: bool) -> None:
+        """Release the transport."""
 
-    # What users call.
+    # Public.
 
     @property
     def unsent(self) -> int:
-        """Bytes queued and not yet handed to the carrier."""
+        """Bytes queued and not yet handed to the transport."""
         return self.queued - self.sent
 
-    def read(self, size: int = READ_SIZE) -> Coro[bytes]:
-        """The next bytes; b"" at the end; raises :class:`StreamBroken` when the connection is lost."""
+    def read(self, size: int = READ_SIZE_BYTES) -> Coro[bytes]:
+        """Return the next bytes, b"" at the end; raise :class:`StreamBrokenError` on a lost connection."""
         while True:
             if self.closed:
-                raise StreamBroken("closed")
+                raise StreamBrokenError("closed")
             data = self._unread.popleft() if self._unread else self._receive(size)
             if data is not None:
-                self._row += 1
-                if self._row >= READS_IN_A_ROW:
-                    self._row = 0
+                self._consecutive_reads += 1
+                if self._consecutive_reads >= MAX_CONSECUTIVE_READS:
+                    self._consecutive_reads = 0
                     yield from sleep(self.loop, 0)
                 return data
-            self._row = 0
+            self._consecutive_reads = 0
             yield self._park_reader
 
     def write(self, data: bytes) -> None:
-        """Queue bytes and send what the carrier takes; raises :class:`StreamBroken`, :class:`Overrun`."""
+        """Queue bytes and send as many as the transport accepts.
+
+        Raise :class:`StreamBrokenError`, or :class:`StreamOverrunError` over the hard limit.
+        """
         if self.closed or self._ending:
-            raise StreamBroken("closed")
+            raise StreamBrokenError("closed")
         if self.unsent + len(data) > self.hard_limit:
             self.abort()
-            raise Overrun(f"{self.peer} reads too slowly: over {self.hard_limit} bytes wait for it")
+            raise StreamOverrunError(self.peer, self.hard_limit)
         self.queued += len(data)
         if data:
             self._chunks.append(data)
         self._flush()
 
     def offer(self, data: bytes) -> None:
-        """As :meth:`write`, for those whose reader hears of a loss: on a broken stream it does nothing."""
-        with contextlib.suppress(StreamBroken):
+        """Write as :meth:`write` does, but ignore a broken stream: its reader receives the error."""
+        with contextlib.suppress(StreamBrokenError):
             self.write(data)
 
     def drain(self) -> Coro[None]:
-        """Wait until what is queued is under the high-water mark."""
+        """Wait until at most ``high_water`` bytes are queued."""
         while self.unsent > self.high_water and not self.closed:
             yield self._park_drainer
         if self.closed:
-            raise StreamBroken("closed")
+            raise StreamBrokenError("closed")
 
     def end(self) -> None:
-        """Send what is queued, then the end; reading goes on."""
+        """Send the queued bytes, then the end; the peer's bytes can still be read."""
         if not self.closed and not self._ending:
             self._ending = True
             self._flush()
 
     def close(self) -> None:
-        """Send what is queued, for a few seconds at the most, then close."""
+        """Send the queued bytes for up to ``LINGER_DURATION_US``, then close."""
         if self.closed:
             return
         self._ending = True
@@ -137,20 +136,21 @@
         if self.closed:
             return
         if self.unsent:
-            self._linger_at = self.loop.now() + LINGER_US
-            self.loop.call_at(self._linger_at, self.abort)
+            self._linger_until_us = self.loop.now() + LINGER_DURATION_US
+            self.loop.call_at(self._linger_until_us, self.abort)
         else:
             self._shut(reset=False)
 
     def close_if_quiet(self) -> bool:
-        """Close a connection at rest, unless the other side has sent something that nobody has read yet; its
-        reader gets that. True once it is closed, or its end has come.
+        """Close the stream unless received bytes are unread: those are passed to its reader.
+
+        Return whether the stream is closed or broken.
         """
         if self.closed:
             return True
         try:
-            data = self._look()
-        except StreamBroken:
+            data = self._poll_transport()
+        except StreamBrokenError:
             return True
         if data:
             self._unread.append(data)
@@ -160,61 +160,68 @@
         return True
 
     def abort(self) -> None:
-        """Reset the connection at once."""
+        """Reset the connection without sending the queued bytes."""
         if not self.closed:
             self._shut(reset=True)
 
-    # Shared by the carriers.
+    # Shared by the transports.
 
-    def _look(self) -> bytes | None:
-        """As :meth:`_receive`, also where the carrier has told of nothing."""
-        return self._receive(READ_SIZE)
+    def _poll_transport(self) -> bytes | None:
+        """Receive as :meth:`_receive` does, even if the transport has not reported an event."""
+        return self._receive(READ_SIZE_BYTES)
 
-    def _ended_there(self) -> None:
-        """The other side has ended, or is gone."""
+    def _report_hangup(self) -> None:
+        """Note that the peer has ended or reset the stream."""
         if not self.hung_up:
             self.hung_up = True
             if self.on_hangup is not None:
                 self.on_hangup()
 
     def _flushed(self) -> None:
-        """To be called when bytes have gone out."""
+        """Handle that the transport has accepted bytes; to be called by each transport."""
         if self._ending and not self.unsent and not self._eof_sent and not self.closed:
             self._eof_sent = True
             self._send_eof()
-            if self._linger_at:
+            if self._linger_until_us:
                 self._shut(reset=False)
                 return
         if self._drainers and self.unsent <= self.high_water // 2:
-            drainers, self._drainers = self._drainers, []
-            for task in drainers:
-                task.wake()
+            self._wake_drainers()
         if self.on_flushed is not None and not self.unsent and not self.closed:
             self.on_flushed()
 
     def _readable(self) -> None:
-        reader, self._reader = self._reader, None
+        """Wake the reader."""
+        reader = self._reader
+        self._reader = None
         if reader is not None:
             reader.wake()
 
-    def _shut(self, reset: bool) -> None:
+    def _wake_drainers(self) -> None:
+        drainers = self._drainers
+        self._drainers = []
+        for task in drainers:
+            task.wake()
+
+    def _shut(self, *, reset: bool) -> None:
+        """Release the transport, wake all waiting tasks and call the hooks; a second call is a no-op."""
         if self.closed:
             return
         self.closed = True
         self._chunks.clear()
-        self._drop(reset)
+        self._drop(reset=reset)
         self._readable()
-        drainers, self._drainers = self._drainers, []
-        for task in drainers:
-            task.wake()
-        if self.on_close is not None:
-            hook, self.on_close = self.on_close, None
-            hook()
-        self.on_flushed = self.on_hangup = None
+        self._wake_drainers()
+        on_close = self.on_close
+        self.on_close = None
+        if on_close is not None:
+            on_close()
+        self.on_flushed = None
+        self.on_hangup = None
 
     def _park_reader(self, task: Task) -> Abort:
         if self._reader is not None:
-            task.wake(None, RuntimeError("two tasks read one stream"))
+            task.wake(None, ConcurrentReadError())
             return lambda: None
         self._reader = task
         return self._unpark_reader
@@ -231,20 +238,30 @@
 
 
 class Listener(ABC):
-    """Accepts connections, each served by a task of its own, ``most`` at a time."""
+    """Accepts connections, each served by a task of its own, up to ``max_connections`` at a time.
 
-    def __init__(self, address: str, handler: Handler, name: str, most: int) -> None:
-        self.address, self.handler, self.name, self.most = address, handler, name, most
-        self.open = self.accepted = self.turned_away = self.backed_off = self.paced = 0
-        # How long to leave the next connection waiting (us), and what to tell when one is taken.
+    ``pace``, if set, returns how many microseconds the next connection must still wait in the backlog;
+    ``on_accept`` is called for each accepted connection.
+    """
+
+    def __init__(self, address: str, handler: Handler, name: str, max_connections: int) -> None:
+        self.address = address
+        self.handler = handler
+        self.name = name
+        self.max_connections = max_connections
+        self.open = 0
+        self.accepted = 0
+        self.rejected = 0  # over max_connections
+        self.accept_backoffs = 0  # waits for descriptors or memory
+        self.paced = 0  # waits that `pace` asked for
         self.pace: Callable[[], int] | None = None
         self.on_accept: Callable[[], None] | None = None
 
     def serve(self, stream: Stream) -> Coro[None]:
-        """Serve one connection; its loss ends it like its end."""
+        """Serve one connection; a lost connection ends the task without an error."""
         try:
             yield from self.handler(stream)
-        except StreamBroken:
+        except StreamBrokenError:
             pass
         finally:
             self.open -= 1
@@ -252,22 +269,34 @@
 
     @abstractmethod
     def close(self) -> None:
-        """Accept no more; what is open goes on."""
+        """Accept no more connections; open ones are served on."""
 
 
 class Net(Protocol):
-    """Makes and takes connections; addresses are ``host:port``."""
+    """Opens and accepts connections; addresses are ``host:port``."""
 
     def connect(self, address: str, timeout_us: int) -> Coro[Stream]:
-        """A new connection; raises :class:`ConnectFailed`."""
+        """Open a connection; raise :class:`ConnectError`."""
+
+    def listen(
+        self, address: str, handler: Handler, name: str, max_connections: int = MAX_CONNECTIONS
+    ) -> Listener:
+        """Serve connections, ``max_connections`` at a time.
+
+        Raise :class:`OSError` if the address is in use.
+        """
+
+
+class HostPort(NamedTuple):
+    """An address in its two parts."""
 
-    def listen(self, address: str, handler: Handler, name: str, most: int = 20_000) -> Listener:
-        """Serve connections, ``most`` at a time; raises :class:`OSError` when the address is taken."""
+    host: str
+    port: int
 
 
-def split_address(address: str) -> tuple[str, int]:
-    """Host and port of an address; raises :class:`ValueError`."""
+def split_address(address: str) -> HostPort:
+    """Return host and port of an address; raise :class:`ValueError`."""
     host, colon, port = address.rpartition(":")
-    if not colon or not port.isdigit() or int(port) > 65_535:
+    if not colon or not port.isdigit() or int(port) > MAX_PORT:
         raise ValueError(f"address {address!r} is not host:port")
-    return host.strip("[]"), int(port)
+    return HostPort(host.strip("[]"), int(port))
--- a/heathwell/eventloop/sockets.py
+++ b/heathwell/eventloop/sockets.py
@@ -1,109 +1,34 @@
-"""Sockets on `select.epoll`, edge triggered: every descriptor is registered once, for its whole life."""
+"""TCP streams, listeners and connects on :class:`~heathwell.eventloop.epoll.EpollPoller`."""
 
 from __future__ import annotations
 
 import contextlib
 import errno
-import select
-import signal
 import socket
 import struct
-from collections.abc import Callable
+from typing import NamedTuple
 
 from heathwell.eventloop.clock import Clock, MonotonicClock
+from heathwell.eventloop.epoll import END_MASK, READ_MASK, WRITE_MASK, EpollPoller
+from heathwell.eventloop.errors import CONNECT_TIMED_OUT, ConnectError, StreamBrokenError
 from heathwell.eventloop.loop import Abort, Coro, Loop, Task
 from heathwell.eventloop.net import (
-    READ_SIZE,
-    ConnectFailed,
+    MAX_CONNECTIONS,
+    READ_SIZE_BYTES,
     Handler,
     Listener,
     Stream,
-    StreamBroken,
     split_address,
 )
 
-WATCH = select.EPOLLIN | select.EPOLLOUT | select.EPOLLRDHUP | select.EPOLLET
-READ_MASK = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
-END_MASK = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
-WRITE_MASK = select.EPOLLOUT | select.EPOLLHUP | select.EPOLLERR
-OUT_OF_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-BACK_OFF_US, BACK_OFF_MOST_US = 20_000, 1_000_000
-ACCEPTS_IN_A_ROW = 64
-EVENTS_A_POLL = 1024
-SEND_CHUNKS = 16
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-
-
-class EpollPoller:
-    """The loop's view of `select.epoll`, with a socket pair to be woken by other threads and signals."""
-
-    def __init__(self, clock: Clock | None = None) -> None:
-        self._epoll = select.epoll()
-        self._calls: dict[int, Callable[[int], None]] = {}
-        self._clock = clock or MonotonicClock()
-        self._in, self._out = socket.socketpair()
-        self._in.setblocking(False)
-        self._out.setblocking(False)
-        self._on_signal: dict[int, Callable[[], None]] = {}
-        self.register(self._in.fileno(), self._woken)
-
-    def register(self, fd: int, call: Callable[[int], None]) -> None:
-        """Report events of a descriptor to a call, from now until :meth:`unregister`."""
-        self._calls[fd] = call
-        self._epoll.register(fd, WATCH)
-
-    def unregister(self, fd: int) -> None:
-        """Report no more."""
-        if self._calls.pop(fd, None) is not None:
-            self._epoll.unregister(fd)
-
-    def poll(self, until_us: int | None) -> None:
-        """Wait, and report what happened."""
-        if until_us is None:
-            timeout = -1.0
-        elif until_us <= 0:
-            timeout = 0.0
-        else:
-            timeout = max(0, until_us - self._clock.now()) / 1e6
-        try:
-            happened = self._epoll.poll(timeout, EVENTS_A_POLL)
-        except InterruptedError:
-            return
-        for fd, mask in happened:
-            call = self._calls.get(fd)
-            if call is not None:
-                call(mask)
-
-    def wake(self) -> None:
-        """End a wait from another thread."""
-        with contextlib.suppress(BlockingIOError):  # enough wake-ups are on their way
-            self._out.send(b"\0")
-
-    def on_signal(self, number: int, call: Callable[[], None]) -> None:
-        """Make a call in the loop's thread when a signal comes, by the wakeup descriptor."""
-        self._on_signal[number] = call
-        signal.set_wakeup_fd(self._out.fileno(), warn_on_full_buffer=False)
-        signal.signal(number, lambda *_: None)
-
-    def _woken(self, _mask: int) -> None:
-        while True:
-            try:
-                data = self._in.recv(4096)
-            except BlockingIOError:
-                return
-            for number in data:
-                if number in self._on_signal:
-                    self._on_signal[number]()
-            if not data:
-                return
-
-    def close(self) -> None:
-        """Give back the descriptors."""
-        if self._on_signal:
-            signal.set_wakeup_fd(-1)
-        self._epoll.close()
-        self._in.close()
-        self._out.close()
+RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+MIN_ACCEPT_BACKOFF_US = 20_000
+MAX_ACCEPT_BACKOFF_US = 1_000_000
+MAX_CONSECUTIVE_ACCEPTS = 64  # after which the other tasks get a turn
+MAX_CHUNKS_PER_SEND = 16
+LISTEN_BACKLOG = 4096
+LINGER_ZERO = struct.pack("ii", 1, 0)  # struct linger {on, 0 seconds}: close() sends a reset
+INHERITED_PREFIX = "fd:"
 
 
 class SocketStream(Stream):
@@ -111,18 +36,20 @@
 
     def __init__(self, loop: Loop, poller: EpollPoller, sock: socket.socket, peer: str) -> None:
         super().__init__(loop, peer)
-        self._poller, self._sock = poller, sock
-        self._fd = sock.fileno()
-        self._can_read = self._can_write = True
-        sock.setblocking(False)
+        self._poller = poller
+        self._sock = sock
+        self._descriptor = sock.fileno()
+        self._can_read = True  # as far as known: no call has failed with EAGAIN since the last event
+        self._can_write = True
+        sock.settimeout(0)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def watch(self) -> None:
-        """Start to be told of events."""
-        self._poller.register(self._fd, self.happened)
+        """Register for events."""
+        self._poller.register(self._descriptor, self.on_event)
 
-    def happened(self, mask: int) -> None:
-        """An event of the descriptor."""
+    def on_event(self, mask: int) -> None:
+        """Handle an event of the descriptor."""
         if self.closed:
             return
         if mask & WRITE_MASK:
@@ -132,7 +59,7 @@
         if mask & READ_MASK:
             self._can_read = True
             if mask & END_MASK and not self.closed:
-                self._ended_there()
+                self._report_hangup()
             self._readable()
 
     def _receive(self, size: int) -> bytes | None:
@@ -145,17 +72,17 @@
             return None
         except OSError as problem:
             self._shut(reset=False)
-            raise StreamBroken(str(problem)) from None
+            raise StreamBrokenError(str(problem)) from None
 
-    def _look(self) -> bytes | None:
+    def _poll_transport(self) -> bytes | None:
         self._can_read = True
-        return self._receive(READ_SIZE)
+        return self._receive(READ_SIZE_BYTES)
 
     def _flush(self) -> None:
         while self._chunks and self._can_write:
             if len(self._chunks) > 1:
-                head = b"".join(self._chunks.popleft() for _ in range(min(len(self._chunks), SEND_CHUNKS)))
-                self._chunks.appendleft(head)
+                joined = min(len(self._chunks), MAX_CHUNKS_PER_SEND)
+                self._chunks.appendleft(b"".join(self._chunks.popleft() for _ in range(joined)))
             head = self._chunks[0]
             try:
                 count = self._sock.send(head)
@@ -178,68 +105,81 @@
         except OSError:
             self._shut(reset=False)
 
-    def _drop(self, reset: bool) -> None:
-        self._poller.unregister(self._fd)
+    def _drop(self, *, reset: bool) -> None:
+        self._poller.unregister(self._descriptor)
         if reset:
             with contextlib.suppress(OSError):
-                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
         self._sock.close()
 
 
 class SocketListener(Listener):
-    """Accepts on a listening socket, and backs off while descriptors run out."""
+    """Accepts on a listening socket; backs off while the process is out of descriptors or memory."""
 
-    def __init__(self, net: SocketNet, sock: socket.socket, handler: Handler, name: str, most: int) -> None:
+    def __init__(
+        self, net: SocketNet, sock: socket.socket, handler: Handler, name: str, max_connections: int
+    ) -> None:
         host, port = sock.getsockname()[:2]
-        super().__init__(f"{host}:{port}", handler, name, most)
-        self._net, self._sock = net, sock
-        self._wait = BACK_OFF_US
-        self._closed = self._pausing = False
+        super().__init__(f"{host}:{port}", handler, name, max_connections)
+        self._net = net
+        self._sock = sock
+        self._backoff_us = MIN_ACCEPT_BACKOFF_US
+        self._closed = False
+        self._is_paced = False
         net.poller.register(sock.fileno(), lambda _mask: self._accept())
 
-    def _go_on(self) -> None:
-        self._pausing = False
-        self._accept()
-
     def _accept(self) -> None:
-        for _ in range(ACCEPTS_IN_A_ROW):
+        for _ in range(MAX_CONSECUTIVE_ACCEPTS):
             if self._closed:
                 return
-            if self.pace is not None and (wait := self.pace()):
-                # Left in the kernel's queue, where it costs nothing yet; the timer looks again.
-                self.paced += 1
-                if not self._pausing:
-                    self._pausing = True
-                    self._net.loop.call_at(self._net.loop.now() + wait, self._go_on)
+            if self.pace is not None and (wait_us := self.pace()):
+                self._pause(wait_us)
                 return
             try:
-                sock, peer = self._sock.accept()
+                sock, address = self._sock.accept()
             except BlockingIOError:
                 return
-            except OSError as problem:
-                if problem.errno not in OUT_OF_ROOM:
-                    continue  # that one connection was lost before it was taken
-                # Edge triggered: nobody will tell again of those that wait, so the timer must.
-                self.backed_off += 1
-                self._net.loop.call_at(self._net.loop.now() + self._wait, self._accept)
-                self._wait = min(self._wait * 2, BACK_OFF_MOST_US)
+            except OSError as error:
+                if error.errno not in RESOURCE_ERRNOS:
+                    continue  # that one connection was lost before it was accepted
+                self._back_off()
                 return
-            self._wait = BACK_OFF_US
-            if self.open >= self.most:
-                self.turned_away += 1
+            self._backoff_us = MIN_ACCEPT_BACKOFF_US
+            if self.open >= self.max_connections:
+                self.rejected += 1
                 sock.close()
                 continue
-            self.accepted += 1
-            self.open += 1
-            if self.on_accept is not None:
-                self.on_accept()
-            stream = SocketStream(self._net.loop, self._net.poller, sock, f"{peer[0]}:{peer[1]}")
-            stream.watch()
-            self._net.loop.spawn(self.serve(stream), f"{self.name} {stream.peer}")
+            self._serve_accepted(sock, f"{address[0]}:{address[1]}")
         self._net.loop.call_soon(self._accept)
 
+    def _serve_accepted(self, sock: socket.socket, peer: str) -> None:
+        self.accepted += 1
+        self.open += 1
+        if self.on_accept is not None:
+            self.on_accept()
+        stream = SocketStream(self._net.loop, self._net.poller, sock, peer)
+        stream.watch()
+        self._net.loop.spawn(self.serve(stream), f"{self.name} {peer}")
+
+    def _pause(self, wait_us: int) -> None:
+        """Leave connections in the kernel's backlog until the timer fires."""
+        self.paced += 1
+        if not self._is_paced:
+            self._is_paced = True
+            self._net.loop.call_at(self._net.loop.now() + wait_us, self._resume)
+
+    def _resume(self) -> None:
+        self._is_paced = False
+        self._accept()
+
+    def _back_off(self) -> None:
+        """Accept again after a while: edge triggered, epoll reports waiting connections only once."""
+        self.accept_backoffs += 1
+        self._net.loop.call_at(self._net.loop.now() + self._backoff_us, self._accept)
+        self._backoff_us = min(self._backoff_us * 2, MAX_ACCEPT_BACKOFF_US)
+
     def close(self) -> None:
-        """Accept no more; what has connected by now was taken."""
+        """Accept the connections of the backlog, then no more."""
         if not self._closed:
             self._accept()
             self._closed = True
@@ -248,85 +188,108 @@
 
 
 class SocketNet:
-    """TCP."""
+    """A net of TCP sockets."""
 
     def __init__(self, loop: Loop, poller: EpollPoller) -> None:
-        self.loop, self.poller = loop, poller
+        self.loop = loop
+        self.poller = poller
 
     def connect(self, address: str, timeout_us: int) -> Coro[Stream]:
-        """A new connection; raises :class:`ConnectFailed`."""
+        """Open a connection; raise :class:`ConnectError`."""
         try:
             host, port = split_address(address)
-            sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
-        except (OSError, ValueError) as problem:
-            raise ConnectFailed(str(problem)) from None
-        sock.setblocking(False)
+            sock = socket.socket(_family_of(host), socket.SOCK_STREAM)
+        except (OSError, ValueError) as error:
+            raise ConnectError(str(error)) from None
+        sock.settimeout(0)
         code = sock.connect_ex((host, port))
         stream = SocketStream(self.loop, self.poller, sock, address)
         if code not in (0, errno.EINPROGRESS):
             sock.close()
-            raise ConnectFailed(errno.errorcode.get(code, str(code)))
-        made = False
+            raise ConnectError(_errno_name(code))
+        is_connected = False
         try:
             if code:
-                done = yield from self._wait_connected(stream, sock, timeout_us)
-                if not done:
-                    raise ConnectFailed("no connection in time")
-                code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-                if code:
-                    raise ConnectFailed(errno.errorcode.get(code, str(code)))
+                yield from self._wait_connected(stream, sock, timeout_us)
             else:
                 stream.watch()
-            made = True
+            is_connected = True
             return stream
         finally:
-            if not made:
+            if not is_connected:
                 stream.abort()
 
-    def _wait_connected(self, stream: SocketStream, sock: socket.socket, timeout_us: int) -> Coro[bool]:
-        def trap(task: Task) -> Abort:
-            timer = self.loop.call_at(self.loop.now() + timeout_us, task.wake, False)
+    def _wait_connected(self, stream: SocketStream, sock: socket.socket, timeout_us: int) -> Coro[None]:
+        """Wait for the end of a connect, and register the stream; raise :class:`ConnectError`."""
+
+        def wait_for_writable(task: Task) -> Abort:
+            """Wake the task with True once the socket is writable, with None at the timeout."""
+            timer = self.loop.call_at(self.loop.now() + timeout_us, task.wake)
 
-            def happened(mask: int) -> None:
+            def on_event(mask: int) -> None:
+                """Wake the task if the connect has ended."""
                 if mask & WRITE_MASK:
                     timer.cancel()
-                    task.wake(True)
+                    task.wake(value=True)
 
-            self.poller.register(sock.fileno(), happened)
+            self.poller.register(sock.fileno(), on_event)
 
             return timer.cancel
 
-        done = yield trap
-        if done:
-            self.poller.unregister(sock.fileno())
-            stream.watch()
-        return bool(done)
-
-    def listen(self, address: str, handler: Handler, name: str, most: int = 20_000) -> Listener:
-        """Serve connections; port 0 lets the kernel choose, see ``address`` of what is returned. ``fd:N`` is
-        a socket that this process was given, listening: others may take connections from it too, and it stays
-        when it ends.
+        is_writable = yield wait_for_writable
+        if not is_writable:
+            raise ConnectError(CONNECT_TIMED_OUT)
+        self.poller.unregister(sock.fileno())
+        stream.watch()
+        code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if code:
+            raise ConnectError(_errno_name(code))
+
+    def listen(
+        self, address: str, handler: Handler, name: str, max_connections: int = MAX_CONNECTIONS
+    ) -> Listener:
+        """Serve connections; raise :class:`OSError`, :class:`ValueError` for a malformed address.
+
+        With port 0 the kernel selects one: see ``address`` of the returned listener. ``fd:N`` is a listening
+        socket that this process has inherited: other processes may accept from it too, and it outlives this
+        one.
         """
-        if address.startswith("fd:"):
-            given = socket.socket(fileno=int(address[3:]))
-            given.setblocking(False)
-            return SocketListener(self, given, handler, name, most)
+        if address.startswith(INHERITED_PREFIX):
+            inherited = socket.socket(fileno=int(address.removeprefix(INHERITED_PREFIX)))
+            inherited.settimeout(0)
+            return SocketListener(self, inherited, handler, name, max_connections)
         host, port = split_address(address)
-        sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
+        sock = socket.socket(_family_of(host), socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            sock.setblocking(False)
+            sock.settimeout(0)
             sock.bind((host, port))
-            sock.listen(4096)
+            sock.listen(LISTEN_BACKLOG)
         except OSError:
             sock.close()
             raise
-        return SocketListener(self, sock, handler, name, most)
+        return SocketListener(self, sock, handler, name, max_connections)
+
+
+def _family_of(host: str) -> socket.AddressFamily:
+    return socket.AF_INET6 if ":" in host else socket.AF_INET
+
+
+def _errno_name(code: int) -> str:
+    return errno.errorcode.get(code, str(code))
+
+
+class SocketRuntime(NamedTuple):
+    """A loop on sockets with its net and its poller."""
+
+    loop: Loop
+    net: SocketNet
+    poller: EpollPoller
 
 
-def socket_loop(seed: int | None = None, clock: Clock | None = None) -> tuple[Loop, SocketNet, EpollPoller]:
-    """A loop on the machine's clock, or another that goes with it, with its net and poller."""
+def socket_loop(seed: int | None = None, clock: Clock | None = None) -> SocketRuntime:
+    """Make a loop on sockets; without a clock it uses the machine's monotonic clock."""
     clock = clock or MonotonicClock()
     poller = EpollPoller(clock)
     loop = Loop(clock, poller, seed)
-    return loop, SocketNet(loop, poller), poller
+    return SocketRuntime(loop, SocketNet(loop, poller), poller)
--- a/heathwell/eventloop/virtual.py
+++ b/heathwell/eventloop/virtual.py
@@ -1,47 +1,65 @@
-"""The same loop on virtual time, with streams in memory: tests and simulated runs."""
+"""The loop on virtual time, with streams in memory, for tests and simulated runs."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from heathwell.eventloop.clock import VirtualClock
-from heathwell.eventloop.loop import Coro, Loop, Stalled, sleep
-from heathwell.eventloop.net import ConnectFailed, Handler, Listener, Stream, StreamBroken
+from heathwell.eventloop.errors import (
+    CONNECT_TIMED_OUT,
+    CONNECTION_RESET,
+    ConnectError,
+    StalledError,
+    StreamBrokenError,
+)
+from heathwell.eventloop.loop import Coro, Loop, sleep
+from heathwell.eventloop.net import MAX_CONNECTIONS, Handler, Listener, Stream
 
-WINDOW = 262_144  # bytes on their way or unread that a stream in memory carries in one direction
+WINDOW_BYTES = 262_144  # in transit or unread, in one direction of a stream
+DEFAULT_DELAY_US = 100
+FIRST_PORT = 10_000
 
 
 class VirtualPoller:
-    """Nothing to poll: where the loop would wait, time jumps to its next timer."""
+    """Has no events: where the loop would wait, time advances to its next timer."""
 
     def __init__(self, clock: VirtualClock) -> None:
         self.clock = clock
 
     def poll(self, until_us: int | None) -> None:
-        """Jump; raises :class:`Stalled` when nothing is left to wait for."""
+        """Advance the clock; raise :class:`StalledError` if no timer is set."""
         if until_us is None:
-            raise Stalled("every task waits and no timer is set")
+            raise StalledError("every task waits and no timer is set")
         if until_us > self.clock.now():
             self.clock.advance(until_us)
 
     def wake(self) -> None:
-        """Other threads have no place on virtual time."""
+        """Raise :class:`RuntimeError`: virtual time has one thread."""
         raise RuntimeError("virtual time has no other threads")
 
     def close(self) -> None:
-        """Nothing to give back."""
+        """Do nothing: there are no resources to release."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Segment:
+    """Bytes, the end of the stream (no bytes) or a reset."""
+
+    data: bytes = b""
+    is_reset: bool = False
 
 
 @dataclass(slots=True)
 class _Pipe:
-    """One direction: what is on its way and what has arrived."""
+    """One direction of a stream: ``held`` segments wait for the end of a partition."""
 
     unread: deque[bytes] = field(default_factory=deque)
-    size: int = 0
-    held: deque[tuple[bytes, bool]] = field(default_factory=deque)
-    last_at: int = 0
+    size_bytes: int = 0  # in transit or unread
+    held: deque[_Segment] = field(default_factory=deque)
+    last_arrival_at_us: int = 0
     ended: bool = False
     broken: bool = False
 
@@ -51,8 +69,9 @@
 
     def __init__(self, net: VirtualNet, here: str, peer: str) -> None:
         super().__init__(net.loop, peer)
-        self.net, self.here = net, here
-        self.other: VirtualStream
+        self.net = net
+        self.here = here
+        self.other: VirtualStream  # the peer's end, set by VirtualNet.connect
         self.inbox = _Pipe()
 
     def _receive(self, size: int) -> bytes | None:
@@ -62,165 +81,195 @@
             if len(data) > size:
                 pipe.unread.appendleft(data[size:])
                 data = data[:size]
-            pipe.size -= len(data)
+            pipe.size_bytes -= len(data)
             if not self.other.closed:
-                self.other._flush()
+                self.other.on_window_update()
             return data
         if pipe.broken:
             self._shut(reset=False)
-            raise StreamBroken("reset")
+            raise StreamBrokenError("reset")
         return b"" if pipe.ended else None
 
     def _flush(self) -> None:
         pipe = self.other.inbox
-        while self._chunks and pipe.size < WINDOW:
+        while self._chunks and pipe.size_bytes < WINDOW_BYTES:
             data = self._chunks.popleft()
             self.sent += len(data)
-            pipe.size += len(data)
-            self.net.carry(self, data)
+            pipe.size_bytes += len(data)
+            self.net.carry(self, _Segment(data))
         self._flushed()
 
+    def on_window_update(self) -> None:
+        """Send on: the peer has read bytes."""
+        self._flush()
+
     def _send_eof(self) -> None:
-        self.net.carry(self, b"")
+        self.net.carry(self, _Segment())
 
-    def _drop(self, reset: bool) -> None:
+    def _drop(self, *, reset: bool) -> None:
         if reset or not self._eof_sent:
-            self.net.carry(self, b"", reset=True)
+            self.net.carry(self, _Segment(is_reset=True))
 
-    def arrived(self, data: bytes, reset: bool) -> None:
-        """Bytes, the end or a reset have come over."""
-        if reset:
+    def on_segment(self, segment: _Segment) -> None:
+        """Handle the arrival of bytes, the end or a reset."""
+        if segment.is_reset:
             self.inbox.broken = True
-        elif data:
-            self.inbox.unread.append(data)
+        elif segment.data:
+            self.inbox.unread.append(segment.data)
         else:
             self.inbox.ended = True
-        if (reset or not data) and not self.closed:
-            self._ended_there()
+        if (segment.is_reset or not segment.data) and not self.closed:
+            self._report_hangup()
         self._readable()
 
 
 class VirtualListener(Listener):
-    """Accepts in memory."""
+    """A listener of a :class:`VirtualNet`."""
 
-    def __init__(self, net: VirtualNet, address: str, handler: Handler, name: str, most: int) -> None:
-        super().__init__(address, handler, name, most)
+    def __init__(
+        self, net: VirtualNet, address: str, handler: Handler, name: str, max_connections: int
+    ) -> None:
+        super().__init__(address, handler, name, max_connections)
         self._net = net
 
     def close(self) -> None:
-        """Accept no more."""
+        """Accept no more connections."""
         self._net.listeners.pop(self.address, None)
 
 
 class VirtualNet:
-    """A net in memory. ``delay(from, to)`` gives a way's microseconds by host; ways may be cut."""
+    """A net in memory, in which one direction between two hosts may be cut.
+
+    ``delay(source, target)`` returns the one-way delay between two hosts in microseconds.
+    """
 
     def __init__(self, loop: Loop, delay: Callable[[str, str], int] | None = None) -> None:
         self.loop = loop
-        self.delay = delay or (lambda _a, _b: 100)
+        self.delay = delay or (lambda _source, _target: DEFAULT_DELAY_US)
         self.listeners: dict[str, VirtualListener] = {}
         self.cuts: set[tuple[str, str]] = set()
-        self._ports = 10_000
+        self._last_port = FIRST_PORT
         self._held: dict[tuple[str, str], list[VirtualStream]] = {}
 
     @staticmethod
     def host(address: str) -> str:
-        """The part before the port."""
+        """Return the part of an address before the port."""
         return address.rpartition(":")[0]
 
     def cut(self, source: str, target: str) -> None:
-        """What goes this way between hosts waits until :meth:`heal`."""
+        """Hold all segments from one host to another until :meth:`heal`."""
         self.cuts.add((source, target))
 
     def heal(self, source: str, target: str) -> None:
-        """The way is open again: what was held goes on, in its order."""
+        """End a cut, and deliver the held segments in order."""
         self.cuts.discard((source, target))
         for stream in self._held.pop((source, target), []):
             pipe = stream.other.inbox
             while pipe.held:
-                self._schedule(stream, *pipe.held.popleft())
+                self._schedule(stream, pipe.held.popleft())
 
-    def carry(self, stream: VirtualStream, data: bytes, reset: bool = False) -> None:
-        """Bring bytes to the other end, in order and after the way's delay."""
-        way = (self.host(stream.here), self.host(stream.peer))
+    def carry(self, stream: VirtualStream, segment: _Segment) -> None:
+        """Deliver a segment to the stream's other end, in order and after the delay."""
+        direction = (self.host(stream.here), self.host(stream.peer))
         pipe = stream.other.inbox
-        if way in self.cuts or pipe.held:
+        if direction in self.cuts or pipe.held:
             if not pipe.held:
-                self._held.setdefault(way, []).append(stream)
-            pipe.held.append((data, reset))
+                self._held.setdefault(direction, []).append(stream)
+            pipe.held.append(segment)
             return
-        self._schedule(stream, data, reset)
+        self._schedule(stream, segment)
 
-    def _schedule(self, stream: VirtualStream, data: bytes, reset: bool) -> None:
+    def _schedule(self, stream: VirtualStream, segment: _Segment) -> None:
         pipe = stream.other.inbox
-        way = self.delay(self.host(stream.here), self.host(stream.peer))
-        pipe.last_at = max(pipe.last_at, self.loop.now() + way)
-        self.loop.call_at(pipe.last_at, stream.other.arrived, data, reset)
+        delay_us = self.delay(self.host(stream.here), self.host(stream.peer))
+        pipe.last_arrival_at_us = max(pipe.last_arrival_at_us, self.loop.now() + delay_us)
+        self.loop.call_at(pipe.last_arrival_at_us, stream.other.on_segment, segment)
 
     def connect(self, address: str, timeout_us: int, source: str = "client") -> Coro[Stream]:
-        """A new connection from a host; raises :class:`ConnectFailed`."""
+        """Open a connection from a host; raise :class:`ConnectError`."""
         target = self.host(address)
-        way = self.delay(source, target) + self.delay(target, source)
-        if (source, target) in self.cuts or (target, source) in self.cuts or way > timeout_us:
+        round_trip_us = self.delay(source, target) + self.delay(target, source)
+        is_cut = (source, target) in self.cuts or (target, source) in self.cuts
+        if is_cut or round_trip_us > timeout_us:
             yield from sleep(self.loop, timeout_us)
-            raise ConnectFailed("no connection in time")
-        yield from sleep(self.loop, way)
+            raise ConnectError(CONNECT_TIMED_OUT)
+        yield from sleep(self.loop, round_trip_us)
         listener = self.listeners.get(address)
         if listener is None:
-            raise ConnectFailed("ECONNREFUSED")
-        until = self.loop.now() + timeout_us
-        while listener.pace is not None and (wait := listener.pace()):
-            listener.paced += 1
-            if self.loop.now() + wait > until:
-                raise ConnectFailed("no connection in time")
-            yield from sleep(self.loop, wait)
+            raise ConnectError("ECONNREFUSED")
+        yield from self._wait_in_backlog(listener, timeout_us)
         if listener.on_accept is not None:
             listener.on_accept()
-        if listener.open >= listener.most:
-            listener.turned_away += 1
-            raise ConnectFailed("ECONNRESET")
-        self._ports += 1
-        here = VirtualStream(self, f"{source}:{self._ports}", address)
-        there = VirtualStream(self, address, here.here)
-        here.other, there.other = there, here
+        if listener.open >= listener.max_connections:
+            listener.rejected += 1
+            raise ConnectError(CONNECTION_RESET)
+        return self._accept(listener, source)
+
+    def _wait_in_backlog(self, listener: VirtualListener, timeout_us: int) -> Coro[None]:
+        until_us = self.loop.now() + timeout_us
+        while listener.pace is not None and (wait_us := listener.pace()):
+            listener.paced += 1
+            if self.loop.now() + wait_us > until_us:
+                raise ConnectError(CONNECT_TIMED_OUT)
+            yield from sleep(self.loop, wait_us)
+
+    def _accept(self, listener: VirtualListener, source: str) -> VirtualStream:
+        self._last_port += 1
+        client = VirtualStream(self, f"{source}:{self._last_port}", listener.address)
+        server = VirtualStream(self, listener.address, client.here)
+        client.other = server
+        server.other = client
         listener.accepted += 1
         listener.open += 1
-        self.loop.spawn(listener.serve(there), f"{listener.name} {here.here}")
-        return here
+        self.loop.spawn(listener.serve(server), f"{listener.name} {client.here}")
+        return client
 
-    def listen(self, address: str, handler: Handler, name: str, most: int = 20_000) -> Listener:
-        """Serve connections; port 0 chooses one."""
+    def listen(
+        self, address: str, handler: Handler, name: str, max_connections: int = MAX_CONNECTIONS
+    ) -> Listener:
+        """Serve connections; port 0 selects a free one."""
         host, _, port = address.rpartition(":")
         if port == "0":
-            self._ports += 1
-            address = f"{host}:{self._ports}"
+            self._last_port += 1
+            address = f"{host}:{self._last_port}"
         if address in self.listeners:
             raise OSError(f"address {address} is taken")
-        listener = self.listeners[address] = VirtualListener(self, address, handler, name, most)
+        listener = VirtualListener(self, address, handler, name, max_connections)
+        self.listeners[address] = listener
         return listener
 
     def at(self, source: str) -> HostNet:
-        """The net as one host sees it."""
+        """Return the net as used by one host."""
         return HostNet(self, source)
 
 
 class HostNet:
-    """A virtual net from one host."""
+    """A virtual net as used by one host: its connections come from there."""
 
     def __init__(self, net: VirtualNet, source: str) -> None:
-        self.net, self.source = net, source
+        self.net = net
+        self.source = source
 
     def connect(self, address: str, timeout_us: int) -> Coro[Stream]:
-        """A connection from this host."""
+        """Open a connection from this host; raise :class:`ConnectError`."""
         return self.net.connect(address, timeout_us, self.source)
 
-    def listen(self, address: str, handler: Handler, name: str, most: int = 20_000) -> Listener:
-        """As :meth:`VirtualNet.listen`."""
-        return self.net.listen(address, handler, name, most)
+    def listen(
+        self, address: str, handler: Handler, name: str, max_connections: int = MAX_CONNECTIONS
+    ) -> Listener:
+        """Serve connections as :meth:`VirtualNet.listen` does."""
+        return self.net.listen(address, handler, name, max_connections)
 
 
-def virtual_loop(seed: int | None = None) -> tuple[Loop, VirtualNet]:
+class VirtualRuntime(NamedTuple):
     """A loop on virtual time and its net."""
+
+    loop: Loop
+    net: VirtualNet
+
+
+def virtual_loop(seed: int | None = None) -> VirtualRuntime:
+    """Make a loop on virtual time and its net."""
     clock = VirtualClock()
     loop = Loop(clock, VirtualPoller(clock), seed)
-    return loop, VirtualNet(loop)
+    return VirtualRuntime(loop, VirtualNet(loop))
--- a/heathwell/eventloop/worker.py
+++ b/heathwell/eventloop/worker.py
@@ -1,45 +1,58 @@
-"""One thread for what blocks: files, fsync, names. The loop waits for it without standing still."""
+"""One thread for blocking calls (files, fsync, name resolution), so that the loop never blocks."""
 
 from __future__ import annotations
 
 import queue
 import threading
 from collections.abc import Callable
-from typing import Any
+from typing import Any, TypeVar
 
+from heathwell.eventloop.errors import WorkerQueueFullError
 from heathwell.eventloop.loop import Abort, Coro, Loop, Task
 
+T = TypeVar("T")
+Job = Callable[[], object]
+JobDone = Callable[[Any, BaseException | None], None]  # receives the result, or None and the error
+
+
+def _ignore_outcome(_result: object, _error: BaseException | None) -> None:
+    """Drop the outcome of a job whose submitter doesn't need it."""
+
 
 class Worker:
-    """Runs calls in order on a thread of its own, a bounded number waiting."""
+    """Runs jobs in order on a thread of its own; at most ``max_jobs`` are queued."""
 
-    def __init__(self, loop: Loop, most: int = 1000) -> None:
+    def __init__(self, loop: Loop, max_jobs: int = 1000) -> None:
         self.loop = loop
-        self._jobs: queue.Queue[tuple[Callable[[], Any], Callable[..., None]] | None] = queue.Queue(most)
+        self._jobs: queue.Queue[tuple[Job, JobDone] | None] = queue.Queue(max_jobs)
         self._thread = threading.Thread(target=self._run, name="worker", daemon=True)
         self._thread.start()
 
-    def submit(self, job: Callable[[], Any], done: Callable[..., None] | None = None) -> bool:
-        """Queue a job; ``done(result, error)`` is called in the loop. False when the queue is full."""
+    def submit(self, job: Job, done: JobDone = _ignore_outcome) -> bool:
+        """Queue a job and return True; return False when the queue is full.
+
+        ``done(result, error)`` is called in the loop's thread.
+        """
         try:
-            self._jobs.put_nowait((job, done or (lambda _result, _error: None)))
+            self._jobs.put_nowait((job, done))
         except queue.Full:
             return False
         return True
 
-    def run(self, job: Callable[[], Any]) -> Coro[Any]:
-        """Wait for a job; returns its result, raises its error, :class:`RuntimeError` when too many wait."""
+    def run(self, job: Callable[[], T]) -> Coro[T]:
+        """Wait for a job and return its result; raise its error, or :class:`WorkerQueueFullError`."""
 
-        def trap(task: Task) -> Abort:
+        def wait_for_job(task: Task) -> Abort:
+            """Queue the job; its outcome wakes the task."""
             if not self.submit(job, task.wake):
-                task.wake(None, RuntimeError("worker: too many jobs wait"))
+                task.wake(None, WorkerQueueFullError())
             return lambda: None
 
-        result = yield trap
+        result: T = yield wait_for_job
         return result
 
     def close(self) -> None:
-        """Finish what is queued and end the thread."""
+        """Finish the queued jobs and end the thread."""
         self._jobs.put(None)
         self._thread.join()
 
@@ -47,7 +60,8 @@
         while (entry := self._jobs.get()) is not None:
             job, done = entry
             try:
-                result, error = job(), None
-            except Exception as problem:
-                result, error = None, problem
-            self.loop.call_threadsafe(done, result, error)
+                result = job()
+            except Exception as error:  # noqa: BLE001  # any error of a job is raised in the task that waits
+                self.loop.call_threadsafe(done, None, error)
+            else:
+                self.loop.call_threadsafe(done, result, None)
--- a/heathwell/testing/simulation/manybrokers.py
+++ b/heathwell/testing/simulation/manybrokers.py
@@ -11,8 +11,7 @@
 
 import msgspec
 
-from heathwell.eventloop import Coro, Listener, StreamBroken, sleep, virtual_loop
-from heathwell.eventloop.net import ConnectFailed
+from heathwell.eventloop import ConnectFailed, Coro, Listener, StreamBroken, sleep, virtual_loop
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import Config, read
 from heathwell.gateway.front import Front
--- a/heathwell/testing/simulation/rude.py
+++ b/heathwell/testing/simulation/rude.py
@@ -9,8 +9,7 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from heathwell.eventloop import Coro, Loop, Net, Stream, StreamBroken, sleep
-from heathwell.eventloop.net import ConnectFailed
+from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, sleep
 
 OWED_US = 3_000_000  # from the connect, by the platform's page
 OWED_LONG_US = 6_000_000  # of one that has 60 MB to send
--- a/tests/test_kernel.py
+++ b/tests/test_eventloop.py
@@ -1,4 +1,4 @@
-"""The kernel: tasks, cancel, timers, streams, on sockets and on virtual time."""
+"""The event loop: tasks, cancel, timers, streams, on sockets and on virtual time."""
 
 from __future__ import annotations
 
@@ -258,7 +258,7 @@
         except OSError:
             os.close(held.pop())
         late = yield from net.connect(listener.address, 1_000_000)
-        while not listener.backed_off:
+        while not listener.accept_backoffs:
             yield from sleep(loop, 5000)
         for fd in held:
             os.close(fd)
