--- /dev/null
+++ b/heathwell/codec/frames/faults.py
@@ -0,0 +1,20 @@
+"""Messages by which test scripts inject faults into stand-ins."""
+
+from __future__ import annotations
+
+from heathwell.codec.frames.message import Message
+
+
+class FaultCommand(Message, tag="control"):
+    """Injects a fault into a stand-in: its kind, its parameter and its duration."""
+
+    kind: str
+    value: float = 0.0
+    span_us: int = 0
+    text: str = ""
+
+
+class FaultCommandReply(Message, tag="done"):
+    """A fault was injected."""
+
+    text: str = ""
--- /dev/null
+++ b/heathwell/codec/frames/fleet_status.py
@@ -0,0 +1,59 @@
+"""Messages that report the members, quotas and grants of a fleet, for operators."""
+
+from __future__ import annotations
+
+import msgspec
+
+from heathwell.codec.frames.message import Message
+
+
+class FleetRequest(Message, tag="askfleet"):
+    """Requests a coordinator's view of members and budgets."""
+
+
+class MemberStatus(msgspec.Struct, omit_defaults=True):
+    """A row of a coordinator's membership table; times are ages."""
+
+    name: str
+    incarnation: int
+    state: str
+    since_us: int
+    state_us: int
+    heard_us: int
+    zone: str = ""
+    program: str = ""
+    digest: str = ""
+
+
+class MemberShare(msgspec.Struct, omit_defaults=True):
+    """What one member may use of one fraction, and the remaining time."""
+
+    budget: str
+    fraction: int
+    member: str
+    amount: int
+    left_us: int
+    demand: int = 0
+
+
+class QuotaStatus(msgspec.Struct, omit_defaults=True):
+    """One budget at a coordinator; rates are in thousandths per second."""
+
+    name: str
+    kind: str
+    whole: int
+    aside: int
+    most: int
+    each: str = ""
+    apart: int = 0
+
+
+class FleetView(Message, tag="fleetview"):
+    """A coordinator's reply to :class:`FleetRequest`."""
+
+    keeper: str
+    run: str
+    owned: dict[int, int] = {}
+    members: list[MemberStatus] = []
+    wholes: list[QuotaStatus] = []
+    shares: list[MemberShare] = []
--- a/heathwell/codec/inner_protocol.py
+++ b/heathwell/codec/inner_protocol.py
@@ -1,6 +1,6 @@
-"""The inner wire on a stream: messages handed on one by one, after a sound hello, whichever side listens.
+"""The inner protocol on a stream, on either side of a connection.
 
-And one question at a time for command lines and the laboratory, on a blocking socket.
+And one request and its reply on a blocking socket, for programs without an event loop.
 """
 
 from __future__ import annotations
@@ -12,37 +12,55 @@
 from heathwell.codec import frames
 from heathwell.eventloop import Coro, Stream
 
-Heard = Callable[[frames.AnyMessage], None]
-A = TypeVar("A")
+MessageHandler = Callable[[frames.AnyMessage], None]
+Reply = TypeVar("Reply")
+READ_SIZE_BYTES = 65_536
 
 
-def listen(stream: Stream, heard: Heard, most: int = frames.FRAME_MOST) -> Coro[None]:
-    """Hand on each message, the hello first, of ``most`` bytes each, until the other side ends; raises
-    :class:`FrameError`."""
-    decoder = frames.Frames(most, greeted=False)
+def listen(
+    stream: Stream, on_message: MessageHandler, max_frame_bytes: int = frames.MAX_FRAME_BYTES
+) -> Coro[None]:
+    """Pass on each message, the hello first, until the peer's end; raise :class:`FrameError`."""
+    decoder = frames.Frames(max_frame_bytes, greeted=False)
     while data := (yield from stream.read()):
         for message in decoder.feed(data):
-            heard(message)
+            on_message(message)
 
 
-def serve(stream: Stream, name: str, role: str, heard: Heard, most: int = frames.FRAME_MOST) -> Coro[None]:
-    """Greet, and listen; a hello that won't do is answered with why, and that is the end."""
+def serve(
+    stream: Stream,
+    name: str,
+    role: str,
+    on_message: MessageHandler,
+    max_frame_bytes: int = frames.MAX_FRAME_BYTES,
+) -> Coro[None]:
+    """Send a hello and :func:`listen`; reply to an invalid hello with its error, and return."""
     stream.write(frames.encode(frames.Hello(frames.VERSION, name, role)))
     try:
-        yield from listen(stream, heard, most)
-    except frames.HelloError as problem:
-        stream.write(frames.encode(frames.VersionMismatch(str(problem))))
+        yield from listen(stream, on_message, max_frame_bytes)
+    except frames.HelloError as error:
+        stream.write(frames.encode(frames.VersionMismatch(str(error))))
 
 
-def ask(address: str, name: str, role: str, question: frames.Message, kind: type[A], seconds: float) -> A:
-    """For programs without a loop: one question, and the answer of that kind, each wait of ``seconds`` at
-    the most. Raises :class:`OSError`, :class:`FrameError`, :class:`ValueError` for no address or answer."""
+def ask(
+    address: str,
+    name: str,
+    role: str,
+    request: frames.Message,
+    reply_type: type[Reply],
+    timeout_seconds: float,
+) -> Reply:
+    """Send a request and return the reply of a type, each read taking up to ``timeout_seconds``.
+
+    Raise :class:`OSError`, :class:`FrameError`, or :class:`ValueError` for a malformed address or a missing
+    reply.
+    """
     host, _, port = address.rpartition(":")
-    with socket.create_connection((host, int(port)), seconds) as sock:
-        sock.sendall(frames.encode(frames.Hello(frames.VERSION, name, role)) + frames.encode(question))
+    with socket.create_connection((host, int(port)), timeout_seconds) as sock:
+        sock.sendall(frames.encode(frames.Hello(frames.VERSION, name, role)) + frames.encode(request))
         decoder = frames.Frames()
-        while data := sock.recv(65_536):
+        while data := sock.recv(READ_SIZE_BYTES):
             for message in decoder.feed(data):
-                if isinstance(message, kind):
+                if isinstance(message, reply_type):
                     return message
     raise ValueError("closed without an answer")
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -129,7 +129,7 @@
     whole = list(frames.Frames().feed(wire))
     parser = frames.Frames()
     assert [m for byte in wire for m in parser.feed(bytes([byte]))] == whole and len(whole) == 4
-    newer = frames._encoder.encode({"type": "pong", "n": 1, "brand_new": [1, 2]})
+    newer = msgspec.msgpack.encode({"type": "pong", "n": 1, "brand_new": [1, 2]})
     assert list(frames.Frames().feed(len(newer).to_bytes(4, "big") + newer)) == [frames.Pong(1)]
 
 
@@ -147,8 +147,11 @@
 
 
 def test_an_unknown_version_is_refused_by_name():
-    assert "version 9" in frames.check_hello(frames.Hello(9, "x"))
-    assert "must be hello" in frames.check_hello(frames.Pong(1))
+    with pytest.raises(frames.HelloError, match="version 9"):
+        frames.check_hello(frames.Hello(9, "x"))
+    with pytest.raises(frames.HelloError, match="must be hello"):
+        frames.check_hello(frames.Pong(1))
+    frames.check_hello(frames.Hello(frames.VERSION, "x"))
 
 
 def test_http_requests_pipelined_in_pieces_and_errors():
