--- a/heathwell/codec/http.py
+++ b/heathwell/codec/http.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 requests and responses by h11, without I/O.
 
-Pipelined requests come one after another, each once the one before it is answered; chunked bodies, bodies by
-length and ``Expect: 100-continue`` are taken, and every length is bounded.
+Pipelined requests are yielded one by one, each after the response to the one before it. Chunked bodies,
+bodies with a length and ``Expect: 100-continue`` are supported, and every length is bounded.
 """
 
 from __future__ import annotations
@@ -11,16 +11,21 @@
 
 import h11
 
-BODY_MOST, HEAD_MOST = 1 << 20, 65_536
+from heathwell.codec.errors import CodecError
 
+MAX_BODY_BYTES = 1 << 20
+MAX_HEAD_BYTES = 65_536
+HEADER_SEPARATOR_BYTES = 4  # the colon, the space and the line end of a header
+Header = tuple[str, str]  # name and value
 
-class HttpError(Exception):
-    """A response that can't be read, or an end where none may be."""
+
+class HttpError(CodecError):
+    """A response that can't be parsed, or a connection that ends before its response."""
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A whole request."""
+    """A complete request."""
 
     method: str
     path: str
@@ -31,24 +36,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A whole response."""
+    """A complete response; ``kind`` is its content type."""
 
     status: int
     body: bytes
     kind: str = "text/plain; charset=utf-8"
-    headers: tuple[tuple[str, str], ...] = ()
+    headers: tuple[Header, ...] = ()
 
 
 class ServerSide:
-    """One connection: feed bytes, get requests, and the bytes of responses in turn.
+    """The server's side of one connection: bytes to requests, and responses to bytes.
 
-    A head longer than ``head_most`` is answered 431, a body longer than ``body_most`` 413 (by its stated
-    length before it is sent), both before closing.
+    The response to a head over ``max_head_bytes`` is 431 and that to a body over ``max_body_bytes`` is 413
+    (on its Content-Length, before it is sent); both close the connection.
     """
 
-    def __init__(self, body_most: int = BODY_MOST, head_most: int = HEAD_MOST) -> None:
-        self._connection = h11.Connection(h11.SERVER, max_incomplete_event_size=head_most)
-        self._body_most, self._head_most = body_most, head_most
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES, max_head_bytes: int = MAX_HEAD_BYTES) -> None:
+        self._connection = h11.Connection(h11.SERVER, max_incomplete_event_size=max_head_bytes)
+        self._max_body_bytes = max_body_bytes
+        self._max_head_bytes = max_head_bytes
         self._head: h11.Request | None = None
         self._body = bytearray()
         self.interim = b""
@@ -57,25 +63,25 @@
 
     @property
     def midway(self) -> bool:
-        """Whether a request has begun and is not whole yet."""
+        """Whether a request has begun and is not complete."""
         buffered, _ = self._connection.trailing_data
         return self._head is not None or bool(buffered)
 
     def feed(self, data: bytes) -> Iterator[Request | Response]:
-        """Requests that are whole; a :class:`Response` is an error to be sent before closing.
+        """Yield the complete requests; a :class:`Response` is an error to be sent before closing.
 
-        After each step :attr:`interim` holds bytes to be sent at once (``100 Continue``); take them by
-        :meth:`take_interim`. Bytes of the next request are kept until this one is answered.
+        After each step :meth:`take_interim` returns bytes to be sent at once (``100 Continue``). The bytes of
+        the next request are buffered until :meth:`respond`.
         """
         self.receive(data)
         yield from self.events()
 
     def receive(self, data: bytes) -> None:
-        """Take bytes; none of them is the client's end."""
+        """Buffer received bytes; b"" is the client's end."""
         self._connection.receive_data(data)
 
     def events(self) -> Iterator[Request | Response]:
-        """As :meth:`feed`, of what was received before."""
+        """Yield as :meth:`feed` does, from the bytes received before."""
         try:
             while not self.closing:
                 event = self._connection.next_event()
@@ -85,57 +91,64 @@
                     self.closing = True
                     return
                 if isinstance(event, h11.Request):
-                    yield from self._begun(event)
+                    yield from self._begin(event)
                 elif isinstance(event, h11.Data):
                     self._body += event.data
-                    if len(self._body) > self._body_most:
+                    if len(self._body) > self._max_body_bytes:
                         yield self._too_long()
                         return
                 elif isinstance(event, h11.EndOfMessage) and self._head is not None:
-                    head, self._head = self._head, None
-                    yield self._whole(head)
+                    head = self._head
+                    self._head = None
+                    yield self._complete(head)
         except h11.RemoteProtocolError as problem:
             self.closing = True
             yield Response(problem.error_status_hint or 400, f"{problem}\n".encode())
 
-    def _begun(self, head: h11.Request) -> Iterator[Response]:
-        self._head, self._body = head, bytearray()
+    def _begin(self, head: h11.Request) -> Iterator[Response]:
+        """Begin a request; yield an error if its head is not acceptable."""
+        self._head = head
+        self._body = bytearray()
         names = [name for name, _ in head.headers]
         if b"content-length" in names and b"transfer-encoding" in names:
-            # Two who read such a request may see its end in two places: nothing behind its head is read.
+            # Request smuggling: a proxy may place the end of such a request elsewhere; its body isn't read.
             self.closing = True
             yield Response(400, b"both Content-Length and Transfer-Encoding\n")
             return
-        if len(head.target) + sum(len(name) + len(text) + 4 for name, text in head.headers) > self._head_most:
+        headers_bytes = sum(len(name) + len(text) + HEADER_SEPARATOR_BYTES for name, text in head.headers)
+        if len(head.target) + headers_bytes > self._max_head_bytes:
             self.closing = True
-            yield Response(431, f"request line and headers longer than {self._head_most} bytes\n".encode())
+            yield Response(
+                431, f"request line and headers longer than {self._max_head_bytes} bytes\n".encode()
+            )
             return
         length = next((int(text) for name, text in head.headers if name == b"content-length"), 0)
-        if length > self._body_most:
+        if length > self._max_body_bytes:
             yield self._too_long()
         elif self._connection.they_are_waiting_for_100_continue:
-            self.interim += (
-                self._connection.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
-            )
+            continue_response = h11.InformationalResponse(status_code=100, headers=[])
+            self.interim += self._connection.send(continue_response) or b""
 
     def take_interim(self) -> bytes:
-        """Bytes to be sent before the request is whole."""
-        out, self.interim = self.interim, b""
-        return out
+        """Return the bytes to be sent before the request is complete, once."""
+        interim = self.interim
+        self.interim = b""
+        return interim
 
     def _too_long(self) -> Response:
         self.closing = True
-        return Response(413, f"body longer than {self._body_most} bytes\n".encode())
+        return Response(413, f"body longer than {self._max_body_bytes} bytes\n".encode())
 
-    def _whole(self, head: h11.Request) -> Request:
+    def _complete(self, head: h11.Request) -> Request:
         path, _, query = head.target.decode("latin-1").partition("?")
         headers = {name.decode("latin-1"): text.decode("latin-1") for name, text in head.headers}
-        body, self._body = bytes(self._body), bytearray()
+        body = bytes(self._body)
+        self._body = bytearray()
         self.served += 1
         return Request(head.method.decode("latin-1"), path, query, headers, body)
 
     def respond(self, response: Response) -> bytes:
-        """The bytes of a response; the next request can be fed after it."""
+        """Return the bytes of a response, after which the next request can be yielded."""
         headers = [
             ("content-type", response.kind),
             ("content-length", str(len(response.body))),
@@ -157,18 +170,19 @@
 
 
 class ClientSide:
-    """One connection to a server: a request out, its response back, one at a time."""
-
-    def __init__(self, host: str, body_most: int = BODY_MOST, head_most: int = HEAD_MOST) -> None:
-        self._connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=head_most)
-        self._host, self._body_most = host, body_most
+    """The client's side of one connection: one request and its response at a time."""
+
+    def __init__(
+        self, host: str, max_body_bytes: int = MAX_BODY_BYTES, max_head_bytes: int = MAX_HEAD_BYTES
+    ) -> None:
+        self._connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=max_head_bytes)
+        self._host = host
+        self._max_body_bytes = max_body_bytes
         self._status = 0
         self._body = bytearray()
 
-    def request(
-        self, method: str, target: str, headers: Iterable[tuple[str, str]] = (), body: bytes = b""
-    ) -> bytes:
-        """The bytes of a request; raises :class:`HttpError` where the connection can't be used for one."""
+    def request(self, method: str, target: str, headers: Iterable[Header] = (), body: bytes = b"") -> bytes:
+        """Return the bytes of a request; raise :class:`HttpError` if the connection can't be used for one."""
         head = [("Host", self._host), *headers]
         if body:
             head.append(("Content-Length", str(len(body))))
@@ -182,11 +196,11 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may follow."""
+        """Whether the connection is idle and open for another request."""
         return self._connection.our_state is h11.IDLE
 
     def feed(self, data: bytes) -> Response | None:
-        """The response once it is whole (b"" is the server's end); raises :class:`HttpError`."""
+        """Return the response once it is complete (b"" is the server's end); raise :class:`HttpError`."""
         try:
             self._connection.receive_data(data)
             while True:
@@ -196,11 +210,12 @@
                 if isinstance(event, h11.ConnectionClosed):
                     raise HttpError("the server closed")
                 if isinstance(event, h11.Response):
-                    self._status, self._body = event.status_code, bytearray()
+                    self._status = event.status_code
+                    self._body = bytearray()
                 elif isinstance(event, h11.Data):
                     self._body += event.data
-                    if len(self._body) > self._body_most:
-                        raise HttpError(f"a body longer than {self._body_most} bytes")
+                    if len(self._body) > self._max_body_bytes:
+                        raise HttpError(f"a body longer than {self._max_body_bytes} bytes")
                 elif isinstance(event, h11.EndOfMessage):
                     if self._connection.our_state is h11.DONE and self._connection.their_state is h11.DONE:
                         self._connection.start_next_cycle()
--- a/heathwell/codec/memcached.py
+++ b/heathwell/codec/memcached.py
@@ -1,31 +1,47 @@
-"""The memcached text protocol as a server speaks it: classic and meta commands.
+"""The server's side of the memcached text protocol: classic and meta commands.
 
-Source: the project's protocol.txt and "meta commands" pages of memcached 1.6. Feed bytes to
-:class:`Requests` and take commands out; whatever is wrong comes out as :class:`Bad` in its place, and
-the connection keeps its place in the stream. No data block is ever kept: this side stores nothing.
+Source: the project's protocol.txt and "meta commands" pages of memcached 1.6. :class:`Requests` parses bytes
+to commands. An invalid line gives a :class:`MalformedCommand` in its place, and parsing continues behind it.
+Data blocks are discarded, as this server stores nothing.
 """
 
 from __future__ import annotations
 
 import base64
 import binascii
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass
-
-KEY_MOST = 250
-STORAGE = {b"set": 4, b"add": 4, b"replace": 4, b"append": 4, b"prepend": 4, b"cas": 5}
-REFUSED = (b"delete", b"incr", b"decr", b"touch", b"flush_all", b"md", b"ma", b"cache_memlimit")
+from typing import ClassVar
+
+from heathwell.codec.errors import CodecError
+
+MAX_KEY_BYTES = 250
+MAX_OPAQUE_BYTES = 32
+MAX_BLOCK_BYTES = 1 << 31
+MAX_ERROR_TEXT_BYTES = 480
+NOT_IN_KEYS = bytes(range(33)) + b"\x7f"  # control characters and the space
+# Storage commands by the number of their arguments, without `noreply`.
+STORAGE_COMMANDS = {b"set": 4, b"add": 4, b"replace": 4, b"append": 4, b"prepend": 4, b"cas": 5}
+CLASSIC_WRITES = (b"delete", b"incr", b"decr", b"touch", b"flush_all", b"cache_memlimit")
+META_WRITES = (b"md", b"ma")
 READ_ONLY = "read only: this server answers queries and stores nothing"
-# Flags of `mg` that only say what to send back, those that carry a token, and those that would store.
-MG_PLAIN, MG_TOKEN, MG_STORES = b"bcfhklqstv", b"OTE", b"NR"
-BLOCK_MOST = 1 << 31
-TOO_LONG = b"\n"  # stands for a dropped line: no line holds its own end
-NOT_A_KEY = bytes(range(33)) + b"\x7f"
+META_GET_RETURN_FLAGS = b"bcfhklqstv"
+META_GET_TOKEN_FLAGS = b"OTE"
+META_GET_STORING_FLAGS = b"NR"
+TOO_LONG_LINE = b"\n"  # in place of a discarded line; no line contains its own end
+
+
+class CommandError(CodecError):
+    """A command line that can't be served; ``reply`` is the error line for the client."""
+
+    def __init__(self, reply: bytes) -> None:
+        super().__init__(reply.decode().rstrip())
+        self.reply = reply
 
 
 @dataclass(frozen=True, slots=True)
 class Get:
-    """``get``, ``gets``, ``gat`` and ``gats``: one reply for all keys; ``cas`` asks for the unique value."""
+    """``get``, ``gets``, ``gat`` and ``gats``: one reply for all keys; ``cas`` requests the unique value."""
 
     keys: tuple[bytes, ...]
     cas: bool = False
@@ -33,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MetaGet:
-    """``mg``; ``flags`` as given, ``shown`` is the key as the client wrote it."""
+    """``mg``; ``shown`` is the key as the client sent it, which may be encoded in base64."""
 
     key: bytes
     shown: bytes
@@ -41,12 +57,12 @@
 
     @property
     def quiet(self) -> bool:
-        """Whether a miss goes without a reply."""
+        """Whether a miss gets no reply."""
         return b"q" in self.flags
 
     @property
-    def wants_value(self) -> bool:
-        """Whether the value itself is asked for."""
+    def returns_value(self) -> bool:
+        """Whether the reply contains the value."""
         return b"v" in self.flags
 
 
@@ -56,8 +72,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Simple:
-    """``version``, ``stats``, ``verbosity`` and ``quit`` with what follows them."""
+class ServerCommand:
+    """``version``, ``stats``, ``verbosity`` and ``quit`` with their arguments."""
 
     name: str
     args: tuple[bytes, ...] = ()
@@ -65,35 +81,44 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
-    """A command that would store; its data block, if it has one, has been swallowed."""
+class RejectedCommand:
+    """A command that would store; its data block, if it has one, is discarded."""
 
     name: str
     quiet: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Bad:
-    """A line that is not a command of the protocol: the reply line, ready to be sent."""
+class MalformedCommand:
+    """A line that is not a command of the protocol; ``line`` is the reply to it."""
 
     line: bytes
 
 
-Command = Get | MetaGet | Noop | Simple | Refuse | Bad
+Command = Get | MetaGet | Noop | ServerCommand | RejectedCommand | MalformedCommand
+
+
+@dataclass(slots=True)
+class _DataBlock:
+    """A data block that is being discarded; ``command`` follows it."""
+
+    command: Command
+    bytes_left: int
 
 
 class Requests:
     """The incremental parser of one connection.
 
-    ``line_most`` bounds the bytes kept of a line and ``keys_most`` the keys of one get.
+    ``max_line_bytes`` bounds the buffered bytes of a line and ``max_keys`` the keys of one get.
     """
 
-    def __init__(self, line_most: int = 65_536, keys_most: int = 200) -> None:
-        self.line_most, self.keys_most = line_most, keys_most
+    def __init__(self, max_line_bytes: int = 65_536, max_keys: int = 200) -> None:
+        self.max_line_bytes = max_line_bytes
+        self.max_keys = max_keys
         self._buffer = bytearray()
-        self._looked = 0
-        self._skipping = False  # in a line that is too long already
-        self._block: tuple[Command, int] | None = None  # a block to swallow: what to say after it, bytes left
+        self._scanned_bytes = 0  # of the buffer, which hold no line end
+        self._skipping = False  # in a line that is over the limit
+        self._block: _DataBlock | None = None
 
     @property
     def buffered(self) -> int:
@@ -106,226 +131,268 @@
         return bool(self._buffer) or self._skipping or self._block is not None
 
     def feed(self, data: bytes) -> Iterator[Command]:
-        """Commands completed by these bytes, in order."""
+        """Yield the commands that these bytes complete, in order."""
         self._buffer += data
         while True:
             if self._block is not None:
-                if not self._swallow():
+                if not self._discard_block(self._block):
                     return
-                continue_with = self._finish_block()
-                if continue_with is not None:
-                    yield continue_with
+                command = self._block.command
+                self._block = None
+                yield command
                 continue
-            line = self._line()
+            line = self._next_line()
             if line is None:
                 return
-            command = self._command(line)
-            if command is not None:
-                yield command
-
-    def _line(self) -> bytes | None:
-        """The next whole line without its end; a line over the limit is dropped but for its verdict."""
-        at = self._buffer.find(b"\n", self._looked)
-        if at < 0:
-            if len(self._buffer) > self.line_most:
+            try:
+                parsed = self._parse(line)
+            except CommandError as error:
+                parsed = MalformedCommand(error.reply)
+            if parsed is not None:
+                yield parsed
+
+    def _next_line(self) -> bytes | None:
+        """Return the next complete line without its end; ``TOO_LONG_LINE`` in place of one over the limit."""
+        end = self._buffer.find(b"\n", self._scanned_bytes)
+        if end < 0:
+            if len(self._buffer) > self.max_line_bytes:
                 self._skipping = True
                 self._buffer.clear()
-            self._looked = len(self._buffer)
+            self._scanned_bytes = len(self._buffer)
             return None
-        line = bytes(self._buffer[:at])
-        del self._buffer[: at + 1]
-        self._looked = 0
-        if self._skipping or len(line) > self.line_most:
+        line = bytes(self._buffer[:end])
+        del self._buffer[: end + 1]
+        self._scanned_bytes = 0
+        if self._skipping or len(line) > self.max_line_bytes:
             self._skipping = False
-            return TOO_LONG
+            return TOO_LONG_LINE
         return line[:-1] if line.endswith(b"\r") else line
 
-    def _swallow(self) -> bool:
-        """Drop bytes of a data block; true once it and its end are gone."""
-        assert self._block is not None
-        reply, left = self._block
-        dropped = min(left, len(self._buffer))
-        del self._buffer[:dropped]
-        self._block = (reply, left - dropped)
-        self._looked = 0
-        if left > dropped:
+    def _discard_block(self, block: _DataBlock) -> bool:
+        """Discard bytes of a data block; return whether it and its end are complete."""
+        bytes_left = block.bytes_left
+        discarded = min(bytes_left, len(self._buffer))
+        del self._buffer[:discarded]
+        block.bytes_left = bytes_left - discarded
+        self._scanned_bytes = 0
+        if bytes_left > discarded:
             return False
-        if self._buffer[:1] == b"\n" or self._buffer[:2] == b"\r\n":
-            del self._buffer[: 1 if self._buffer[:1] == b"\n" else 2]
+        if self._buffer[:1] == b"\n":
+            del self._buffer[:1]
+            return True
+        if self._buffer[:2] == b"\r\n":
+            del self._buffer[:2]
             return True
         if bytes(self._buffer[:2]) in (b"", b"\r"):
             return False
-        # The block is longer than was said: as memcached does, the rest of that line goes with it.
-        self._block = (Bad(b"CLIENT_ERROR bad data chunk\r\n"), 0)
-        at = self._buffer.find(b"\n")
-        if at < 0:
+        # The block is longer than its stated length: as in memcached, the rest of the line is discarded.
+        block.command = MalformedCommand(b"CLIENT_ERROR bad data chunk\r\n")
+        end = self._buffer.find(b"\n")
+        if end < 0:
             self._buffer.clear()
             return False
-        del self._buffer[: at + 1]
+        del self._buffer[: end + 1]
         return True
 
-    def _finish_block(self) -> Command | None:
-        assert self._block is not None
-        reply, self._block = self._block[0], None
-        return reply
-
-    def _command(self, line: bytes) -> Command | None:
-        if line is TOO_LONG:
-            return _wrong("line too long")
+    def _parse(self, line: bytes) -> Command | None:
+        """Return the command of a line, None if its data block follows; raise :class:`CommandError`."""
+        if line is TOO_LONG_LINE:
+            raise _client_error("line too long")
         words = line.split()
         if not words:
-            return Bad(b"ERROR\r\n")
-        name, args = words[0], words[1:]
-        if name in (b"get", b"gets"):
-            return self._get(args, name == b"gets")
-        if name in (b"gat", b"gats"):
-            if not args or not _number(args[0]):
-                return _wrong("invalid exptime argument")
-            return self._get(args[1:], name == b"gats")
-        if name == b"mg":
-            return self._meta_get(args)
-        if name == b"mn":
-            return Noop()
-        if name in STORAGE:
-            return self._storage(name, args)
-        if name == b"ms":
-            return self._meta_set(args)
-        if name in REFUSED:
-            quiet = (b"q" in args[1:]) if name in (b"md", b"ma") else args[-1:] == [b"noreply"]
-            return Refuse(name.decode(), quiet)
-        if name in (b"version", b"stats", b"quit"):
-            return Simple(name.decode(), tuple(args))
-        if name == b"verbosity":
-            return Simple("verbosity", tuple(args), quiet=args[-1:] == [b"noreply"])
-        return Bad(b"ERROR\r\n")
-
-    def _get(self, keys: list[bytes], cas: bool) -> Command:
+            raise _unknown_command()
+        name = words[0]
+        parse = self._PARSERS.get(name)
+        if parse is None:
+            raise _unknown_command()
+        return parse(self, name, words[1:])
+
+    def _parse_get(self, name: bytes, args: list[bytes]) -> Command:
+        return self._get(args, cas=name == b"gets")
+
+    def _parse_get_and_touch(self, name: bytes, args: list[bytes]) -> Command:
+        if not args or not _is_number(args[0]):
+            raise _client_error("invalid exptime argument")
+        return self._get(args[1:], cas=name == b"gats")
+
+    def _get(self, keys: list[bytes], *, cas: bool) -> Command:
         if not keys:
-            return Bad(b"ERROR\r\n")
-        if len(keys) > self.keys_most:
-            return _wrong(f"more than {self.keys_most} keys in one get")
+            raise _unknown_command()
+        if len(keys) > self.max_keys:
+            raise _client_error(f"more than {self.max_keys} keys in one get")
         for key in keys:
-            wrong = _key_fault(key)
-            if wrong:
-                return _wrong(wrong)
+            _check_key(key)
         return Get(tuple(keys), cas)
 
-    def _meta_get(self, args: list[bytes]) -> Command:
+    def _parse_meta_get(self, _name: bytes, args: list[bytes]) -> Command:
         if not args:
-            return _wrong("bad command line format")
-        shown, flags = args[0], args[1:]
+            raise _client_error("bad command line format")
+        shown = args[0]
+        flags = tuple(args[1:])
         for flag in flags:
-            if flag[:1] in MG_STORES:
-                return _wrong(f"flag {chr(flag[0])} would store: {READ_ONLY}")
-            if flag[0] not in MG_PLAIN + MG_TOKEN or (flag[0] in MG_PLAIN and len(flag) > 1):
-                return _wrong("invalid flag")
-            if flag[:1] == b"O" and len(flag) > 33:
-                return _wrong("opaque token too long")
+            _check_meta_get_flag(flag)
         if len({flag[:1] for flag in flags}) != len(flags):
-            return _wrong("duplicate flag")
-        wrong = _key_fault(shown)
-        if wrong:
-            return _wrong(wrong)
-        key = shown
-        if b"b" in flags:
-            try:
-                key = base64.b64decode(shown, validate=True)
-            except (binascii.Error, ValueError):
-                return _wrong("error decoding key")
-            if not key:
-                return _wrong("error decoding key")
-        return MetaGet(key, shown, tuple(flags))
-
-    def _storage(self, name: bytes, args: list[bytes]) -> Command | None:
-        quiet = len(args) > STORAGE[name] and args[STORAGE[name]] == b"noreply"
-        if len(args) < STORAGE[name]:
-            return Bad(b"ERROR\r\n")
-        return self._block_follows(name, args[3], quiet)
-
-    def _meta_set(self, args: list[bytes]) -> Command | None:
+            raise _client_error("duplicate flag")
+        _check_key(shown)
+        key = _decode_key(shown) if b"b" in flags else shown
+        return MetaGet(key, shown, flags)
+
+    def _parse_noop(self, _name: bytes, _args: list[bytes]) -> Command:
+        return Noop()
+
+    def _parse_storage(self, name: bytes, args: list[bytes]) -> None:
+        expected_args = STORAGE_COMMANDS[name]
+        if len(args) < expected_args:
+            raise _unknown_command()
+        quiet = len(args) > expected_args and args[expected_args] == b"noreply"
+        self._begin_block(RejectedCommand(name.decode(), quiet), args[3])
+
+    def _parse_meta_set(self, name: bytes, args: list[bytes]) -> None:
         if len(args) < 2:
-            return _wrong("bad command line format")
-        return self._block_follows(b"ms", args[1], b"q" in args[2:])
+            raise _client_error("bad command line format")
+        self._begin_block(RejectedCommand(name.decode(), b"q" in args[2:]), args[1])
+
+    def _begin_block(self, command: RejectedCommand, size: bytes) -> None:
+        if not size.isdigit() or int(size) >= MAX_BLOCK_BYTES:
+            raise _client_error("bad data chunk")
+        self._block = _DataBlock(command, int(size))
+
+    def _parse_classic_write(self, name: bytes, args: list[bytes]) -> Command:
+        return RejectedCommand(name.decode(), quiet=args[-1:] == [b"noreply"])
+
+    def _parse_meta_write(self, name: bytes, args: list[bytes]) -> Command:
+        return RejectedCommand(name.decode(), quiet=b"q" in args[1:])
+
+    def _parse_server_command(self, name: bytes, args: list[bytes]) -> Command:
+        return ServerCommand(name.decode(), tuple(args))
+
+    def _parse_verbosity(self, name: bytes, args: list[bytes]) -> Command:
+        return ServerCommand(name.decode(), tuple(args), quiet=args[-1:] == [b"noreply"])
+
+    _PARSERS: ClassVar[dict[bytes, Callable[[Requests, bytes, list[bytes]], Command | None]]] = {
+        b"get": _parse_get,
+        b"gets": _parse_get,
+        b"gat": _parse_get_and_touch,
+        b"gats": _parse_get_and_touch,
+        b"mg": _parse_meta_get,
+        b"mn": _parse_noop,
+        b"ms": _parse_meta_set,
+        **dict.fromkeys(STORAGE_COMMANDS, _parse_storage),
+        **dict.fromkeys(CLASSIC_WRITES, _parse_classic_write),
+        **dict.fromkeys(META_WRITES, _parse_meta_write),
+        b"version": _parse_server_command,
+        b"stats": _parse_server_command,
+        b"quit": _parse_server_command,
+        b"verbosity": _parse_verbosity,
+    }
+
+
+def _is_number(text: bytes) -> bool:
+    return text.lstrip(b"-").isdigit()
 
-    def _block_follows(self, name: bytes, size: bytes, quiet: bool) -> Command | None:
-        if not size.isdigit() or int(size) >= BLOCK_MOST:
-            return _wrong("bad data chunk")
-        self._block = (Refuse(name.decode(), quiet), int(size))
-        return None
 
+def _check_key(key: bytes) -> None:
+    if len(key) > MAX_KEY_BYTES:
+        raise _client_error(f"key longer than {MAX_KEY_BYTES} bytes")
+    if key.translate(None, NOT_IN_KEYS) != key:
+        raise _client_error("control character in a key")
 
-def _number(text: bytes) -> bool:
-    return text.lstrip(b"-").isdigit()
 
+def _check_meta_get_flag(flag: bytes) -> None:
+    letter = flag[0]
+    if letter in META_GET_STORING_FLAGS:
+        raise _client_error(f"flag {chr(letter)} would store: {READ_ONLY}")
+    if letter in META_GET_RETURN_FLAGS:
+        if len(flag) > 1:
+            raise _client_error("invalid flag")
+    elif letter not in META_GET_TOKEN_FLAGS:
+        raise _client_error("invalid flag")
+    if flag[:1] == b"O" and len(flag) > 1 + MAX_OPAQUE_BYTES:
+        raise _client_error("opaque token too long")
 
-def _key_fault(key: bytes) -> str:
-    if len(key) > KEY_MOST:
-        return f"key longer than {KEY_MOST} bytes"
-    if key.translate(None, NOT_A_KEY) != key:
-        return "control character in a key"
-    return ""
 
+def _decode_key(shown: bytes) -> bytes:
+    try:
+        key = base64.b64decode(shown, validate=True)
+    except (binascii.Error, ValueError):
+        key = b""
+    if not key:
+        raise _client_error("error decoding key")
+    return key
 
-def _wrong(text: str) -> Bad:
-    return Bad(b"CLIENT_ERROR " + text.encode() + b"\r\n")
 
+def _client_error(text: str) -> CommandError:
+    return CommandError(b"CLIENT_ERROR " + text.encode() + b"\r\n")
 
-# Replies
 
+def _unknown_command() -> CommandError:
+    return CommandError(b"ERROR\r\n")
 
-def value(key: bytes, flags: int, data: bytes, cas: int | None = None) -> bytes:
-    """One ``VALUE`` of a classic get."""
-    unique = b"" if cas is None else b" %d" % cas
-    return b"VALUE %b %d %d%b\r\n%b\r\n" % (key, flags, len(data), unique, data)
 
+# The names before the renaming, for importers that are not yet adapted.
+Bad = MalformedCommand
+Refuse = RejectedCommand
+Simple = ServerCommand
+
+# Replies.
 
 END = b"END\r\n"
 
 
+def value(key: bytes, flags: int, data: bytes, cas: int | None = None) -> bytes:
+    """Return one ``VALUE`` of a classic get."""
+    unique = b"" if cas is None else b" %d" % cas
+    return b"VALUE %b %d %d%b\r\n%b\r\n" % (key, flags, len(data), unique, data)
+
+
 def server_error(text: str) -> bytes:
-    """A ``SERVER_ERROR`` line; clients raise it, none takes it for a miss."""
-    return b"SERVER_ERROR " + text.replace("\r", " ").replace("\n", " ").encode()[:480] + b"\r\n"
+    """Return a ``SERVER_ERROR`` line, which clients raise as an error, so that it can't pass as a miss."""
+    one_line = text.replace("\r", " ").replace("\n", " ")
+    return b"SERVER_ERROR " + one_line.encode()[:MAX_ERROR_TEXT_BYTES] + b"\r\n"
 
 
 def meta_value(request: MetaGet, flags: int, data: bytes, cas: int) -> bytes:
-    """The hit of an ``mg``: ``VA`` with the data where it was asked for, ``HD`` without."""
-    back = []
-    for flag in request.flags:
-        match flag[:1]:
-            case b"O" | b"b":
-                back.append(flag)
-            case b"k":
-                back.append(b"k" + request.shown)
-            case b"f":
-                back.append(b"f%d" % flags)
-            case b"s":
-                back.append(b"s%d" % len(data))
-            case b"c":
-                back.append(b"c%d" % cas)
-            case b"t":
-                back.append(b"t-1")
-            case b"h":
-                back.append(b"h0")
-            case b"l":
-                back.append(b"l0")
-    tail = b"".join(b" " + word for word in back)
-    if request.wants_value:
-        return b"VA %d%b\r\n%b\r\n" % (len(data), tail, data)
-    return b"HD%b\r\n" % tail
+    """Return the hit of an ``mg``: ``VA`` with the data if the request has the flag ``v``, else ``HD``."""
+    returned = [_returned_flag(flag, request, flags, data, cas) for flag in request.flags]
+    returned_flags = b"".join(b" " + text for text in returned if text)
+    if request.returns_value:
+        return b"VA %d%b\r\n%b\r\n" % (len(data), returned_flags, data)
+    return b"HD%b\r\n" % returned_flags
+
+
+def _returned_flag(flag: bytes, request: MetaGet, flags: int, data: bytes, cas: int) -> bytes:
+    """Return a flag of a request with its value in the reply; nothing if the reply doesn't contain it."""
+    match flag[:1]:
+        case b"O" | b"b":
+            return flag
+        case b"k":
+            return b"k" + request.shown
+        case b"f":
+            return b"f%d" % flags
+        case b"s":
+            return b"s%d" % len(data)
+        case b"c":
+            return b"c%d" % cas
+        case b"t":
+            return b"t-1"
+        case b"h" | b"l":
+            return flag + b"0"
+        case _:
+            return b""
 
 
 def meta_miss(request: MetaGet) -> bytes:
-    """The miss of an ``mg``; nothing in quiet mode."""
+    """Return the miss of an ``mg``; nothing in quiet mode."""
     if request.quiet:
         return b""
-    back = [
+    returned = [
         b"k" + request.shown if flag == b"k" else flag
         for flag in request.flags
         if flag[:1] in (b"O", b"k", b"b")
     ]
-    return b"EN" + b"".join(b" " + word for word in back) + b"\r\n"
+    return b"EN" + b"".join(b" " + text for text in returned) + b"\r\n"
 
 
-def stat_lines(stats: dict[str, object]) -> bytes:
-    """The reply of ``stats``."""
+def stat_lines(stats: Mapping[str, object]) -> bytes:
+    """Return the reply of ``stats``."""
     return b"".join(f"STAT {name} {stats[name]}\r\n".encode() for name in stats) + END
--- a/heathwell/codec/varint.py
+++ b/heathwell/codec/varint.py
@@ -1,30 +1,35 @@
-"""Unsigned numbers in seven bits a byte, least first."""
+"""Unsigned integers in seven bits a byte, least significant first (LEB128)."""
 
 from __future__ import annotations
 
-LONGEST = 10
+MAX_BYTES = 10
+CONTINUATION_BIT = 0x80
+VALUE_MASK = 0x7F
+BITS_PER_BYTE = 7
+
+Decoded = tuple[int, int]  # the number, and the offset of the byte behind it
 
 
 def put(value: int) -> bytes:
-    """The bytes of a number; raises :class:`ValueError` for a negative one."""
+    """Return the bytes of a number; raise :class:`ValueError` for a negative one."""
     if value < 0:
         raise ValueError(f"varint: {value} is negative")
-    out = bytearray()
-    while value > 0x7F:
-        out.append(value & 0x7F | 0x80)
-        value >>= 7
-    out.append(value)
-    return bytes(out)
+    encoded = bytearray()
+    while value > VALUE_MASK:
+        encoded.append(value & VALUE_MASK | CONTINUATION_BIT)
+        value >>= BITS_PER_BYTE
+    encoded.append(value)
+    return bytes(encoded)
 
 
-def take(data: bytes, at: int) -> tuple[int, int]:
-    """A number and the place after it; raises :class:`ValueError` where there is none."""
+def take(data: bytes, offset: int) -> Decoded:
+    """Return the number at an offset; raise :class:`ValueError` if there is no complete one."""
     value = 0
-    for step in range(LONGEST):
-        if at + step >= len(data):
+    for index in range(MAX_BYTES):
+        if offset + index >= len(data):
             break
-        byte = data[at + step]
-        value |= (byte & 0x7F) << (7 * step)
-        if byte < 0x80:
-            return value, at + step + 1
+        byte = data[offset + index]
+        value |= (byte & VALUE_MASK) << (BITS_PER_BYTE * index)
+        if byte < CONTINUATION_BIT:
+            return value, offset + index + 1
     raise ValueError("varint: ends too early")
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -23,7 +23,7 @@
 
 
 def commands(chunks):
-    parser = mc.Requests(line_most=400)
+    parser = mc.Requests(max_line_bytes=400)
     return [command for chunk in chunks for command in parser.feed(chunk)]
 
 
@@ -34,26 +34,33 @@
     kinds = [type(c).__name__ for c in WHOLE]
     assert kinds == [
         "Get",
-        "Refuse",
-        "Refuse",
+        "RejectedCommand",
+        "RejectedCommand",
         "Get",
         "MetaGet",
         "Noop",
-        "Refuse",
-        "Refuse",
-        "Refuse",
-        "Refuse",
+        "RejectedCommand",
+        "RejectedCommand",
+        "RejectedCommand",
+        "RejectedCommand",
         "Get",
-        "Simple",
-        "Simple",
-        "Bad",
-        "Bad",
-        "Bad",
-        "Bad",
-        "Bad",
-        "Simple",
+        "ServerCommand",
+        "ServerCommand",
+        "MalformedCommand",
+        "MalformedCommand",
+        "MalformedCommand",
+        "MalformedCommand",
+        "MalformedCommand",
+        "ServerCommand",
+    ]
+    assert [c.quiet for c in WHOLE if isinstance(c, mc.RejectedCommand)] == [
+        False,
+        True,
+        False,
+        False,
+        True,
+        True,
     ]
-    assert [c.quiet for c in WHOLE if isinstance(c, mc.Refuse)] == [False, True, False, False, True, True]
     assert WHOLE[4].quiet and WHOLE[4].key == b"k"
     assert WHOLE[-2].line == b"CLIENT_ERROR bad data chunk\r\n" and WHOLE[13].line == b"ERROR\r\n"
     assert b"250" in WHOLE[14].line and b"control" in WHOLE[15].line
@@ -71,22 +78,22 @@
 
 @given(st.binary(max_size=400))
 def test_any_bytes_are_taken_without_an_error_and_the_place_is_found_again(junk):
-    parser = mc.Requests(line_most=100)
+    parser = mc.Requests(max_line_bytes=100)
     for _ in parser.feed(junk):
         pass
     if parser._block is None:
         last = list(parser.feed(b"\r\nversion\r\n"))[-1]
-        assert last == mc.Simple("version") or parser._block is not None
+        assert last == mc.ServerCommand("version") or parser._block is not None
 
 
 def test_a_line_over_the_limit_is_refused_once_and_holds_no_memory():
-    parser = mc.Requests(line_most=1000)
+    parser = mc.Requests(max_line_bytes=1000)
     out = []
     for _ in range(100):
         out += parser.feed(b"get " + b"k" * 1000)
         assert parser.buffered <= 2100
     out += parser.feed(b"\r\nget a\r\n")
-    assert [type(c) for c in out] == [mc.Bad, mc.Get] and b"too long" in out[0].line
+    assert [type(c) for c in out] == [mc.MalformedCommand, mc.Get] and b"too long" in out[0].line
 
 
 @pytest.mark.parametrize(
@@ -104,7 +111,7 @@
 )
 def test_what_is_wrong_is_a_client_error_that_says_why(line, word):
     bad, after = list(mc.Requests().feed(line + b"\r\nmn\r\n"))
-    assert isinstance(bad, mc.Bad) and bad.line.startswith(b"CLIENT_ERROR") and word in bad.line
+    assert isinstance(bad, mc.MalformedCommand) and bad.line.startswith(b"CLIENT_ERROR") and word in bad.line
     assert after == mc.Noop()
 
 
@@ -155,7 +162,7 @@
 
 
 def test_http_requests_pipelined_in_pieces_and_errors():
-    side = ServerSide(body_most=10)
+    side = ServerSide(max_body_bytes=10)
     out = []
     for byte in b"GET /a?x=1 HTTP/1.1\r\nHost: h\r\n\r\n":
         out += side.feed(bytes([byte]))
