--- /dev/null
+++ b/heathwell/settings/consistency.py
@@ -0,0 +1,268 @@
+"""Checks of a complete settings file that involve more than one field."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+from typing import NamedTuple
+
+from heathwell.settings.records.fleet import Fleet, FleetBudget
+from heathwell.settings.records.queries import Collection, KeySpace, QueryClass
+from heathwell.settings.records.service import ServiceSettings
+
+COORDINATOR_COUNTS = (1, 3, 5)
+MAX_CLOCK_DRIFT = 0.2
+MIN_RENEWALS_PER_LEASE = 3
+MIN_RENEWALS_BEFORE_SUSPECT = 2
+MIN_CALLS_BEFORE_MUST_ASK = 2
+MILLIUNITS = 1000
+MILLIUNITS_TIMES_SECOND_US = 10**9  # a budget of one, in milliunits a second, times microseconds
+
+
+class Inconsistency(NamedTuple):
+    """A fault: the path of a key, and the reason."""
+
+    path: str
+    text: str
+
+
+Inconsistencies = Iterator[Inconsistency]
+
+
+def _check_classes(settings: ServiceSettings) -> Inconsistencies:
+    if not settings.classes:
+        yield Inconsistency("class", "at least one class is needed")
+    names: set[str] = set()
+    for index, query_class in enumerate(settings.classes):
+        path = f"class[{index}]"
+        if query_class.name in names:
+            yield Inconsistency(path, f"class '{query_class.name}' is given twice")
+        names.add(query_class.name)
+        yield from _check_class_times(settings, query_class, path)
+        yield from _check_class_fractions(query_class, path)
+        yield from _check_class_data_age(query_class, path)
+
+
+def _check_class_times(settings: ServiceSettings, query_class: QueryClass, path: str) -> Inconsistencies:
+    reserved_us = settings.limits.transit + 2 * settings.limits.tick
+    if query_class.timeout_us < query_class.latency_objective_us:
+        yield Inconsistency(f"{path}.limit", "lies before the aim")
+    elif query_class.timeout_us <= reserved_us:
+        yield Inconsistency(f"{path}.limit", "leaves no time beside limits.transit and limits.tick")
+
+
+def _check_class_fractions(query_class: QueryClass, path: str) -> Inconsistencies:
+    required = query_class.required_fraction
+    if required <= 0:
+        yield Inconsistency(f"{path}.need", "must be more than 0")
+    if query_class.minimum_fraction > required:
+        yield Inconsistency(f"{path}.floor", f"must not lie above need ({required:g})")
+
+
+def _check_class_data_age(query_class: QueryClass, path: str) -> Inconsistencies:
+    if query_class.stale != "use" and query_class.idempotency != "safe":
+        yield Inconsistency(f"{path}.stale", "only a class that is safe to repeat may turn data down")
+    if query_class.stale == "missing" and not query_class.max_age:
+        yield Inconsistency(f"{path}.max-age", "'missing' needs a max-age")
+    if query_class.wanted_age > query_class.max_age > 0:
+        yield Inconsistency(f"{path}.wanted-age", "more than max-age")
+    if query_class.idempotency == "keyed" and not query_class.idempotency_window_us:
+        yield Inconsistency(f"{path}.dedup", "a keyed class must say how long repeats are dropped")
+
+
+def _check_key_spaces(settings: ServiceSettings) -> Inconsistencies:
+    class_names = {query_class.name for query_class in settings.classes}
+    prefixes: set[str] = set()
+    for index, key_space in enumerate(settings.keys):
+        path = f"keys[{index}]"
+        if key_space.query_class not in class_names:
+            yield _no_such_class(f"{path}.class", key_space.query_class, class_names)
+        if key_space.prefix in prefixes:
+            yield Inconsistency(path, f"prefix '{key_space.prefix}' is given twice")
+        prefixes.add(key_space.prefix)
+        yield from _check_key_space_parts(key_space, settings.fleet.shards, path)
+
+
+def _check_key_space_parts(key_space: KeySpace, shards: int, path: str) -> Inconsistencies:
+    if key_space.shape == "search" and key_space.parts > shards:
+        yield Inconsistency(f"{path}.parts", f"more than the {shards} shards")
+    if key_space.shape == "report" and key_space.report_parts > shards:
+        yield Inconsistency(f"{path}.report-parts", f"more than the {shards} shards")
+
+
+def _no_such_class(path: str, name: str, class_names: set[str]) -> Inconsistency:
+    return Inconsistency(path, f"no class '{name}'; there are {', '.join(sorted(class_names))}")
+
+
+def _check_fleet(settings: ServiceSettings) -> Inconsistencies:
+    fleet = settings.fleet
+    if fleet.width > fleet.cells:
+        yield Inconsistency("fleet.width", f"more holders than the {fleet.cells} cells")
+    if not fleet.zones:
+        yield Inconsistency("fleet.zones", "at least one zone is needed")
+    if len(set(fleet.zones)) != len(fleet.zones):
+        yield Inconsistency("fleet.zones", "a zone is given twice")
+    if fleet.keepers:
+        yield from _check_coordinators(fleet)
+        yield from _check_fleet_times(fleet)
+        yield from _check_budgets(fleet)
+    else:
+        yield from _check_no_fleet_control(fleet)
+    if fleet.leaves and fleet.leaves < fleet.cells:
+        yield Inconsistency(
+            "fleet.leaves", f"{fleet.leaves} hosts leave some of the {fleet.cells} cells empty"
+        )
+
+
+def _check_no_fleet_control(fleet: Fleet) -> Inconsistencies:
+    if fleet.budgets:
+        yield Inconsistency("fleet.budget[0]", "needs (keepers host:port ...)")
+    if fleet.evacuate:
+        yield Inconsistency("fleet.evacuate", "needs (keepers host:port ...)")
+
+
+def _check_coordinators(fleet: Fleet) -> Inconsistencies:
+    if len(fleet.keepers) not in COORDINATOR_COUNTS:
+        yield Inconsistency("fleet.keepers", f"1, 3 or 5 are expected, got {len(fleet.keepers)}")
+    if len(set(fleet.keepers)) != len(fleet.keepers):
+        yield Inconsistency("fleet.keepers", "one is given twice")
+    if not (fleet.most or fleet.brokers):
+        yield Inconsistency("fleet.most", "must say how many brokers there may be")
+
+
+def _check_fleet_times(fleet: Fleet) -> Inconsistencies:
+    if fleet.renew * MIN_RENEWALS_PER_LEASE > fleet.lease:
+        yield Inconsistency("fleet.renew", "a lease must last for three renewals at least, as some are lost")
+    if fleet.renew * MIN_RENEWALS_BEFORE_SUSPECT > fleet.suspect or fleet.suspect >= fleet.dead:
+        yield Inconsistency("fleet.suspect", "expected: twice renew at most, and before dead")
+    if fleet.drift > MAX_CLOCK_DRIFT:
+        yield Inconsistency("fleet.drift", "at most 20%")
+
+
+def _check_budgets(fleet: Fleet) -> Inconsistencies:
+    names: set[str] = set()
+    for index, budget in enumerate(fleet.budgets):
+        path = f"fleet.budget[{index}]"
+        if budget.name in names:
+            yield Inconsistency(path, f"budget '{budget.name}' is given twice")
+        names.add(budget.name)
+        if budget.name == "connections":
+            yield from _check_connections_budget(fleet, budget, path)
+        else:
+            yield from _check_rate_budget(fleet, budget, path)
+
+
+def _check_connections_budget(fleet: Fleet, budget: FleetBudget, path: str) -> Inconsistencies:
+    max_brokers = fleet.most or fleet.brokers
+    if budget.whole != int(budget.whole) or (max_brokers and budget.whole <= max_brokers):
+        yield Inconsistency(
+            f"{path}.whole", f"a whole number above that of the {max_brokers} brokers is expected"
+        )
+    if budget.linger >= fleet.lease:
+        yield Inconsistency(
+            f"{path}.linger", "must be shorter than fleet.lease: what lingers is part of a share's term"
+        )
+
+
+def _check_rate_budget(fleet: Fleet, budget: FleetBudget, path: str) -> Inconsistencies:
+    max_brokers = fleet.most or fleet.brokers
+    if not max_brokers:
+        return
+    own_milliunits = int(budget.whole * budget.aside * MILLIUNITS) // max_brokers
+    if own_milliunits and own_milliunits * budget.burst < MILLIUNITS_TIMES_SECOND_US:
+        yield Inconsistency(
+            f"{path}.burst",
+            f"a broker's own {own_milliunits / MILLIUNITS:.3g} a second never make one within it: a longer "
+            "burst, a larger aside, or (aside 0) is needed",
+        )
+
+
+def _check_rules(settings: ServiceSettings) -> Inconsistencies:
+    rules = settings.rules
+    if rules.start_capacity <= 0:
+        yield Inconsistency("rules.start-capacity", "must be more than 0")
+    if bool(rules.fall_multiple) != bool(rules.fall_after):
+        yield Inconsistency("rules.fall-multiple", "fall-multiple and fall-after go together")
+    if rules.further_ratio and not rules.counted_over:
+        yield Inconsistency("rules.further-ratio", "needs counted-over")
+    min_must_ask_us = MIN_CALLS_BEFORE_MUST_ASK * settings.discovery.timeout
+    if settings.discovery.ask and rules.must_ask < min_must_ask_us:
+        yield Inconsistency(
+            "rules.must-ask", "must be at least twice discovery's timeout: a failed call is asked again"
+        )
+
+
+def _check_regions(settings: ServiceSettings) -> Inconsistencies:
+    zones = settings.fleet.zones
+    placed_zones: set[str] = set()
+    for index, region in enumerate(settings.across.regions):
+        path = f"across.region[{index}].zones"
+        for zone in region.zones:
+            if zone not in zones:
+                yield Inconsistency(path, f"no zone '{zone}'; there are {', '.join(zones)}")
+            if zone in placed_zones:
+                yield Inconsistency(path, f"zone '{zone}' stands in two regions")
+            placed_zones.add(zone)
+    for index, query_class in enumerate(settings.classes):
+        if query_class.across != "any" and not settings.across.regions:
+            yield Inconsistency(f"class[{index}].across", "needs (across (region ...) ...)")
+    yield from _check_region_links(settings)
+    if settings.across.regions and placed_zones < set(zones):
+        unplaced_zones = sorted(set(zones) - placed_zones)
+        yield Inconsistency("across", f"zones in no region: {', '.join(unplaced_zones)}")
+
+
+def _check_region_links(settings: ServiceSettings) -> Inconsistencies:
+    region_names = [region.name for region in settings.across.regions]
+    pairs: set[frozenset[str]] = set()
+    for index, link in enumerate(settings.across.links):
+        path = f"across.link[{index}].between"
+        for name in link.between:
+            if name not in region_names:
+                yield Inconsistency(path, f"no region '{name}'; there are {', '.join(region_names)}")
+        pair = frozenset(link.between)
+        if len(link.between) != 2 or len(pair) != 2:
+            yield Inconsistency(path, "names two regions")
+        elif pair in pairs:
+            yield Inconsistency(path, "the link is given twice")
+        pairs.add(pair)
+
+
+def _check_collections(settings: ServiceSettings) -> Inconsistencies:
+    names: set[str] = set()
+    for index, collection in enumerate(settings.collections):
+        path = f"collection[{index}]"
+        if collection.name in names:
+            yield Inconsistency(path, f"collection '{collection.name}' is given twice")
+        names.add(collection.name)
+        yield from _check_collection_classes(settings, collection, path)
+        if collection.parts > settings.fleet.shards:
+            yield Inconsistency(f"{path}.parts", f"more than the {settings.fleet.shards} shards")
+    if settings.vector.listen and not settings.collections:
+        yield Inconsistency("vector.listen", "there is no collection to serve")
+
+
+def _check_collection_classes(
+    settings: ServiceSettings, collection: Collection, path: str
+) -> Inconsistencies:
+    classes = {query_class.name: query_class for query_class in settings.classes}
+    class_name_by_key = {
+        "class": collection.query_class,
+        "batch-class": collection.batch_class or collection.query_class,
+    }
+    for key, name in class_name_by_key.items():
+        query_class = classes.get(name)
+        if query_class is None:
+            yield _no_such_class(f"{path}.{key}", name, set(classes))
+        elif query_class.second_step_parts:
+            yield Inconsistency(f"{path}.{key}", f"class '{name}' has a second step, which searches have not")
+
+
+Check = Callable[[ServiceSettings], Inconsistencies]
+CROSS_CHECKS: tuple[Check, ...] = (
+    _check_classes,
+    _check_key_spaces,
+    _check_fleet,
+    _check_rules,
+    _check_regions,
+    _check_collections,
+)
--- /dev/null
+++ b/heathwell/settings/records/__init__.py
@@ -0,0 +1,1 @@
+"""The records of a settings file, by subject."""
--- /dev/null
+++ b/heathwell/settings/records/servers.py
@@ -0,0 +1,52 @@
+"""Settings of the client protocols."""
+
+from __future__ import annotations
+
+from typing import Annotated, Literal
+
+from msgspec import Meta
+
+from heathwell.settings.records.base import Record, count, described, duration, fraction, size
+
+
+class Vector(Record):
+    """The server of vector searches, with Qdrant's REST interface."""
+
+    listen: Annotated[str, described("HTTP address; port 0 lets the kernel choose; empty: no such front")] = (
+        ""
+    )
+    body: Annotated[int, size("longest request body")] = 32 << 20
+    head: Annotated[int, size("longest request line and headers")] = 65_536
+    slow: Annotated[int, duration("a request that has begun must be whole within this", 1000)] = 10_000_000
+    idle: Annotated[int, duration("idle connections close after this", 1000)] = 60_000_000
+    batch: Annotated[int, count("searches in one batch", 1)] = 10_000
+    rows: Annotated[int, count("offset and limit together", 1)] = 10_000
+    chunk: Annotated[int, duration("a batch is cut into parts that cost a host so much at the most", 1)] = (
+        30_000
+    )
+    chunks_at_once: Annotated[int, count("parts of one batch that are out at once", 1)] = 4
+    chunk_searches: Annotated[int, count("searches that share a part at the most", 1)] = 64
+
+
+class Fronts(Record):
+    """The servers' weights in fair queueing, by the cost of their work; without a queue target it is off."""
+
+    queue_target: Annotated[int, duration("queueing at hosts up to which work is sent out; 0: no bound")] = 0
+    patience: Annotated[float, fraction("share of a query's aim that it may wait for its turn")] = 0.25
+    memcached: Annotated[float, Meta(gt=0, description="weight of the memcached front")] = 1.0
+    vector: Annotated[float, Meta(gt=0, description="weight of the vector front")] = 1.0
+
+
+class BrokerSettings(Record):
+    """The addresses that a broker listens on, and its shutdown."""
+
+    listen: Annotated[str, described("memcached address; port 0 lets the kernel choose")] = "127.0.0.1:0"
+    admin: Annotated[str, described("admin HTTP address")] = "127.0.0.1:0"
+    refusals: Annotated[
+        Literal["value", "error"],
+        described(
+            "how a classic get tells a query refused or failed: a flagged "
+            "value, or SERVER_ERROR in place of END (libmemcached takes that for a miss)"
+        ),
+    ] = "value"
+    drain_for: Annotated[int, duration("how long a stopping broker finishes what it holds")] = 5_000_000
