--- a/heathwell/settings/__init__.py
+++ b/heathwell/settings/__init__.py
@@ -1,7 +1,8 @@
-"""Settings: one S-expression file, checked into records, every error with its place."""
+"""Settings: one S-expression file, checked into records; each error has its place in the file."""
 
-from heathwell.settings.check import Problem, SettingsError, Where, load, loads
+from heathwell.settings.check import load, loads
+from heathwell.settings.errors import Problem, SettingsError, Where
 from heathwell.settings.page import schema_page
-from heathwell.settings.schema import ServiceSettings
+from heathwell.settings.records.service import ServiceSettings
 
-__all__ = ["ServiceSettings", "Problem", "SettingsError", "Where", "load", "loads", "schema_page"]
+__all__ = ["Problem", "ServiceSettings", "SettingsError", "Where", "load", "loads", "schema_page"]
--- a/heathwell/settings/page.py
+++ b/heathwell/settings/page.py
@@ -1,12 +1,13 @@
-"""The page of all settings, made from the records."""
+"""The page of all settings, generated from the records."""
 
 from __future__ import annotations
 
-from msgspec import NODEFAULT
-from msgspec import inspect as shape
+from typing import NamedTuple
 
-from heathwell.settings.check import bare, expected, extra, show
-from heathwell.settings.schema import ServiceSettings
+from msgspec import NODEFAULT, inspect
+
+from heathwell.settings.field_types import annotations_of, describe, format_number, unwrap
+from heathwell.settings.records.service import ServiceSettings
 
 HEAD = """# Settings
 
@@ -16,39 +17,65 @@
 """
 
 
+class _Section(NamedTuple):
+    """A record of the page."""
+
+    info: inspect.StructType
+    title: str
+    meaning: str
+
+
 def schema_page() -> str:
-    """Markdown: a table for each record."""
-    out = [HEAD]
-    _record(shape.type_info(ServiceSettings), "the file", "", out)
-    return "\n".join(out)
-
-
-def _record(info: shape.Type, title: str, about: str, out: list[str]) -> None:
-    assert isinstance(info, shape.StructType)
-    out.append(f"\n## {title}\n")
-    if about:
-        out.append(about + "\n")
-    out += ["| key | takes | default | meaning |", "| --- | --- | --- | --- |"]
-    inner: list[tuple[shape.Type, str, str]] = []
-    for field in info.fields:
-        notes, kind = extra(field.type), bare(field.type)
-        text = _about(field.type)
-        key = notes.get("each") or field.encode_name
-        if isinstance(kind, shape.ListType) and isinstance(bare(kind.item_type), shape.StructType):
-            inner.append((bare(kind.item_type), f"({key} ...)", text))
-            takes, default = "a form, any number of times", ""
-        elif isinstance(kind, shape.StructType):
-            inner.append((kind, f"({key} ...)", text))
-            takes, default = "a form", "as below"
-        else:
-            takes = ("first, without a key: " if notes.get("positional") else "") + expected(field.type)
-            default = _default(field)
-        out.append(f"| `{key}` | {takes} | {default} | {text} |")
-    for kind, name, text in inner:
-        _record(kind, name, text, out)
-
-
-def _default(field: shape.Field) -> str:
+    """Return the page as Markdown: a table for each record."""
+    info = inspect.type_info(ServiceSettings)
+    assert isinstance(info, inspect.StructType)
+    lines = [HEAD]
+    _append_section(_Section(info, "the file", ""), lines)
+    return "\n".join(lines)
+
+
+def _append_section(section: _Section, lines: list[str]) -> None:
+    """Append the table of a record, then those of the records in its fields."""
+    lines.append(f"\n## {section.title}\n")
+    if section.meaning:
+        lines.append(section.meaning + "\n")
+    lines += ["| key | takes | default | meaning |", "| --- | --- | --- | --- |"]
+    for field in section.info.fields:
+        lines.append(_row(field))
+    for field in section.info.fields:
+        record_type = _record_type(field)
+        if record_type is not None:
+            title = f"({_key(field)} ...)"
+            _append_section(_Section(record_type, title, _meaning(field.type)), lines)
+
+
+def _row(field: inspect.Field) -> str:
+    if isinstance(unwrap(field.type), inspect.StructType):
+        takes = "a form"
+        default = "as below"
+    elif _record_type(field) is not None:
+        takes = "a form, any number of times"
+        default = ""
+    else:
+        position = "first, without a key: " if annotations_of(field.type).get("positional") else ""
+        takes = position + describe(field.type)
+        default = _default(field)
+    return f"| `{_key(field)}` | {takes} | {default} | {_meaning(field.type)} |"
+
+
+def _key(field: inspect.Field) -> str:
+    return annotations_of(field.type).get("each") or field.encode_name
+
+
+def _record_type(field: inspect.Field) -> inspect.StructType | None:
+    """Return the type of a field that is a record or a list of records."""
+    inner = unwrap(field.type)
+    if isinstance(inner, inspect.ListType):
+        inner = unwrap(inner.item_type)
+    return inner if isinstance(inner, inspect.StructType) else None
+
+
+def _default(field: inspect.Field) -> str:
     if field.required:
         return "required"
     value = field.default if field.default is not NODEFAULT else None
@@ -57,16 +84,17 @@
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, int | float):
-        return show(value, field.type)
+        return format_number(value, field.type)
     return str(value)
 
 
-def _about(info: shape.Type) -> str:
-    while isinstance(info, shape.Metadata):
+def _meaning(info: inspect.Type) -> str:
+    """Return the first description among a type's annotations."""
+    while isinstance(info, inspect.Metadata):
         text = (info.extra_json_schema or {}).get("description")
         if text:
             return str(text)
         info = info.type
-    if isinstance(info, shape.UnionType):
-        return next((text for text in map(_about, info.types) if text), "")
-    return ""
+    members = info.types if isinstance(info, inspect.UnionType) else ()
+    meanings = (_meaning(member) for member in members)
+    return next(filter(None, meanings), "")
--- a/heathwell/settings/reader.py
+++ b/heathwell/settings/reader.py
@@ -1,4 +1,4 @@
-"""S-expressions to nodes that know their line and column. The grammar is lark's business."""
+"""S-expressions to nodes that hold their line and column; lark parses the grammar."""
 
 from __future__ import annotations
 
@@ -7,6 +7,8 @@
 from lark import Lark, Token, Tree
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput, UnexpectedToken
 
+from heathwell.settings.errors import ReadError, Where
+
 GRAMMAR = r"""
 start: form*
 form: "(" item* ")"
@@ -18,27 +20,21 @@
 %ignore /\s+/
 """
 ESCAPES = {"n": "\n", "t": "\t", '"': '"', "\\": "\\"}
-DEEPEST = 20
+MAX_DEPTH = 20
+START_OF_FILE = Where(1, 1)
+END_TOKEN = "$END"  # lark's name of the end of the text
+UNCLOSED_BRACKET = "this bracket is never closed"
 
 _parser = Lark(GRAMMAR, parser="lalr", propagate_positions=True)
 
 
-class ReadError(Exception):
-    """Text that is not S-expressions."""
-
-    def __init__(self, line: int, column: int, text: str) -> None:
-        super().__init__(text)
-        self.line, self.column, self.text = line, column, text
-
-
 @dataclass(frozen=True, slots=True)
 class Atom:
     """A word, or a string in quotes."""
 
     text: str
-    quoted: bool
-    line: int
-    column: int
+    where: Where
+    quoted: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,62 +42,72 @@
     """A list in brackets."""
 
     items: tuple[Atom | Form, ...]
-    line: int
-    column: int
+    where: Where
 
 
-def read(text: str) -> tuple[Form, ...]:
-    """The forms of a text; raises :class:`ReadError` at the first place that does not parse."""
+Forms = tuple[Form, ...]
+
+
+def read(text: str, file: str) -> Forms:
+    """Return the forms of a text; raise :class:`ReadError` at the first place that does not parse."""
     try:
         tree = _parser.parse(text)
-    except UnexpectedEOF:
-        raise ReadError(*_open_bracket(text)) from None
-    except UnexpectedToken as problem:
-        if problem.token.type == "$END":
-            raise ReadError(*_open_bracket(text)) from None
-        stray = f"{str(problem.token)!r} outside brackets"
-        text_ = "a closing bracket too many" if problem.token == ")" else stray
-        raise ReadError(problem.line, problem.column, text_) from None
-    except UnexpectedCharacters as problem:
-        raise ReadError(problem.line, problem.column, "a string that does not end on its line") from None
-    except UnexpectedInput as problem:
-        raise ReadError(problem.line, problem.column, "not readable") from None
-    return tuple(_form(node, 1) for node in tree.children if isinstance(node, Tree))
-
-
-def _form(tree: Tree[Token], depth: int) -> Form:
-    line, column = tree.meta.line, tree.meta.column
-    if depth > DEEPEST:
-        raise ReadError(line, column, f"brackets nested more than {DEEPEST} deep")
+    except UnexpectedInput as error:
+        raise _to_read_error(error, text, file) from None
+    return tuple(_form(node, 1, file) for node in tree.children if isinstance(node, Tree))
+
+
+def _to_read_error(error: UnexpectedInput, text: str, file: str) -> ReadError:
+    is_at_end = isinstance(error, UnexpectedToken) and error.token.type == END_TOKEN
+    if is_at_end or isinstance(error, UnexpectedEOF):
+        return ReadError(file, _find_open_bracket(text), UNCLOSED_BRACKET)
+    where = Where(error.line, error.column)
+    if isinstance(error, UnexpectedToken):
+        if error.token == ")":
+            return ReadError(file, where, "a closing bracket too many")
+        return ReadError(file, where, f"{str(error.token)!r} outside brackets")
+    if isinstance(error, UnexpectedCharacters):
+        return ReadError(file, where, "a string that does not end on its line")
+    return ReadError(file, where, "not readable")
+
+
+def _form(tree: Tree[Token], depth: int, file: str) -> Form:
+    where = Where(tree.meta.line, tree.meta.column)
+    if depth > MAX_DEPTH:
+        raise ReadError(file, where, f"brackets nested more than {MAX_DEPTH} deep")
     items: list[Atom | Form] = []
     for child in tree.children:
-        items.append(_form(child, depth + 1) if isinstance(child, Tree) else _atom(child))
-    return Form(tuple(items), line, column)
+        items.append(_form(child, depth + 1, file) if isinstance(child, Tree) else _atom(child, file))
+    return Form(tuple(items), where)
 
 
-def _atom(token: Token) -> Atom:
-    line, column = token.line or 0, token.column or 0
+def _atom(token: Token, file: str) -> Atom:
+    where = _place_of(token)
     if token.type != "STRING":
-        return Atom(str(token), False, line, column)
-    out, rest = [], iter(str(token)[1:-1])
-    for char in rest:
-        if char != "\\":
-            out.append(char)
+        return Atom(str(token), where)
+    characters: list[str] = []
+    rest = iter(str(token)[1:-1])
+    for character in rest:
+        if character != "\\":
+            characters.append(character)
             continue
         code = next(rest)
         if code not in ESCAPES:
-            raise ReadError(line, column, f"unknown escape \\{code} in a string")
-        out.append(ESCAPES[code])
-    return Atom("".join(out), True, line, column)
+            raise ReadError(file, where, f"unknown escape \\{code} in a string")
+        characters.append(ESCAPES[code])
+    return Atom("".join(characters), where, quoted=True)
 
 
-def _open_bracket(text: str) -> tuple[int, int, str]:
-    """The place of the innermost bracket that is never closed."""
-    stack: list[tuple[int, int]] = []
+def _find_open_bracket(text: str) -> Where:
+    """Return the place of the innermost bracket that is never closed."""
+    open_brackets: list[Where] = []
     for token in _parser.lex(text):
         if token == "(":
-            stack.append((token.line or 0, token.column or 0))
-        elif token == ")" and stack:
-            stack.pop()
-    line, column = stack[-1] if stack else (1, 1)
-    return line, column, "this bracket is never closed"
+            open_brackets.append(_place_of(token))
+        elif token == ")" and open_brackets:
+            open_brackets.pop()
+    return open_brackets[-1] if open_brackets else START_OF_FILE
+
+
+def _place_of(token: Token) -> Where:
+    return Where(token.line or 0, token.column or 0)
