--- a/heathwell/servers/client_connection.py
+++ b/heathwell/servers/client_connection.py
@@ -31,7 +31,7 @@
         """Whether no request is in progress and none has begun, as far as bytes were read."""
 
     def read(self) -> Coro[bytes]:
-        """Return the next bytes, b"" at the end. Raise ``StreamBroken`` when the connection is lost."""
+        """Return the next bytes, b"" at the end. Raise ``StreamBrokenError`` when the connection is lost."""
         data = yield from self.stream.read()
         self._has_unread_request = False
         return data
--- a/heathwell/servers/vector.py
+++ b/heathwell/servers/vector.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from heathwell.eventloop import Coro, Overrun, Stream
+from heathwell.eventloop import Coro, Stream, StreamOverrunError
 from heathwell.servers import vector_api as api
 from heathwell.servers.client_connection import DRAIN_CHECK_INTERVAL_US, ClientRegistry
 from heathwell.servers.vector_connection import VectorConnection, VectorServerStatistics
@@ -42,7 +42,7 @@
             return
         try:
             yield from connection.run()
-        except Overrun as error:
+        except StreamOverrunError as error:
             self.log("info", "client cut off", client=stream.peer, why=str(error))
         finally:
             self.clients.remove(connection)
--- a/heathwell/servers/vector_connection.py
+++ b/heathwell/servers/vector_connection.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from heathwell.codec.http import Request, Response, ServerSide
-from heathwell.eventloop import Coro, Event, Stream, StreamBroken
+from heathwell.eventloop import Coro, Event, Stream, StreamBrokenError
 from heathwell.servers import vector_answers as answers
 from heathwell.servers import vector_api as api
 from heathwell.servers.client_connection import ClientConnection, ClientRegistry
@@ -156,7 +156,7 @@
                 self._unparsed.append(data)
                 self._unparsed_bytes += len(data)
                 self._has_data.set()
-        except StreamBroken:
+        except StreamBrokenError:
             pass
         self.has_ended = True
         self._has_data.set()
--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -9,7 +9,7 @@
 
 from heathwell.broker.query_state import Handle
 from heathwell.broker.replies import ANSWERED, REFUSED, Reply
-from heathwell.eventloop import Coro, Event, StreamBroken
+from heathwell.eventloop import Coro, Event, StreamBrokenError
 from heathwell.servers import vector_api as api
 from heathwell.service.admission import CostModel, search_features, split_batch
 from heathwell.service.key_spaces import consecutive_shards, place
@@ -133,7 +133,7 @@
         """Return the results of all searches.
 
         Raise :class:`~heathwell.servers.vector_api.ApiError` with the first chunk that is rejected or fails,
-        ``StreamBroken`` once the search is cancelled.
+        ``StreamBrokenError`` once the search is cancelled.
         """
         while self._is_in_progress():
             if self._may_start():
@@ -145,7 +145,7 @@
             self._disconnect()
             raise _error_of(self._first_failure)
         if self._is_cancelled:
-            raise StreamBroken("the client left")
+            raise StreamBrokenError("the client left")
         replies = [self._replies[index] for index in range(len(self._chunks))]
         return SearchResults(replies, [merged for reply in replies for merged in reply.body["searches"]])
 
--- a/heathwell/service/broker_components.py
+++ b/heathwell/service/broker_components.py
@@ -148,7 +148,7 @@
 
 
 def _build_freshness(broker: ComponentsBroker) -> AnswerFreshness | None:
-    if not broker.service_settings.freshness.on:
+    if not broker.service_settings.freshness.enabled:
         return None
     return AnswerFreshness(broker, broker.live_replicas)
 
@@ -177,12 +177,14 @@
 
 
 def _build_storm_control(broker: ComponentsBroker, seed: int) -> StormControl | None:
-    if not broker.service_settings.storms.on:
+    if not broker.service_settings.storms.enabled:
         return None
     return StormControl(broker, broker.service_settings, seed)
 
 
 def _build_client_drain(broker: ComponentsBroker, seed: int, *, observes_zones: bool) -> ClientDrain:
     service_settings = broker.service_settings
-    of_evacuation = service_settings.fleet.zone_let_go if observes_zones else 0
-    return ClientDrain(service_settings.across.let_go or of_evacuation, seed ^ CLIENT_DRAIN_SEED_MASK)
+    of_evacuation = service_settings.fleet.zone_client_drain_duration_us if observes_zones else 0
+    return ClientDrain(
+        service_settings.across.client_drain_duration_us or of_evacuation, seed ^ CLIENT_DRAIN_SEED_MASK
+    )
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -213,7 +213,7 @@
         return (
             self.zone_observer is not None
             and self.zone_observer.is_evacuated()
-            or bool(self.service_settings.across.let_go)
+            or bool(self.service_settings.across.client_drain_duration_us)
             and self.cut_off
         )
 
--- a/heathwell/service/storm_control.py
+++ b/heathwell/service/storm_control.py
@@ -68,7 +68,7 @@
 
     def pace(self, listener: Listener) -> None:
         """Limit the rate at which a listener accepts connections."""
-        listener.pace = lambda: self.decider.accept_delay_us(self._broker.loop.now())
+        listener.accept_delay_us = lambda: self.decider.accept_delay_us(self._broker.loop.now())
         listener.on_accept = self.decider.on_connection_accepted
 
     def _tick(self) -> None:
