--- a/benchmarks/keepercost.py
+++ b/benchmarks/keepercost.py
@@ -114,12 +114,14 @@
         return used, sum(agent.quotas.holders["further"].admitted for agent in agents) - passed
 
     try:
-        used, passed = loop.run(loop.spawn(run(), "run"))
+        measured = loop.run(loop.spawn(run(), "run"))
     finally:
         for process in keepers:
             process.terminate()
             process.wait(10)
         wires.close()
+    assert measured is not None, "the run was stopped before its end"
+    used, passed = measured
     needs = sum(len(agent.quotas.holders) for agent in agents) / brokers
     print(
         f"{brokers} brokers, a renewal each {service_settings.fleet.renew / 1e6:g} s of {needs:.1f} "
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -16,7 +16,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from heathwell.eventloop import ConnectFailed, Coro, Net, StreamBroken, sleep, socket_loop
+from heathwell.eventloop import ConnectError, Coro, Net, StreamBrokenError, sleep, socket_loop
 from heathwell.settings import loads
 from heathwell.testing.audit import judge, read_logs
 from heathwell.testing.simulation.figures import run_figures
@@ -165,7 +165,7 @@
         try:
             stream = yield from net.connect(address, 2_000_000)
             yield from stream.read()
-        except (ConnectFailed, StreamBroken):
+        except (ConnectError, StreamBrokenError):
             pass
         yield from sleep(net.loop, random.randrange(100_000, 1_000_000))  # type: ignore[attr-defined]
 
--- a/heathwell/broker/query_registry.py
+++ b/heathwell/broker/query_registry.py
@@ -174,7 +174,7 @@
         """Keep one timer for each label, the earliest; the aggregator sets it again whenever it fires."""
         pending = version.timers.get(label)
         if pending is not None and pending.call is not None:
-            if pending.at <= at_us:
+            if pending.at_us <= at_us:
                 return
             pending.cancel()
         version.timers[label] = self.loop.call_at(at_us, self._push, policy.TimerFired(label), version)
--- a/heathwell/cli/control.py
+++ b/heathwell/cli/control.py
@@ -49,7 +49,7 @@
     SIGHUP reads the settings anew: the wholes of budgets may change while all run. It keeps nothing on disk.
     """
     fleet = process.service_settings.fleet
-    where = keepers.split(",") if keepers else list(fleet.keepers)
+    where = keepers.split(",") if keepers else list(fleet.coordinators)
     if not 0 <= number < len(where):
         click.echo(f"--number {number}: settings name {len(where)} keepers", err=True)
         sys.exit(2)
@@ -116,13 +116,13 @@
 
 
 def ask(address: str, question: frames.Message, kind: type[A], seconds: float = ANSWER_SECONDS) -> A:
-    """An operator's question; raises as :func:`heathwell.codec.inner_protocol.ask`."""
-    return inner_protocol.ask(address, f"cli{os.getpid()}", "cli", question, kind, seconds)
+    """An operator's question; raises as :func:`heathwell.codec.inner_protocol.request`."""
+    return inner_protocol.request(address, f"cli{os.getpid()}", "cli", question, kind, seconds)
 
 
 def _where(config: str, keepers: str) -> tuple[ServiceSettings, list[str]]:
     service_settings = settings_of(config)
-    where = keepers.split(",") if keepers else list(service_settings.fleet.keepers)
+    where = keepers.split(",") if keepers else list(service_settings.fleet.coordinators)
     if not where:
         click.echo(f"{config}: fleet.keepers: none are named, so there is no roll and no budget", err=True)
         sys.exit(2)
@@ -139,7 +139,10 @@
         for member in view.members:
             states[member.name, member.incarnation].append(member.state)
             old = latest.get(member.name)
-            if old is None or (member.incarnation, -member.heard_us) > (old.incarnation, -old.heard_us):
+            if old is None or (member.incarnation, -member.last_contact_age_us) > (
+                old.incarnation,
+                -old.last_contact_age_us,
+            ):
                 latest[member.name] = member
     return [
         {
@@ -148,7 +151,7 @@
             "zone": member.zone,
             "incarnation": member.incarnation,
             "since_s": round(member.since_us / 1e6, 1),
-            "heard_s": round(member.heard_us / 1e6, 2),
+            "heard_s": round(member.last_contact_age_us / 1e6, 2),
             "program": member.program,
             "settings": member.digest,
             "views": f"{states[member.name, member.incarnation].count(member.state)}/{len(views)}",
@@ -242,7 +245,7 @@
     """What of each budget is given out, to whom, until when."""
     found = ask_keepers(_where(config, keepers)[1])
     rows = budget_rows(found.views)
-    owners = {view.keeper: view.owned for view in found.views}
+    owners = {view.coordinator: view.owned for view in found.views}
     lines = []
     for row in rows:
         lines.append(
--- a/heathwell/cli/rollout.py
+++ b/heathwell/cli/rollout.py
@@ -304,7 +304,7 @@
     keepers the lock on its folder must do.
     """
     fleet = service_settings.fleet
-    if not fleet.keepers:
+    if not fleet.coordinators:
         return lambda: True
     times = quota_timings_from_settings(fleet)
     member = LocalMember(
@@ -319,7 +319,7 @@
         process.net,
         member,
         (rollout_lease_budget(fleet),),
-        tuple(keepers.split(",")) if keepers else tuple(fleet.keepers),
+        tuple(keepers.split(",")) if keepers else tuple(fleet.coordinators),
         renewal_interval_us=fleet.renew,
         timings=times,
         seed=os.getpid(),
--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -25,7 +25,7 @@
     MonotonicClock,
     Net,
     SkewedClock,
-    calm_collector,
+    configure_garbage_collector,
     sleep,
     socket_loop,
 )
@@ -128,7 +128,7 @@
 
     def run(self, main: Callable[[], Coro[Any]]) -> None:
         """Run until the main coroutine ends; an address that can't be had is exit code 3."""
-        calm_collector()
+        configure_garbage_collector()
         try:
             self.loop.run(self.loop.spawn(main(), "main"))
         except OSError as problem:
@@ -295,7 +295,7 @@
 def _agent(process: Process, zone: int, seed: int, keepers: str) -> FleetAgent | None:
     """The agent of a broker whose settings name keepers; without these nothing of the control is imported."""
     fleet = process.service_settings.fleet
-    if not fleet.keepers:
+    if not fleet.coordinators:
         return None
     from heathwell.fleet.control.fleet_agent import FleetAgent  # noqa: PLC0415
     from heathwell.fleet.control.parameters import budgets_from_settings, quota_timings_from_settings  # noqa: PLC0415
@@ -311,7 +311,7 @@
         digest=process.digest,
         timeouts=times.membership,
     )
-    where = tuple(keepers.split(",")) if keepers else tuple(fleet.keepers)
+    where = tuple(keepers.split(",")) if keepers else tuple(fleet.coordinators)
     return FleetAgent(
         process.loop,
         process.net,
--- a/heathwell/codec/frames/clocks.py
+++ b/heathwell/codec/frames/clocks.py
@@ -5,14 +5,14 @@
 from heathwell.codec.frames.message import Message
 
 
-class ClockRequest(Message, tag="askclock"):
+class ClockRequest(Message, tag="askclock", rename={"number": "n"}):
     """Requests the time of the source's clock."""
 
-    n: int
+    number: int
 
 
-class ClockReply(Message, tag="clock"):
+class ClockReply(Message, tag="clock", rename={"number": "n"}):
     """The source's time, read between the arrival of the request and the sending of this reply."""
 
-    n: int
+    number: int
     source_us: int
--- a/heathwell/codec/frames/coordination.py
+++ b/heathwell/codec/frames/coordination.py
@@ -19,7 +19,7 @@
     goes_by: list[tuple[int, str, int]] = []
 
 
-class RenewalRequest(Message, tag="renew"):
+class RenewalRequest(Message, tag="renew", rename={"last_reply_number": "heard"}):
     """A broker's request to a quota coordinator: its identity and its demands.
 
     ``asked_us`` is a time of the broker's own clock, which the reply repeats.
@@ -32,7 +32,7 @@
     program: str = ""
     digest: str = ""
     run: str = ""
-    heard: int = 0
+    last_reply_number: int = 0
     leaves: bool = False
     needs: list[QuotaDemand] = []
     seen: list[ZoneReport] = []
--- a/heathwell/codec/frames/fleet_status.py
+++ b/heathwell/codec/frames/fleet_status.py
@@ -11,7 +11,7 @@
     """Requests a coordinator's view of members and budgets."""
 
 
-class MemberStatus(msgspec.Struct, omit_defaults=True):
+class MemberStatus(msgspec.Struct, omit_defaults=True, rename={"last_contact_age_us": "heard_us"}):
     """A row of a coordinator's membership table; times are ages."""
 
     name: str
@@ -19,7 +19,7 @@
     state: str
     since_us: int
     state_us: int
-    heard_us: int
+    last_contact_age_us: int
     zone: str = ""
     program: str = ""
     digest: str = ""
@@ -48,10 +48,10 @@
     apart: int = 0
 
 
-class FleetView(Message, tag="fleetview"):
+class FleetView(Message, tag="fleetview", rename={"coordinator": "keeper"}):
     """A coordinator's reply to :class:`FleetRequest`."""
 
-    keeper: str
+    coordinator: str
     run: str
     owned: dict[int, int] = {}
     members: list[MemberStatus] = []
--- a/heathwell/codec/frames/machines.py
+++ b/heathwell/codec/frames/machines.py
@@ -33,14 +33,14 @@
     """Requests the status of a machine's brokers."""
 
 
-class BrokerStatus(msgspec.Struct, omit_defaults=True):
+class BrokerStatus(msgspec.Struct, omit_defaults=True, rename={"desired_version": "wanted"}):
     """One broker of a machine. Sums are those of its serving process, numbered ``run``."""
 
     broker: str
     zone: str
     state: str
     version: str = ""
-    wanted: str = ""
+    desired_version: str = ""
     failed: str = ""
     run: int = 0
     deaths: int = 0
--- a/heathwell/codec/frames/session.py
+++ b/heathwell/codec/frames/session.py
@@ -25,14 +25,14 @@
     text: str
 
 
-class Ping(Message, tag="ping"):
+class Ping(Message, tag="ping", rename={"number": "n"}):
     """A probe."""
 
-    n: int
+    number: int
 
 
-class Pong(Message, tag="pong"):
+class Pong(Message, tag="pong", rename={"number": "n"}):
     """A probe's answer."""
 
-    n: int
+    number: int
     inflight: int = 0
--- a/heathwell/codec/inner_protocol.py
+++ b/heathwell/codec/inner_protocol.py
@@ -42,25 +42,25 @@
         stream.write(frames.encode(frames.VersionMismatch(str(error))))
 
 
-def ask(
+def request(
     address: str,
     name: str,
     role: str,
-    request: frames.Message,
+    message: frames.Message,
     reply_type: type[Reply],
     timeout_seconds: float,
 ) -> Reply:
-    """Send a request and return the reply of a type, each read taking up to ``timeout_seconds``.
+    """Send a message and return the reply of a type, each read taking up to ``timeout_seconds``.
 
     Raise :class:`OSError`, :class:`FrameError`, or :class:`ValueError` for a malformed address or a missing
     reply.
     """
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port)), timeout_seconds) as sock:
-        sock.sendall(frames.encode(frames.Hello(frames.VERSION, name, role)) + frames.encode(request))
+        sock.sendall(frames.encode(frames.Hello(frames.VERSION, name, role)) + frames.encode(message))
         decoder = frames.Frames()
         while data := sock.recv(READ_SIZE_BYTES):
-            for message in decoder.feed(data):
-                if isinstance(message, reply_type):
-                    return message
+            for reply in decoder.feed(data):
+                if isinstance(reply, reply_type):
+                    return reply
     raise ValueError("closed without an answer")
--- a/heathwell/codec/memcached.py
+++ b/heathwell/codec/memcached.py
@@ -329,11 +329,6 @@
     return CommandError(b"ERROR\r\n")
 
 
-# The names before the renaming, for importers that are not yet adapted.
-Bad = MalformedCommand
-Refuse = RejectedCommand
-Simple = ServerCommand
-
 # Replies.
 
 END = b"END\r\n"
--- a/heathwell/eventloop/__init__.py
+++ b/heathwell/eventloop/__init__.py
@@ -24,20 +24,10 @@
 from heathwell.eventloop.virtual import HostNet, VirtualNet, VirtualPoller, VirtualRuntime, virtual_loop
 from heathwell.eventloop.worker import Worker
 
-# The names before the exceptions were renamed, for importers that are not yet adapted.
-Cancelled = CancelledError
-ConnectFailed = ConnectError
-Overrun = StreamOverrunError
-Stalled = StalledError
-StreamBroken = StreamBrokenError
-calm_collector = configure_garbage_collector
-
 __all__ = [
-    "Cancelled",
     "CancelledError",
     "ConcurrentReadError",
     "ConnectError",
-    "ConnectFailed",
     "Coro",
     "EpollPoller",
     "Event",
@@ -47,14 +37,11 @@
     "Loop",
     "MonotonicClock",
     "Net",
-    "Overrun",
     "SkewedClock",
     "SocketNet",
     "SocketRuntime",
-    "Stalled",
     "StalledError",
     "Stream",
-    "StreamBroken",
     "StreamBrokenError",
     "StreamOverrunError",
     "Task",
@@ -65,7 +52,6 @@
     "VirtualRuntime",
     "Worker",
     "WorkerQueueFullError",
-    "calm_collector",
     "configure_garbage_collector",
     "sleep",
     "socket_loop",
--- a/heathwell/eventloop/loop.py
+++ b/heathwell/eventloop/loop.py
@@ -12,15 +12,16 @@
 import traceback
 from collections import deque
 from collections.abc import Callable, Generator
-from typing import Any, Protocol, TypeVar
+from typing import Any, Generic, Protocol, TypeVar
 
 from heathwell.eventloop.clock import Clock
 from heathwell.eventloop.errors import CancelledError
 
 T = TypeVar("T")
+T_co = TypeVar("T_co", covariant=True)
 Coro = Generator[Any, Any, T]
 Abort = Callable[[], None]
-Trap = Callable[["Task"], "Abort | None"]
+Trap = Callable[["Task[object]"], "Abort | None"]
 Callback = Callable[..., None]
 Arguments = tuple[object, ...]
 
@@ -43,11 +44,11 @@
 class Timer:
     """A call at a clock time. A cancelled timer stays in the heap until it is due or the heap is rebuilt."""
 
-    __slots__ = ("args", "at", "call", "loop")
+    __slots__ = ("args", "at_us", "call", "loop")
 
     def __init__(self, loop: Loop, at_us: int, call: Callback, args: Arguments) -> None:
         self.loop = loop
-        self.at = at_us
+        self.at_us = at_us
         self.args = args
         self.call: Callback | None = call
 
@@ -59,7 +60,7 @@
             self.loop.timer_cancelled()
 
 
-class Task:
+class Task(Generic[T_co]):
     """A running coroutine. Its children are cancelled when it ends.
 
     ``parent.children`` and ``loop.tasks`` are dictionaries for their order: that of the tasks' start.
@@ -81,22 +82,22 @@
         "result",
     )
 
-    def __init__(self, loop: Loop, gen: Coro[Any], name: str, parent: Task | None) -> None:
+    def __init__(self, loop: Loop, gen: Coro[T_co], name: str, parent: Task[object] | None) -> None:
         self.loop = loop
         self.name = name
         self.parent = parent
         self._gen = gen
         self._abort: Abort | None = None
-        self._pending: tuple[Any, BaseException | None] = (None, None)
+        self._pending: tuple[object, BaseException | None] = (None, None)
         self._queued = False
-        self._waiters: list[Task] = []
-        self.children: dict[Task, None] = {}
+        self._waiters: list[Task[object]] = []
+        self.children: dict[Task[object], None] = {}
         self.cancelling = False
         self.done = False
-        self.result: Any = None
+        self.result: T_co | None = None
         self.error: BaseException | None = None
 
-    def wake(self, value: Any = None, error: BaseException | None = None) -> None:
+    def wake(self, value: object = None, error: BaseException | None = None) -> None:
         """Make a waiting task ready, with the value or the error of its wait; a second call is a no-op."""
         if self.done or self._queued:
             return
@@ -117,7 +118,7 @@
         else:
             self.wake(None, CancelledError())
 
-    def join(self) -> Coro[Any]:
+    def join(self) -> Coro[T_co | None]:
         """Wait for the task's end and return its result; raise its error. A cancelled task returns None."""
         if not self.done:
             yield self._wait_for_end
@@ -125,7 +126,7 @@
             raise self.error
         return self.result
 
-    def _wait_for_end(self, waiter: Task) -> Abort:
+    def _wait_for_end(self, waiter: Task[object]) -> Abort:
         self._waiters.append(waiter)
         return lambda: self._waiters.remove(waiter)
 
@@ -137,17 +138,17 @@
         try:
             trap = self._gen.send(value) if error is None else self._gen.throw(error)
         except StopIteration as stop:
-            self._end(stop.value, None)
+            self.result = stop.value
+            self._end(None)
         except CancelledError as cancelled:
-            self._end(None, cancelled)
+            self._end(cancelled)
         except Exception as problem:  # noqa: BLE001  # an error ends its own task and not the loop
-            self._end(None, problem)
+            self._end(problem)
         else:
             self._abort = trap(self)
 
-    def _end(self, result: Any, error: BaseException | None) -> None:
+    def _end(self, error: BaseException | None) -> None:
         self.done = True
-        self.result = result
         self.error = error
         if self.parent is not None:
             self.parent.children.pop(self, None)
@@ -173,7 +174,7 @@
         self.clock = clock
         self.poller = poller
         self._order = random.Random(seed) if seed is not None else None
-        self._ready: deque[Task] = deque()
+        self._ready: deque[Task[object]] = deque()
         self._calls: deque[tuple[Callback, Arguments]] = deque()
         self._threadsafe_calls: deque[tuple[Callback, Arguments]] = deque()
         self._timers: list[tuple[int, int, Timer]] = []
@@ -181,7 +182,7 @@
         self._cancelled_timers = 0  # of those in the heap
         self._hooks: list[Callable[[], None]] = []
         self._stopping = False
-        self.tasks: dict[Task, None] = {}
+        self.tasks: dict[Task[object], None] = {}
         self.turns = 0
         self.on_error: Callable[[str, BaseException], None] = _print_to_stderr
 
@@ -189,7 +190,7 @@
         """Return the clock's time in microseconds."""
         return self.clock.now()
 
-    def spawn(self, gen: Coro[Any], name: str, parent: Task | None = None) -> Task:
+    def spawn(self, gen: Coro[T], name: str, parent: Task[object] | None = None) -> Task[T]:
         """Start a coroutine as a task; it is cancelled when its parent, if any, ends."""
         task = Task(self, gen, name, parent)
         self.tasks[task] = None
@@ -222,11 +223,11 @@
         """Pass an error that no task waits for to :attr:`on_error`."""
         self.on_error(name, error)
 
-    def make_ready(self, task: Task) -> None:
+    def make_ready(self, task: Task[object]) -> None:
         """Queue a task for the next turn."""
         self._ready.append(task)
 
-    def task_ended(self, task: Task) -> None:
+    def task_ended(self, task: Task[object]) -> None:
         """Remove a task that has ended."""
         self.tasks.pop(task, None)
 
@@ -243,7 +244,7 @@
         """End :meth:`run` after this turn."""
         self._stopping = True
 
-    def run(self, main: Task | None = None) -> Any:
+    def run(self, main: Task[T] | None = None) -> T | None:
         """Run until ``main`` has ended or :meth:`stop` is called; return the result of ``main``.
 
         Raise the error of ``main``. The result is None where ``main`` was cancelled or has not ended.
@@ -314,7 +315,7 @@
 def sleep(loop: Loop, duration_us: int) -> Coro[None]:
     """Wait for a duration; with 0 the other ready tasks run once."""
 
-    def wait_for_timer(task: Task) -> Abort:
+    def wait_for_timer(task: Task[object]) -> Abort:
         """Wake the task when the duration is over."""
         timer = loop.call_at(loop.now() + max(duration_us, 0), task.wake)
         return timer.cancel
@@ -327,7 +328,7 @@
 
     def __init__(self) -> None:
         self.is_set = False
-        self._waiters: dict[Task, None] = {}
+        self._waiters: dict[Task[object], None] = {}
 
     def set(self) -> None:
         """Set the flag and wake all waiting tasks."""
@@ -346,6 +347,6 @@
         while not self.is_set:
             yield self._park
 
-    def _park(self, task: Task) -> Abort:
+    def _park(self, task: Task[object]) -> Abort:
         self._waiters[task] = None
         return lambda: self._waiters.pop(task, None) and None
--- a/heathwell/eventloop/net.py
+++ b/heathwell/eventloop/net.py
@@ -44,8 +44,8 @@
         self.hung_up = False  # the peer sent its end or reset the stream; earlier bytes may be unread
         self._ending = False
         self._eof_sent = False
-        self._reader: Task | None = None
-        self._drainers: list[Task] = []
+        self._reader: Task[object] | None = None
+        self._drainers: list[Task[object]] = []
         self._chunks: deque[bytes] = deque()
         self._unread: deque[bytes] = deque()
         self._consecutive_reads = 0
@@ -219,7 +219,7 @@
         self.on_flushed = None
         self.on_hangup = None
 
-    def _park_reader(self, task: Task) -> Abort:
+    def _park_reader(self, task: Task[object]) -> Abort:
         if self._reader is not None:
             task.wake(None, ConcurrentReadError())
             return lambda: None
@@ -229,7 +229,7 @@
     def _unpark_reader(self) -> None:
         self._reader = None
 
-    def _park_drainer(self, task: Task) -> Abort:
+    def _park_drainer(self, task: Task[object]) -> Abort:
         self._drainers.append(task)
         return lambda: self._drainers.remove(task) if task in self._drainers else None
 
@@ -240,8 +240,8 @@
 class Listener(ABC):
     """Accepts connections, each served by a task of its own, up to ``max_connections`` at a time.
 
-    ``pace``, if set, returns how many microseconds the next connection must still wait in the backlog;
-    ``on_accept`` is called for each accepted connection.
+    ``accept_delay_us``, if set, returns the microseconds that the next connection must still wait in the
+    backlog; ``on_accept`` is called for each accepted connection.
     """
 
     def __init__(self, address: str, handler: Handler, name: str, max_connections: int) -> None:
@@ -253,8 +253,8 @@
         self.accepted = 0
         self.rejected = 0  # over max_connections
         self.accept_backoffs = 0  # waits for descriptors or memory
-        self.paced = 0  # waits that `pace` asked for
-        self.pace: Callable[[], int] | None = None
+        self.delayed_accepts = 0  # waits that `accept_delay_us` returned
+        self.accept_delay_us: Callable[[], int] | None = None
         self.on_accept: Callable[[], None] | None = None
 
     def serve(self, stream: Stream) -> Coro[None]:
--- a/heathwell/eventloop/sockets.py
+++ b/heathwell/eventloop/sockets.py
@@ -132,7 +132,7 @@
         for _ in range(MAX_CONSECUTIVE_ACCEPTS):
             if self._closed:
                 return
-            if self.pace is not None and (wait_us := self.pace()):
+            if self.accept_delay_us is not None and (wait_us := self.accept_delay_us()):
                 self._pause(wait_us)
                 return
             try:
@@ -163,7 +163,7 @@
 
     def _pause(self, wait_us: int) -> None:
         """Leave connections in the kernel's backlog until the timer fires."""
-        self.paced += 1
+        self.delayed_accepts += 1
         if not self._is_paced:
             self._is_paced = True
             self._net.loop.call_at(self._net.loop.now() + wait_us, self._resume)
@@ -222,7 +222,7 @@
     def _wait_connected(self, stream: SocketStream, sock: socket.socket, timeout_us: int) -> Coro[None]:
         """Wait for the end of a connect, and register the stream; raise :class:`ConnectError`."""
 
-        def wait_for_writable(task: Task) -> Abort:
+        def wait_for_writable(task: Task[object]) -> Abort:
             """Wake the task with True once the socket is writable, with None at the timeout."""
             timer = self.loop.call_at(self.loop.now() + timeout_us, task.wake)
 
--- a/heathwell/eventloop/virtual.py
+++ b/heathwell/eventloop/virtual.py
@@ -207,8 +207,8 @@
 
     def _wait_in_backlog(self, listener: VirtualListener, timeout_us: int) -> Coro[None]:
         until_us = self.loop.now() + timeout_us
-        while listener.pace is not None and (wait_us := listener.pace()):
-            listener.paced += 1
+        while listener.accept_delay_us is not None and (wait_us := listener.accept_delay_us()):
+            listener.delayed_accepts += 1
             if self.loop.now() + wait_us > until_us:
                 raise ConnectError(CONNECT_TIMED_OUT)
             yield from sleep(self.loop, wait_us)
--- a/heathwell/eventloop/worker.py
+++ b/heathwell/eventloop/worker.py
@@ -42,7 +42,7 @@
     def run(self, job: Callable[[], T]) -> Coro[T]:
         """Wait for a job and return its result; raise its error, or :class:`WorkerQueueFullError`."""
 
-        def wait_for_job(task: Task) -> Abort:
+        def wait_for_job(task: Task[object]) -> Abort:
             """Queue the job; its outcome wakes the task."""
             if not self.submit(job, task.wake):
                 task.wake(None, WorkerQueueFullError())
--- a/heathwell/fleet/control/link.py
+++ b/heathwell/fleet/control/link.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from heathwell.codec import frames, inner_protocol
-from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
+from heathwell.eventloop import ConnectError, Coro, Loop, Net, Stream, StreamBrokenError, Task, sleep
 from heathwell.fleet.control.messages import MAX_MESSAGE_BYTES
 
 CONNECT_TIMEOUT_US = 1_000_000
@@ -58,7 +58,7 @@
         self.stream: Stream | None = None
         self.last_received_at_us = 0
         self._reported_problem: str | None = None
-        self._task: Task = loop.spawn(self._run(), f"control {address}")
+        self._task: Task[None] = loop.spawn(self._run(), f"control {address}")
 
     @property
     def is_connected(self) -> bool:
@@ -86,7 +86,7 @@
         while True:
             try:
                 yield from self._exchange()
-            except (ConnectFailed, StreamBroken, frames.FrameError) as problem:
+            except (ConnectError, StreamBrokenError, frames.FrameError) as problem:
                 self._report_problem(str(problem))
             yield from sleep(self.loop, int(RECONNECT_INTERVAL_US * self.random.uniform(*RECONNECT_JITTER)))
 
@@ -105,7 +105,7 @@
             self.last_received_at_us = self.loop.now()
             self.stream = stream
             yield from inner_protocol.listen(stream, self._on_message, MAX_MESSAGE_BYTES)
-            raise StreamBroken("closed by the other side")
+            raise StreamBrokenError("closed by the other side")
         finally:
             self.stream = None
             stream.abort()
--- a/heathwell/fleet/control/messages.py
+++ b/heathwell/fleet/control/messages.py
@@ -67,7 +67,7 @@
         message.program,
         message.digest,
         message.run,
-        message.heard,
+        message.last_reply_number,
         message.leaves,
     )
     return QuotaRenewal(
--- a/heathwell/fleet/control/node_agent.py
+++ b/heathwell/fleet/control/node_agent.py
@@ -14,7 +14,7 @@
 
 from heathwell.codec import frames, inner_protocol
 from heathwell.codec.http import HttpError
-from heathwell.eventloop import ConnectFailed, Coro, Listener, Loop, Net, Stream, StreamBroken, sleep
+from heathwell.eventloop import ConnectError, Coro, Listener, Loop, Net, Stream, StreamBrokenError, sleep
 from heathwell.fleet.control.broker_process import (
     ProcessLauncher,
     RunningProcess,
@@ -281,7 +281,7 @@
         """Ask a process once; one that does not answer counts as silent after a while."""
         try:
             report = yield from fetch_service_report(self.net, process.admin_address, POLL_TIMEOUT_US)
-        except (ConnectFailed, StreamBroken, HttpError, ValueError):
+        except (ConnectError, StreamBrokenError, HttpError, ValueError):
             return
         if report is not None:
             process.report = report
@@ -338,7 +338,7 @@
             zone=self.zones[broker.zone_number],
             state=supervisor.state,
             version=supervisor.version,
-            wanted=supervisor.desired_version,
+            desired_version=supervisor.desired_version,
             failed=supervisor.failures.get(supervisor.desired_version, ""),
             run=supervisor.serving.run if supervisor.serving is not None else 0,
             deaths=supervisor.unexpected_exits,
--- a/heathwell/fleet/control/parameters.py
+++ b/heathwell/fleet/control/parameters.py
@@ -44,7 +44,7 @@
         int(settings.whole) - brokers,
         0,
         brokers,
-        len(fleet.keepers),
+        len(fleet.coordinators),
         linger_timeout_us=settings.linger,
         scope_kind=ENDPOINT_SCOPE,
         uncounted=brokers,
@@ -59,7 +59,7 @@
         int(settings.whole * MILLIUNITS),
         int(settings.whole * settings.aside * MILLIUNITS),
         max_brokers(fleet),
-        len(fleet.keepers),
+        len(fleet.coordinators),
         burst_window_us=settings.burst,
         scope_kind=ENDPOINT_SCOPE if settings.name == SLOW_START_BUDGET else "",
     )
@@ -67,7 +67,9 @@
 
 def rollout_lease_budget(fleet: Fleet) -> Budget:
     """The one unit that the active rollout controller holds as its lease."""
-    return Budget(ROLLOUT_BUDGET, BudgetKind.COUNT, 1, 0, max_brokers(fleet), len(fleet.keepers), sticky=True)
+    return Budget(
+        ROLLOUT_BUDGET, BudgetKind.COUNT, 1, 0, max_brokers(fleet), len(fleet.coordinators), sticky=True
+    )
 
 
 def quota_timings_from_settings(fleet: Fleet) -> QuotaTimings:
--- a/heathwell/fleet/control/rollout.py
+++ b/heathwell/fleet/control/rollout.py
@@ -204,8 +204,8 @@
             name
             for name, status in self.fleet.statuses.items()
             if status.failed
-            and status.wanted == desired.get(name)
-            and status.wanted != controller.old_version
+            and status.desired_version == desired.get(name)
+            and status.desired_version != controller.old_version
         ]
         if controller.state == RolloutState.DEPLOYING:
             updated = controller.updated_brokers()
--- a/heathwell/fleet/control/service_report.py
+++ b/heathwell/fleet/control/service_report.py
@@ -44,8 +44,8 @@
 def fetch_service_report(net: Net, address: str, connect_timeout_us: int) -> Coro[ServiceReport | None]:
     """Ask a process for its sums; None for any status but 200.
 
-    Raises :class:`ConnectFailed`, :class:`StreamBroken`, :class:`HttpError` or :class:`ValueError`. Only the
-    connect has a timeout; the caller cancels the task of an answer that does not come.
+    Raises :class:`ConnectError`, :class:`StreamBrokenError`, :class:`HttpError` or :class:`ValueError`. Only
+    the connect has a timeout; the caller cancels the task of an answer that does not come.
     """
     stream: Stream | None = None
     try:
--- a/heathwell/gateway/discovery.py
+++ b/heathwell/gateway/discovery.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 
 from heathwell.codec.http import ClientSide, HttpError
-from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
+from heathwell.eventloop import ConnectError, Coro, Loop, Net, Stream, StreamBrokenError, Task, sleep
 from heathwell.gateway.targets import Targets, TargetsError
 
 MAX_HOLD_US = 60_000_000  # of a watch, by the platform's protocol
@@ -94,7 +94,7 @@
         self.grace_us = grace_us
         self._urgent_until_us = 0
         self._answered = False  # since the watch was last opened
-        self._task: Task | None = None
+        self._task: Task[None] | None = None
 
     def start(self) -> None:
         """Watch if lists are pushed; otherwise the module asks first."""
@@ -136,7 +136,7 @@
                     self.log("info", "discovery: the watch fell silent, it is opened anew")
                     continue
                 failure: Exception = problem
-            except (ConnectFailed, StreamBroken, HttpError, TargetsError) as problem:
+            except (ConnectError, StreamBrokenError, HttpError, TargetsError) as problem:
                 failure = problem
             self.failures += 1
             if self.loop.now() + pause_us >= self._urgent_until_us:
@@ -214,7 +214,7 @@
                 if response.status != 200:
                     raise HttpError(f"status {response.status}")
                 return Targets.from_bytes(response.body)
-        except StreamBroken:
+        except StreamBrokenError:
             if self.loop.now() >= timeout_at_us:
                 raise DiscoverySilentError("no answer in time") from None
             raise
--- a/heathwell/gateway/front.py
+++ b/heathwell/gateway/front.py
@@ -16,7 +16,7 @@
 from heathwell.broker.query_state import Handle
 from heathwell.broker.replies import ANSWERED, REFUSED, Reply
 from heathwell.codec.http import Request, Response, ServerSide
-from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken
+from heathwell.eventloop import Coro, Event, Stream, StreamBrokenError, StreamOverrunError
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.requests import BadRequestError, RequestChecker
 
@@ -71,7 +71,7 @@
         self.clients[client] = None
         try:
             yield from client.run()
-        except Overrun as problem:
+        except StreamOverrunError as problem:
             self.counts["cut off"] += 1
             self.log("info", "client cut off", why=str(problem))
         finally:
@@ -265,7 +265,7 @@
         side.closing = side.closing or self.front.draining
         try:
             self.stream.write(side.respond(response))
-        except StreamBroken:
+        except StreamBrokenError:
             return
         self.since_us = self.loop.now()
         if side.closing:
@@ -293,7 +293,7 @@
         try:
             self.stream.write(self.side.respond(response))
             self.stream.end()
-        except StreamBroken:
+        except StreamBrokenError:
             return
         self.since_us = self.loop.now()
         self.front.inactive[self] = None
--- a/heathwell/gateway/node_connection.py
+++ b/heathwell/gateway/node_connection.py
@@ -21,7 +21,7 @@
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.broker.idle_connections import IdleTime
 from heathwell.codec import nodeframes as nf
-from heathwell.eventloop import ConnectFailed, Coro, Stream, StreamBroken, Task
+from heathwell.eventloop import ConnectError, Coro, Stream, StreamBrokenError, Task
 from heathwell.gateway.node_attempts import (
     ABANDONED_ID_RETENTION_US,
     ANSWERED_ID_RETENTION_US,
@@ -68,7 +68,7 @@
         self._finished = False
         self._closed_by_us = False
         self._writing_calls = False
-        self._task: Task = self.loop.spawn(self._run(), f"node {link.node}")
+        self._task: Task[None] = self.loop.spawn(self._run(), f"node {link.node}")
 
     # Called by the pool.
 
@@ -164,9 +164,9 @@
             self._on_connected(self.stream)
             while data := (yield from self.stream.read()):
                 self._on_data(data)
-        except ConnectFailed as problem:
+        except ConnectError as problem:
             self.link.log_info("no connection", str(problem))
-        except StreamBroken as problem:
+        except StreamBrokenError as problem:
             if self.in_flight:
                 self.link.log_info("connection lost", str(problem))
         except nf.FrameError as problem:
@@ -182,7 +182,7 @@
         """Connect, with one retry if the connection is reset while it is established."""
         try:
             return (yield from self.link.net.connect(self.address, self.link.limits.connect_us))
-        except ConnectFailed as problem:
+        except ConnectError as problem:
             if not problem.reset:
                 raise
         return (yield from self.link.net.connect(self.address, self.link.limits.connect_us))
@@ -212,7 +212,7 @@
                     self._on_probe_answer(ok=ok)
                 case nf.Unusable(words=words):
                     self.link.log_info("a frame could not be used", words)
-                    raise StreamBroken("the node could not use a frame")
+                    raise StreamBrokenError("the node could not use a frame")
         if self._incoming.left and not self.in_flight and not self._sent_probes:
             raise nf.FrameError("bytes that belong to nothing")
         self._waiting_since_us = self.loop.now() if self.in_flight or self._sent_probes else None
--- a/heathwell/gateway/process.py
+++ b/heathwell/gateway/process.py
@@ -15,7 +15,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from heathwell.eventloop import Listener, calm_collector, socket_loop
+from heathwell.eventloop import Listener, configure_garbage_collector, socket_loop
 from heathwell.eventloop.clock import Clock
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import Config, ConfigError, load
@@ -94,7 +94,7 @@
         )
         for earlier in pending:
             handlers[signal.Signals(earlier)]()
-        calm_collector()
+        configure_garbage_collector()
         self.log(
             "info",
             "ready",
--- a/heathwell/servers/memcached.py
+++ b/heathwell/servers/memcached.py
@@ -21,7 +21,7 @@
 from heathwell.broker.query_state import Handle
 from heathwell.broker.replies import ANSWERED, FAILED, MISS, Age, Reply
 from heathwell.codec import memcached as mc
-from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken
+from heathwell.eventloop import Coro, Event, Stream, StreamBrokenError, StreamOverrunError
 from heathwell.service.coverage import encode
 from heathwell.service.retry_storms import Doors
 from heathwell.service.service_broker import ServiceBroker
@@ -75,7 +75,7 @@
         self.connections[connection] = None
         try:
             yield from connection.run()
-        except Overrun as problem:
+        except StreamOverrunError as problem:
             self.cut_slow += 1
             self.log("info", "client cut off", client=stream.peer, why=str(problem))
         finally:
@@ -145,7 +145,7 @@
         self.asked = 0
         self.quitting = False
         self._room = Event()
-        self._overrun: Overrun | None = None
+        self._overrun: StreamOverrunError | None = None
 
     def run(self) -> Coro[None]:
         """Read until the client has no more to ask and everything asked is answered."""
@@ -209,17 +209,17 @@
                 return
             case mc.Noop():
                 slot.ready = b"MN\r\n"
-            case mc.Refuse(quiet=quiet):
+            case mc.RejectedCommand(quiet=quiet):
                 self.front.refused_writes += 1
                 slot.ready = b"" if quiet else mc.server_error(mc.READ_ONLY)
-            case mc.Bad(line=line):
+            case mc.MalformedCommand(line=line):
                 self.front.bad += 1
                 slot.ready = line
-            case mc.Simple():
+            case mc.ServerCommand():
                 slot.ready = self._simple(command)
         self._write_ready()
 
-    def _simple(self, command: mc.Simple) -> bytes:
+    def _simple(self, command: mc.ServerCommand) -> bytes:
         match command.name:
             case "version":
                 return b"VERSION " + __version__.encode() + b"\r\n"
@@ -268,9 +268,9 @@
                 ready = self.slots.popleft().ready
                 if ready:
                     self.stream.write(ready)
-        except Overrun as problem:
+        except StreamOverrunError as problem:
             self._overrun = problem
-        except StreamBroken:
+        except StreamBrokenError:
             pass  # the reading side ends the connection
         self._room.set()
 
--- a/heathwell/servers/vector.py
+++ b/heathwell/servers/vector.py
@@ -19,7 +19,7 @@
 from heathwell.broker.query_state import Handle
 from heathwell.broker.replies import ANSWERED, REFUSED, Reply
 from heathwell.codec.http import Request, Response, ServerSide
-from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken, sleep
+from heathwell.eventloop import Coro, Event, Stream, StreamBrokenError, StreamOverrunError, sleep
 from heathwell.servers import vector_api as api
 from heathwell.servers.memcached import DRAIN_LOOK_US
 from heathwell.service.admission.cost import cut_batch, search_figures
@@ -92,7 +92,7 @@
         self.numbers[connection.number] = connection
         try:
             yield from connection.run()
-        except Overrun as problem:
+        except StreamOverrunError as problem:
             self.log("info", "client cut off", client=stream.peer, why=str(problem))
         finally:
             self.numbers.pop(connection.number, None)
@@ -181,7 +181,7 @@
                 self._chunks.append(data)
                 self._held += len(data)
                 self._filled.set()
-        except StreamBroken:
+        except StreamBrokenError:
             pass
         self._ended = True
         self._filled.set()
@@ -370,7 +370,7 @@
             for handle in handles:
                 handle.disconnect()  # those answered already know nothing of it any more
         if self._ended and wrong is None:
-            raise StreamBroken("the client left")
+            raise StreamBrokenError("the client left")
         if wrong is not None:
             if wrong.kind == REFUSED:
                 raise api.ApiError(
--- a/heathwell/service/discovery.py
+++ b/heathwell/service/discovery.py
@@ -6,7 +6,7 @@
 
 from heathwell import policy
 from heathwell.codec import frames, inner_protocol
-from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
+from heathwell.eventloop import ConnectError, Coro, Loop, Net, Stream, StreamBrokenError, Task, sleep
 
 RECONNECT_US = 500_000
 STATES = {
@@ -72,7 +72,7 @@
         self._stream: Stream | None = None
         self._index = 0
         self._pending_requests = 0
-        self._task: Task | None = None
+        self._task: Task[None] | None = None
 
     def start(self) -> None:
         """Connect and stay connected, where the list is pushed."""
@@ -85,7 +85,7 @@
         if self._stream is not None:
             try:
                 self._stream.write(frames.encode(frames.WatchRequest(self._index)))
-            except StreamBroken:
+            except StreamBrokenError:
                 pass  # the reader of the stream reports the failure
             else:
                 self._start_timeout()
@@ -126,8 +126,8 @@
             self._pending_requests = max(self._pending_requests, 1)
             self._start_timeout()
             yield from inner_protocol.listen(stream, self._on_message)
-            raise StreamBroken("discovery closed the watch")  # noqa: TRY301  # ends as any break does, below
-        except (ConnectFailed, StreamBroken, frames.FrameError) as error:
+            raise StreamBrokenError("discovery closed the watch")  # noqa: TRY301  # ends as any break does, below
+        except (ConnectError, StreamBrokenError, frames.FrameError) as error:
             self.log("info", "discovery: call failed or watch broken", why=str(error))
             self._pending_requests = 0
             self.news(policy.EndpointUpdate(policy.UpdateKind.FAILED))
--- a/heathwell/service/host_link.py
+++ b/heathwell/service/host_link.py
@@ -10,7 +10,17 @@
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.broker.idle_connections import IdleTime
 from heathwell.codec import frames, inner_protocol
-from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Overrun, Stream, StreamBroken, Task, Timer
+from heathwell.eventloop import (
+    ConnectError,
+    Coro,
+    Loop,
+    Net,
+    Stream,
+    StreamBrokenError,
+    StreamOverrunError,
+    Task,
+    Timer,
+)
 
 OUTCOMES = {"ok": policy.Outcome.OK, "error": policy.Outcome.ERROR, "full": policy.Outcome.REJECTED}
 HEARTBEATS_PER_TIMEOUT = 4  # pings within the time after which an endpoint closes a silent connection
@@ -86,7 +96,7 @@
         self.stream: Stream | None = None
         self.connects = self.late_answers = 0
         self._waiting: list[list[frames.PartRequest]] = []
-        self._task: Task | None = None
+        self._task: Task[None] | None = None
         self._probes: dict[int, Timer] = {}
         self._probe_number = 0
         self._idle = IdleTime(
@@ -169,14 +179,14 @@
             yield from inner_protocol.listen(stream, self._on_message)
             seen = True
             if self.in_flight:
-                raise StreamBroken(  # noqa: TRY301  # ends as any break does, below
+                raise StreamBrokenError(  # noqa: TRY301  # ends as any break does, below
                     "the host closed with attempts out"
                 )
-        except ConnectFailed as error:
+        except ConnectError as error:
             seen = str(error) == "ECONNREFUSED"
             self.log("debug", "no connection", node=self.node, why=str(error))
-        except (StreamBroken, frames.FrameError) as error:
-            seen = seen or isinstance(error, StreamBroken) and not isinstance(error, Overrun)
+        except (StreamBrokenError, frames.FrameError) as error:
+            seen = seen or isinstance(error, StreamBrokenError) and not isinstance(error, StreamOverrunError)
             self.log("info", "connection lost", node=self.node, why=str(error), out=len(self.in_flight))
         finally:
             self._on_connection_lost(stream, outcome)
@@ -207,7 +217,7 @@
             case frames.ScoreBound(id=part, seq=seq, best=best):
                 if (part, seq) in self.in_flight:
                     self.owner.on_score_bound(self.node, (part, seq), best)
-            case frames.Pong(n=number):
+            case frames.Pong(number=number):
                 if number not in self._probes:
                     self.owner.on_late_answer(self.node)
                 self._probe_over(number, policy.Outcome.OK)
--- a/heathwell/service/records.py
+++ b/heathwell/service/records.py
@@ -104,7 +104,7 @@
         slow_start_capacity=rules.start_capacity,
         slow_start_duration_us=rules.warm_within,
         free_additional_attempts=rules.free_resends,
-        additional_attempt_ratio=rules.further_ratio,
+        additional_attempt_ratio=rules.additional_attempt_ratio,
         attempt_budget_window_us=rules.counted_over,
         endpoints_cache_keys=limits.warm_keys,
         weight_by_work=limits.by_work,
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -86,7 +86,7 @@
         fresh = service_settings.freshness
         self.freshness: AnswerFreshness | None = None
         self.source_clock_client: SourceClockClient | None = None
-        if fresh.on:
+        if fresh.enabled:
             self.freshness = AnswerFreshness(self, self.live_replicas)
             self.source_clock_client = SourceClockClient(
                 loop, net, source or fresh.source, name, fresh.sync, self.freshness.clock, self.log
@@ -101,8 +101,12 @@
         self.fair_admission = self._make_fair_admission(seed)
         self.storm_control = self._make_storm_control(seed)
         self.admission = QueryAdmission(self, self.reachability, self.storm_control, self.random)
-        leaving = service_settings.fleet.zone_let_go if self.zone_observer is not None else 0
-        self.client_drain = ClientDrain(service_settings.across.let_go or leaving, seed ^ 0xD12A)
+        leaving = (
+            service_settings.fleet.zone_client_drain_duration_us if self.zone_observer is not None else 0
+        )
+        self.client_drain = ClientDrain(
+            service_settings.across.client_drain_duration_us or leaving, seed ^ 0xD12A
+        )
         self.begin_service(
             DiscoveryClient(
                 loop,
@@ -123,7 +127,7 @@
         return FairAdmission(self, self.service_settings, self.aggregator_count, seed)
 
     def _make_storm_control(self, seed: int) -> StormControl | None:
-        if not self.service_settings.storms.on:
+        if not self.service_settings.storms.enabled:
             return None
         return StormControl(self, self.service_settings, seed)
 
@@ -358,7 +362,7 @@
         return (
             self.zone_observer is not None
             and self.zone_observer.is_evacuated()
-            or bool(self.service_settings.across.let_go)
+            or bool(self.service_settings.across.client_drain_duration_us)
             and self.cut_off
         )
 
--- a/heathwell/service/settings_change.py
+++ b/heathwell/service/settings_change.py
@@ -39,7 +39,7 @@
     def from_settings(cls, service_settings: ServiceSettings) -> ServiceSnapshot:
         """Derive it from settings."""
         policies = tuple(
-            Policy(spec.wanted_age, spec.max_age, spec.stale) for spec in service_settings.classes
+            Policy(spec.desired_age_us, spec.max_age, spec.stale) for spec in service_settings.classes
         )
         return cls(service_settings, KeySpaces(service_settings), policies)
 
--- a/heathwell/service/source_clock.py
+++ b/heathwell/service/source_clock.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from heathwell.codec import frames, inner_protocol
-from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
+from heathwell.eventloop import ConnectError, Coro, Loop, Net, Stream, StreamBrokenError, Task, sleep
 from heathwell.service.freshness import SourceClock
 
 MAXIMUM_ROUND_TRIP_US = 2_000_000  # a slower reply bounds the clock too loosely to be used
@@ -34,7 +34,7 @@
         self.log = log
         self._sent_at_us: dict[int, int] = {}
         self._request_number = 0
-        self._task: Task = loop.spawn(self._run(), "source clock")
+        self._task: Task[None] = loop.spawn(self._run(), "source clock")
 
     def close(self) -> None:
         """Close the connection and send no more requests."""
@@ -53,7 +53,7 @@
                     yield from inner_protocol.listen(stream, self._on_message)
                 finally:
                     requests.cancel()
-            except (ConnectFailed, StreamBroken, frames.FrameError) as error:
+            except (ConnectError, StreamBrokenError, frames.FrameError) as error:
                 self.log("info", "source's clock not to be had", why=str(error))
             finally:
                 if stream is not None:
@@ -68,13 +68,13 @@
             self._sent_at_us = {self._request_number: self.loop.now()}
             try:
                 stream.write(frames.encode(frames.ClockRequest(self._request_number)))
-            except StreamBroken:
+            except StreamBrokenError:
                 return
             yield from sleep(self.loop, self.every if request_count >= FIRST_SAMPLES else self.every // 20)
 
     def _on_message(self, message: frames.AnyMessage) -> None:
         if isinstance(message, frames.ClockReply):
-            sent_at_us = self._sent_at_us.pop(message.n, None)
+            sent_at_us = self._sent_at_us.pop(message.number, None)
             now_us = self.loop.now()
             if sent_at_us is not None and now_us - sent_at_us <= MAXIMUM_ROUND_TRIP_US:
                 if not self.clock.add(sent_at_us, now_us, message.source_us):
--- a/heathwell/service/storm_control.py
+++ b/heathwell/service/storm_control.py
@@ -91,7 +91,7 @@
 
     def pace(self, listener: Listener) -> None:
         """Limit the rate at which a listener accepts connections."""
-        listener.pace = lambda: self.decider.accept_wait(self._broker.loop.now())
+        listener.accept_delay_us = lambda: self.decider.accept_wait(self._broker.loop.now())
         listener.on_accept = self.decider.accepted
 
     def _tick(self) -> None:
--- a/heathwell/settings/consistency.py
+++ b/heathwell/settings/consistency.py
@@ -63,7 +63,7 @@
         yield Inconsistency(f"{path}.stale", "only a class that is safe to repeat may turn data down")
     if query_class.stale == "missing" and not query_class.max_age:
         yield Inconsistency(f"{path}.max-age", "'missing' needs a max-age")
-    if query_class.wanted_age > query_class.max_age > 0:
+    if query_class.desired_age_us > query_class.max_age > 0:
         yield Inconsistency(f"{path}.wanted-age", "more than max-age")
     if query_class.idempotency == "keyed" and not query_class.idempotency_window_us:
         yield Inconsistency(f"{path}.dedup", "a keyed class must say how long repeats are dropped")
@@ -101,7 +101,7 @@
         yield Inconsistency("fleet.zones", "at least one zone is needed")
     if len(set(fleet.zones)) != len(fleet.zones):
         yield Inconsistency("fleet.zones", "a zone is given twice")
-    if fleet.keepers:
+    if fleet.coordinators:
         yield from _check_coordinators(fleet)
         yield from _check_fleet_times(fleet)
         yield from _check_budgets(fleet)
@@ -121,9 +121,9 @@
 
 
 def _check_coordinators(fleet: Fleet) -> Inconsistencies:
-    if len(fleet.keepers) not in COORDINATOR_COUNTS:
-        yield Inconsistency("fleet.keepers", f"1, 3 or 5 are expected, got {len(fleet.keepers)}")
-    if len(set(fleet.keepers)) != len(fleet.keepers):
+    if len(fleet.coordinators) not in COORDINATOR_COUNTS:
+        yield Inconsistency("fleet.keepers", f"1, 3 or 5 are expected, got {len(fleet.coordinators)}")
+    if len(set(fleet.coordinators)) != len(fleet.coordinators):
         yield Inconsistency("fleet.keepers", "one is given twice")
     if not (fleet.most or fleet.brokers):
         yield Inconsistency("fleet.most", "must say how many brokers there may be")
@@ -182,7 +182,7 @@
         yield Inconsistency("rules.start-capacity", "must be more than 0")
     if bool(rules.fall_multiple) != bool(rules.fall_after):
         yield Inconsistency("rules.fall-multiple", "fall-multiple and fall-after go together")
-    if rules.further_ratio and not rules.counted_over:
+    if rules.additional_attempt_ratio and not rules.counted_over:
         yield Inconsistency("rules.further-ratio", "needs counted-over")
     min_must_ask_us = MIN_CALLS_BEFORE_MUST_ASK * settings.discovery.timeout
     if settings.discovery.ask and rules.must_ask < min_must_ask_us:
--- a/heathwell/settings/records/fleet.py
+++ b/heathwell/settings/records/fleet.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated, Literal
 
-from msgspec import Meta
+from msgspec import Meta, field
 
 from heathwell.settings.records.base import Record, count, described, duration, fraction, repeated
 
@@ -49,13 +49,13 @@
     leaves: Annotated[int, count("stand-in hosts of a demo fleet, one a cell in turn")] = 0
     brokers: Annotated[int, count("brokers of a demo fleet, zones in turn")] = 0
     called: Annotated[str, described("name of the fleet: keepers refuse who says another")] = ""
-    keepers: Annotated[
+    coordinators: Annotated[
         list[str],
         described(
             "host:port of each keeper, which hold the roll of brokers and lend budgets; "
             "none: brokers share nothing"
         ),
-    ] = []
+    ] = field(default_factory=list, name="keepers")
     most: Annotated[
         int, count("brokers that there may ever be at once, dying ones included; 0: as brokers")
     ] = 0
@@ -70,9 +70,9 @@
     zone_bears: Annotated[
         int, count("parts a second that the hosts of one zone bear; 0: what their answers tell")
     ] = 0
-    zone_let_go: Annotated[
+    zone_client_drain_duration_us: Annotated[
         int, duration("brokers of a zone that is left close idle clients over so long; 0: keep them")
-    ] = 10_000_000
+    ] = field(default=10_000_000, name="zone-let-go")
     budgets: Annotated[list[FleetBudget], repeated("budget", "budgets of the whole fleet")] = []
 
 
--- a/heathwell/settings/records/freshness.py
+++ b/heathwell/settings/records/freshness.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated
 
-from msgspec import Meta
+from msgspec import Meta, field
 
 from heathwell.settings.records.base import Record, count, described, duration
 
@@ -12,7 +12,9 @@
 class Freshness(Record):
     """The age of answers, measured by the source's clock: no host's clock needs to be correct."""
 
-    on: Annotated[bool, described("state ages, and rule on stale data")] = False
+    enabled: Annotated[bool, described("state ages, and rule on stale data")] = field(
+        default=False, name="on"
+    )
     source: Annotated[str, described("host:port of the source's clock; port 0 for a demo fleet's own")] = (
         "127.0.0.1:0"
     )
--- a/heathwell/settings/records/limits.py
+++ b/heathwell/settings/records/limits.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated
 
-from msgspec import Meta
+from msgspec import Meta, field
 
 from heathwell.settings.records.base import Record, count, described, duration, fraction, size
 
@@ -21,7 +21,9 @@
     warm_within: Annotated[int, duration("when it has all of its capacity")] = 0
     must_ask: Annotated[int, duration("a broker counts as told by discovery after this")] = 10_000_000
     free_resends: Annotated[int, count("further attempts free in a window")] = 0
-    further_ratio: Annotated[float, Meta(ge=0, description="further attempts a query or part taken")] = 0.0
+    additional_attempt_ratio: Annotated[
+        float, Meta(ge=0, description="further attempts a query or part taken")
+    ] = field(default=0.0, name="further-ratio")
     counted_over: Annotated[int, duration("the window of that budget; 0: no budget is stated")] = 0
 
 
@@ -58,9 +60,9 @@
 class Storms(Record):
     """Retry and reconnect storms."""
 
-    on: Annotated[
+    enabled: Annotated[
         bool, described("recognise and damp them, and advise from a calendar of what hosts can take")
-    ] = False
+    ] = field(default=False, name="on")
     useful: Annotated[int, duration("advice later than this is no use to a client", 200_000)] = 8_000_000
     repeat: Annotated[int, duration("the same question of the same client within this is a repeat", 1000)] = (
         3_000_000
--- a/heathwell/settings/records/queries.py
+++ b/heathwell/settings/records/queries.py
@@ -40,7 +40,9 @@
         field(default=0, name="fetch")
     )
     fetch_work: Annotated[float, fraction("work of such a part against one of the first step")] = 0.5
-    wanted_age: Annotated[int, duration("age of data that is wanted; older is stated as stale; 0: any")] = 0
+    desired_age_us: Annotated[
+        int, duration("age of data that is wanted; older is stated as stale; 0: any")
+    ] = field(default=0, name="wanted-age")
     max_age: Annotated[int, duration("greatest age of data that 'missing' still takes; 0: any")] = 0
     stale: Annotated[
         Literal["use", "missing", "another"],
--- a/heathwell/settings/records/regions.py
+++ b/heathwell/settings/records/regions.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated
 
-from msgspec import Meta
+from msgspec import Meta, field
 
 from heathwell.settings.records.base import NAME, Record, count, described, duration, repeated
 
@@ -42,9 +42,9 @@
             "they go there only where home has none; 0: no bound",
         ),
     ] = 0.0
-    let_go: Annotated[
+    client_drain_duration_us: Annotated[
         int, duration("a broker cut off from most shards closes idle clients over so long; 0: keeps them")
-    ] = 0
+    ] = field(default=0, name="let-go")
     regions: Annotated[list[Region], repeated("region", "the regions")] = []
     links: Annotated[
         list[RegionLink], repeated("link", "ways between them, where there is something to say")
--- a/heathwell/settings/schema.py
+++ b/heathwell/settings/schema.py
@@ -14,12 +14,6 @@
 from heathwell.settings.records.servers import BrokerSettings, Fronts, Vector
 from heathwell.settings.records.service import ServiceSettings
 
-# The names before the renaming, for importers that are not yet adapted.
-_each = repeated
-_say = described
-_share = fraction
-_time = duration
-
 __all__ = [
     "Across",
     "BrokerSettings",
--- a/heathwell/testing/simulation/drawn.py
+++ b/heathwell/testing/simulation/drawn.py
@@ -39,7 +39,7 @@
     """
     draws = random.Random(seed)
     brokers = [f"b{n}" for n in range(service_settings.fleet.brokers)]
-    keepers = [f"k{n}" for n in range(len(service_settings.fleet.keepers))]
+    keepers = [f"k{n}" for n in range(len(service_settings.fleet.coordinators))]
     hosts = [f"leaf{n}" for n in range(service_settings.fleet.leaves)]
     clocks = " ".join(f"(clock {who} {1 + draws.uniform(-0.02, 0.02):.4f})" for who in brokers + keepers)
     lines = [
--- a/heathwell/testing/simulation/figures.py
+++ b/heathwell/testing/simulation/figures.py
@@ -30,7 +30,7 @@
         "fall_multiple": rules.fall_multiple,
         "fall_after": rules.fall_after,
         "free_resends": rules.free_resends,
-        "further_ratio": rules.further_ratio,
+        "further_ratio": rules.additional_attempt_ratio,
         "counted_over": rules.counted_over,
         "second_copies": limits.second_copies,
         "attempts": limits.attempts,
@@ -50,5 +50,5 @@
         "start_capacity": rules.start_capacity,
         "drift": service_settings.fleet.drift,
         "open_cap": limits.open_cap,
-        "source_offset": OFFSET_US if service_settings.freshness.on else None,
+        "source_offset": OFFSET_US if service_settings.freshness.enabled else None,
     }
--- a/heathwell/testing/simulation/fleet.py
+++ b/heathwell/testing/simulation/fleet.py
@@ -37,7 +37,7 @@
         decider = QuotaCoordinator(
             number,
             f"k{number}.{run}",
-            len(spec.keepers),
+            len(spec.coordinators),
             budgets_from_settings(spec),
             loop.now(),
             quota_timings_from_settings(spec),
@@ -69,7 +69,7 @@
         net = fleet.net_of(self.name)
         self.events = fleet.events(self.name, "broker")
         self.agent: FleetAgent | None = None
-        if service_settings.fleet.keepers:
+        if service_settings.fleet.coordinators:
             spec, times, loop = (
                 service_settings.fleet,
                 quota_timings_from_settings(service_settings.fleet),
@@ -203,7 +203,7 @@
         )
         self.discovery.start()
         self.source: Source | None = None
-        if service_settings.freshness.on:
+        if service_settings.freshness.enabled:
             self.source = Source(loop, net_of("source"), service_settings, address=f"{host('source')}:0")
             self.source.start()
         zones = len(service_settings.fleet.zones)
@@ -225,7 +225,7 @@
         for leaf in self.leaves:
             leaf.start(warm=True)
         self.keeper_addresses = [
-            f"{host(f'k{n}')}:{7100 + n}" for n in range(len(service_settings.fleet.keepers))
+            f"{host(f'k{n}')}:{7100 + n}" for n in range(len(service_settings.fleet.coordinators))
         ]
         self.keeper_runs = [0] * len(self.keeper_addresses)
         self.keepers = [
--- a/heathwell/testing/simulation/manybrokers.py
+++ b/heathwell/testing/simulation/manybrokers.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from heathwell.eventloop import ConnectFailed, Coro, Listener, StreamBroken, sleep, virtual_loop
+from heathwell.eventloop import ConnectError, Coro, Listener, StreamBrokenError, sleep, virtual_loop
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import Config, read
 from heathwell.gateway.front import Front
@@ -110,7 +110,7 @@
             response = yield from client.ask(
                 f"q{number}", "price-search", [(first + step) % (2 * self.cells) for step in range(4)]
             )
-        except (StreamBroken, ConnectFailed):
+        except (StreamBrokenError, ConnectError):
             self.told[0] += 1
             return
         self.told[response.status] += 1
--- a/heathwell/testing/simulation/processes.py
+++ b/heathwell/testing/simulation/processes.py
@@ -75,10 +75,10 @@
         zones = len(self.service_settings.fleet.zones)
         self._wait([self._start("discovery", "discovery", 0, 0, [])])
         clock: list[str] = []
-        if self.service_settings.freshness.on:
+        if self.service_settings.freshness.enabled:
             self._wait([self._start("source", "source", 0, 0, [])])
             clock = ["--source", self.members["source"].address]
-        names = [f"k{n}" for n in range(len(self.service_settings.fleet.keepers))]
+        names = [f"k{n}" for n in range(len(self.service_settings.fleet.coordinators))]
         self._wait(
             [
                 self._start("keeper", name, n, n % zones, ["--number", str(n), *self._keepers(name, names)])
@@ -255,7 +255,7 @@
         if not address:
             raise FleetError(f"{name} is not up")
         try:
-            done = inner_protocol.ask(address, "script", "script", control, frames.FaultCommandReply, 5)
+            done = inner_protocol.request(address, "script", "script", control, frames.FaultCommandReply, 5)
         except ValueError:
             raise FleetError(f"{name} closed without taking the order") from None
         if done.text:
--- a/heathwell/testing/simulation/rolling.py
+++ b/heathwell/testing/simulation/rolling.py
@@ -431,7 +431,7 @@
         """What each broker runs, by its machine's agent."""
         out = {}
         for machine in self.machines.values():
-            for running in inner_protocol.ask(
+            for running in inner_protocol.request(
                 machine.address, "lab", "lab", frames.MachineRequest(), frames.MachineView, 5
             ).running:
                 out[running.broker] = running
--- a/heathwell/testing/simulation/rude.py
+++ b/heathwell/testing/simulation/rude.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, sleep
+from heathwell.eventloop import ConnectError, Coro, Loop, Net, Stream, StreamBrokenError, sleep
 
 OWED_US = 3_000_000  # from the connect, by the platform's page
 OWED_LONG_US = 6_000_000  # of one that has 60 MB to send
@@ -77,7 +77,7 @@
     def _client(self, kind: str, name: bytes) -> Coro[None]:
         try:
             stream = yield from self.net.connect(self.address, OWED_US)
-        except ConnectFailed:
+        except ConnectError:
             self.outcome[kind, "close"] += 1
             return
         owed = OWED_LONG_US if kind == "huge body" else OWED_US
@@ -87,7 +87,7 @@
         try:
             while data := (yield from stream.read()):
                 got += data
-        except StreamBroken:
+        except StreamBrokenError:
             pass  # a reset is a close
         finally:
             writer.cancel()
@@ -112,5 +112,5 @@
             for piece in pieces:
                 stream.write(piece)
                 yield from stream.drain()
-        except StreamBroken:
+        except StreamBrokenError:
             pass
--- a/heathwell/testing/simulation/script.py
+++ b/heathwell/testing/simulation/script.py
@@ -10,7 +10,7 @@
 
 from heathwell.settings import ServiceSettings, SettingsError, load
 from heathwell.settings.check import loads_as
-from heathwell.settings.schema import Record, _each, _say, _share, _time
+from heathwell.settings.schema import Record, described, duration, fraction, repeated
 
 HOST_TROUBLES = (
     "stall",
@@ -114,10 +114,10 @@
     rate: Annotated[float, Meta(gt=0, description="requests a second, arriving whether or not answers come")]
     clients: Annotated[int, Meta(ge=1, description="connections at work at once")] = 64
     traders: Annotated[int, Meta(ge=1, description="distinct traders and terms")] = 300
-    multi: Annotated[float, _share("share of requests that are multi-gets of four keys")] = 0.1
+    multi: Annotated[float, fraction("share of requests that are multi-gets of four keys")] = 0.1
     retries: Annotated[int, Meta(ge=0, description="times a client asks again after a refusal")] = 1
-    ask: Annotated[list[str], _say("brokers that are asked; none: all")] = []
-    mix: Annotated[list[Mix], _each("mix", "key spaces by weight")] = []
+    ask: Annotated[list[str], described("brokers that are asked; none: all")] = []
+    mix: Annotated[list[Mix], repeated("mix", "key spaces by weight")] = []
 
 
 class Step(Record):
@@ -127,8 +127,8 @@
         int, Meta(ge=0, description="when, from the load's start", extra={"unit": "time", "positional": True})
     ]
     kind: Annotated[Kind, Meta(description="what", extra={"positional": True})]
-    to: Annotated[list[str], _say("hosts (leaf3), brokers (b1) or a zone's name")] = []
-    span: Annotated[int, _time("for how long, or until it is back")] = 0
+    to: Annotated[list[str], described("hosts (leaf3), brokers (b1) or a zone's name")] = []
+    span: Annotated[int, duration("for how long, or until it is back")] = 0
     value: Annotated[
         float,
         Meta(
@@ -136,13 +136,14 @@
             "queries of poison"
         ),
     ] = 0.0
-    query_class: Annotated[str, _say("class that failclass fails, or that alone is slow")] = field(
+    query_class: Annotated[str, described("class that failclass fails, or that alone is slow")] = field(
         name="class", default=""
     )
     source: Annotated[
-        list[str], _say("the other side of a way; cut-out is what this side sends, cut-back what it hears")
+        list[str],
+        described("the other side of a way; cut-out is what this side sends, cut-back what it hears"),
     ] = field(name="from", default_factory=list)
-    budget: Annotated[str, _say("budget that resize gives another whole, its value")] = ""
+    budget: Annotated[str, described("budget that resize gives another whole, its value")] = ""
 
 
 class Clock(Record):
@@ -155,15 +156,15 @@
 class Script(Record):
     """A bad day."""
 
-    service_settings: Annotated[str, _say("settings file, beside the script")] = field(name="market")
+    service_settings: Annotated[str, described("settings file, beside the script")] = field(name="market")
     seconds: Annotated[float, Meta(gt=0, description="length of the load")]
-    load: Annotated[Load, _say("clients")]
+    load: Annotated[Load, described("clients")]
     seed: Annotated[int, Meta(ge=0, description="seed of arrivals and keys")] = 1
-    steps: Annotated[list[Step], _each("at", "what goes wrong")] = []
+    steps: Annotated[list[Step], repeated("at", "what goes wrong")] = []
     wires: Annotated[
-        bool, _say("each process reaches each other by a relay of its own, which can be cut")
+        bool, described("each process reaches each other by a relay of its own, which can be cut")
     ] = False
-    clocks: Annotated[list[Clock], _each("clock", "wrong clocks")] = []
+    clocks: Annotated[list[Clock], repeated("clock", "wrong clocks")] = []
 
 
 def _steps(script: Script) -> Iterator[tuple[str, str]]:
@@ -233,7 +234,12 @@
 def _targets(step: Step, service_settings: ServiceSettings, hosts: set[str], brokers: set[str]) -> set[str]:
     """What a trouble of the fleet may be done to."""
     if step.kind in (*PROCESS_TROUBLES, *WAY_TROUBLES):
-        return hosts | brokers | {f"k{n}" for n in range(len(service_settings.fleet.keepers))} | {"discovery"}
+        return (
+            hosts
+            | brokers
+            | {f"k{n}" for n in range(len(service_settings.fleet.coordinators))}
+            | {"discovery"}
+        )
     if step.kind == "resize":
         return {budget.name for budget in service_settings.fleet.budgets}
     return (
--- a/heathwell/testing/simulation/searches.py
+++ b/heathwell/testing/simulation/searches.py
@@ -11,7 +11,7 @@
 
 import h11
 
-from heathwell.eventloop import ConnectFailed, Coro, Stream, StreamBroken, sleep
+from heathwell.eventloop import ConnectError, Coro, Stream, StreamBrokenError, sleep
 from heathwell.settings import ServiceSettings
 from heathwell.testing.simulation.simulated import HOST_TROUBLES, SimulatedDay
 
@@ -62,7 +62,7 @@
         limit = self.service_settings.classes[plan].timeout_us
         try:
             stream = yield from self.net.connect(running.vector_address, 1_000_000, "client")
-        except ConnectFailed:
+        except ConnectError:
             return
         self.asked += 1
         request, batch, key = f"s{self.asked}", len(wishes) > 1, f"vector:{collection}"
@@ -77,7 +77,7 @@
             stream.write(head + body)
             status, raw = yield from _response(stream)
             stream.close()
-        except StreamBroken:
+        except StreamBrokenError:
             if not batch:
                 self.note("reply", req=request, kind="broken")
             return
@@ -103,7 +103,7 @@
         if event is h11.NEED_DATA:
             data = yield from stream.read()
             if not data:
-                raise StreamBroken("end")
+                raise StreamBrokenError("end")
             side.receive_data(data)
         elif isinstance(event, h11.Response):
             status = event.status_code
--- a/heathwell/testing/simulation/simulated.py
+++ b/heathwell/testing/simulation/simulated.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from heathwell.codec import frames
-from heathwell.eventloop import ConnectFailed, Coro, HostNet, Stream, StreamBroken, sleep, virtual_loop
+from heathwell.eventloop import ConnectError, Coro, HostNet, Stream, StreamBrokenError, sleep, virtual_loop
 from heathwell.fleet.control.evacuation_coordinator import (
     EvacuationCoordinator,
     evacuation_coordinator_from_settings,
@@ -183,7 +183,7 @@
         began = self.loop.now()
         try:
             stream = yield from self.net.connect(self.fleet.brokers[broker].address, 1_000_000, "client")
-        except ConnectFailed:
+        except ConnectError:
             return
         request = f"{stream.here}#1"  # type: ignore[attr-defined]  # the broker knows this client by it
         self.note(
@@ -193,7 +193,7 @@
             stream.write(f"get {' '.join(keys)}\r\n".encode())
             values = yield from _read_values(stream)
             stream.close()
-        except StreamBroken:
+        except StreamBrokenError:
             self.note("reply", req=request, kind="broken")
             return
         told = []
@@ -239,7 +239,7 @@
         while b"\r\n" not in data:
             more = yield from stream.read()
             if not more:
-                raise StreamBroken("end")
+                raise StreamBrokenError("end")
             data += more
         line, data = data.split(b"\r\n", 1)
         if not line.startswith(b"VALUE "):
@@ -248,7 +248,7 @@
         while len(data) < int(size) + 2:
             more = yield from stream.read()
             if not more:
-                raise StreamBroken("end")
+                raise StreamBrokenError("end")
             data += more
         values.append((key.decode(), int(flags), json.loads(data[: int(size)])))
         data = data[int(size) + 2 :]
--- a/heathwell/testing/simulation/stormday.py
+++ b/heathwell/testing/simulation/stormday.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, sleep
+from heathwell.eventloop import ConnectError, Coro, Loop, Net, Stream, StreamBrokenError, sleep
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.simulation.simulated import SETTLE_US, SimulatedDay, _read_values
@@ -142,7 +142,7 @@
                     )
                 stream.write(f"get {key}\r\n".encode())
                 values = yield from _read_values(stream)
-            except (ConnectFailed, StreamBroken):
+            except (ConnectError, StreamBrokenError):
                 stream = None
                 yield from sleep(self.loop, pause)
                 continue
--- a/heathwell/testing/standins/discovery.py
+++ b/heathwell/testing/standins/discovery.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from heathwell.codec import frames, inner_protocol
-from heathwell.eventloop import Coro, Listener, Loop, Net, Stream, StreamBroken
+from heathwell.eventloop import Coro, Listener, Loop, Net, Stream, StreamBrokenError
 from heathwell.observability.event_log import EventLog, NoEvents
 from heathwell.settings import ServiceSettings
 
@@ -65,7 +65,7 @@
             yield from inner_protocol.serve(
                 stream, "discovery", "discovery", lambda message: self._heard(stream, message)
             )
-        except (frames.FrameError, StreamBroken) as problem:
+        except (frames.FrameError, StreamBrokenError) as problem:
             self.log("debug", "peer lost", peer=stream.peer, why=str(problem))
         finally:
             self.watchers.pop(stream, None)
@@ -80,7 +80,7 @@
         match message:
             case frames.Hello(role=role):
                 if role in ("", "broker") and self.loop.now() < self.down_until:
-                    raise StreamBroken("down by order")
+                    raise StreamBrokenError("down by order")
             case frames.Registration(entry=entry):
                 self.registered[stream] = entry.node
                 self._registered(entry, stream)
@@ -136,5 +136,5 @@
     def _send(self, stream: Stream, kind: str, entries: list[frames.EndpointListEntry]) -> None:
         try:
             stream.write(frames.encode(frames.EndpointList(kind, self.index, entries)))
-        except StreamBroken:
+        except StreamBrokenError:
             self.watchers.pop(stream, None)
--- a/heathwell/testing/standins/leaf.py
+++ b/heathwell/testing/standins/leaf.py
@@ -16,13 +16,13 @@
 
 from heathwell.codec import frames, inner_protocol
 from heathwell.eventloop import (
-    ConnectFailed,
+    ConnectError,
     Coro,
     Listener,
     Loop,
     Net,
     Stream,
-    StreamBroken,
+    StreamBrokenError,
     Task,
     Timer,
     sleep,
@@ -143,8 +143,8 @@
         self.reported = (0, 0)
         self.served = 0
         fresh = service_settings.freshness
-        self.feed = Feed(Truth(fresh.rate), fresh.lag, random.Random(seed + 1)) if fresh.on else None
-        self._registrar: Task | None = None
+        self.feed = Feed(Truth(fresh.rate), fresh.lag, random.Random(seed + 1)) if fresh.enabled else None
+        self._registrar: Task[None] | None = None
         self._registered: Stream | None = None
 
     # Life
@@ -318,7 +318,7 @@
                     self._arrived(Job(ask, stream, self.loop.now(), self.peers[stream].name))
             case frames.CancelPart(id=part, seq=seq):
                 self._cancelled((part, seq))
-            case frames.Ping(n=number):
+            case frames.Ping(number=number):
                 if not self.fallen and not self._has("silent"):
                     self._put(stream, frames.encode(frames.Pong(number, self._inflight())))
             case frames.FaultCommand():
@@ -517,7 +517,7 @@
         if self._has("midreply") and self._from_broker(stream):
             half = len(frame) // 2
             now_out, self.held[stream] = frame[:half], Held([frame[half:]])
-        with contextlib.suppress(StreamBroken):
+        with contextlib.suppress(StreamBrokenError):
             stream.write(now_out)
 
     def _release(self) -> None:
@@ -548,7 +548,7 @@
                 self._registered = stream
                 while (yield from stream.read()):
                     pass
-            except (ConnectFailed, StreamBroken):
+            except (ConnectError, StreamBrokenError):
                 pass
             finally:
                 self._registered = None
--- a/heathwell/testing/standins/platform.py
+++ b/heathwell/testing/standins/platform.py
@@ -18,7 +18,7 @@
 
 from heathwell.codec import nodeframes as nf
 from heathwell.codec.http import ClientSide, Request, Response, ServerSide
-from heathwell.eventloop import Coro, Event, Listener, Loop, Net, Stream, StreamBroken, Timer, sleep
+from heathwell.eventloop import Coro, Event, Listener, Loop, Net, Stream, StreamBrokenError, Timer, sleep
 from heathwell.observability.event_log import EventLog, NoEvents
 
 _HEAD = struct.Struct(">I")
@@ -255,7 +255,7 @@
         hint: int = 9000,
         **more: Any,
     ) -> Coro[Response]:
-        """One query, parts of equal weight; raises :class:`StreamBroken` where no answer comes."""
+        """One query, parts of equal weight; raises :class:`StreamBrokenError` where no answer comes."""
         headers = [("Req-Id", name), ("Req-Kind", kind), ("Req-Deadline", f"{wait_ms}m")]
         if key:
             headers.append(("Idempotency-Key", key))
@@ -278,7 +278,7 @@
         while True:
             more = yield from self.stream.read()
             if not more:
-                raise StreamBroken("the broker closed")
+                raise StreamBrokenError("the broker closed")
             response = self.side.feed(more)
             if response is not None:
                 return response
--- a/heathwell/testing/standins/relay.py
+++ b/heathwell/testing/standins/relay.py
@@ -12,7 +12,17 @@
 from dataclasses import dataclass
 
 from heathwell.codec import frames, inner_protocol
-from heathwell.eventloop import ConnectFailed, Coro, Event, Listener, Loop, Net, Stream, StreamBroken, sleep
+from heathwell.eventloop import (
+    ConnectError,
+    Coro,
+    Event,
+    Listener,
+    Loop,
+    Net,
+    Stream,
+    StreamBrokenError,
+    sleep,
+)
 
 TROUBLES = ("delay", "rate", "loss", "cut", "oneway", "refuse", "reset", "flap", "heal")
 CHUNK = 16_384
@@ -158,7 +168,7 @@
             return
         try:
             far = yield from self.net.connect(address, 1_000_000)
-        except ConnectFailed:
+        except ConnectError:
             near.abort()
             return
         pair = (near, far)
@@ -198,7 +208,7 @@
                 yield from room.wait()
             yield from self._while_cut(way)
             sink.end()
-        except StreamBroken:
+        except StreamBrokenError:
             yield from self._while_cut(way)
             sink.abort()
         finally:
@@ -230,7 +240,7 @@
                 yield from sink.drain()
                 queue.popleft()
                 room.set()
-        except StreamBroken:
+        except StreamBrokenError:
             room.set()
 
 
--- a/heathwell/testing/standins/source.py
+++ b/heathwell/testing/standins/source.py
@@ -103,6 +103,8 @@
     def _serve(self, stream: Stream) -> Coro[None]:
         def heard(message: frames.AnyMessage) -> None:
             if isinstance(message, frames.ClockRequest):
-                stream.write(frames.encode(frames.ClockReply(message.n, self.truth.now(self.loop.now()))))
+                stream.write(
+                    frames.encode(frames.ClockReply(message.number, self.truth.now(self.loop.now())))
+                )
 
         return inner_protocol.serve(stream, "source", "source", heard)
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from heathwell.eventloop import ConnectFailed, Coro, Event, MonotonicClock, Stream, sleep, socket_loop
+from heathwell.eventloop import ConnectError, Coro, Event, MonotonicClock, Stream, sleep, socket_loop
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import read
 from heathwell.gateway.front import Front
@@ -128,7 +128,7 @@
         """As the net's, once the gate is open."""
         self.asked.append(address)
         if self.fails.get(address):
-            raise ConnectFailed(self.fails[address].pop(0))
+            raise ConnectError(self.fails[address].pop(0))
         if address in self.shut:
             yield from self.shut[address].wait()
         stream = yield from self.net.connect(address, timeout_us)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from heathwell.eventloop import StreamBroken, sleep, virtual_loop
+from heathwell.eventloop import StreamBrokenError, sleep, virtual_loop
 from heathwell.servers.memcached import LOST, REFUSED
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.audit import judge
@@ -84,7 +84,7 @@
         while b"\r\n" not in self.data:
             more = yield from self.stream.read()
             if not more:
-                raise StreamBroken("end")
+                raise StreamBrokenError("end")
             self.data += more
         line, self.data = self.data.split(b"\r\n", 1)
         return line
@@ -93,7 +93,7 @@
         while len(self.data) < size + 2:
             more = yield from self.stream.read()
             if not more:
-                raise StreamBroken("end")
+                raise StreamBrokenError("end")
             self.data += more
         block, self.data = self.data[:size], self.data[size + 2 :]
         return block
@@ -108,7 +108,7 @@
         self.stream.write(f"{command} {' '.join(keys)}\r\n".encode())
         try:
             values, end = yield from self.reply()
-        except StreamBroken:
+        except StreamBrokenError:
             world.note("reply", req=request, kind="broken")
             raise
         told = [
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,7 +11,7 @@
 
 from heathwell import policy
 from heathwell.codec import nodeframes as nf
-from heathwell.eventloop import Event, StreamBroken, sleep
+from heathwell.eventloop import Event, StreamBrokenError, sleep
 from heathwell.gateway import node_pool
 from heathwell.gateway.discovery import longest_wait
 from heathwell.testing.standins.platform import Node, answer, read_call
@@ -51,7 +51,7 @@
             while more := (yield from stream.read()):
                 data += more
             self.ends.append("end")
-        except StreamBroken:
+        except StreamBrokenError:
             self.ends.append("reset")
         finally:
             while len(data) >= 5 and len(data) >= 4 + (size := int.from_bytes(data[:4], "big")):
--- a/tests/test_crossings_drawn.py
+++ b/tests/test_crossings_drawn.py
@@ -13,7 +13,7 @@
 import pytest
 
 from heathwell import policy
-from heathwell.eventloop import ConnectFailed, StreamBroken, sleep
+from heathwell.eventloop import ConnectError, StreamBrokenError, sleep
 
 from .crossings import CUSTOMERS, customer
 from .platform import Platform
@@ -50,7 +50,7 @@
         more = self.more.get(address, 0)
         yield from sleep(self.loop, min(more, timeout_us))
         if more >= timeout_us:
-            raise ConnectFailed("no connection in time")
+            raise ConnectError("no connection in time")
         return (yield from self.net.connect(address, timeout_us))
 
 
@@ -84,7 +84,7 @@
             if client.stream is not None and not task.done:
                 left[query] = world.loop.now()
                 draw.choice([client.stream.close, client.stream.abort, client.stream.end])()
-        with contextlib.suppress(StreamBroken, ConnectFailed):
+        with contextlib.suppress(StreamBrokenError, ConnectError):
             yield from task.join()
             answered.add(query)
         if query not in answered and query not in left and not ends:
--- a/tests/test_crossings_processes.py
+++ b/tests/test_crossings_processes.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from heathwell.eventloop import ConnectFailed, StreamBroken, sleep, socket_loop
+from heathwell.eventloop import ConnectError, StreamBrokenError, sleep, socket_loop
 from heathwell.gateway.config import read
 from heathwell.gateway.process import Process
 from heathwell.testing.simulation.platform import PlatformFleet, config_of
@@ -137,7 +137,7 @@
         while True:
             try:
                 other = yield from world.net.connect(world.address, 1_000_000)
-            except ConnectFailed:
+            except ConnectError:
                 break
             other.close()
             yield from sleep(world.loop, 5_000)
@@ -168,11 +168,11 @@
             query = f"c{c}-{n}"
             try:
                 response = yield from one_part(world, query, kind, client)
-            except StreamBroken:
+            except StreamBrokenError:
                 crossed.add(query)
                 client = world.client()
                 continue
-            except ConnectFailed:
+            except ConnectError:
                 return
             answered.add(query)
             if not client.side.reusable:  # the answer said that it closes
--- a/tests/test_eventloop.py
+++ b/tests/test_eventloop.py
@@ -10,11 +10,11 @@
 import pytest
 
 from heathwell.eventloop import (
-    ConnectFailed,
+    ConnectError,
     Event,
-    Overrun,
-    Stalled,
-    StreamBroken,
+    StalledError,
+    StreamBrokenError,
+    StreamOverrunError,
     Worker,
     sleep,
     socket_loop,
@@ -58,7 +58,7 @@
             got += data
         assert bytes(got) == sent
         listener.close()
-        with pytest.raises(ConnectFailed):
+        with pytest.raises(ConnectError):
             yield from net.connect(listener.address, 100_000)
 
     run(loop, main())
@@ -74,7 +74,7 @@
             while True:
                 stream.write(b"x" * 65_536)
                 yield from sleep(loop, 0)
-        except Overrun as problem:
+        except StreamOverrunError as problem:
             fate.append(str(problem))
 
     def main():
@@ -82,7 +82,7 @@
         stream = yield from net.connect(listener.address, 1_000_000)
         while not fate:
             yield from sleep(loop, 1000)
-        with pytest.raises(StreamBroken):
+        with pytest.raises(StreamBrokenError):
             while (yield from stream.read()):
                 pass
 
@@ -134,7 +134,7 @@
         for _ in range(2):
             stream = yield from net.connect(listener.address, 1_000_000)
             stream.write(b"x")
-            with contextlib.suppress(StreamBroken):
+            with contextlib.suppress(StreamBrokenError):
                 assert (yield from stream.read()) == b""
         assert listener.open == 0
 
@@ -165,7 +165,7 @@
     start = loop.now()
     run(loop, sleep(loop, 3_600_000_000))
     assert loop.now() - start == 3_600_000_000
-    with pytest.raises(Stalled):
+    with pytest.raises(StalledError):
         run(loop, Event().wait())
 
 
@@ -179,7 +179,7 @@
         for part in (b"1", b"2", b"3"):
             stream.write(part)
             yield from sleep(loop, 1000)
-        with pytest.raises(ConnectFailed):
+        with pytest.raises(ConnectError):
             yield from net.connect("b:1", 50_000, "a")
         net.heal("b", "a")
         got = b""
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,7 +8,7 @@
 import weakref
 
 from heathwell import policy
-from heathwell.eventloop import StreamBroken, sleep
+from heathwell.eventloop import StreamBrokenError, sleep
 from heathwell.gateway.node_pool import SINGLE_PART_AFTER_CLOSES
 from heathwell.gateway.trace import Trace
 from heathwell.testing.standins.platform import answer, value_of
@@ -302,7 +302,7 @@
         task = world.loop.spawn(client.ask("q1", "price-search", [0, 1, 2, 3]), "q")
         yield from sleep(world.loop, 10_000)
         client.stream.close()
-        with contextlib.suppress(StreamBroken):
+        with contextlib.suppress(StreamBrokenError):
             yield from task.join()
         yield from sleep(world.loop, 50_000)
 
--- a/tests/test_gateway_days.py
+++ b/tests/test_gateway_days.py
@@ -15,7 +15,7 @@
 from heathwell import policy
 from heathwell.codec import nodeframes as nf
 from heathwell.codec.http import Request, ServerSide
-from heathwell.eventloop import StreamBroken, sleep
+from heathwell.eventloop import StreamBrokenError, sleep
 from heathwell.testing.standins.platform import answer, value_of
 
 from .platform import Platform, node_ask
@@ -382,7 +382,7 @@
             task = world.loop.spawn(client.ask(f"q{n}", kind, shards, key=key), "leaves")
             yield from sleep(world.loop, 15_000)
             client.stream.abort()
-            with contextlib.suppress(StreamBroken):  # it may have been refused before
+            with contextlib.suppress(StreamBrokenError):  # it may have been refused before
                 yield from task.join()
             return
         response = yield from client.ask(f"q{n}", kind, shards, key=key)
--- a/tests/test_gateway_front.py
+++ b/tests/test_gateway_front.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from heathwell.codec.http import Request
-from heathwell.eventloop import StreamBroken, sleep
+from heathwell.eventloop import StreamBrokenError, sleep
 from heathwell.gateway.requests import BadRequestError, RequestChecker
 from heathwell.testing.standins.platform import value_of
 
@@ -128,7 +128,7 @@
             while data := (yield from stream.read()):
                 got += data
             ended = world.loop.now() - began
-        except StreamBroken:
+        except StreamBrokenError:
             pass
         timer.cancel()
         writer.cancel()
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -7,7 +7,7 @@
 import pytest
 
 from heathwell.codec import frames
-from heathwell.eventloop import StreamBroken, sleep
+from heathwell.eventloop import StreamBrokenError, sleep
 
 from .fleet import MARKET, World
 
@@ -216,7 +216,7 @@
         head = yield from client.line()
         assert head.startswith(b"VA ") and b"O9" in head and b"ksale:anna:17" in head
         yield from client.block(int(head.split()[1]))
-        with pytest.raises(StreamBroken):
+        with pytest.raises(StreamBrokenError):
             yield from client.line()
 
     world.run(main())
@@ -286,7 +286,7 @@
         client.stream.write(b"get price:tea\r\n")
         yield from sleep(world.loop, 5_000)
         world.fleet.restart_broker(0)
-        with pytest.raises(StreamBroken):
+        with pytest.raises(StreamBrokenError):
             yield from client.reply()
         yield from sleep(world.loop, 1_500_000)
         client = yield from world.client()
@@ -333,7 +333,7 @@
             try:
                 while data := (yield from stream.read()):
                     got += decoder.feed(data)
-            except StreamBroken:
+            except StreamBrokenError:
                 pass
             assert isinstance(got[0], frames.Hello)
             assert not told or "version 9" in got[-1].text
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -5,7 +5,7 @@
 import pytest
 
 from heathwell.codec import frames
-from heathwell.eventloop import ConnectFailed, StreamBroken, sleep, socket_loop, virtual_loop
+from heathwell.eventloop import ConnectError, StreamBrokenError, sleep, socket_loop, virtual_loop
 from heathwell.testing.standins.relay import Relay, RoutedNet
 
 
@@ -35,7 +35,7 @@
     while len(got) < len(data):
         more = yield from stream.read()
         if not more:
-            raise StreamBroken("end")
+            raise StreamBrokenError("end")
         got += more
     assert got == data
     return loop.now() - began
@@ -97,7 +97,7 @@
         stream = yield from net.connect(address, 1_000_000)
         yield from ask(loop, stream)
         order(relay, "reset")
-        with pytest.raises(StreamBroken):
+        with pytest.raises(StreamBrokenError):
             yield from ask(loop, stream)
         again = yield from net.connect(address, 1_000_000)
         assert (yield from ask(loop, again)) < 5_000
@@ -122,7 +122,7 @@
         assert (yield from stream.read()) == b""
         host.close()
         refused = yield from routed.connect(host.address, 1_000_000)
-        with pytest.raises((StreamBroken, ConnectFailed)):
+        with pytest.raises((StreamBrokenError, ConnectError)):
             yield from ask(loop, refused)
 
     loop.run(loop.spawn(main(), "main"))
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from heathwell.client import RetryingClient
-from heathwell.eventloop import ConnectFailed, sleep, socket_loop, virtual_loop
+from heathwell.eventloop import ConnectError, sleep, socket_loop, virtual_loop
 from heathwell.service.retry_storms import (
     BUILDING,
     CALM,
@@ -200,7 +200,7 @@
     loop, net = virtual_loop(1)
     listener = net.listen("b:1", served, "paced")
     allowed = [0]
-    listener.pace = lambda: 0 if loop.now() >= allowed[0] else 50_000
+    listener.accept_delay_us = lambda: 0 if loop.now() >= allowed[0] else 50_000
     listener.on_accept = lambda: allowed.__setitem__(0, loop.now() + 400_000)
 
     def main():
@@ -208,17 +208,17 @@
         for _ in range(3):
             yield from net.connect("b:1", 1_000_000, "c")
             times.append(loop.now())
-        with pytest.raises(ConnectFailed):
+        with pytest.raises(ConnectError):
             yield from net.connect("b:1", 100_000, "c")
         return times
 
     times = loop.run(loop.spawn(main(), "main"))
-    assert times[1] - times[0] >= 400_000 and times[2] - times[1] >= 400_000 and listener.paced > 5
+    assert times[1] - times[0] >= 400_000 and times[2] - times[1] >= 400_000 and listener.delayed_accepts > 5
 
     loop, net, _ = socket_loop()
     listener = net.listen("127.0.0.1:0", served, "paced")
     gate = [3]
-    listener.pace = lambda: 0 if gate[0] else 20_000
+    listener.accept_delay_us = lambda: 0 if gate[0] else 20_000
     listener.on_accept = lambda: gate.__setitem__(0, gate[0] - 1)
 
     def crowd():
