--- a/heathwell/broker/driver.py
+++ b/heathwell/broker/driver.py
@@ -11,20 +11,22 @@
 from __future__ import annotations
 
 import time
-from typing import Any
+from typing import Generic
 
 from heathwell import policy
-from heathwell.broker.driver_contract import AttemptKey, EndpointSource, Link
+from heathwell.broker.call_batches import CallBatches
+from heathwell.broker.driver_contract import AttemptKey, EndpointSource, Link, RequestT
 from heathwell.broker.driver_hooks import ResultT
+from heathwell.broker.operator_log import log_operator_event
 from heathwell.broker.query_registry import QueryRegistry
-from heathwell.broker.query_state import PartT, QueryT, SettingsVersion
+from heathwell.broker.query_state import ExtensionT, PartT, QueryT, SettingsVersion
 from heathwell.broker.replies import FAILED, REFUSED, OnReply, Reply
 
-Calls = dict[str, list[list[Any]]]
-"""By endpoint, the calls to make at the end of a batch, each a list of attempt requests."""
 
-
-class Driver(QueryRegistry[QueryT, PartT, ResultT]):
+class Driver(
+    QueryRegistry[QueryT, PartT, ResultT, RequestT, ExtensionT],
+    Generic[QueryT, PartT, ResultT, RequestT, ExtensionT],
+):
     """One aggregator with its queries, links and endpoint list.
 
     Subclasses provide the methods of :class:`~heathwell.broker.driver_hooks.DriverHooks`.
@@ -105,7 +107,7 @@
                 part.seq = key[1]
                 self.on_part_answered(query, part, key, result)
                 if part.attempt_count > 1:
-                    # Additional attempts that still wait for their connection are of no use now.
+                    # Additional attempts that still wait for their connection are not needed any more.
                     self._withdraw(query, key[0])
             else:
                 # Ends as an error of that endpoint: the aggregator retries elsewhere where its rules allow.
@@ -177,13 +179,13 @@
             for timer in version.timers.values():
                 timer.cancel()
 
-    def _handle_batch(self, version: SettingsVersion) -> None:
+    def _handle_batch(self, version: SettingsVersion[ExtensionT]) -> None:
         batch = version.inbox
         version.inbox = []
         quota_update = self.quota_update()
         if quota_update is not None:
             batch.insert(0, quota_update)
-        calls: Calls = {}
+        calls: CallBatches[RequestT] = CallBatches(self.settings.parts_per_call)
         started_at_ns = time.thread_time_ns()
         actions = version.aggregator.handle(self.loop.now(), batch)
         self.decision_time_ns += time.thread_time_ns() - started_at_ns
@@ -197,18 +199,17 @@
         for query in leaving:
             self._closed(query)
         if self.events.on:
-            self.events.flush()  # type: ignore[attr-defined]  # before the sends and replies recorded
+            self.events.flush()  # before the sends and replies recorded
         self._send_calls(calls)
         self._give_replies()
 
-    def _send_calls(self, calls: Calls) -> None:
-        for node, batches in calls.items():
-            for requests in batches:
-                needed = [
-                    request for request in requests if self._is_still_needed(node, (request.id, request.seq))
-                ]
-                if needed:
-                    self._link(node).send(needed)
+    def _send_calls(self, calls: CallBatches[RequestT]) -> None:
+        for node, requests in calls:
+            needed = [
+                request for request in requests if self._is_still_needed(node, (request.id, request.seq))
+            ]
+            if needed:
+                self._link(node).send(needed)
 
     def _give_replies(self) -> None:
         replies = self._replies
@@ -229,7 +230,7 @@
         return False
 
     def _execute(  # noqa: C901  # one case for each type of action
-        self, action: policy.Action, calls: Calls, version: SettingsVersion
+        self, action: policy.Action, calls: CallBatches[RequestT], version: SettingsVersion[ExtensionT]
     ) -> None:
         match action:
             case policy.Send():
@@ -242,10 +243,10 @@
                     self._ended(query, (part_id, seq), node, policy.Outcome.CANCELLED, None)
             case policy.Answer(id=query_id, complete=complete):
                 self._answer(query_id, complete=complete)
-            case policy.Reject(id=query_id, retry_after_us=retry_after_us):
-                self._reply_without_answer(query_id, REFUSED, retry_after_us)
-            case policy.Fail(id=query_id):
-                self._reply_without_answer(query_id, FAILED, 0)
+            case policy.Reject():
+                self._reply_without_answer(action.id, REFUSED, action.reason, action.retry_after_us)
+            case policy.Fail():
+                self._reply_without_answer(action.id, FAILED, action.reason)
             case policy.Probe(node=node):
                 self.events("probe", node=node)
                 self._link(node).probe()
@@ -254,12 +255,12 @@
                 self.discovery.ask()
             case policy.SetTimer(at_us=at_us, label=label):
                 self._set_timer(version, at_us, label)
-            case policy.Log(text=text):
-                self.log("info", text)
+            case policy.EndpointEjected() | policy.EndpointReadmitted() | policy.DiscoveryDegraded():
+                log_operator_event(self.log, action)
             case policy.QuotaExhausted():
                 self.on_quota_exhausted()
 
-    def _send(self, action: policy.Send, calls: Calls) -> None:
+    def _send(self, action: policy.Send, calls: CallBatches[RequestT]) -> None:
         part_id = action.id
         node = action.node
         query = self.parts[part_id]
@@ -289,27 +290,23 @@
             shard=part.plan.shard,
             **({"further": True} if action.additional else {}),
         )
-        batches = calls.setdefault(node, [])
-        if not batches or len(batches[-1]) >= self.settings.parts_per_call:
-            batches.append([])
-        batches[-1].append(self.attempt_request(query, part, key[1], query.deadline_us - now))
+        calls.add(node, self.attempt_request(query, part, key[1], query.deadline_us - now))
 
-    def _abandon(self, calls: Calls, node: str, key: AttemptKey) -> None:
+    def _abandon(self, calls: CallBatches[RequestT], node: str, key: AttemptKey) -> None:
         """Cancel an attempt, which may be of this very batch and not with its link yet."""
-        for requests in calls.get(node, []):
-            for request in requests:
-                if (request.id, request.seq) == key:
-                    requests.remove(request)
-                    return
-        self._link(node).abandon(key)
-
-    def _reply_without_answer(self, query_id: str, kind: str, retry_after_us: int) -> None:
+        if not calls.remove(node, key):
+            self._link(node).abandon(key)
+
+    def _reply_without_answer(
+        self, query_id: str, kind: str, reason: policy.EndReason, retry_after_us: int = 0
+    ) -> None:
         query = self.queries.get(query_id)
         if query is not None:
             if kind == REFUSED and retry_after_us:
                 retry_after_us = self.retry_after_us(query, retry_after_us)
             class_name = self._query_class(query).name
-            self._reply(query, Reply(kind, query_id, class_name, retry_after_us=retry_after_us))
+            reply = Reply(kind, query_id, class_name, retry_after_us=retry_after_us, end_reason=reason)
+            self._reply(query, reply)
 
     def _answer(self, query_id: str, *, complete: bool) -> None:
         query = self.queries.get(query_id)
@@ -357,7 +354,7 @@
                 del query.in_flight[key]
                 self._ended(query, key, node, policy.Outcome.NEVER_SENT, None)
 
-    def _link(self, node: str) -> Link:
+    def _link(self, node: str) -> Link[RequestT]:
         link = self.links.get(node)
         if link is None:
             link = self.links[node] = self.new_link(node)
--- a/heathwell/servers/memcached.py
+++ b/heathwell/servers/memcached.py
@@ -22,6 +22,7 @@
 from heathwell.broker.replies import ANSWERED, FAILED, MISS, Age, Reply
 from heathwell.codec import memcached as mc
 from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken
+from heathwell.servers.client_connection import ClientConnection
 from heathwell.service.coverage import encode_cover
 from heathwell.service.regions import IdleClient
 from heathwell.service.retry_storms import ConnectionLimiter
@@ -64,7 +65,9 @@
         self.total += 1
         connection = Connection(self, stream)
         verdict = self.connection_limiter.admit(
-            connection.number, stream.peer.rpartition(":")[0], lambda number: self.numbers[number].idle
+            connection.number,
+            stream.peer.rpartition(":")[0],
+            lambda number: self.numbers[number].close_if_idle(),
         )
         if not verdict.is_admitted:
             stream.write(mc.server_error("heathwell too many connections"))
@@ -72,7 +75,6 @@
         self.numbers[connection.number] = connection
         if verdict.evicted is not None:
             self.log("info", "client closed for another", client=self.numbers[verdict.evicted].stream.peer)
-            self.numbers[verdict.evicted].stream.close()
         self.connections[connection] = None
         try:
             yield from connection.run()
@@ -97,18 +99,19 @@
         if not broker.client_drain.is_active:
             return
         known = {connection.number: connection for connection in self.connections}
-        idle = (IdleClient(each.number, each.since) for each in self.connections if each.idle)
+        idle = (IdleClient(each.number, each.since) for each in self.connections if each.is_idle)
         for number in broker.client_drain.take_due(now, idle):
-            self.log("debug", "client let go", client=known[number].stream.peer)
-            known[number].stream.close()
+            if known[number].close_if_idle():
+                self.log("debug", "client let go", client=known[number].stream.peer)
+            else:
+                broker.client_drain.closed_count -= 1  # its request is served first; it is drawn anew
 
     def hand_over(self) -> int:
         """Close the connections on which nothing is asked: another process takes what comes next. How many
         are left.
         """
         for connection in list(self.connections):
-            if connection.idle:
-                connection.stream.close()
+            connection.close_if_idle()
         return sum(not connection.stream.closed for connection in self.connections)
 
     def stats(self) -> dict[str, object]:
@@ -132,12 +135,13 @@
         }
 
 
-class Connection:
+class Connection(ClientConnection):
     """One client: commands in, replies out in their order, a bounded number at work."""
 
     def __init__(self, front: MemcachedFront, stream: Stream) -> None:
-        self.front, self.stream = front, stream
-        self.number, self.since = front.total, front.broker.loop.now()
+        super().__init__(stream, front.total)
+        self.front = front
+        self.since = front.broker.loop.now()
         limits = front.broker.service_settings.limits
         self.parser = mc.Requests(limits.line, limits.keys_a_get)
         self.most = limits.pipelined
@@ -153,7 +157,7 @@
         """Read until the client has no more to ask and everything asked is answered."""
         self.stream.on_close = self.gone
         while not self.quitting:
-            data = yield from self.stream.read()
+            data = yield from self.read()
             if not data:
                 break
             for command in self.parser.feed(data):
@@ -166,7 +170,7 @@
         yield from self._flush_out()
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing is asked, nothing is half said either way."""
         return not self.slots and not self.stream.unsent and not self.parser.midway
 
--- a/heathwell/service/quota_gate.py
+++ b/heathwell/service/quota_gate.py
@@ -8,12 +8,11 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Mapping
 from typing import Protocol
 
 from heathwell import policy
-from heathwell.eventloop import Loop
+from heathwell.broker.driver_contract import DriverContext
 from heathwell.service.host_pool import HostPool
 
 AttemptKey = tuple[str, int]
@@ -51,6 +50,30 @@
         """How long the first of its grants lasts yet."""
 
 
+class Budget(Protocol):
+    """What the gate reads of a fleet-wide budget (:class:`heathwell.fleet.quotas.Budget`)."""
+
+    @property
+    def linger_timeout_us(self) -> int:
+        """How long an endpoint may keep what a dead holder held."""
+
+
+class BudgetStatistics(Protocol):
+    """What the metrics page shows of a budget (:class:`heathwell.fleet.quotas.BudgetStatistics`)."""
+
+    @property
+    def quota(self) -> float:
+        """What may be used now: units, of a rate a second."""
+
+    @property
+    def admitted(self) -> int:
+        """Uses admitted."""
+
+    @property
+    def rejected(self) -> int:
+        """Uses rejected."""
+
+
 class Agent(Protocol):
     """What obtains quotas for this broker (:class:`heathwell.fleet.control.fleet_agent.FleetAgent`)."""
 
@@ -66,11 +89,11 @@
     def holder(self, budget: str) -> Holder | None:
         """This broker's side of one budget."""
 
-    def budget(self, name: str) -> tuple[int, int] | None:
-        """Whole and linger (us) of a budget that is set; None where it is not."""
+    def budget(self, name: str) -> Budget | None:
+        """The fleet-wide budget of this name; None where it is not set."""
 
-    def statistics(self) -> dict[str, dict[str, float]]:
-        """By budget: its quota, and what was used and refused; those of each endpoint summed."""
+    def statistics(self) -> Mapping[str, BudgetStatistics]:
+        """This broker's statistics by budget; those of a budget's endpoints summed."""
 
 
 class QuotaEndpoint(Protocol):
@@ -85,21 +108,9 @@
         """Whether it is listed as live."""
 
 
-class QuotaBroker(Protocol):
+class QuotaBroker(DriverContext, Protocol):
     """What the gate uses of its broker."""
 
-    @property
-    def loop(self) -> Loop:
-        """The event loop."""
-
-    @property
-    def dead(self) -> bool:
-        """Whether the broker is closed."""
-
-    @property
-    def counters(self) -> Counter[tuple[str, ...]]:
-        """Its counters, by labels."""
-
     @property
     def links(self) -> Mapping[str, object]:
         """By node, its connection or its :class:`HostPool`."""
@@ -128,7 +139,7 @@
             if agent.budget(name) is not None
         )
         connections = agent.budget(CONNECTIONS)
-        self.linger_us = connections[1] if connections is not None else 0
+        self.linger_us = connections.linger_timeout_us if connections is not None else 0
         self._slow_start_price_milliunits: dict[str, int] = {}
         self._sendable_until_us: dict[AttemptKey, int] = {}
         self._sent_in_window = 0
