--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -32,7 +32,8 @@
 from heathwell.observability.digests import program_digest, settings_digest
 from heathwell.observability.event_log import EventLog, FileEvents, NoEvents
 from heathwell.servers.admin import AdminFront
-from heathwell.servers.memcached import SPARE, MemcachedFront
+from heathwell.servers.client_connection import EXTRA_CONNECTIONS
+from heathwell.servers.memcached import MemcachedServer
 from heathwell.servers.vector import VectorSearchServer
 from heathwell.service.broker_options import BrokerOptions
 from heathwell.service.module_settings import module_settings
@@ -233,13 +234,13 @@
             events=process.events,
             log=process.log,
         )
-        front = MemcachedFront(served, process.log)
+        front = MemcachedServer(served, process.log)
         admin = AdminFront(served, front)
         door = net.listen(
             listen or service_settings.broker.listen,
             front.serve,
             "client",
-            service_settings.limits.clients + SPARE,
+            service_settings.limits.clients + EXTRA_CONNECTIONS,
         )
         admin_door = net.listen(service_settings.broker.admin, admin.serve, "admin", 100)
         served.pace(door)
@@ -250,7 +251,7 @@
                 service_settings.vector.listen,
                 VectorSearchServer(served, process.log).serve,
                 "searcher",
-                service_settings.limits.clients + SPARE,
+                service_settings.limits.clients + EXTRA_CONNECTIONS,
             )
             served.pace(vector_door)
             searches = {"vector": vector_door.address}
@@ -345,7 +346,7 @@
     return partial(observe_zones, agent=agent, zone=zone, zone_names=service_settings.fleet.zones, seed=seed)
 
 
-def _flush(loop: Loop, front: MemcachedFront) -> Coro[None]:
+def _flush(loop: Loop, front: MemcachedServer) -> Coro[None]:
     """Let the last replies go out."""
     for _ in range(20):
         yield from sleep(loop, 10_000)
--- a/heathwell/servers/admin.py
+++ b/heathwell/servers/admin.py
@@ -13,7 +13,7 @@
 from heathwell.codec.http import Request, Response
 from heathwell.eventloop import Coro, Stream
 from heathwell.observability.http_pages import PROMETHEUS, serve_pages
-from heathwell.servers.memcached import MemcachedFront
+from heathwell.servers.memcached import MemcachedServer
 from heathwell.service.service_broker import ServiceBroker
 from heathwell.service.service_records import ServiceQuery
 from heathwell.service.shard_reachability import MINIMUM_REACHABLE_FRACTION
@@ -63,7 +63,7 @@
 class Figures:
     """Collects a broker's figures for the metrics page."""
 
-    def __init__(self, broker: ServiceBroker, front: MemcachedFront) -> None:
+    def __init__(self, broker: ServiceBroker, front: MemcachedServer) -> None:
         self.broker, self.front = broker, front
         self.registry = CollectorRegistry(auto_describe=False)
         self.took = Histogram(
@@ -199,7 +199,7 @@
 class AdminFront:
     """Serves the admin port."""
 
-    def __init__(self, broker: ServiceBroker, front: MemcachedFront) -> None:
+    def __init__(self, broker: ServiceBroker, front: MemcachedServer) -> None:
         self.broker, self.figures = broker, Figures(broker, front)
         self.pages: dict[str, Callable[[], Response]] = {
             "/healthz": self._health,
--- /dev/null
+++ b/heathwell/servers/memcached_replies.py
@@ -0,0 +1,166 @@
+"""The replies of the memcached server, as docs/clients-memcached.md describes them. Pure.
+
+In short: a miss is left out (or ``EN``); the flags of a value that is partial carry ``ValueFlag.PARTIAL``; a
+query that is rejected or failed is a value too, flagged ``REFUSED`` or ``LOST``, whose body holds no data.
+libmemcached returns any error line of a get as a miss, so an error is sent only if the settings choose it
+(``refusals error``). ``mg`` always gets a ``SERVER_ERROR``.
+"""
+
+from __future__ import annotations
+
+import zlib
+from base64 import b64encode
+from collections.abc import Iterable
+from dataclasses import dataclass
+from enum import IntFlag
+from typing import Any
+
+import msgspec
+
+from heathwell.broker.replies import ANSWERED, FAILED, MISS, REFUSED, Reply
+from heathwell.codec import memcached as protocol
+from heathwell.servers.answer_age import age_fields
+from heathwell.service.coverage import encode_cover
+
+_encoder = msgspec.json.Encoder()
+
+
+class ValueFlag(IntFlag):
+    """Client flags of a value, above the bits that pymemcache and libmemcached use themselves."""
+
+    PARTIAL = 1 << 16
+    REFUSED = 1 << 17
+    LOST = 1 << 18
+    STALE = 1 << 19
+
+
+class CoverageFields(msgspec.Struct, frozen=True):
+    """How complete a value is; the names of the fields are an interface."""
+
+    parts: tuple[int, int]  # answered, requested
+    weight: float
+    need: float
+    floor: float
+    missing: list[int]
+    items: tuple[int, int]  # of the second step: answered, requested
+    set: str | msgspec.UnsetType = msgspec.UNSET
+
+
+@dataclass(frozen=True, slots=True)
+class MissingAnswers:
+    """The keys of a get without an answer, by their places in it (from 1)."""
+
+    rejected: list[int]
+    failed: list[int]
+    retry_after_us: int
+
+    def to_error(self) -> bytes:
+        """Return the error line: ``heathwell refused=1,3-5 failed=2 retry-after-ms=250``."""
+        words = []
+        if self.rejected:
+            words.append(f"refused={format_ranges(self.rejected)}")
+        if self.failed:
+            words.append(f"failed={format_ranges(self.failed)}")
+        if self.retry_after_us:
+            words.append(f"retry-after-ms={_milliseconds(self.retry_after_us)}")
+        return protocol.server_error("heathwell " + " ".join(words))
+
+
+def value_flags(reply: Reply) -> int:
+    """Return the client flags of a reply's value."""
+    if reply.kind == FAILED:
+        return int(ValueFlag.LOST)
+    if reply.kind != ANSWERED:
+        return int(ValueFlag.REFUSED)
+    flags = ValueFlag(0) if reply.complete else ValueFlag.PARTIAL
+    if reply.age is not None and (reply.age.stale or reply.age.behind):
+        flags |= ValueFlag.STALE
+    return int(flags)
+
+
+def answer_body(reply: Reply) -> bytes:
+    """Return the value of an answer; its coverage goes first, so that it is read before the data."""
+    coverage = reply.coverage
+    fields = CoverageFields(
+        parts=(coverage.answered_parts, coverage.requested_parts),
+        weight=coverage.weight,
+        need=coverage.required_fraction,
+        floor=coverage.minimum_fraction,
+        missing=list(coverage.missing),
+        items=(coverage.second_step_answered, coverage.second_step_requested),
+        set=msgspec.UNSET if reply.age is None else b64encode(encode_cover(coverage.cover)).decode(),
+    )
+    body: dict[str, Any] = {"whole": reply.complete, "coverage": fields}
+    if reply.age is not None:
+        body |= age_fields(reply.age)
+    return _encoder.encode(body | reply.body)
+
+
+def missing_answer_body(reply: Reply) -> bytes:
+    """Return the value that stands for an answer that is missing."""
+    body: dict[str, Any] = {
+        "whole": False,
+        _kind_name(reply): True,
+        "retry_after_ms": _milliseconds(reply.retry_after_us),
+    }
+    if reply.reason:
+        body["why"] = reply.reason
+    return _encoder.encode(body)
+
+
+def get_reply(command: protocol.Get, replies: list[Reply], *, as_error: bool) -> bytes:
+    """Return the reply to a classic get: the values, then ``END``.
+
+    With ``as_error`` an error that names the keys without an answer takes their values' and ``END``'s place.
+    """
+    lines: list[bytes] = []
+    unanswered: dict[int, Reply] = {}
+    for place, (key, reply) in enumerate(zip(command.keys, replies, strict=True), 1):
+        if reply.kind == MISS:
+            continue
+        if reply.kind != ANSWERED and as_error:
+            unanswered[place] = reply
+            continue
+        body = answer_body(reply) if reply.kind == ANSWERED else missing_answer_body(reply)
+        cas = zlib.crc32(body) if command.cas else None
+        lines.append(protocol.value(key, value_flags(reply), body, cas))
+    lines.append(_missing_answers(unanswered).to_error() if unanswered else protocol.END)
+    return b"".join(lines)
+
+
+def meta_get_reply(command: protocol.MetaGet, reply: Reply) -> bytes:
+    """Return the reply to an ``mg``."""
+    if reply.kind == MISS:
+        return protocol.meta_miss(command)
+    if reply.kind != ANSWERED:
+        return _missing_answers({1: reply}).to_error()
+    body = answer_body(reply)
+    return protocol.meta_value(command, value_flags(reply), body, zlib.crc32(body))
+
+
+def format_ranges(numbers: Iterable[int]) -> str:
+    """Return ascending numbers with consecutive ones as ranges: ``1,3-5``."""
+    ranges: list[list[int]] = []
+    for number in numbers:
+        if ranges and number == ranges[-1][1] + 1:
+            ranges[-1][1] = number
+        else:
+            ranges.append([number, number])
+    return ",".join(str(first) if first == last else f"{first}-{last}" for first, last in ranges)
+
+
+def _missing_answers(replies: dict[int, Reply]) -> MissingAnswers:
+    return MissingAnswers(
+        rejected=[place for place, reply in replies.items() if reply.kind != FAILED],
+        failed=[place for place, reply in replies.items() if reply.kind == FAILED],
+        retry_after_us=max(reply.retry_after_us for reply in replies.values()),
+    )
+
+
+def _kind_name(reply: Reply) -> str:
+    return FAILED if reply.kind == FAILED else REFUSED
+
+
+def _milliseconds(duration_us: int) -> int:
+    """Return a duration in milliseconds, rounded up."""
+    return -(-duration_us // 1000)
--- a/heathwell/testing/simulation/fleet.py
+++ b/heathwell/testing/simulation/fleet.py
@@ -18,7 +18,8 @@
 from heathwell.fleet.quotas import QuotaCoordinator
 from heathwell.observability.event_log import EventLog, ListEvents, NoEvents
 from heathwell.servers.admin import AdminFront
-from heathwell.servers.memcached import SPARE, MemcachedFront
+from heathwell.servers.client_connection import EXTRA_CONNECTIONS
+from heathwell.servers.memcached import MemcachedServer
 from heathwell.servers.vector import VectorSearchServer
 from heathwell.service.broker_options import BrokerOptions
 from heathwell.service.service_broker import ServiceBroker
@@ -113,11 +114,14 @@
             events=self.events,
             log=fleet.log,
         )
-        self.front = MemcachedFront(self.broker, fleet.log)
+        self.front = MemcachedServer(self.broker, fleet.log)
         self.admin = AdminFront(self.broker, self.front)
         self.listeners: list[Listener] = [
             net.listen(
-                address, self.front.serve, f"client of {self.name}", service_settings.limits.clients + SPARE
+                address,
+                self.front.serve,
+                f"client of {self.name}",
+                service_settings.limits.clients + EXTRA_CONNECTIONS,
             ),
             net.listen(service_settings.broker.admin, self.admin.serve, f"admin of {self.name}"),
         ]
@@ -132,7 +136,7 @@
                     service_settings.vector.listen,
                     self.vector.serve,
                     f"searcher of {self.name}",
-                    service_settings.limits.clients + SPARE,
+                    service_settings.limits.clients + EXTRA_CONNECTIONS,
                 )
             )
             self.broker.pace(self.listeners[-1])
@@ -159,8 +163,8 @@
         self.broker.kill()
         if self.agent is not None:
             self.agent.close()
-        for connection in list(self.front.connections):
-            connection.slots.clear()
+        for connection in self.front.connections:
+            connection.pending.clear()
             connection.stream.abort()
         for searcher in list(self.vector.clients.connections.values()) if self.vector is not None else ():
             searcher.stream.abort()
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from heathwell.eventloop import StreamBroken, sleep, virtual_loop
-from heathwell.servers.memcached import LOST, REFUSED
+from heathwell.servers.memcached_replies import ValueFlag
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
@@ -129,7 +129,7 @@
                 return values, line.decode()
             _, key, flags, size, *_ = line.split()
             data = yield from self.block(int(size))
-            if int(flags) & (REFUSED | LOST):
+            if int(flags) & (ValueFlag.REFUSED | ValueFlag.LOST):
                 self.lost[key.decode()] = json.loads(data)
             else:
                 values[key.decode()] = (int(flags), data)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -17,7 +17,7 @@
 
 from heathwell.codec import frames
 from heathwell.eventloop import socket_loop
-from heathwell.servers.memcached import PARTIAL, REFUSED
+from heathwell.servers.memcached_replies import ValueFlag
 from heathwell.settings import loads
 from heathwell.testing.simulation.fleet import LocalFleet
 
@@ -118,8 +118,10 @@
 
     client = pymemcache.Client(address(fleet), timeout=10, serde=Flags())
     outcomes(client.get, "abcdefghijkl")
-    assert {flags for flags, body in seen.values() if not body["whole"] and "rows" in body} == {PARTIAL}
-    assert {flags for flags, body in seen.values() if "rows" not in body} <= {REFUSED}
+    assert {flags for flags, body in seen.values() if not body["whole"] and "rows" in body} == {
+        ValueFlag.PARTIAL
+    }
+    assert {flags for flags, body in seen.values() if "rows" not in body} <= {ValueFlag.REFUSED}
     assert {flags for flags, body in seen.values() if body["whole"]} <= {0}
     client.close()
 
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -113,10 +113,12 @@
             return
         now = self.servers.loop.now()
         drain = self.front.broker.client_drain
-        drain.cut_since, drain.over, drain.look = now - 5_000_000, 1, lambda *_: None
+        drain.spread_us = 1
+        drain.tick(now - 5_000_000, is_cut_off=True)
+        drain.tick = lambda _now_us, is_cut_off: None
         for connection in self.connections():
-            connection.since = now - 6_000_000
-        self.front._let_go()
+            connection.opened_at_us = now - 6_000_000
+        self.front._drain_idle_clients()
 
 
 class Vector:
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -12,7 +12,7 @@
 
 from heathwell.codec import frames
 from heathwell.eventloop import sleep
-from heathwell.servers.memcached import STALE
+from heathwell.servers.memcached_replies import ValueFlag
 from heathwell.service.coverage import Cover, CoverError, decode_cover, encode_cover
 from heathwell.service.freshness import (
     FreshnessDecider,
@@ -258,7 +258,7 @@
                 values, _ = yield from client.get(f"report:{word}:2026-11-28")
                 for flags, data in values.values():
                     body = json.loads(data)
-                    assert bool(flags & STALE) == body["stale"] == (body["age_ms"] > 1000)
+                    assert bool(flags & ValueFlag.STALE) == body["stale"] == (body["age_ms"] > 1000)
                     stale += body["stale"]
                 yield from sleep(world.loop, 150_000)
             return stale
@@ -296,7 +296,7 @@
         values, _ = yield from client.get(f"sale:anna:17@~{token}")
         flags, data = values[f"sale:anna:17@~{token}"]
         body = json.loads(data)
-        assert flags & STALE and body["behind"] == [3]
+        assert flags & ValueFlag.STALE and body["behind"] == [3]
         yield from sleep(world.loop, 10_000_000)
         values, _ = yield from client.get(f"sale:anna:17@~{token}")
         assert "behind" not in json.loads(values[f"sale:anna:17@~{token}"][1])
@@ -354,7 +354,7 @@
         values, _ = yield from client.get("price:tea")
         flags, data = values["price:tea"]
         body = json.loads(data)
-        assert body["age_ms"] is None and body["stale"] and flags & STALE
+        assert body["age_ms"] is None and body["stale"] and flags & ValueFlag.STALE
 
     world.run(main())
 
