--- a/heathwell/codec/frames/parts.py
+++ b/heathwell/codec/frames/parts.py
@@ -8,7 +8,10 @@
 
 
 class PartRequest(msgspec.Struct, omit_defaults=True, rename={"query_class": "klass"}):
-    """One attempt of a part. ``left_us`` is the time until the query's deadline."""
+    """One attempt of a part. ``left_us`` is the time until the query's deadline.
+
+    ``op`` names the operation of the host, as on the wire.
+    """
 
     id: str
     seq: int
--- a/heathwell/settings/consistency.py
+++ b/heathwell/settings/consistency.py
@@ -1,4 +1,7 @@
-"""Checks of a complete settings file that involve more than one field."""
+"""Checks of a complete settings file that involve more than one field.
+
+The paths and texts of the results name the keys of the file, which differ from some fields of the records.
+"""
 
 from __future__ import annotations
 
