--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -474,7 +474,10 @@
     told = world.setup["invariants"][
         "must-ask-in-us" if world.setup["registry-mode"] == "ask" else "drain-grace-us"
     ]
-    assert module.poll_backoff_first_us == told // 10 and module.poll_backoff_most_us <= told // 2
+    assert (
+        module.endpoint_table._backoff_first_us == told // 10
+        and module.endpoint_table._backoff_maximum_us <= told // 2
+    )
 
 
 def test_a_discovery_that_refuses_is_not_asked_turn_after_turn_where_no_time_to_ask_is_stated():
