--- a/heathwell/codec/nodeframes.py
+++ b/heathwell/codec/nodeframes.py
@@ -54,10 +54,10 @@
 class FrameError(Exception):
     """Bytes that break the protocol.
 
-    ``part_id`` is the id of the part that they answer, and empty where it cannot be read.
+    ``part_id`` is the id of the part that they answer, None where it cannot be read.
     """
 
-    def __init__(self, text: str, part_id: str = "") -> None:
+    def __init__(self, text: str, part_id: str | None = None) -> None:
         super().__init__(text)
         self.part_id = part_id
 
@@ -147,7 +147,7 @@
     part_id = _part_id_of(items[0])
     if not newline or len(line) > MAX_LINE_BYTES:
         raise FrameError("an answer's line does not end", part_id)
-    if len(items) != ANSWER_LINE_ITEMS or not part_id:
+    if len(items) != ANSWER_LINE_ITEMS or part_id is None:
         raise FrameError(f"an answer's line of {len(items)} items", part_id)
     _, code, score, report = items
     status = STATUS_OF_CODE.get(code)
@@ -163,9 +163,9 @@
     return PartAnswer(part_id, status, float(score), in_flight, value)
 
 
-def _part_id_of(item: bytes) -> str:
-    """Return the part id that an item is; empty if it is not a valid one."""
-    return item.decode("latin-1") if PART_ID.fullmatch(item) else ""
+def _part_id_of(item: bytes) -> str | None:
+    """Return the part id that an item is; None if it is not a valid one."""
+    return item.decode("latin-1") if PART_ID.fullmatch(item) else None
 
 
 class FrameReader:
@@ -203,11 +203,11 @@
         finally:
             del buffer[:start]
 
-    def _part_id_at(self, start: int) -> str:
+    def _part_id_at(self, start: int) -> str | None:
         """Return the part id of the answer that begins at ``start``, as far as it has been received."""
         body_start = start + LENGTH_BYTES + 1
         if self._buffer[body_start - 1 : body_start] != ANSWER:
-            return ""
+            return None
         return _part_id_of(bytes(self._buffer[body_start : body_start + MAX_LINE_BYTES]).split(b" ", 1)[0])
 
     @staticmethod
