--- a/heathwell/gateway/discovery.py
+++ b/heathwell/gateway/discovery.py
@@ -1,7 +1,7 @@
 """The platform's discovery over HTTP: a watch that continues, call after call, from the version that is held.
 
-The module decides when to ask; from then on each answer is passed on until a call fails. The failure is
-passed on too, and the module decides when to ask again. The only timeouts are those of a call, so that a
+The module decides when to poll; from then on each answer is passed on until a call fails. The failure is
+passed on too, and the module decides when to poll again. The only timeouts are those of a call, so that a
 silent connection is noticed. :class:`Discovery` owns its connection and the version held; what an answer
 means is for its listener. Imports the HTTP codec, the decoder of answers and the event loop.
 
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 
 from heathwell.codec.http import ClientSide, HttpError
-from heathwell.eventloop import ConnectFailed, Coro, Loop, Net, Stream, StreamBroken, Task, sleep
+from heathwell.eventloop import ConnectError, Coro, Loop, Net, Stream, StreamBrokenError, Task, sleep
 from heathwell.gateway.targets import Targets, TargetsError
 
 MAX_HOLD_US = 60_000_000  # of a watch, by the platform's protocol
@@ -33,7 +33,7 @@
 # Pauses between calls while a change that was missed may take effect.
 MIN_RETRY_PAUSE_US = 100_000
 MAX_RETRY_PAUSE_US = 800_000
-# A watch waits a random fraction of its hold time, so that brokers started together ask apart.
+# A watch waits a random fraction of its hold time, so that brokers started together poll apart.
 MIN_HOLD_FRACTION = 0.75
 PATH = "/api/targets"
 MAX_BODY_BYTES = 1 << 20
@@ -94,10 +94,10 @@
         self.grace_us = grace_us
         self._urgent_until_us = 0
         self._answered = False  # since the watch was last opened
-        self._task: Task | None = None
+        self._task: Task[None] | None = None
 
     def start(self) -> None:
-        """Watch if lists are pushed; otherwise the module asks first."""
+        """Watch if lists are pushed; otherwise the module polls first."""
         if self.pushed:
             self.ask()
 
@@ -136,7 +136,7 @@
                     self.log("info", "discovery: the watch fell silent, it is opened anew")
                     continue
                 failure: Exception = problem
-            except (ConnectFailed, StreamBroken, HttpError, TargetsError) as problem:
+            except (ConnectError, StreamBrokenError, HttpError, TargetsError) as problem:
                 failure = problem
             self.failures += 1
             if self.loop.now() + pause_us >= self._urgent_until_us:
@@ -214,7 +214,7 @@
                 if response.status != 200:
                     raise HttpError(f"status {response.status}")
                 return Targets.from_bytes(response.body)
-        except StreamBroken:
+        except StreamBrokenError:
             if self.loop.now() >= timeout_at_us:
                 raise DiscoverySilentError("no answer in time") from None
             raise
--- a/heathwell/servers/memcached.py
+++ b/heathwell/servers/memcached.py
@@ -9,7 +9,7 @@
 
 from heathwell import __version__
 from heathwell.codec import memcached as protocol
-from heathwell.eventloop import Coro, Overrun, Stream
+from heathwell.eventloop import Coro, Stream, StreamOverrunError
 from heathwell.servers.client_connection import DRAIN_CHECK_INTERVAL_US, ClientRegistry
 from heathwell.servers.memcached_connection import MemcachedConnection, MemcachedServerStatistics, StatsReply
 from heathwell.service.regions import IdleClient
@@ -46,7 +46,7 @@
             self.log("info", "client closed for another", client=registration.evicted.stream.peer)
         try:
             yield from connection.run()
-        except Overrun as error:
+        except StreamOverrunError as error:
             self.statistics.slow_clients += 1
             self.log("info", "client cut off", client=stream.peer, why=str(error))
         finally:
--- a/heathwell/servers/memcached_connection.py
+++ b/heathwell/servers/memcached_connection.py
@@ -13,7 +13,7 @@
 from heathwell.broker.query_state import Handle
 from heathwell.broker.replies import Reply
 from heathwell.codec import memcached as protocol
-from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken
+from heathwell.eventloop import Coro, Event, Stream, StreamBrokenError, StreamOverrunError
 from heathwell.servers.client_connection import ClientConnection, ClientRegistry
 from heathwell.servers.memcached_replies import get_reply, meta_get_reply
 from heathwell.service.service_broker import ServiceBroker
@@ -97,7 +97,7 @@
         self._command_count = 0
         self._is_quitting = False
         self._progress = Event()
-        self._overrun: Overrun | None = None
+        self._overrun: StreamOverrunError | None = None
         stream.hard_limit = limits.unread
         stream.high_water = min(stream.high_water, limits.unread // 2)
 
@@ -160,17 +160,17 @@
                 return
             case protocol.Noop():
                 pending.data = b"MN\r\n"
-            case protocol.Refuse(quiet=is_quiet):
+            case protocol.RejectedCommand(quiet=is_quiet):
                 self._server.statistics.rejected_writes += 1
                 pending.data = b"" if is_quiet else protocol.server_error(protocol.READ_ONLY)
-            case protocol.Bad(line=line):
+            case protocol.MalformedCommand(line=line):
                 self._server.statistics.bad_commands += 1
                 pending.data = line
-            case protocol.Simple():
+            case protocol.ServerCommand():
                 pending.data = self._execute_simple(command)
         self._write_completed()
 
-    def _execute_simple(self, command: protocol.Simple) -> bytes:
+    def _execute_simple(self, command: protocol.ServerCommand) -> bytes:
         match command.name:
             case "version":
                 return b"VERSION " + __version__.encode() + b"\r\n"
@@ -215,8 +215,8 @@
                 self.pending.popleft()
                 if data:
                     self.stream.write(data)
-        except Overrun as error:
+        except StreamOverrunError as error:
             self._overrun = error
-        except StreamBroken:
+        except StreamBrokenError:
             pass  # the task that reads ends the connection
         self._progress.set()
