--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -31,7 +31,7 @@
 )
 from heathwell.observability.digests import program_digest, settings_digest
 from heathwell.observability.event_log import EventLog, FileEvents, NoEvents
-from heathwell.servers.admin import AdminFront
+from heathwell.servers.admin import AdminServer
 from heathwell.servers.client_connection import EXTRA_CONNECTIONS
 from heathwell.servers.memcached import MemcachedServer
 from heathwell.servers.vector import VectorSearchServer
@@ -235,7 +235,7 @@
             log=process.log,
         )
         front = MemcachedServer(served, process.log)
-        admin = AdminFront(served, front)
+        admin = AdminServer(served, front)
         door = net.listen(
             listen or service_settings.broker.listen,
             front.serve,
--- a/heathwell/servers/memcached_connection.py
+++ b/heathwell/servers/memcached_connection.py
@@ -124,7 +124,8 @@
 
     def on_connection_lost(self) -> None:
         """Disconnect from the queries in progress: nobody waits for their answers."""
-        pending, self.pending = self.pending, deque()
+        pending = self.pending
+        self.pending = deque()
         for pending_reply in pending:
             pending_reply.disconnect()
         self._progress.set()
--- a/heathwell/servers/vector_answers.py
+++ b/heathwell/servers/vector_answers.py
@@ -37,11 +37,9 @@
     points: list[Point]
 
 
-def results(
-    merged_rows: Iterable[MergedRows], distance: str, form: str
-) -> Iterator[QueryResult | list[Point]]:
+def results(searches: Iterable[MergedRows], distance: str, form: str) -> Iterator[QueryResult | list[Point]]:
     """Yield the results of a request's searches, in the form of the call."""
-    for merged in merged_rows:
+    for merged in searches:
         found = points(merged, distance)
         yield QueryResult(found) if form == "query" else found
 
--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -195,7 +195,8 @@
 
     def _disconnect(self) -> bool:
         """Disconnect from the queries started; those that are answered already ignore it."""
-        handles, self._handles = self._handles, []
+        handles = self._handles
+        self._handles = []
         for handle in handles:
             handle.disconnect()
         return bool(handles)
--- a/heathwell/testing/simulation/fleet.py
+++ b/heathwell/testing/simulation/fleet.py
@@ -17,7 +17,7 @@
 from heathwell.fleet.membership import LocalMember
 from heathwell.fleet.quotas import QuotaCoordinator
 from heathwell.observability.event_log import EventLog, ListEvents, NoEvents
-from heathwell.servers.admin import AdminFront
+from heathwell.servers.admin import AdminServer
 from heathwell.servers.client_connection import EXTRA_CONNECTIONS
 from heathwell.servers.memcached import MemcachedServer
 from heathwell.servers.vector import VectorSearchServer
@@ -115,7 +115,7 @@
             log=fleet.log,
         )
         self.front = MemcachedServer(self.broker, fleet.log)
-        self.admin = AdminFront(self.broker, self.front)
+        self.admin = AdminServer(self.broker, self.front)
         self.listeners: list[Listener] = [
             net.listen(
                 address,
