--- a/heathwell/client.py
+++ b/heathwell/client.py
@@ -1,10 +1,10 @@
-"""A client that comes back when it is told to: for those who ask a broker by memcached.
+"""A memcached client that retries when the broker allows it.
 
     client = RetryingClient("127.0.0.1", 11211, useful=8.0)
     answer = client.get("price:apple")
 
-It waits as long as the broker advises, never asks sooner, gives up when the answer would be of no use any
-more, and spreads its reconnects. Nothing here knows of the broker's code.
+It waits as long as the broker requests, never retries sooner, stops when an answer would come too late to be
+useful, and spreads its reconnects. It imports nothing else of heathwell.
 """
 
 from __future__ import annotations
@@ -14,22 +14,44 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Any
 
 from pymemcache.client.base import Client
 from pymemcache.exceptions import MemcacheError
 
-WHOLE, PARTIAL, MISS, REFUSED, FAILED, LOST = "whole", "partial", "miss", "refused", "failed", "lost"
-RECONNECT_FIRST, RECONNECT_MOST = 0.1, 2.0
+FIRST_RECONNECT_SECONDS = 0.1
+MAX_RECONNECT_SECONDS = 2.0
+RECONNECT_JITTER = (0.5, 1.5)  # all clients notice the end of an outage at once
+
+
+class AnswerKind(StrEnum):
+    """How a request ended."""
+
+    WHOLE = "whole"
+    PARTIAL = "partial"
+    MISS = "miss"
+    REFUSED = "refused"
+    FAILED = "failed"
+    LOST = "lost"  # no broker was reached
+
+
+# The former names of the kinds.
+WHOLE = AnswerKind.WHOLE
+PARTIAL = AnswerKind.PARTIAL
+MISS = AnswerKind.MISS
+REFUSED = AnswerKind.REFUSED
+FAILED = AnswerKind.FAILED
+LOST = AnswerKind.LOST
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What came of a question: ``kind``, the body of an answer, and how often it was asked."""
+    """How a request ended: ``kind``, the body of the value, and in how many attempts (``tries``)."""
 
-    kind: str
+    kind: AnswerKind
     body: dict[str, Any] = field(default_factory=dict)
-    tries: int = 1
+    tries: int = 1  # the name is an interface
 
 
 class RetryingClient:
@@ -46,43 +68,54 @@
         clock: Callable[[], float] = time.monotonic,
         seed: int | None = None,
     ) -> None:
-        self.useful, self.sleep, self.clock = useful, sleep, clock
+        self.useful = useful
+        self.sleep = sleep
+        self.clock = clock
         self.random = random.Random(seed)
         self._client = Client((host, port), connect_timeout=timeout, timeout=timeout, no_delay=True)
 
     def get(self, key: str) -> Answer:
-        """Ask until there is a final word, at the broker's pace; :data:`LOST` where no broker was reached in
-        time, :data:`REFUSED` where it still refused when the answer became of no use."""
-        until, tries, wait = self.clock() + self.useful, 0, RECONNECT_FIRST
-        last = Answer(LOST)
+        """Return the final answer, after as many attempts as are allowed within ``useful`` seconds.
+
+        It is :data:`AnswerKind.LOST` or :data:`AnswerKind.REFUSED` if that was the last attempt's outcome.
+        """
+        give_up_at = self.clock() + self.useful
+        reconnect_seconds = FIRST_RECONNECT_SECONDS
+        attempts = 0
         while True:
-            tries += 1
-            try:
-                raw = self._client.get(key)
-            except (MemcacheError, OSError):
-                self._client.close()
-                # The first word after an outage: all clients know at once that it is over.
-                pause, wait = wait * self.random.uniform(0.5, 1.5), min(2 * wait, RECONNECT_MOST)
-                last = Answer(LOST, {}, tries)
+            attempts += 1
+            answer = self._attempt(key, attempts)
+            if answer.kind is AnswerKind.LOST:
+                pause_seconds = reconnect_seconds * self.random.uniform(*RECONNECT_JITTER)
+                reconnect_seconds = min(2 * reconnect_seconds, MAX_RECONNECT_SECONDS)
+            elif answer.kind is AnswerKind.REFUSED:
+                requested_seconds = float(answer.body.get("retry_after_ms", 0)) / 1000
+                pause_seconds = requested_seconds or reconnect_seconds
+                reconnect_seconds = FIRST_RECONNECT_SECONDS
             else:
-                last = _read(raw, tries)
-                if last.kind != REFUSED:
-                    return last
-                pause, wait = float(last.body.get("retry_after_ms", 0)) / 1000 or wait, RECONNECT_FIRST
-            if self.clock() + pause >= until:
-                return last
-            self.sleep(pause)
+                return answer
+            if self.clock() + pause_seconds >= give_up_at:
+                return answer
+            self.sleep(pause_seconds)
 
     def close(self) -> None:
-        """Let the connection go."""
+        """Close the connection."""
         self._client.close()
 
+    def _attempt(self, key: str, attempts: int) -> Answer:
+        try:
+            value = self._client.get(key)
+        except (MemcacheError, OSError):
+            self._client.close()
+            return Answer(AnswerKind.LOST, {}, attempts)
+        return _read(value, attempts)
+
 
-def _read(raw: bytes | None, tries: int) -> Answer:
-    """A value as the broker writes it (docs/clients-memcached.md)."""
-    if raw is None:
-        return Answer(MISS, {}, tries)
-    body: dict[str, Any] = json.loads(raw)
+def _read(value: bytes | None, attempts: int) -> Answer:
+    """Return the answer in a value as the broker writes it (docs/clients-memcached.md)."""
+    if value is None:
+        return Answer(AnswerKind.MISS, {}, attempts)
+    body: dict[str, Any] = json.loads(value)
     if "coverage" in body:
-        return Answer(WHOLE if body["whole"] else PARTIAL, body, tries)
-    return Answer(REFUSED if body.get("refused") else FAILED, body, tries)
+        return Answer(AnswerKind.WHOLE if body["whole"] else AnswerKind.PARTIAL, body, attempts)
+    return Answer(AnswerKind.REFUSED if body.get("refused") else AnswerKind.FAILED, body, attempts)
