--- a/heathwell/servers/admin_state.py
+++ b/heathwell/servers/admin_state.py
@@ -12,7 +12,7 @@
 
     for_ms: int
     trial: bool
-    dead: str | None
+    dead: str  # why the endpoint may have been unreachable; empty where it was not
 
 
 class EndpointState(msgspec.Struct, frozen=True):
@@ -89,7 +89,7 @@
     for scope, ejection in broker.aggregator.endpoints[node].ejections.items():
         left_us = max(0, ejection.ejected_at_us + ejection.duration_us - now)
         states[_scope_name(broker, scope)] = EjectionState(
-            left_us // 1000, ejection.half_open, ejection.disconnect_reason
+            left_us // 1000, ejection.half_open, ejection.disconnect_reason or ""
         )
     return states
 
--- a/heathwell/service/query_explanations.py
+++ b/heathwell/service/query_explanations.py
@@ -41,6 +41,7 @@
     complete: bool = msgspec.field(name="whole")
     duration_ms: float = msgspec.field(name="took_ms")
     age_ms: float | None
+    reason: str | None  # why the decision module ended it without an answer
     parts: list[PartExplanation]
 
 
@@ -88,6 +89,7 @@
             class_name=explained.class_name,
             kind=reply.kind,
             complete=reply.complete,
+            reason=None if reply.end_reason is None else reply.end_reason.value,
             duration_ms=explained.duration_us / MICROSECONDS_PER_MILLISECOND,
             age_ms=_to_milliseconds(reply.age.bound_us if reply.age is not None else None),
             parts=[self._explain_part(part, explained.replied_at_us) for part in query.parts.values()],
--- a/heathwell/service/reply_recorder.py
+++ b/heathwell/service/reply_recorder.py
@@ -48,6 +48,7 @@
     def _log(self, query: ServiceQuery, reply: Reply, duration_us: int) -> None:
         answered = [part for part in query.parts.values() if part.data is not None]
         age = reply.age
+        reason = {} if reply.end_reason is None else {"reason": reply.end_reason.value}
         self._broker.events(
             "final",
             q=query.id,
@@ -64,6 +65,7 @@
             used={part.id: part.seq for part in answered},
             age=age.bound_us if age is not None else None,
             age_at=age.at_us - self._broker.loop.now() if age is not None else None,
+            **reason,
         )
 
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -345,6 +345,23 @@
     world.run(main())
 
 
+def test_why_the_module_ended_a_query_is_logged_and_explained_but_not_sent_to_the_client():
+    world = World(7, ON)
+
+    def main():
+        client = yield from world.client()
+        for leaf in world.fleet.leaves:
+            leaf.order(frames.FaultCommand("failclass", 0, 60_000_000, "price-search"))
+        yield from client.get("price:tea")
+        assert client.lost["price:tea"]["refused"]
+        assert "too_few_parts" not in json.dumps(client.lost["price:tea"])
+        (final,) = world.seen("final")
+        assert final["reason"] == "too_few_parts"
+        assert world.fleet.brokers[0].broker.explain(final["q"]).reason == "too_few_parts"
+
+    world.run(main())
+
+
 def test_without_the_sources_clock_ages_are_unknown_and_never_guessed():
     world = World(8, policy(ON, "(wanted-age 1s)"))
     world.fleet.brokers[0].broker.source_clock_client.close()
