--- a/heathwell/broker/replies.py
+++ b/heathwell/broker/replies.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from heathwell import policy
 from heathwell.service.coverage import Cover
 
 ANSWERED = "answered"
@@ -41,7 +42,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The one final reply to a query. ``retry_after_us`` is 0 where there is no advice."""
+    """The one final reply to a query.
+
+    ``retry_after_us`` is advice when to retry, 0 for none. ``reason`` is a text for the client.
+    ``end_reason`` is why the decision module ended the query without an answer; clients are not sent it.
+    """
 
     kind: str
     query: str = ""
@@ -51,6 +56,7 @@
     body: JsonObject = field(default_factory=dict)
     retry_after_us: int = 0
     reason: str = ""
+    end_reason: policy.EndReason | None = None
     age: Age | None = None
 
 
--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -33,7 +33,7 @@
 from heathwell.observability.event_log import EventLog, FileEvents, NoEvents
 from heathwell.servers.admin import AdminFront
 from heathwell.servers.memcached import SPARE, MemcachedFront
-from heathwell.servers.vector import VectorFront
+from heathwell.servers.vector import VectorSearchServer
 from heathwell.service.broker_options import BrokerOptions
 from heathwell.service.module_settings import module_settings
 from heathwell.service.service_broker import ServiceBroker
@@ -248,7 +248,7 @@
         if service_settings.vector.listen:
             vector_door = net.listen(
                 service_settings.vector.listen,
-                VectorFront(served, process.log).serve,
+                VectorSearchServer(served, process.log).serve,
                 "searcher",
                 service_settings.limits.clients + SPARE,
             )
--- a/heathwell/gateway/node_connection.py
+++ b/heathwell/gateway/node_connection.py
@@ -8,8 +8,8 @@
 attempt that the connection carried. Abandoned ids are remembered until they are answered or expire; their
 answers are counted and dropped.
 
-A connection that breaks says nothing about its node: if the process died the next connect is refused, if the
-machine is lost it is not answered. So the attempts in flight are reported once a new connection was
+A connection that breaks is no evidence about its node: if the process died the next connect is refused, if
+the machine is lost it is not answered. So the attempts in flight are reported once a new connection was
 established (connection lost: the attempt may have run) or failed (broken with its node).
 """
 
@@ -52,7 +52,7 @@
         self.answered = RecentIds(ANSWERED_ID_RETENTION_US)
         self.retired = False
         self.stream: Stream | None = None
-        self._incoming = nf.Incoming()
+        self._reader = nf.FrameReader()
         self._unsent_calls: deque[list[NodeRequest]] = deque()
         # Attempts of a connection that broke, whose outcome the connect of this one decides.
         self.orphaned: dict[str, AttemptKey] = {}
@@ -134,10 +134,10 @@
                 requests[:] = [request for request in requests if request.id != part_id]
         else:
             self.abandoned.add(part_id, self.loop.now())
-            self._write(nf.frame(nf.GIVE_UP, part_id.encode()))
+            self._write(nf.encode_frame(nf.CANCEL, part_id.encode()))
             if self.stream is not None and not self.stream.closed and self.stream.unsent:
                 # Behind a full socket the cancel has not left, and the owner may resend the part at once.
-                self.link.log_info("given up by its end", "the node reads nothing")
+                self.link.log_info("connection closed", "the node does not read")
                 self.close()
                 return
         self._check_idle()
@@ -170,10 +170,10 @@
             if self.in_flight:
                 self.link.log_info("connection lost", str(problem))
         except nf.FrameError as problem:
-            # The part has run, and the connection is of no use to those that wait behind it.
+            # The part has run, and nothing behind the invalid frame can be read.
             self.link.invalid_answers += 1
             if self.in_flight:
-                self.link.log_info("spoilt answer", f"{problem.part or 'of no part'}: {problem}")
+                self.link.log_info("malformed answer", f"{problem.part_id or 'of no part'}: {problem}")
             self._end_outcome = policy.Outcome.ERROR
         finally:
             self._finish()
@@ -204,16 +204,16 @@
     def _on_data(self, data: bytes) -> None:
         if self.answered_at_us is not None and not self._was_just_answered:
             self.link.consecutive_closes = 0  # the connection outlived an answer
-        for message in self._incoming.feed(data):
+        for message in self._reader.feed(data):
             match message:
                 case nf.PartAnswer():
                     self._on_part_answer(message)
                 case nf.ProbeAnswer(ok=ok):
                     self._on_probe_answer(ok=ok)
-                case nf.Unusable(words=words):
-                    self.link.log_info("a frame could not be used", words)
+                case nf.FrameRejected(reason=reason):
+                    self.link.log_info("a frame could not be used", reason)
                     raise StreamBroken("the node could not use a frame")
-        if self._incoming.left and not self.in_flight and not self._sent_probes:
+        if self._reader.buffered_bytes and not self.in_flight and not self._sent_probes:
             raise nf.FrameError("bytes that belong to nothing")
         self._waiting_since_us = self.loop.now() if self.in_flight or self._sent_probes else None
         self._check_idle()
@@ -224,7 +224,7 @@
         self.answer_count += 1
         if attempt is not None:
             self.answered.add(message.id, self.loop.now())
-            self.link.on_attempt_ended(attempt.key, OUTCOME_OF_STATUS[message.end], message)
+            self.link.on_attempt_ended(attempt.key, OUTCOME_OF_STATUS[message.status], message)
             self.link.on_response(self, attempt.sent_at_us)
         elif message.id in self.abandoned or message.id in self.answered:
             # The attempt's result was reported already, or this is a duplicate: it has no effect.
@@ -248,8 +248,9 @@
     # Writing.
 
     def _write_calls(self) -> None:
-        """Write calls while the socket takes them: one that waits here has provably not left, and can be
-        withdrawn.
+        """Write calls while the socket accepts them.
+
+        A call that waits here has not been sent, so its attempts can be reported as never sent.
         """
         stream = self.stream
         if stream is None or self._writing_calls:  # on_flushed may be called while a call is written
@@ -260,7 +261,7 @@
             if not requests:
                 continue
             now_us = self.loop.now()
-            data = nf.call(
+            data = nf.encode_call(
                 [request.encode(max(1, (request.deadline_at_us - now_us) // 1000)) for request in requests]
             )
             for request in requests:
@@ -273,7 +274,7 @@
     def _send_probe(self, number: int) -> None:
         self._sent_probes.append(number)
         self._start_waiting()
-        self._write(nf.frame(nf.PROBE))
+        self._write(nf.encode_frame(nf.PROBE))
 
     def _write(self, data: bytes) -> None:
         if self.stream is not None:
@@ -299,7 +300,7 @@
         self._idle_time.rests()
 
     def _finish(self) -> None:
-        """The connection is gone: what had not been written whole provably never ran, the rest may have."""
+        """End what is in flight: what had not been written completely never ran, the rest may have."""
         if self._finished:
             return
         self._finished = True
@@ -338,13 +339,13 @@
         return written_bytes
 
     def _end_unsent(self, in_flight: dict[str, InFlightAttempt], written_bytes: int) -> None:
-        """Report the attempts that had not been written whole, and remove them from ``in_flight``."""
+        """Report the attempts that had not been written completely, and remove them from ``in_flight``."""
         unsent = [
             attempt
             for attempt in in_flight.values()
             if attempt.frame_end is None or attempt.frame_end > written_bytes
         ]
-        # Only a connection that was never established tells that its node is unreachable.
+        # Only a connection that was never established shows that its node is unreachable.
         never_established = self.stream is None and not self._closed_by_us
         outcome = policy.Outcome.UNREACHABLE if never_established else policy.Outcome.NEVER_SENT
         for attempt in unsent:
--- a/heathwell/servers/admin.py
+++ b/heathwell/servers/admin.py
@@ -138,8 +138,8 @@
                 "heathwell_crossed", "Attempts over a link", labels=("region", "which")
             )
             for way in broker.regions.links.values():
-                crossed.add_metric((way.region, "first"), way.crossed - way.further)
-                crossed.add_metric((way.region, "further"), way.further)
+                crossed.add_metric((way.region, "first"), way.crossed_count - way.additional_crossed_count)
+                crossed.add_metric((way.region, "further"), way.additional_crossed_count)
             yield crossed
             shares = GaugeMetricFamily(
                 "heathwell_answerable",
@@ -152,7 +152,7 @@
             yield CounterMetricFamily(
                 "heathwell_clients_let_go",
                 "Idle clients closed while cut off or in a left zone",
-                value=broker.client_drain.let_go,
+                value=broker.client_drain.closed_count,
             )
         if broker.quota_gate is not None:
             shares = GaugeMetricFamily(
@@ -165,17 +165,17 @@
                 "Units asked for, by whether there was room",
                 labels=("budget", "room"),
             )
-            for name, row in broker.quota_gate.agent.statistics().items():
-                shares.add_metric((name,), row["share"])
-                uses.add_metric((name, "yes"), row["used"])
-                uses.add_metric((name, "no"), row["refused"])
+            for name, statistics in broker.quota_gate.agent.statistics().items():
+                shares.add_metric((name,), statistics.quota)
+                uses.add_metric((name, "yes"), statistics.admitted)
+                uses.add_metric((name, "no"), statistics.rejected)
             yield shares
             yield uses
         if broker.storms is not None:
             yield GaugeMetricFamily(
                 "heathwell_storm_rate",
                 "Work let in a second while not calm (s); 0 while calm",
-                value=0.0 if broker.storms.state == "calm" else broker.storms.rate / 1e6,
+                value=0.0 if broker.storms.state == "calm" else broker.storms.work_rate_us / 1e6,
             )
         if broker.gate is not None:
             lanes = GaugeMetricFamily(
@@ -183,14 +183,14 @@
                 "Work of a front: out at hosts, waiting",
                 labels=("front", "where"),
             )
-            for name, lane in broker.gate.fronts.items():
-                lanes.add_metric((name, "out"), lane.out / 1e6)
-                lanes.add_metric((name, "waiting"), lane.waiting / 1e6)
+            for name, lane in broker.gate.flows.items():
+                lanes.add_metric((name, "out"), lane.in_flight_us / 1e6)
+                lanes.add_metric((name, "waiting"), lane.queued_us / 1e6)
             yield lanes
             yield GaugeMetricFamily(
                 "heathwell_window_seconds",
                 "Work that may be out at once",
-                value=broker.gate.window.size / 1e6,
+                value=broker.gate.limiter.limit_us / 1e6,
             )
         late = sum(link.late_answers for link in broker.links.values())
         yield CounterMetricFamily("heathwell_late_results", "Results after their attempt's end", value=late)
@@ -307,10 +307,10 @@
                 {
                     "region": link.region,
                     "state": link.state,
-                    "for_ms": (now - link.since) // 1000 if link.since else None,
+                    "for_ms": (now - link.since_us) // 1000 if link.since_us else None,
                     "why": link.evidence,
-                    "crossed": link.crossed,
-                    "further_crossed": link.further,
+                    "crossed": link.crossed_count,
+                    "further_crossed": link.additional_crossed_count,
                 }
                 for link in broker.regions.links.values()
             ]
--- a/heathwell/servers/memcached.py
+++ b/heathwell/servers/memcached.py
@@ -22,8 +22,10 @@
 from heathwell.broker.replies import ANSWERED, FAILED, MISS, Age, Reply
 from heathwell.codec import memcached as mc
 from heathwell.eventloop import Coro, Event, Overrun, Stream, StreamBroken
-from heathwell.service.coverage import encode
-from heathwell.service.retry_storms import Doors
+from heathwell.servers.client_connection import ClientConnection
+from heathwell.service.coverage import encode_cover
+from heathwell.service.regions import IdleClient
+from heathwell.service.retry_storms import ConnectionLimiter
 from heathwell.service.service_broker import ServiceBroker
 
 # Above the bits that pymemcache and libmemcached give a meaning of their own.
@@ -53,25 +55,26 @@
         self.connections: dict[Connection, None] = {}
         self.numbers: dict[int, Connection] = {}
         limits = broker.service_settings.limits
-        self.doors = Doors(limits.clients, limits.clients_an_address)
+        self.connection_limiter = ConnectionLimiter(limits.clients, limits.clients_an_address)
         self.total = self.gets = self.cut_slow = self.bad = self.refused_writes = 0
-        if broker.client_drain.over:
+        if broker.client_drain.spread_us:
             broker.loop.call_at(self.started + DRAIN_LOOK_US, self._let_go)
 
     def serve(self, stream: Stream) -> Coro[None]:
         """One connection, from its first byte to its last."""
         self.total += 1
         connection = Connection(self, stream)
-        stays, victim = self.doors.opened(
-            connection.number, stream.peer.rpartition(":")[0], lambda number: self.numbers[number].idle
+        verdict = self.connection_limiter.admit(
+            connection.number,
+            stream.peer.rpartition(":")[0],
+            lambda number: self.numbers[number].close_if_idle(),
         )
-        if not stays:
+        if not verdict.is_admitted:
             stream.write(mc.server_error("heathwell too many connections"))
             return
         self.numbers[connection.number] = connection
-        if victim is not None:
-            self.log("info", "client closed for another", client=self.numbers[victim].stream.peer)
-            self.numbers[victim].stream.close()
+        if verdict.evicted is not None:
+            self.log("info", "client closed for another", client=self.numbers[verdict.evicted].stream.peer)
         self.connections[connection] = None
         try:
             yield from connection.run()
@@ -81,7 +84,7 @@
         finally:
             self.connections.pop(connection, None)
             self.numbers.pop(connection.number, None)
-            self.doors.closed(connection.number)
+            self.connection_limiter.on_closed(connection.number)
             connection.gone()
 
     def _let_go(self) -> None:
@@ -92,21 +95,23 @@
         if broker.dead:
             return
         broker.loop.call_at(now + DRAIN_LOOK_US, self._let_go)
-        broker.client_drain.look(now, broker.sends_away)
-        if not broker.client_drain.cut:
+        broker.client_drain.tick(now, is_cut_off=broker.sends_away)
+        if not broker.client_drain.is_active:
             return
         known = {connection.number: connection for connection in self.connections}
-        for number in broker.client_drain.due(now, ((c.number, c.since) for c in self.connections if c.idle)):
-            self.log("debug", "client let go", client=known[number].stream.peer)
-            known[number].stream.close()
+        idle = (IdleClient(each.number, each.since) for each in self.connections if each.is_idle)
+        for number in broker.client_drain.take_due(now, idle):
+            if known[number].close_if_idle():
+                self.log("debug", "client let go", client=known[number].stream.peer)
+            else:
+                broker.client_drain.closed_count -= 1  # its request is served first; it is drawn anew
 
     def hand_over(self) -> int:
         """Close the connections on which nothing is asked: another process takes what comes next. How many
         are left.
         """
         for connection in list(self.connections):
-            if connection.idle:
-                connection.stream.close()
+            connection.close_if_idle()
         return sum(not connection.stream.closed for connection in self.connections)
 
     def stats(self) -> dict[str, object]:
@@ -123,19 +128,20 @@
             "hosts_known": len(broker.aggregator.endpoints),
             "bad_commands": self.bad,
             "clients_cut_slow": self.cut_slow,
-            "clients_refused": self.doors.refused,
-            "clients_closed_for_others": self.doors.closed_for,
+            "clients_refused": self.connection_limiter.rejected_count,
+            "clients_closed_for_others": self.connection_limiter.evicted_count,
             "writes_refused": self.refused_writes,
             "stopping": int(broker.stopping),
         }
 
 
-class Connection:
+class Connection(ClientConnection):
     """One client: commands in, replies out in their order, a bounded number at work."""
 
     def __init__(self, front: MemcachedFront, stream: Stream) -> None:
-        self.front, self.stream = front, stream
-        self.number, self.since = front.total, front.broker.loop.now()
+        super().__init__(stream, front.total)
+        self.front = front
+        self.since = front.broker.loop.now()
         limits = front.broker.service_settings.limits
         self.parser = mc.Requests(limits.line, limits.keys_a_get)
         self.most = limits.pipelined
@@ -151,7 +157,7 @@
         """Read until the client has no more to ask and everything asked is answered."""
         self.stream.on_close = self.gone
         while not self.quitting:
-            data = yield from self.stream.read()
+            data = yield from self.read()
             if not data:
                 break
             for command in self.parser.feed(data):
@@ -164,7 +170,7 @@
         yield from self._flush_out()
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing is asked, nothing is half said either way."""
         return not self.slots and not self.stream.unsent and not self.parser.midway
 
@@ -234,7 +240,7 @@
 
     def _ask(self, slot: Slot, keys: tuple[bytes, ...]) -> None:
         broker = self.front.broker
-        self.front.doors.used(self.number)
+        self.front.connection_limiter.on_request(self.number)
         self.front.gets += len(keys)
         self.asked += 1
         request = f"{self.stream.peer}#{self.asked}"
@@ -288,7 +294,7 @@
                 "floor": cover.minimum_fraction,
                 "missing": list(cover.missing),
                 "items": [cover.second_step_answered, cover.second_step_requested],
-                **({"set": b64encode(encode(cover.cover)).decode()} if reply.age is not None else {}),
+                **({"set": b64encode(encode_cover(cover.cover)).decode()} if reply.age is not None else {}),
             },
             **(age_words(reply.age) if reply.age is not None else {}),
             **reply.body,
--- a/heathwell/service/broker_components.py
+++ b/heathwell/service/broker_components.py
@@ -10,7 +10,7 @@
 from heathwell import policy
 from heathwell.eventloop import Net
 from heathwell.policy.records import Endpoint
-from heathwell.service.admission import Costs
+from heathwell.service.admission import CostModels
 from heathwell.service.answer_freshness import AnswerFreshness
 from heathwell.service.broker_options import BrokerOptions
 from heathwell.service.discovery import DiscoveryClient
@@ -83,7 +83,7 @@
     explanations: QueryExplanations
     restrictions: EndpointRestrictions
     reachability: ShardReachability
-    costs: Costs
+    costs: CostModels
     search_answers: SearchAnswers
     fair_admission: FairAdmission | None
     storm_control: StormControl | None
@@ -107,7 +107,7 @@
     explanations = QueryExplanations(freshness)
     restrictions = _build_restrictions(broker, options)
     reachability = ShardReachability(broker, restrictions, broker.live_replicas)
-    costs = Costs()
+    costs = CostModels()
     fair_admission = _build_fair_admission(broker, options)
     storm_control = _build_storm_control(broker, seed)
     admission = QueryAdmission(broker, reachability, storm_control, draw)
--- a/heathwell/service/records.py
+++ b/heathwell/service/records.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from heathwell.service.merging import TopK
+from heathwell.service.merging import TopKMerge
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
     model: str
     body: bytes
-    top: TopK
+    top: TopKMerge
     cost_features: tuple[float, ...]
     work: int
     timeout_us: int = 0
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -16,7 +16,7 @@
 from heathwell.observability.event_log import EventLog
 from heathwell.policy.records import Endpoint
 from heathwell.service import key_spaces
-from heathwell.service.admission import FairGate
+from heathwell.service.admission import FairQueue
 from heathwell.service.broker_components import build_components, build_discovery_client
 from heathwell.service.broker_options import BrokerOptions
 from heathwell.service.host_link import HostLink
@@ -25,9 +25,9 @@
 from heathwell.service.query_cost import part_work_us
 from heathwell.service.query_explanations import QueryExplanation
 from heathwell.service.records import Plan
-from heathwell.service.regions import Regions
+from heathwell.service.regions import RegionLinks
 from heathwell.service.reply_merging import UnmergeablePartsError, merge_reply
-from heathwell.service.retry_storms import Storms
+from heathwell.service.retry_storms import StormController
 from heathwell.service.service_records import ServicePart, ServiceQuery
 from heathwell.service.settings_change import ServiceSnapshot, check_settings_change
 from heathwell.settings import ServiceSettings
@@ -146,7 +146,21 @@
         """Pass a query to the decision module."""
         parts = query.plan.parts
         work_us = part_work_us(query.plan, query.settings_version)
-        self.enter(query, self._planner.first_step(query), len(parts), work_us * len(parts))
+        self.enter(
+            query,
+            self._planner.first_step(query),
+            len(parts),
+            work_us * len(parts),
+            retry=self._may_be_retry(query.plan),
+        )
+
+    def _may_be_retry(self, plan: Plan) -> bool:
+        """Return whether a query with less time than usual may be a retry with its client's remaining time.
+
+        Not if its client chose the timeout itself: its latency objective counts from now on.
+        """
+        has_own_timeout = plan.search is not None and plan.search.timeout_us > 0
+        return not self.service_settings.limits.marks_retry and not has_own_timeout
 
     def reject_crowded_query(self, query: ServiceQuery, retry_after_us: int) -> None:
         """Reject a query that would be queued for too long."""
@@ -171,17 +185,17 @@
     # Components that the servers of client protocols read or use.
 
     @property
-    def gate(self) -> FairGate | None:
+    def gate(self) -> FairQueue | None:
         """The queues of the servers, where settings enable them."""
-        return self._fair_admission.gate if self._fair_admission is not None else None
+        return self._fair_admission.queue if self._fair_admission is not None else None
 
     @property
-    def storms(self) -> Storms | None:
+    def storms(self) -> StormController | None:
         """The decider on retry storms, where settings enable it."""
         return self._storm_control.decider if self._storm_control is not None else None
 
     @property
-    def regions(self) -> Regions | None:
+    def regions(self) -> RegionLinks | None:
         """The decider on links between regions, where settings enable it."""
         return self._restrictions.regions
 
--- a/heathwell/testing/simulation/platform.py
+++ b/heathwell/testing/simulation/platform.py
@@ -11,13 +11,12 @@
 from pathlib import Path
 from typing import Any
 
-import heathwell
 from heathwell.eventloop import Coro, Loop, sleep, socket_loop
 from heathwell.testing.standins.platform import Client, Node, Registry
 
 CELLS = 6
 LOOKS_MOST = 3_000  # at the log, fifty a second, for a word or the end
-ROOT = Path(heathwell.__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[3]
 SETUP: dict[str, Any] = {
     "az": 0,
     "zones": ["a", "b"],
@@ -93,6 +92,14 @@
     """The broker did not start, or does not answer."""
 
 
+def setup_of(*, replica_groups: int, shards: int, brokers: int) -> dict[str, Any]:
+    """The platform's settings object for a deployment of another size."""
+    setup: dict[str, Any] = copy.deepcopy(SETUP)
+    setup["specifics"].update(places=replica_groups, shards=shards)
+    setup["siblings"] = brokers
+    return setup
+
+
 def config_of(**changes: Any) -> bytes:
     """A configuration file's bytes."""
     table: dict[str, Any] = {
