--- a/heathwell/broker/driver.py
+++ b/heathwell/broker/driver.py
@@ -21,7 +21,7 @@
 from heathwell.broker.operator_log import log_operator_event
 from heathwell.broker.query_registry import QueryRegistry
 from heathwell.broker.query_state import ExtensionT, PartT, QueryT, SettingsVersion
-from heathwell.broker.replies import FAILED, REFUSED, OnReply, Reply
+from heathwell.broker.replies import ANSWERED, FAILED, REFUSED, OnReply, Reply
 
 IN_OBJECTIVE = "in aim"  # an interface: a metric has this label
 
@@ -201,7 +201,7 @@
         self._leaving = []
         for query in leaving:
             self._closed(query)
-        if self.events.on:
+        if self.events.is_enabled:
             self.events.flush()  # before the sends and replies recorded
         self._send_calls(calls)
         self._give_replies()
@@ -332,7 +332,7 @@
         duration_us = self.loop.now() - query.started_at_us
         spec = self._query_class(query)
         timeliness = IN_OBJECTIVE if duration_us <= spec.latency_objective_us else "late"
-        kind = "partial" if reply.kind == "answered" and not reply.complete else reply.kind
+        kind = "partial" if reply.kind == ANSWERED and not reply.complete else reply.kind
         self.counters["final", spec.name, kind, timeliness] += 1
         self.on_reply_made(query, reply, duration_us)
         if self.on_final is not None:
--- a/heathwell/fleet/control/fleet_agent.py
+++ b/heathwell/fleet/control/fleet_agent.py
@@ -124,7 +124,7 @@
         if holder is None:
             return False
         is_acquired = holder.acquire(now, thousandths)
-        if self.events.on:
+        if self.events.is_enabled:
             self._log_holder(now, budget, holder)
             if is_acquired and holder.budget.kind != BudgetKind.COUNT:
                 self.events("spends", budget=budget, amount=thousandths)
@@ -173,7 +173,7 @@
         """Send a renewal to each coordinator. One that leaves has its releases in the event log before."""
         report = self.zone_observer.report(now) if self.zone_observer is not None else None
         renewals = self.quotas.renewals(now, leaving=self.is_leaving)
-        if self.is_leaving and self.events.on:
+        if self.is_leaving and self.events.is_enabled:
             self._log_holders(now)
             self.events.flush()
         for addressed in renewals:
@@ -196,7 +196,7 @@
         self._on_decision(messages.decision_from_frame(message.decision))
         reply = messages.renewal_reply_from_frame(message)
         self._on_incarnation_ended(self.quotas.on_reply(now, address, reply))
-        if self.events.on:
+        if self.events.is_enabled:
             for name in sorted({grant.budget for grant in message.grants} & self.quotas.holders.keys()):
                 self._log_holder(now, name, self.quotas.holders[name])
 
@@ -221,7 +221,7 @@
         self._log_holders(self.loop.now())
 
     def _log_holders(self, now: int) -> None:
-        if self.events.on:
+        if self.events.is_enabled:
             for name, holder in self.quotas.holders.items():
                 self._log_holder(now, name, holder)
 
@@ -230,7 +230,7 @@
 
         Only changes are logged; the auditors of experiments read them.
         """
-        if not self.events.on:
+        if not self.events.is_enabled:
             return
         quota = holder.quota(now)  # first: it drops the grants that have run out
         state = (quota, holder.in_use, *(grant.expires_at_us for grant in holder.grants.values()))
--- a/heathwell/fleet/control/quota_coordinator.py
+++ b/heathwell/fleet/control/quota_coordinator.py
@@ -248,7 +248,7 @@
         outcome = self.coordinator.on_renewal(now, messages.renewal_from_frame(message))
         self.counts["renewals",] += 1
         self._log_transitions(outcome.transitions)
-        if self.events.on:
+        if self.events.is_enabled:
             self._log_grants(message, outcome.reply)
             self.events.flush()
         return outcome.reply
--- a/heathwell/gateway/broker.py
+++ b/heathwell/gateway/broker.py
@@ -294,7 +294,7 @@
 
     def on_reply_made(self, query: PlatformQuery, reply: Reply, took_us: int) -> None:
         """Log the reply."""
-        if self.events.on:  # the lists are costly to make
+        if self.events.is_enabled:  # the lists are costly to make
             used = {part.id: part.seq for part in query.parts.values() if part.data is not None}
             self.events(
                 "final",
--- a/heathwell/observability/event_log.py
+++ b/heathwell/observability/event_log.py
@@ -19,9 +19,9 @@
 
 
 class EventLog(Protocol):
-    """Where events go; ``on`` is false where they are dropped, so that costly fields need not be made."""
+    """Where events go; ``is_enabled`` is false where they are dropped, so that costly fields are not made."""
 
-    on: bool
+    is_enabled: bool
 
     def __call__(self, event: str, **fields: Any) -> None:  # noqa: ANN401  # of any JSON type
         """Log an event at the clock's time."""
@@ -36,7 +36,7 @@
 class NoEvents:
     """No event log: the default."""
 
-    on = False
+    is_enabled = False
 
     def __call__(self, event: str, **fields: Any) -> None:  # noqa: ANN401  # of any JSON type
         """Do nothing."""
@@ -55,7 +55,7 @@
     the run.
     """
 
-    on = True
+    is_enabled = True
 
     def __init__(self, path: str, who: str, role: str, clock: EventClock, offset_us: int = 0) -> None:
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o644)
@@ -88,7 +88,7 @@
 class ListEvents:
     """Events in memory, for tests on virtual time."""
 
-    on = True
+    is_enabled = True
 
     def __init__(self, into: list[EventRecord], who: str, role: str, clock: EventClock) -> None:
         self._into = into
--- a/heathwell/testing/standins/leaf.py
+++ b/heathwell/testing/standins/leaf.py
@@ -452,7 +452,7 @@
         spoilt = self._has("spoil")
         if spoilt is not None:
             answer.lists = [(rows + rows if spoilt.text == "many" else rows)[::-1] for rows in answer.lists]
-        if self.events.on:
+        if self.events.is_enabled:
             job.rows = [[(hit.id, hit.score) for hit in rows] for rows in answer.lists]
         return encode_search(answer)
 
