--- a/heathwell/service/key_spaces.py
+++ b/heathwell/service/key_spaces.py
@@ -8,6 +8,7 @@
 import zlib
 from collections.abc import Iterable
 from dataclasses import replace
+from enum import StrEnum
 
 import msgspec
 
@@ -19,6 +20,25 @@
 
 MAXIMUM_SEARCH_RESULTS = 10
 TOKEN_MARK = "@~"  # before a token at a key's end
+
+
+class KeyShape(StrEnum):
+    """The form of a key space's keys and replies, as settings name it."""
+
+    RECORD = "record"
+    SEARCH = "search"
+    REPORT = "report"
+
+
+class PartOperation(StrEnum):
+    """What an endpoint does for a part, as the inner protocol names it."""
+
+    RECORD = "record"
+    SEARCH = "search"
+    TOTALS = "totals"
+    ITEMS = "items"
+
+
 _json = msgspec.json.Decoder(JsonObject)
 
 
@@ -47,7 +67,7 @@
         space = self._spaces.get(prefix)
         if space is None or not colon or not rest:
             return None
-        plan: Plan | None = getattr(self, f"_{space.shape}")(space, key, rest)
+        plan = self._plan_in(space, key, rest)
         if plan is None or not mark:
             return plan
         try:
@@ -56,16 +76,26 @@
             return replace(plan, wrong=str(problem))
         return replace(plan, seen=positions.by_shard, seen_least=positions.least)
 
+    def _plan_in(self, space: KeySpace, key: str, rest: str) -> Plan | None:
+        """Return the plan of a key of a space; ``rest`` follows the prefix."""
+        match KeyShape(space.shape):
+            case KeyShape.RECORD:
+                return self._record(space, key, rest)
+            case KeyShape.SEARCH:
+                return self._search(space, key, rest)
+            case KeyShape.REPORT:
+                return self._report(space, key, rest)
+
     def _record(self, space: KeySpace, key: str, rest: str) -> Plan | None:
         trader, colon, number = rest.partition(":")
         if not (trader and colon and number):
             return None
-        part = PartPlan(place(trader, self.shards), 1.0, "record", rest)
+        part = PartPlan(place(trader, self.shards), 1.0, PartOperation.RECORD, rest)
         return Plan(self._classes[space.query_class], space.shape, zlib.crc32(trader.encode()), key, (part,))
 
     def _search(self, space: KeySpace, key: str, rest: str) -> Plan:
         shards = consecutive_shards(place(rest, self.shards), space.parts, self.shards)
-        parts = tuple(PartPlan(shard, 1 / len(shards), "search", rest) for shard in shards)
+        parts = tuple(PartPlan(shard, 1 / len(shards), PartOperation.SEARCH, rest) for shard in shards)
         return Plan(self._classes[space.query_class], space.shape, zlib.crc32(rest.encode()), key, parts)
 
     def _report(self, space: KeySpace, key: str, rest: str) -> Plan | None:
@@ -78,7 +108,7 @@
             for shard in consecutive_shards(place(trader, self.shards), space.report_parts, self.shards):
                 holders.setdefault(shard, []).append(trader)
         parts = tuple(
-            PartPlan(shard, 1 / len(holders), "totals", ",".join(held) + ":" + day)
+            PartPlan(shard, 1 / len(holders), PartOperation.TOTALS, ",".join(held) + ":" + day)
             for shard, held in holders.items()
         )
         return Plan(
@@ -89,22 +119,34 @@
 def second_step(answered: Iterable[PartPlan], count: int) -> list[PartPlan]:
     """Return at most ``count`` parts for item detail, one at each shard that answered."""
     first = list(answered)[:count]
-    return [PartPlan(part.shard, 1 / len(first), "items", part.key, n) for n, part in enumerate(first)]
+    return [
+        PartPlan(part.shard, 1 / len(first), PartOperation.ITEMS, part.key, n) for n, part in enumerate(first)
+    ]
 
 
 def merge(shape: str, first: Iterable[bytes], second: Iterable[bytes]) -> JsonObject:
-    """Return one body from the parts' data, independent of their order."""
+    """Return one body from the data of both steps' parts, independent of their order."""
     heads = [_json.decode(data) for data in first]
-    if shape == "record":
-        return heads[0] if heads else {}
-    if shape == "search":
-        offers = [offer for head in heads for offer in head["rows"]]
-        offers.sort(key=lambda offer: (offer["price"], offer["id"]))
-        return {"rows": offers[:MAXIMUM_SEARCH_RESULTS], "found": len(offers)}
+    match KeyShape(shape):
+        case KeyShape.RECORD:
+            return heads[0] if heads else {}
+        case KeyShape.SEARCH:
+            return _merge_search(heads)
+        case KeyShape.REPORT:
+            return _merge_report(heads, (_json.decode(data) for data in second))
+
+
+def _merge_search(heads: Iterable[JsonObject]) -> JsonObject:
+    offers = [offer for head in heads for offer in head["rows"]]
+    offers.sort(key=lambda offer: (offer["price"], offer["id"]))
+    return {"rows": offers[:MAXIMUM_SEARCH_RESULTS], "found": len(offers)}
+
+
+def _merge_report(heads: Iterable[JsonObject], details: Iterable[JsonObject]) -> JsonObject:
     totals: dict[str, int] = {"count": 0, "cents": 0}
     for head in heads:
         for name in totals:
             totals[name] += head[name]
-    items = [item for data in second for item in _json.decode(data)["items"]]
+    items = [item for detail in details for item in detail["items"]]
     items.sort(key=lambda item: str(item["id"]))
     return {"totals": totals, "items": items}
--- a/heathwell/service/reply_merging.py
+++ b/heathwell/service/reply_merging.py
@@ -10,7 +10,6 @@
 from heathwell.service.service_records import ServicePart, ServiceQuery
 
 WEIGHT_DIGITS = 6
-RECORD_SHAPE = "record"
 
 
 class UnmergeablePartsError(Exception):
@@ -35,7 +34,7 @@
         body = key_spaces.merge(query.plan.shape, _answers(query, step=1), _answers(query, step=2))
     except (ValueError, KeyError, TypeError) as error:
         raise UnmergeablePartsError(query.id, repr(error)) from error
-    if query.plan.shape == RECORD_SHAPE and not body.get("found", False):
+    if query.plan.shape == key_spaces.KeyShape.RECORD and not body.get("found", False):
         return Reply(MISS, query.id, query_class.name, complete=True, coverage=coverage, age=age)
     return Reply(ANSWERED, query.id, query_class.name, complete, coverage, body, age=age)
 
--- a/heathwell/service/shard_reachability.py
+++ b/heathwell/service/shard_reachability.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from heathwell.service.endpoint_restrictions import HOME_REGION_ONLY, EndpointRestrictions
+from heathwell.service.key_spaces import KeyShape
 from heathwell.service.records import PartPlan, Plan
 from heathwell.service.regions import answerable_fraction
 from heathwell.service.service_context import ServiceContext
@@ -64,7 +65,7 @@
         service_settings = self._broker.service_settings
         spec = service_settings.classes[query_class]
         spans = [
-            {"search": space.parts, "report": space.report_parts}.get(space.shape, 1)
+            {KeyShape.SEARCH: space.parts, KeyShape.REPORT: space.report_parts}.get(KeyShape(space.shape), 1)
             for space in service_settings.keys
             if space.query_class == spec.name
         ]
