--- a/heathwell/service/endpoint_restrictions.py
+++ b/heathwell/service/endpoint_restrictions.py
@@ -167,10 +167,11 @@
 
     def _log_link_changes(self, regions: RegionLinks) -> None:
         for change in regions.take_changes():
-            region, state, why = change.region, change.state.value, change.evidence
+            region = change.region
+            state = change.state.value
             self._broker.counters["link", region, state] += 1
-            self._broker.events("link", region=region, state=state, why=why)
-            self._broker.log("warning", "link to region", region=region, state=state, why=why)
+            self._broker.events("link", region=region, state=state, why=change.evidence)
+            self._broker.log("warning", "link to region", region=region, state=state, why=change.evidence)
 
 
 def _region_by_zone(service_settings: ServiceSettings) -> dict[int, str]:
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -26,6 +26,7 @@
 from heathwell.service.query_explanations import QueryExplanation
 from heathwell.service.records import Plan
 from heathwell.service.regions import RegionLinks
+from heathwell.service.replica_lookup import live_replicas
 from heathwell.service.reply_merging import UnmergeablePartsError, merge_reply
 from heathwell.service.retry_storms import StormController
 from heathwell.service.service_records import ServicePart, ServiceQuery
@@ -132,9 +133,8 @@
     def ask(self, key: str, on_reply: OnReply, request: str = "", client: str = "") -> Handle | None:
         """Start the query of a key; its one reply is given to ``on_reply``, never before this returns.
 
-        A key of no key space is a miss, one that is malformed fails, and a query that can't be held is
-        rejected with a time after which to retry. Return ``None`` in those cases. ``client`` is the client's
-        address.
+        Return ``None`` where it never reaches the decision module, as :class:`QueryIntake` states. ``client``
+        is the client's address.
         """
         return self._intake.ask(key, on_reply, request, client)
 
@@ -206,10 +206,7 @@
 
     @property
     def sends_away(self) -> bool:
-        """Whether idle clients should connect to another broker.
-
-        They should where this one is cut off, or the fleet evacuates its zone.
-        """
+        """Whether idle clients should connect elsewhere: the broker is cut off, or its zone is evacuated."""
         return (
             self.zone_observer is not None
             and self.zone_observer.is_evacuated()
@@ -240,14 +237,7 @@
 
     def live_replicas(self, shard: int) -> list[str]:
         """Return the endpoints listed as live that hold a shard."""
-        groups = self.aggregator.endpoints_by_group
-        fleet = self.service_settings.fleet
-        return [
-            endpoint.node
-            for step in range(fleet.width)
-            for endpoint in groups.get((shard + step) % fleet.cells, [])
-            if endpoint.live
-        ]
+        return live_replicas(shard, self.service_settings.fleet, self.aggregator.endpoints_by_group)
 
     def restrict_zones(self, query_class: int | None, nodes: frozenset[str]) -> None:
         """Deprioritize endpoints of evacuated zones, for one query class or (None) for all."""
