--- a/heathwell/service/answer_freshness.py
+++ b/heathwell/service/answer_freshness.py
@@ -71,10 +71,10 @@
         bound_us = None
         if all(part.known_age for part in parts):
             bound_us = self.clock.age(now, min(part.source_us for part in parts))
-        desired_age_us = (
+        target_age_us = (
             self._broker.snapshot_of(query).freshness_policies[query.plan.query_class].target_age_us
         )
-        is_stale = bool(desired_age_us) and (bound_us is None or bound_us > desired_age_us)
+        is_stale = bool(target_age_us) and (bound_us is None or bound_us > target_age_us)
         first_positions = {part.plan.shard: part.position for part in parts if part.step == 1}
         is_consistent = all(
             part.position >= first_positions.get(part.plan.shard, 0) for part in parts if part.step == 2
--- a/heathwell/service/quota_gate.py
+++ b/heathwell/service/quota_gate.py
@@ -88,7 +88,7 @@
         """This broker's side of one budget."""
 
     def budget(self, name: str) -> Budget | None:
-        """The fleet-wide budget of this name; None where it is not set."""
+        """Return the fleet-wide budget of this name; ``None`` where it is not set."""
 
     def statistics(self) -> Mapping[str, BudgetStatistics]:
         """This broker's statistics by budget; those of a budget's endpoints summed."""
