--- /dev/null
+++ b/heathwell/testing/standins/leaf_data.py
@@ -0,0 +1,101 @@
+"""The data of a leaf: which shards it holds, what a search costs, and the results of attempts."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import msgspec
+
+from heathwell.codec import frames
+from heathwell.eventloop import Stream, Timer
+from heathwell.service.vectors.search_messages import SearchRequest, encode_search
+from heathwell.settings import ServiceSettings
+from heathwell.testing.standins import data
+from heathwell.testing.standins.leaf_faults import ActiveFault
+
+
+@dataclass(slots=True)
+class ReceivedAttempt:
+    """An attempt that has arrived at the leaf."""
+
+    request: frames.PartRequest
+    stream: Stream
+    received_at_us: int
+    broker: str
+    timer: Timer | None = None
+    search: SearchRequest | None = None
+    work_us: int = 0
+    rows: list[list[tuple[int | str, float]]] | None = None
+
+    @property
+    def key(self) -> tuple[str, int]:
+        """The part's id and the attempt's number."""
+        return self.request.id, self.request.seq
+
+
+class LeafData:
+    """Generated records, and the vector shards that the leaf's replica group holds."""
+
+    def __init__(self, service_settings: ServiceSettings, cell: int) -> None:
+        self._settings = service_settings
+        self._cell = cell
+        self._collections = {spec.name: spec for spec in service_settings.collections}
+        if not self._collections:
+            return
+        # Imported here, as only leaves with vectors need its libraries.
+        from heathwell.testing.standins.vectors import shard_of  # noqa: PLC0415
+
+        self._shard_of = shard_of
+        # Built before the leaf listens, as the first search would wait for it.
+        for spec in service_settings.collections:
+            for shard in range(service_settings.fleet.shards):
+                if self.holds(shard):
+                    shard_of(spec, shard, service_settings.fleet.shards)
+
+    def holds(self, shard: int) -> bool:
+        """Return whether the leaf is a replica of the shard."""
+        fleet = self._settings.fleet
+        return (self._cell - shard) % fleet.cells < fleet.width
+
+    def search_work_us(self, search: SearchRequest) -> float:
+        """Return a search's usual work. Raise :class:`KeyError` for an unknown collection.
+
+        It grows with the vectors, which share one matrix product, the rows to rank and the filters to apply.
+        """
+        spec = self._collections[search.collection]
+        rows = sum(one.limit for one in search.searches)
+        filtered = sum(one.filter is not None for one in search.searches)
+        return spec.work * (0.6 + 0.4 * len(search.searches) + 0.1 * rows / 100 + 0.2 * filtered)
+
+    def score_bounds(self, search: SearchRequest, shard_number: int) -> list[float]:
+        """Return, for each query of a search, the best score that a row of the shard can have."""
+        collection = self._collections[search.collection]
+        shard = self._shard_of(collection, shard_number, self._settings.fleet.shards)
+        return shard.score_bounds(shard.read_queries(search.vectors, len(search.searches)))
+
+    def record_result(self, request: frames.PartRequest) -> bytes:
+        """Return an encoded result of generated records. Raise :class:`ValueError`."""
+        result = data.answer(request.op, request.shard, request.key, request.item, self._settings.leaf.rows)
+        return msgspec.json.encode(result)
+
+    def search_result(
+        self,
+        attempt: ReceivedAttempt,
+        search: SearchRequest,
+        malformed: ActiveFault | None,
+        *,
+        log_rows: bool,
+    ) -> bytes:
+        """Return an encoded search result, out of order where ``malformed``. Raise :class:`ValueError`.
+
+        Where ``log_rows``, the attempt keeps its rows for the event log.
+        """
+        collection = self._collections[search.collection]
+        shard = self._shard_of(collection, attempt.request.shard, self._settings.fleet.shards)
+        result = shard.search(search)
+        if malformed is not None:
+            repeat = 2 if malformed.text == "many" else 1
+            result.lists = [(rows * repeat)[::-1] for rows in result.lists]
+        if log_rows:
+            attempt.rows = [[(hit.id, hit.score) for hit in rows] for rows in result.lists]
+        return encode_search(result)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -224,7 +224,7 @@
 
 
 def order(leaf, kind, seconds, value=0.0):
-    assert leaf.order(frames.FaultCommand(kind, value, int(seconds * 1e6))) == ""
+    leaf.order(frames.FaultCommand(kind, value, int(seconds * 1e6)))
 
 
 def test_the_set_in_an_answer_is_what_it_rests_on():
