--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -19,8 +19,8 @@
 from heathwell.eventloop import ConnectError, Coro, Net, StreamBrokenError, sleep, socket_loop
 from heathwell.settings import loads
 from heathwell.testing.audit import judge, read_logs
-from heathwell.testing.simulation.figures import run_figures
 from heathwell.testing.simulation.processes import ProcessFleet
+from heathwell.testing.simulation.run_parameters import run_parameters_record
 from heathwell.testing.simulation.stormday import HEEDS, IGNORES, MARKET, STORMS, Crowd, Storm, StormDay
 
 VARIANTS = ("module alone", "fixed backoff", "damped")
@@ -106,7 +106,7 @@
                 "t": time.monotonic_ns() // 1000,
                 "who": "run",
                 "ev": "run",
-                "figures": run_figures(service_settings),
+                "figures": run_parameters_record(service_settings),
             }
         )
         + "\n"
--- a/heathwell/testing/simulation/badday.py
+++ b/heathwell/testing/simulation/badday.py
@@ -17,8 +17,8 @@
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Event, Verdict, judge, read_logs
 from heathwell.testing.simulation.clients import Arrival, Clients, Outcome, arrivals
-from heathwell.testing.simulation.figures import run_figures
 from heathwell.testing.simulation.processes import FleetError, ProcessFleet
+from heathwell.testing.simulation.run_parameters import run_parameters_record
 from heathwell.testing.simulation.script import HOST_TROUBLES, WAY_TROUBLES, Script, Step, named
 from heathwell.testing.simulation.wires import WireError, Wires
 
@@ -69,7 +69,7 @@
         stale = list(self.events.glob("*.jsonl"))
         for path in stale:
             path.unlink()
-        self._note("run", figures=run_figures(self.service_settings))
+        self._note("run", figures=run_parameters_record(self.service_settings))
         began = time.monotonic()
         try:
             self.fleet.up()
--- a/heathwell/testing/simulation/rolling.py
+++ b/heathwell/testing/simulation/rolling.py
@@ -24,8 +24,8 @@
 from heathwell.fleet.control.broker_process import process_start_ticks
 from heathwell.settings import ServiceSettings, load
 from heathwell.testing.simulation.clients import Clients, arrivals
-from heathwell.testing.simulation.figures import run_figures
 from heathwell.testing.simulation.processes import FleetError, ProcessFleet
+from heathwell.testing.simulation.run_parameters import run_parameters_record
 from heathwell.testing.simulation.script import Load, Mix
 from heathwell.testing.simulation.wires import Wires
 
@@ -160,7 +160,7 @@
                     "t": time.monotonic_ns() // 1000,
                     "who": "run",
                     "ev": "run",
-                    "figures": run_figures(self.service_settings),
+                    "figures": run_parameters_record(self.service_settings),
                 }
             )
             + "\n"
--- a/heathwell/testing/simulation/simulated.py
+++ b/heathwell/testing/simulation/simulated.py
@@ -18,8 +18,8 @@
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import AgeVerdict, Verdict, judge, judge_ages
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.figures import run_figures
 from heathwell.testing.simulation.fleet import LocalFleet
+from heathwell.testing.simulation.run_parameters import run_parameters_record
 from heathwell.testing.standins.leaf import Leaf
 
 # Kind, figure, seconds: what a host may be told to do.
@@ -69,7 +69,7 @@
         self.errors: list[tuple[str, BaseException]] = []
         self.loop.on_error = lambda name, error: self.errors.append((name, error))
         self.events: list[dict[str, Any]] = []
-        self.note("run", figures=run_figures(service_settings))
+        self.note("run", figures=run_parameters_record(service_settings))
         self.fleet = LocalFleet(
             self.loop,
             self._net_of,
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -10,8 +10,8 @@
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.figures import run_figures
 from heathwell.testing.simulation.fleet import LocalFleet
+from heathwell.testing.simulation.run_parameters import run_parameters_record
 
 MARKET = """
 (class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (work 40ms))
@@ -36,7 +36,7 @@
         self.errors: list[tuple[str, BaseException]] = []
         self.loop.on_error = lambda name, error: self.errors.append((name, error))
         self.events: list[dict[str, Any]] = []
-        self.note("run", figures=run_figures(self.service_settings))
+        self.note("run", figures=run_parameters_record(self.service_settings))
         self.fleet = LocalFleet(
             self.loop, self.net_of, self.service_settings, seed, into=self.events, host_of=lambda name: name
         )
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -17,9 +17,9 @@
 from heathwell.cli import main
 from heathwell.settings import SettingsError, load, loads
 from heathwell.testing.audit import judge, read_logs
-from heathwell.testing.simulation.figures import run_figures
 from heathwell.testing.simulation.processes import ProcessFleet
 from heathwell.testing.simulation.replay import DayError, script_from
+from heathwell.testing.simulation.run_parameters import run_parameters_record
 from heathwell.testing.simulation.script import Script, load_script
 
 from .fleet import MARKET
@@ -77,7 +77,9 @@
     assert broker.process.wait(20) == 0
     assert events.read_text().splitlines()[-1].count('"ev":"closed"') == 1
     (tmp_path / "events" / "run.jsonl").write_text(
-        json.dumps({"t": 0, "who": "run", "ev": "run", "figures": run_figures(slow_fleet.service_settings)})
+        json.dumps(
+            {"t": 0, "who": "run", "ev": "run", "figures": run_parameters_record(slow_fleet.service_settings)}
+        )
         + "\n"
     )
     assert judge(read_logs([tmp_path / "events"])).kept
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -28,8 +28,8 @@
 from heathwell.settings import loads
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.figures import run_figures
 from heathwell.testing.simulation.fleet import LocalFleet
+from heathwell.testing.simulation.run_parameters import run_parameters_record
 from heathwell.testing.standins.vectors import made, shard_of
 
 from .fleet import World
@@ -65,7 +65,12 @@
         self.loop.on_error = lambda name, error: self.errors.append((name, error))
         self.events: list = []
         self.events.append(
-            {"t": self.loop.now(), "who": "run", "ev": "run", "figures": run_figures(self.service_settings)}
+            {
+                "t": self.loop.now(),
+                "who": "run",
+                "ev": "run",
+                "figures": run_parameters_record(self.service_settings),
+            }
         )
         self.fleet = LocalFleet(self.loop, lambda _name: self.net, self.service_settings, 1, into=self.events)
         self.broker = self.fleet.brokers[0]
