--- a/benchmarks/fleetruns.py
+++ b/benchmarks/fleetruns.py
@@ -18,7 +18,7 @@
 from heathwell.settings import load
 from heathwell.testing.audit import judge_budgets
 from heathwell.testing.simulation.badday import Day
-from heathwell.testing.simulation.drawn import draw_script
+from heathwell.testing.simulation.random_fault_scripts import generate_fault_script
 from heathwell.testing.simulation.script import load_script
 
 MARKET = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
@@ -31,7 +31,7 @@
     folder = tempfile.mkdtemp(prefix=f"heathwell-{seed}-")
     (Path(folder) / "market.sx").write_text(MARKET.read_text().replace("(level info)", "(level error)"))
     script = Path(folder) / "day.sx"
-    script.write_text(draw_script(seed, load(MARKET)))
+    script.write_text(generate_fault_script(seed, load(MARKET)))
     day = Day(*load_script(str(script)), folder=Path(folder) / "out", say=lambda _text: None)
     try:
         verdict = day.play()
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -27,8 +27,8 @@
 )
 from heathwell.settings import load
 from heathwell.testing.simulation.budgetday import BudgetDay, random_faults
-from heathwell.testing.simulation.drawn import draw_script
 from heathwell.testing.simulation.manybrokers import ManyBrokers
+from heathwell.testing.simulation.random_fault_scripts import generate_fault_script
 from heathwell.testing.simulation.releases import Releases
 from heathwell.testing.simulation.stormday import StormDay
 from heathwell.testing.simulation.worthday import WorthDay
@@ -149,7 +149,7 @@
 
 def drawn_script() -> Any:
     """The faults of a fleet's day."""
-    return draw_script(5, load(str(ROOT / "examples" / "market-fleet.sx")))
+    return generate_fault_script(5, load(str(ROOT / "examples" / "market-fleet.sx")))
 
 
 PLAYS: tuple[Callable[[], Any], ...] = (
