--- a/benchmarks/worth.py
+++ b/benchmarks/worth.py
@@ -13,19 +13,28 @@
 from concurrent.futures import ProcessPoolExecutor
 from itertools import product
 
-from heathwell.testing.simulation.worthday import DAYS, KINDS, SPANS, VARIANTS, play
+import msgspec
+
+from heathwell.testing.simulation.quota_experiment import (
+    OUTCOMES,
+    PHASES,
+    SCENARIOS,
+    VARIANTS,
+    run_quota_experiment,
+)
 
 
 def main(seed: int, variants: tuple[str, ...]) -> int:
     """A table a day, and each run's figures as JSON."""
-    cases = list(product(variants, DAYS))
+    cases = list(product(variants, SCENARIOS))
     with ProcessPoolExecutor(max(1, (os.cpu_count() or 2) - 1)) as pool:
-        futures = [pool.submit(play, variant, day, seed) for variant, day in cases]
-        rows = {case: future.result() for case, future in zip(cases, futures, strict=True)}
+        futures = [pool.submit(run_quota_experiment, variant, day, seed) for variant, day in cases]
+        results = [msgspec.json.decode(msgspec.json.encode(future.result())) for future in futures]
+    rows = dict(zip(cases, results, strict=True))
     bad = 0
-    for day in DAYS:
+    for day in SCENARIOS:
         print(f"\n{day} | class | span | " + " | ".join(variants))
-        for query_class, span in product(("price-search", "day-report", "sale-record"), SPANS):
+        for query_class, span in product(("price-search", "day-report", "sale-record"), PHASES):
             cells = []
             for variant in variants:
                 counts = rows[variant, day]["service"].get(f"{query_class}/{span}", {})
@@ -33,7 +42,7 @@
                 cells.append(
                     f"{counts.get('on time', 0) / asked:.1%}"
                     + "".join(
-                        f", {kind} {counts[kind] / asked:.1%}" for kind in KINDS[1:] if counts.get(kind)
+                        f", {kind} {counts[kind] / asked:.1%}" for kind in OUTCOMES[1:] if counts.get(kind)
                     )
                 )
             print(f"{day} | {query_class} | {span} | " + " | ".join(cells))
--- a/heathwell/testing/simulation/zoneday.py
+++ b/heathwell/testing/simulation/zoneday.py
@@ -23,8 +23,8 @@
 )
 from heathwell.fleet.evacuation import EvacuationController, ZoneState, ZoneTransition
 from heathwell.settings import ServiceSettings, loads
+from heathwell.testing.simulation.quota_experiment import REGIONAL_SETTINGS
 from heathwell.testing.simulation.simulated import SimulatedDay
-from heathwell.testing.simulation.worthday import MARKET
 from heathwell.testing.standins.leaf import Leaf
 
 VARIANTS = ("nobody", "itself", "fixed", "fleet")
@@ -100,7 +100,7 @@
         if variant in ("itself", "fleet")
         else ""
     )
-    return loads(MARKET + HOSTS + f"(fleet {fleet})" + (f"(across {across})" if across else ""))
+    return loads(REGIONAL_SETTINGS + HOSTS + f"(fleet {fleet})" + (f"(across {across})" if across else ""))
 
 
 class ZoneDay(SimulatedDay):
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -28,10 +28,10 @@
 from heathwell.settings import load
 from heathwell.testing.simulation.budgetday import BudgetDay, random_faults
 from heathwell.testing.simulation.manybrokers import ManyBrokers
+from heathwell.testing.simulation.quota_experiment import QuotaExperiment
 from heathwell.testing.simulation.random_fault_scripts import generate_fault_script
 from heathwell.testing.simulation.releases import Releases
 from heathwell.testing.simulation.stormday import StormDay
-from heathwell.testing.simulation.worthday import WorthDay
 from heathwell.testing.simulation.zoneday import ZoneDay
 
 from .test_crossings_drawn import play as play_crossings
@@ -106,9 +106,9 @@
 
 def budgets_in_use() -> Any:
     """Brokers with quotas from keepers, hosts that come back cold, and the event logs of all of them."""
-    day = WorthDay("lent", "cold return", 1, brokers=3, hosts=9, rate=2.0)
-    day.run()
-    return day.events, sorted(day.ends.items())
+    experiment = QuotaExperiment("lent", "cold return", 1, brokers=3, hosts=9, rate=2.0)
+    experiment.run()
+    return experiment.events, sorted(experiment.outcomes_by_phase.items())
 
 
 def zone_day() -> Any:
