--- a/heathwell/testing/simulation/rolling.py
+++ b/heathwell/testing/simulation/rolling.py
@@ -74,7 +74,7 @@
         BROKER_MAIN,
         "    loop.call_at(loop.now() + 6_000_000, lambda: time.sleep(1000))\n\n" + BROKER_MAIN,
     ),
-    "an older wire": ("codec/frames.py", "VERSION = 1\n", "VERSION = 0\n"),
+    "an older wire": ("codec/frames/framing.py", "VERSION = 1\n", "VERSION = 0\n"),
     "a false digest": ("cli/serve.py", '"program": program_digest(PACKAGE)', '"program": "0123456789abcdef"'),
 }
 
