--- a/heathwell/fleet/rollout/preflight.py
+++ b/heathwell/fleet/rollout/preflight.py
@@ -17,7 +17,15 @@
 
 MAX_ENDPOINT_CHANGE = 0.34  # fraction of endpoints that may be added or removed without an override
 MAX_TIMEOUT_FACTOR = 2.0  # by which a timeout may change without an override
-IMMUTABLE_FLEET_SETTINGS = ("zones", "cells", "width", "shards", "most", "keepers")  # the same in all brokers
+# Settings that have to be the same in all brokers: the name of the field, and the key in the settings.
+IMMUTABLE_FLEET_SETTINGS = {
+    "zones": "zones",
+    "cells": "cells",
+    "width": "width",
+    "shards": "shards",
+    "most": "most",
+    "coordinators": "keepers",
+}
 
 ALLOW_GAPS = "--allow-gaps"
 DROP_CLASSES = "--drop-classes"
@@ -98,12 +106,12 @@
 
 
 def _check_immutable_settings(old: FleetSettings, new: FleetSettings) -> Iterator[PreflightWarning]:
-    for name in IMMUTABLE_FLEET_SETTINGS:
-        before = getattr(old, name)
-        after = getattr(new, name)
+    for field, key in IMMUTABLE_FLEET_SETTINGS.items():
+        before = getattr(old, field)
+        after = getattr(new, field)
         if before != after:
             yield PreflightWarning(
-                f"fleet.{name}: from {before} to {after}: brokers of both at once would not agree where data "
+                f"fleet.{key}: from {before} to {after}: brokers of both at once would not agree where data "
                 "lies or what is shared"
             )
 
