--- a/heathwell/cli/__init__.py
+++ b/heathwell/cli/__init__.py
@@ -1,5 +1,8 @@
-"""The command line: `heathwell COMMAND`. Exit codes: 0 done, 1 a rule was broken or a run failed, 2 wrong use
-or settings, 3 an address or file could not be had."""
+"""The command line: `heathwell COMMAND`.
+
+Exit codes: 0 success; 1 a rule was broken or a run failed; 2 invalid usage or settings; 3 an address could
+not be bound or reached, or a file could not be read.
+"""
 
 from __future__ import annotations
 
--- a/heathwell/cli/badday.py
+++ b/heathwell/cli/badday.py
@@ -1,4 +1,4 @@
-"""`heathwell badday` and `heathwell replay`: trouble under load, the rules judged afterwards."""
+"""`heathwell badday` and `heathwell replay`: a fault scenario under load, judged by the auditor."""
 
 from __future__ import annotations
 
@@ -9,14 +9,17 @@
 
 import click
 
-from heathwell.cli.inspect import with_more
+from heathwell.cli.inspect import judge_optional_rules
 from heathwell.cli.serve import exit_codes, settings_of
 from heathwell.settings import ServiceSettings
+from heathwell.testing.audit import Verdict
 from heathwell.testing.simulation.badday import Day, summary
 from heathwell.testing.simulation.processes import FleetError
 from heathwell.testing.simulation.replay import DayError, script_from
 from heathwell.testing.simulation.script import Script, load_script
 
+PRINTED_BREACHES = 20
+
 
 @click.command()
 @click.argument("script", type=click.Path(dir_okay=False))
@@ -30,11 +33,11 @@
     Prints what went wrong and when, per-class service every five seconds, and the auditor's verdict.
     """
     with exit_codes():
-        read, service_settings, config = load_script(script)
+        loaded_script, service_settings, config = load_script(script)
     if seconds is not None:
-        read.steps = [step for step in read.steps if step.at < seconds * 1e6]
-        read.seconds = min(read.seconds, seconds)
-    sys.exit(_play(read, service_settings, config, out))
+        loaded_script.steps = [step for step in loaded_script.steps if step.at < seconds * 1e6]
+        loaded_script.seconds = min(loaded_script.seconds, seconds)
+    sys.exit(_play(loaded_script, service_settings, config, out))
 
 
 @click.command()
@@ -56,13 +59,26 @@
 
 
 def _play(script: Script, service_settings: ServiceSettings, config: str, out: str | None) -> int:
+    """Play the script, print its results, write the summary, and return the exit code."""
     folder = out or tempfile.mkdtemp(prefix="heathwell-")
     day = Day(script, service_settings, config, folder, click.echo)
     try:
         verdict = day.play()
-    except FleetError as problem:
-        click.echo(str(problem), err=True)
+    except FleetError as error:
+        click.echo(str(error), err=True)
         return 3
+    _print_results(day, verdict)
+    click.echo(
+        f"{'all rules kept' if verdict.kept else f'{len(verdict.breaches)} breaches'}; logs in {folder}"
+    )
+    (Path(folder) / "summary.json").write_text(json.dumps(summary(day, verdict), indent=1) + "\n")
+    for fault in day.faults:
+        click.echo(f"could not be made: {fault}", err=True)
+    return 0 if verdict.kept and not (day.faults and script.wires) else 1
+
+
+def _print_results(day: Day, verdict: Verdict) -> None:
+    """Print service by query class, the auditor's counts and the first breaches."""
     assert day.clients is not None
     for line in day.service():
         click.echo(line)
@@ -71,14 +87,7 @@
         f"nearest to pushing a cold host over: {verdict.coldest:.2f} of what it bears; "
         f"{day.clients.off_schedule} of {day.clients.asked} requests started off their schedule"
     )
-    for line in with_more(verdict, day.logged):
+    for line in judge_optional_rules(verdict, day.logged):
         click.echo(line)
-    for breach in verdict.breaches[:20]:
+    for breach in verdict.breaches[:PRINTED_BREACHES]:
         click.echo(str(breach))
-    click.echo(
-        f"{'all rules kept' if verdict.kept else f'{len(verdict.breaches)} breaches'}; logs in {folder}"
-    )
-    (Path(folder) / "summary.json").write_text(json.dumps(summary(day, verdict), indent=1) + "\n")
-    for fault in day.faults:
-        click.echo(f"could not be made: {fault}", err=True)
-    return 0 if verdict.kept and not (day.faults and script.wires) else 1
--- a/heathwell/cli/fleet.py
+++ b/heathwell/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`heathwell fleet up`: everything on loopback, for a look around and for tests."""
+"""`heathwell fleet up`: discovery, hosts and brokers as processes on loopback, for demos and tests."""
 
 from __future__ import annotations
 
@@ -7,12 +7,20 @@
 import sys
 import time
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
 from heathwell.cli.serve import settings_of
 from heathwell.testing.simulation.processes import FleetError, ProcessFleet
 
+if TYPE_CHECKING:
+    from pymemcache.client.base import Client
+
+POLL_INTERVAL_SECONDS = 0.1
+DEMO_TIMEOUT_SECONDS = 10
+DEMO_RETRY_INTERVAL_SECONDS = 0.3
+
 
 @click.group()
 def fleet() -> None:
@@ -36,48 +44,61 @@
         click.echo(f"{config}: fleet.leaves and fleet.brokers say how many to start", err=True)
         sys.exit(2)
     running = ProcessFleet(config, service_settings, events)
-    ended = []
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: ended.append(1))
+    stop_signals: list[int] = []
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda received, _frame: stop_signals.append(received))
     try:
         running.up()
-        table = running.table()
-        if ready_file:
-            partial = Path(ready_file + ".part")
-            partial.write_text(json.dumps(table, indent=1) + "\n")
-            partial.rename(ready_file)
-        else:
-            click.echo(json.dumps(table))
+        _announce(running, ready_file)
         if demo:
             _demo(running)
-        until = time.monotonic() + seconds if seconds else float("inf")
-        while not ended and time.monotonic() < until:
-            time.sleep(0.1)
-            for name in running.watch():
-                click.echo(f"{name} ended; it is back, cold, in {running.restart_after:g} s", err=True)
-    except FleetError as problem:
-        click.echo(str(problem), err=True)
+        _watch(running, stop_signals, time.monotonic() + seconds if seconds else float("inf"))
+    except FleetError as error:
+        click.echo(str(error), err=True)
         sys.exit(3)
     finally:
         running.down()
 
 
+def _announce(running: ProcessFleet, ready_file: str | None) -> None:
+    """Write the table of processes to the ready file, or print it."""
+    table = running.table()
+    if not ready_file:
+        click.echo(json.dumps(table))
+        return
+    unfinished = Path(ready_file + ".part")
+    unfinished.write_text(json.dumps(table, indent=1) + "\n")
+    unfinished.rename(ready_file)
+
+
+def _watch(running: ProcessFleet, stop_signals: list[int], deadline_seconds: float) -> None:
+    """Restart processes that ended, until a signal or the deadline."""
+    while not stop_signals and time.monotonic() < deadline_seconds:
+        time.sleep(POLL_INTERVAL_SECONDS)
+        for name in running.watch():
+            click.echo(f"{name} ended; it is back, cold, in {running.restart_after:g} s", err=True)
+
+
+def _get_values(client: Client, keys: list[str]) -> dict[str, bytes]:
+    """Return the answers to a multi-get; it is repeated while the broker has no endpoint list yet."""
+    deadline_seconds = time.monotonic() + DEMO_TIMEOUT_SECONDS
+    while True:
+        try:
+            return dict(client.get_many(keys))
+        except Exception as error:
+            if time.monotonic() > deadline_seconds:
+                raise FleetError(f"the demo fleet does not answer: {error}") from None
+            time.sleep(DEMO_RETRY_INTERVAL_SECONDS)
+
+
 def _demo(running: ProcessFleet) -> None:
+    """Send one multi-get with a key of each class, print the answers, and print commands to try next."""
     from pymemcache.client.base import Client  # noqa: PLC0415  # a client library, for the demo alone
 
     brokers = running.of("broker")
     host, _, port = brokers[0].address.rpartition(":")
     keys = ["price:tea", "sale:anna:17", "report:anna,bo:2026-11-28", "sale:anna:99999"]
-    client = Client((host, int(port)), timeout=5)
-    until = time.monotonic() + 10
-    while True:  # the first host list is on its way
-        try:
-            values = client.get_many(keys)
-            break
-        except Exception as problem:
-            if time.monotonic() > until:
-                raise FleetError(f"the demo fleet does not answer: {problem}") from None
-            time.sleep(0.3)
+    values = _get_values(Client((host, int(port)), timeout=5), keys)
     click.echo(
         f"\n{len(running.of('leaf'))} hosts and {len(brokers)} brokers are up. A multi-get of four keys:"
     )
--- a/heathwell/cli/inspect.py
+++ b/heathwell/cli/inspect.py
@@ -1,4 +1,4 @@
-"""`heathwell check`, `schema` and `audit`."""
+"""`heathwell check`, `schema` and `audit`: check settings, print their page, judge event logs."""
 
 from __future__ import annotations
 
@@ -31,29 +31,37 @@
     click.echo(schema_page(), nl=False)
 
 
-def with_more(verdict: Verdict, events: list[Event]) -> list[str]:
-    """Add what is wrong with budgets and stated ages to a verdict, where a run has any; lines of what was
-    seen.
+def judge_optional_rules(verdict: Verdict, events: list[Event]) -> list[str]:
+    """Add the breaches of budgets and of stated ages to ``verdict`` where the run has any.
+
+    Return the lines that summarize what was judged.
     """
-    figures = next(event for event in events if event.ev == "run").fields["figures"]
+    run_figures = next(event for event in events if event.ev == "run").fields["figures"]
     lines = []
-    if figures.get("budgets"):
-        found = judge_budgets(events)
-        verdict.breaches += [Breach(0, "budget", text, ()) for text in found.breaches]
-        lines.append(
-            f"budgets: {found.lines} changes of shares and {found.uses} uses judged, "
-            f"{len(found.breaches)} overshoots; most held of what may be: "
-            + ", ".join(f"{name} {share:.2f}" for name, share in sorted(found.nearest.items()))
-        )
-    if figures.get("source_offset") is None:
-        return lines
+    if run_figures.get("budgets"):
+        lines.append(_judge_budgets(verdict, events))
+    if run_figures.get("source_offset") is not None:
+        lines.append(_judge_ages(verdict, events))
+    return lines
+
+
+def _judge_budgets(verdict: Verdict, events: list[Event]) -> str:
+    result = judge_budgets(events)
+    verdict.breaches += [Breach(0, "budget", text, ()) for text in result.breaches]
+    return (
+        f"budgets: {result.lines} changes of shares and {result.uses} uses judged, "
+        f"{len(result.breaches)} overshoots; most held of what may be: "
+        + ", ".join(f"{name} {share:.2f}" for name, share in sorted(result.nearest.items()))
+    )
+
+
+def _judge_ages(verdict: Verdict, events: list[Event]) -> str:
     ages = judge_ages(events, LOGGED_WITHIN_US)
     verdict.breaches += ages.breaches
-    return [
-        *lines,
+    return (
         f"{ages.judged} ages judged, {ages.unknown} stated as unknown; the bound is older than the truth "
-        f"by {ages.excess_at(0.5):.0f} us (p50), {ages.excess_at(0.99):.0f} us (p99)",
-    ]
+        f"by {ages.excess_at(0.5):.0f} us (p50), {ages.excess_at(0.99):.0f} us (p99)"
+    )
 
 
 @click.command()
@@ -64,12 +72,12 @@
     try:
         events = read_logs(logs)
         verdict = judge(events)
-    except (LogError, ValueError) as problem:
-        click.echo(str(problem), err=True)
+    except (LogError, ValueError) as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
     click.echo(", ".join(f"{count} {name}" for name, count in verdict.counts.items()))
     click.echo(f"nearest to pushing a cold host over: {verdict.coldest:.2f} of what it bears")
-    for line in with_more(verdict, events):
+    for line in judge_optional_rules(verdict, events):
         click.echo(line)
     for breach in verdict.breaches[:most]:
         click.echo(str(breach))
--- a/heathwell/cli/logs.py
+++ b/heathwell/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs by structlog: JSON or console on standard error, a level for each package."""
+"""Structured logs by structlog: JSON or console on standard error, with a level per package."""
 
 from __future__ import annotations
 
@@ -12,18 +12,39 @@
 from heathwell.settings.schema import Log
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
-# Settings may name a package as it was called before.
+# Settings may name a package by its former name.
 FORMER_PACKAGES = {"heathwell.kernel": "heathwell.eventloop"}
 Logger = Callable[..., None]
 Maker = Callable[..., Logger]
 
 
 def set_up(log: Log) -> Maker:
-    """Configure logging; returns a maker of loggers, each called as ``log(level, text, **fields)``."""
-    least = {FORMER_PACKAGES.get(entry.name, entry.name): LEVELS[entry.level] for entry in log.modules}
+    """Configure structlog and return a factory of loggers, each called as ``log(level, text, **fields)``.
+
+    The factory takes the logger's package, whose level comes from ``log``, and the fields of every line.
+    """
+    _configure_structlog(log.format)
+    package_levels = {
+        FORMER_PACKAGES.get(entry.name, entry.name): LEVELS[entry.level] for entry in log.modules
+    }
+
+    def make_logger(package: str, **bound_fields: object) -> Logger:
+        logger = structlog.get_logger().bind(module=package, **bound_fields)
+        threshold = _package_level(package, package_levels, LEVELS[log.level])
+
+        def write(level: str, text: str, **fields: object) -> None:
+            if LEVELS[level] >= threshold:
+                getattr(logger, level)(text, **fields)
+
+        return write
+
+    return make_logger
+
+
+def _configure_structlog(log_format: str) -> None:
     renderer: Any = (
         structlog.processors.JSONRenderer()
-        if log.format == "json"
+        if log_format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     structlog.configure(
@@ -38,20 +59,12 @@
         cache_logger_on_first_use=True,
     )
 
-    def level_of(name: str) -> int:
-        while name:
-            if name in least:
-                return least[name]
-            name = name.rpartition(".")[0]
-        return LEVELS[log.level]
-
-    def make(package: str, **bound: Any) -> Logger:
-        logger, threshold = structlog.get_logger().bind(module=package, **bound), level_of(package)
-
-        def write(level: str, text: str, **fields: Any) -> None:
-            if LEVELS[level] >= threshold:
-                getattr(logger, level)(text, **fields)
-
-        return write
 
-    return make
+def _package_level(package: str, package_levels: dict[str, int], default: int) -> int:
+    """Return the level of the package or of its nearest parent that has one."""
+    name = package
+    while name:
+        if name in package_levels:
+            return package_levels[name]
+        name = name.rpartition(".")[0]
+    return default
--- a/heathwell/cli/platform.py
+++ b/heathwell/cli/platform.py
@@ -13,11 +13,13 @@
 from heathwell.eventloop import Coro, sleep
 from heathwell.testing.simulation.platform import PlatformError, PlatformFleet
 
+# Query class, shards, and key (empty where the class has none).
 QUERIES = (
     ("price-search", [0, 1, 2, 3], ""),
     ("day-report", [4, 5, 6, 7], ""),
     ("sale-record", [3], "5c0f6e1a"),
 )
+POLL_INTERVAL_US = 100_000
 
 
 @click.command()
@@ -30,25 +32,27 @@
     with tempfile.TemporaryDirectory() as folder:
         try:
             fleet = PlatformFleet(Path(folder))
-        except PlatformError as problem:
-            click.echo(f"the broker did not start: {problem}", err=True)
+        except PlatformError as error:
+            click.echo(f"the broker did not start: {error}", err=True)
             sys.exit(3)
-        ended: list[int] = []
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, lambda *_: ended.append(1))
+        stop_signals: list[int] = []
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(signal_number, lambda received, _frame: stop_signals.append(received))
+        deadline_seconds = time.monotonic() + seconds if seconds is not None else None
         try:
-            code = fleet.run(_main(fleet, ended, time.monotonic() + seconds if seconds is not None else None))
+            exit_code = fleet.run(_main(fleet, stop_signals, deadline_seconds))
         finally:
             fleet.close()
-        click.echo(f"the broker ended with exit code {code}")
-        sys.exit(1 if code else 0)
+        click.echo(f"the broker ended with exit code {exit_code}")
+        sys.exit(1 if exit_code else 0)
 
 
-def _main(fleet: PlatformFleet, ended: list[int], until: float | None) -> Coro[int]:
+def _main(fleet: PlatformFleet, stop_signals: list[int], deadline_seconds: float | None) -> Coro[int]:
+    """Send the demo queries, wait for a signal or the deadline, and return the broker's exit code."""
     click.echo(f"{len(fleet.nodes)} nodes, discovery and one broker are up. A query of each class:")
-    for number, (kind, shards, key) in enumerate(QUERIES):
-        response = yield from fleet.client().ask(f"demo{number}", kind, shards, key=key)
-        click.echo(f"  {kind}: {response.status} {response.body.decode()[:150]}")
+    for number, (query_class, shards, key) in enumerate(QUERIES):
+        response = yield from fleet.client().ask(f"demo{number}", query_class, shards, key=key)
+        click.echo(f"  {query_class}: {response.status} {response.body.decode()[:150]}")
     click.echo(f"""
 Try next (the broker listens on {fleet.address}, its log is {fleet.lines}):
   curl http://{fleet.address}/-/ready
@@ -56,8 +60,12 @@
     -d '{{"parts":[{{"id":1,"w":0.5}},{{"id":2,"w":0.5}}],"expr":"c41e77d0"}}' http://{fleet.address}/price-search
   kill -HUP {fleet.process.pid}    kill -TERM {fleet.process.pid}
 Stop with Ctrl-C.""")
-    while not ended and fleet.process.poll() is None and (until is None or time.monotonic() < until):
-        yield from sleep(fleet.loop, 100_000)
+    while (
+        not stop_signals
+        and fleet.process.poll() is None
+        and (deadline_seconds is None or time.monotonic() < deadline_seconds)
+    ):
+        yield from sleep(fleet.loop, POLL_INTERVAL_US)
     if fleet.process.poll() is None:
         fleet.process.terminate()
     return (yield from fleet.ended())
