--- a/heathwell/cli/__init__.py
+++ b/heathwell/cli/__init__.py
@@ -15,7 +15,8 @@
 from heathwell.cli.inspect import audit, check, schema
 from heathwell.cli.platform import platform
 from heathwell.cli.rollout import agent, rollout
-from heathwell.cli.serve import broker, discovery, leaf, relay, source
+from heathwell.cli.serve import broker
+from heathwell.cli.standins import discovery, leaf, relay, source
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
--- a/heathwell/cli/badday.py
+++ b/heathwell/cli/badday.py
@@ -10,7 +10,7 @@
 import click
 
 from heathwell.cli.inspect import judge_optional_rules
-from heathwell.cli.serve import exit_codes, settings_of
+from heathwell.cli.process import exit_codes, settings_of
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Verdict
 from heathwell.testing.simulation.badday import Day, summary
--- a/heathwell/cli/control.py
+++ b/heathwell/cli/control.py
@@ -16,7 +16,7 @@
 import click
 import msgspec
 
-from heathwell.cli.serve import Process, serving, settings_of
+from heathwell.cli.process import Process, serving, settings_of
 from heathwell.codec import frames, inner_protocol
 from heathwell.eventloop import Coro
 from heathwell.fleet.control.coordinator_metrics import CoordinatorAdminPages
--- a/heathwell/cli/fleet.py
+++ b/heathwell/cli/fleet.py
@@ -11,7 +11,7 @@
 
 import click
 
-from heathwell.cli.serve import settings_of
+from heathwell.cli.process import settings_of
 from heathwell.testing.simulation.processes import FleetError, ProcessFleet
 
 if TYPE_CHECKING:
--- a/heathwell/cli/inspect.py
+++ b/heathwell/cli/inspect.py
@@ -6,7 +6,7 @@
 
 import click
 
-from heathwell.cli.serve import settings_of
+from heathwell.cli.process import settings_of
 from heathwell.settings import schema_page
 from heathwell.testing.audit import Breach, Event, Verdict, judge, judge_ages, judge_budgets, read_logs
 from heathwell.testing.audit.reader import LogError
--- /dev/null
+++ b/heathwell/cli/process.py
@@ -0,0 +1,167 @@
+"""What every serving command shares: options, loop, logs, event log, signals and exit codes."""
+
+from __future__ import annotations
+
+import json
+import os
+import signal
+import sys
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from functools import wraps
+from pathlib import Path
+from typing import Any
+
+import click
+
+from heathwell.cli import logs
+from heathwell.eventloop import (
+    Coro,
+    Event,
+    MonotonicClock,
+    SkewedClock,
+    configure_garbage_collector,
+    socket_loop,
+)
+from heathwell.observability.digests import settings_digest
+from heathwell.observability.event_log import EventLog, FileEvents, NoEvents
+from heathwell.settings import ServiceSettings, SettingsError, load
+
+
+@contextmanager
+def exit_codes(*invalid_input: type[Exception]) -> Iterator[None]:
+    """Print an error and exit: 2 for settings errors and ``invalid_input``, 3 for an unreadable file."""
+    input_errors: tuple[type[Exception], ...] = (SettingsError, *invalid_input)
+    try:
+        yield
+    except input_errors as error:
+        click.echo(str(error), err=True)
+        sys.exit(2)
+    except OSError as error:
+        click.echo(f"{error.filename}: {error.strerror}", err=True)
+        sys.exit(3)
+
+
+def settings_of(path: str) -> ServiceSettings:
+    """Return the settings of a file, or print all its errors and exit (see :func:`exit_codes`)."""
+    with exit_codes():
+        return load(path)
+
+
+class Process:
+    """One serving process: event loop, logs, event log, signals and ready line.
+
+    The first SIGTERM or SIGINT sets ``stop``; the second one exits at once with code 1.
+    """
+
+    def __init__(
+        self,
+        config: str,
+        name: str,
+        role: str,
+        *,
+        events: str | None,
+        ready_file: str | None,
+        clock_rate: float = 1.0,
+    ) -> None:
+        self.config = config
+        self.service_settings = settings_of(config)
+        self.digest = settings_digest(config)
+        self.name = name
+        self.ready_file = ready_file
+        self.make_log = logs.set_up(self.service_settings.log)
+        self.log = self.make_log(f"heathwell.{role}", name=name)
+        self.loop, self.net, self.poller = socket_loop(
+            clock=None if clock_rate == 1.0 else SkewedClock(clock_rate)
+        )
+        self.loop.on_error = self._log_task_error
+        self.events: EventLog = self._open_event_log(events, role, clock_rate) if events else NoEvents()
+        self.stop = Event()
+        self._signals = 0
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self.poller.on_signal(signal_number, self._on_stop_signal)
+
+    def _open_event_log(self, folder: str, role: str, clock_rate: float) -> FileEvents:
+        Path(folder).mkdir(parents=True, exist_ok=True)
+        # By the machine's clock, even where the process runs on a skewed one: auditors compare processes.
+        event_log = FileEvents(f"{folder}/{self.name}.jsonl", self.name, role, MonotonicClock())
+        event_log("clock", rate=clock_rate)
+        self.loop.at_turn_end(event_log.flush)
+        return event_log
+
+    def _log_task_error(self, task: str, error: BaseException) -> None:
+        self.make_log("heathwell.eventloop")("error", "task ended by an error", task=task, exc_info=error)
+
+    def _on_stop_signal(self) -> None:
+        self._signals += 1
+        if self._signals > 1:
+            os._exit(1)
+        self.stop.set()
+
+    def ready(self, **fields: object) -> None:
+        """Write the ready line (name, pid, ``fields``) as JSON to the ready file, or to standard output."""
+        line = json.dumps({"name": self.name, "pid": os.getpid(), **fields})
+        if not self.ready_file:
+            print(line, flush=True)
+            return
+        unfinished = Path(self.ready_file + ".part")
+        unfinished.write_text(line + "\n")
+        unfinished.rename(self.ready_file)
+
+    def run(self, main: Callable[[], Coro[Any]]) -> None:
+        """Run until the main coroutine ends; exit with code 3 where an address cannot be bound."""
+        configure_garbage_collector()
+        try:
+            self.loop.run(self.loop.spawn(main(), "main"))
+        except OSError as error:
+            click.echo(f"{self.name}: {error}", err=True)
+            sys.exit(3)
+        self.loop.shutdown()
+        if isinstance(self.events, FileEvents):
+            self.events.close()
+
+
+def serving(role: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
+    """Add the options of every serving command, and pass it the :class:`Process` with_process of them.
+
+    ``role`` names the process in its logs and event log.
+    """
+
+    def add_options(command: Callable[..., None]) -> Callable[..., None]:
+        @wraps(command)
+        def with_process(
+            *,
+            config: str,
+            name: str,
+            events: str | None,
+            ready_file: str | None,
+            clock_rate: float,
+            **more: object,
+        ) -> None:
+            process = Process(config, name, role, events=events, ready_file=ready_file, clock_rate=clock_rate)
+            command(process, **more)
+
+        for option in (
+            click.option("--config", required=True, type=click.Path(dir_okay=False), help="Settings file."),
+            click.option("--name", required=True, help="Name in logs; one of a kind among all runs."),
+            click.option(
+                "--events", type=click.Path(file_okay=False), help="Folder for the event log (off without)."
+            ),
+            click.option(
+                "--clock-rate",
+                type=click.FloatRange(0.5, 2.0),
+                default=1.0,
+                hidden=True,
+                help="For tests: how fast its clock runs against the machine's.",
+            ),
+            click.option(
+                "--ready-file",
+                type=click.Path(dir_okay=False),
+                help="Write {name, pid, address ...} here, as JSON, once it serves (standard output "
+                "without).",
+            ),
+        ):
+            with_process = option(with_process)
+        return with_process
+
+    return add_options
--- a/heathwell/cli/rollout.py
+++ b/heathwell/cli/rollout.py
@@ -20,7 +20,7 @@
 
 from heathwell import __version__
 from heathwell.cli.control import ask
-from heathwell.cli.serve import Process, exit_codes, serving, settings_of
+from heathwell.cli.process import Process, exit_codes, serving, settings_of
 from heathwell.codec import frames
 from heathwell.eventloop import Coro, sleep
 from heathwell.fleet.control.broker_process import supervise_broker
--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -1,36 +1,22 @@
-"""`heathwell broker`, `leaf` and `discovery`: one process each, until SIGTERM."""
+"""`heathwell broker`: a service broker with its client protocols, from start to graceful shutdown."""
 
 from __future__ import annotations
 
 import json
-import os
 import signal
 import sys
 import time
-from collections.abc import Callable, Iterator
-from contextlib import contextmanager
-from functools import partial, wraps
+from collections.abc import Callable
+from functools import partial
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import click
 
 from heathwell import __version__
-from heathwell.cli import logs
-from heathwell.eventloop import (
-    Coro,
-    Event,
-    Listener,
-    Loop,
-    MonotonicClock,
-    Net,
-    SkewedClock,
-    configure_garbage_collector,
-    sleep,
-    socket_loop,
-)
+from heathwell.cli.process import Process, serving
+from heathwell.eventloop import Coro, Listener, Net, sleep
 from heathwell.observability.digests import program_digest, settings_digest
-from heathwell.observability.event_log import EventLog, FileEvents, NoEvents
 from heathwell.servers.admin import AdminFront
 from heathwell.servers.client_connection import EXTRA_CONNECTIONS
 from heathwell.servers.memcached import MemcachedServer
@@ -41,140 +27,18 @@
 from heathwell.service.service_statistics import ServiceStatistics
 from heathwell.service.settings_change import SettingsChangeError
 from heathwell.settings import ServiceSettings, SettingsError, load
-from heathwell.testing.standins.discovery import Discovery
-from heathwell.testing.standins.leaf import Leaf
-from heathwell.testing.standins.relay import Relay, RoutedNet
-from heathwell.testing.standins.source import Source
+from heathwell.testing.standins.relay import RoutedNet
 
 if TYPE_CHECKING:
     from heathwell.fleet.control.fleet_agent import FleetAgent
     from heathwell.service.zone_observer import ZoneBroker, ZoneObserver
 
 PACKAGE = Path(__file__).resolve().parent.parent
-HAND_OVER_US = 2_000_000  # for clients to come to a moment at which nothing is asked
-LEAVE_US = 50_000  # for the last word to keepers to go out
-
-
-@contextmanager
-def exit_codes(*wrong: type[Exception]) -> Iterator[None]:
-    """Exit code 2 and the text for what is wrong in a file, 3 for a file that can't be read."""
-    bad: tuple[type[Exception], ...] = (SettingsError, *wrong)
-    try:
-        yield
-    except bad as problem:
-        click.echo(str(problem), err=True)
-        sys.exit(2)
-    except OSError as problem:
-        click.echo(f"{problem.filename}: {problem.strerror}", err=True)
-        sys.exit(3)
-
-
-def settings_of(path: str) -> ServiceSettings:
-    """The settings of a file, or exit code 2 with all that is wrong."""
-    with exit_codes():
-        return load(path)
-
-
-class Process:
-    """One serving process: loop, logs, events, signals, ready line."""
-
-    def __init__(
-        self,
-        config: str,
-        name: str,
-        role: str,
-        events: str | None,
-        ready_file: str | None,
-        clock_rate: float = 1.0,
-    ) -> None:
-        self.config, self.service_settings = config, settings_of(config)
-        self.digest = settings_digest(config)
-        self.name, self.ready_file = name, ready_file
-        self.make_log = logs.set_up(self.service_settings.log)
-        self.log = self.make_log(f"heathwell.{role}", name=name)
-        self.loop, self.net, self.poller = socket_loop(
-            clock=None if clock_rate == 1.0 else SkewedClock(clock_rate)
-        )
-        self.loop.on_error = self._error
-        self.events: EventLog = NoEvents()
-        if events:
-            os.makedirs(events, exist_ok=True)
-            # By the machine's clock, whatever the program's own shows: auditors compare processes.
-            log_file = FileEvents(f"{events}/{name}.jsonl", name, role, MonotonicClock())
-            log_file("clock", rate=clock_rate)
-            self.events = log_file
-            self.loop.at_turn_end(log_file.flush)
-        self.stop = Event()
-        self._signals = 0
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self.poller.on_signal(number, self._signalled)
-
-    def _error(self, task: str, error: BaseException) -> None:
-        self.make_log("heathwell.eventloop")("error", "task ended by an error", task=task, exc_info=error)
-
-    def _signalled(self) -> None:
-        self._signals += 1
-        if self._signals > 1:
-            os._exit(1)
-        self.stop.set()
-
-    def ready(self, **fields: Any) -> None:
-        """Say that it serves."""
-        line = json.dumps({"name": self.name, "pid": os.getpid(), **fields})
-        if self.ready_file:
-            partial = Path(self.ready_file + ".part")
-            partial.write_text(line + "\n")
-            partial.rename(self.ready_file)
-        else:
-            print(line, flush=True)
-
-    def run(self, main: Callable[[], Coro[Any]]) -> None:
-        """Run until the main coroutine ends; an address that can't be had is exit code 3."""
-        configure_garbage_collector()
-        try:
-            self.loop.run(self.loop.spawn(main(), "main"))
-        except OSError as problem:
-            click.echo(f"{self.name}: {problem}", err=True)
-            sys.exit(3)
-        self.loop.shutdown()
-        if isinstance(self.events, FileEvents):
-            self.events.close()
-
-
-def serving(role: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
-    """The options of every serving command; it is handed the :class:`Process` that they make."""
-
-    def around(command: Callable[..., None]) -> Callable[..., None]:
-        @wraps(command)
-        def made(
-            config: str, name: str, events: str | None, ready_file: str | None, clock_rate: float, **more: Any
-        ) -> None:
-            command(Process(config, name, role, events, ready_file, clock_rate), **more)
-
-        for option in (
-            click.option("--config", required=True, type=click.Path(dir_okay=False), help="Settings file."),
-            click.option("--name", required=True, help="Name in logs; one of a kind among all runs."),
-            click.option(
-                "--events", type=click.Path(file_okay=False), help="Folder for the event log (off without)."
-            ),
-            click.option(
-                "--clock-rate",
-                type=click.FloatRange(0.5, 2.0),
-                default=1.0,
-                hidden=True,
-                help="For tests: how fast its clock runs against the machine's.",
-            ),
-            click.option(
-                "--ready-file",
-                type=click.Path(dir_okay=False),
-                help="Write {name, pid, address ...} here, as JSON, once it serves (standard output "
-                "without).",
-            ),
-        ):
-            made = option(made)
-        return made
-
-    return around
+ADMIN_CONNECTIONS = 100
+HAND_OVER_TIMEOUT_US = 2_000_000  # for clients to reach a moment without a request in flight
+LEAVE_DURATION_US = 50_000  # for the last frame to the coordinators to be sent
+POLL_INTERVAL_US = 10_000
+FLUSH_ATTEMPTS = 20
 
 
 @click.command()
@@ -193,6 +57,7 @@
 )
 def broker(
     process: Process,
+    *,
     discovery: str,
     zone: int,
     seed: int,
@@ -206,98 +71,173 @@
 
     SIGTERM takes nothing new, finishes what is held, and exits 0; a second one exits at once.
     """
-    service_settings, loop = process.service_settings, process.loop
-    try:
-        net: Net = RoutedNet(process.net, json.loads(routes))
-    except ValueError as problem:
-        click.echo(f"--routes: {problem}", err=True)
-        sys.exit(2)
-
-    agent = _agent(process, zone, seed, keepers)
+    service_settings = process.service_settings
+    net = _routed_net(process.net, routes)
+    agent = _fleet_agent(process, zone, seed, keepers)
 
     def main() -> Coro[None]:
-        served = ServiceBroker(
-            loop,
-            net,
-            service_settings,
-            BrokerOptions(
-                name=process.name,
-                zone=zone,
-                seed=seed,
-                discovery_address=discovery,
-                source_address=source,
-                aggregator_count=max(1, service_settings.fleet.brokers),
-                agent=agent,
-                make_zone_observer=_zone_observer_factory(service_settings, agent, zone, seed),
-                statistics=_service_statistics(service_settings, zone) if report else None,
-            ),
-            events=process.events,
-            log=process.log,
+        options = BrokerOptions(
+            name=process.name,
+            zone=zone,
+            seed=seed,
+            discovery_address=discovery,
+            source_address=source,
+            aggregator_count=max(1, service_settings.fleet.brokers),
+            agent=agent,
+            make_zone_observer=_zone_observer_factory(service_settings, agent, zone, seed),
+            statistics=_service_statistics(service_settings, zone) if report else None,
+        )
+        yield from BrokerServer(process, net, options, agent, listen).run()
+
+    process.run(main)
+
+
+class BrokerServer:
+    """A service broker, the listeners of its client protocols and the order of its shutdown.
+
+    A broker with ``options.statistics`` is supervised by a node agent: its ready line has the digests of its
+    program and settings, and on shutdown it hands its clients over to the process that replaces it.
+    """
+
+    def __init__(
+        self,
+        process: Process,
+        net: Net,
+        options: BrokerOptions,
+        agent: FleetAgent | None,
+        listen: str | None,
+    ) -> None:
+        self._process = process
+        self._net = net
+        self._agent = agent
+        self._zone = options.zone
+        self._is_supervised = options.statistics is not None
+        self._settings = process.service_settings
+        self._listen_address = listen or self._settings.broker.listen
+        self._broker = ServiceBroker(
+            process.loop, net, self._settings, options, events=process.events, log=process.log
         )
-        front = MemcachedServer(served, process.log)
-        admin = AdminFront(served, front)
-        door = net.listen(
-            listen or service_settings.broker.listen,
-            front.serve,
-            "client",
-            service_settings.limits.clients + EXTRA_CONNECTIONS,
+        self._memcached = MemcachedServer(self._broker, process.log)
+        self._listeners: list[Listener] = []
+
+    def run(self) -> Coro[None]:
+        """Serve until the process is stopped, then shut down gracefully."""
+        self._start()
+        yield from self._process.stop.wait()
+        yield from self._shut_down()
+
+    def _start(self) -> None:
+        process = self._process
+        admin = AdminFront(self._broker, self._memcached)
+        client_listener = self._net.listen(
+            self._listen_address, self._memcached.serve, "client", self._connection_limit
         )
-        admin_door = net.listen(service_settings.broker.admin, admin.serve, "admin", 100)
-        served.pace(door)
-        searches: dict[str, str] = {}
-        vector_door: Listener | None = None
-        if service_settings.vector.listen:
-            vector_door = net.listen(
-                service_settings.vector.listen,
-                VectorSearchServer(served, process.log).serve,
-                "searcher",
-                service_settings.limits.clients + EXTRA_CONNECTIONS,
-            )
-            served.pace(vector_door)
-            searches = {"vector": vector_door.address}
-        served.current_version.version = process.digest
-
-        def reread() -> None:
-            try:
-                digest, again = settings_digest(process.config), load(process.config)
-            except (SettingsError, OSError) as problem:
-                process.log("error", "settings not taken, the old ones stay", why=str(problem))
-                return
-            if digest == served.current_version.version:
+        admin_listener = self._net.listen(
+            self._settings.broker.admin, admin.serve, "admin", ADMIN_CONNECTIONS
+        )
+        self._broker.pace(client_listener)
+        self._listeners.append(client_listener)
+        vector_address = self._start_vector_search()
+        self._broker.current_version.version = process.digest
+        process.poller.on_signal(signal.SIGHUP, self._reload_settings)
+        process.ready(
+            address=client_listener.address,
+            admin=admin_listener.address,
+            zone=self._zone,
+            **vector_address,
+            **self._digests(),
+        )
+        process.log("info", "serving", address=client_listener.address, admin=admin_listener.address)
+
+    @property
+    def _connection_limit(self) -> int:
+        return self._settings.limits.clients + EXTRA_CONNECTIONS
+
+    def _start_vector_search(self) -> dict[str, str]:
+        """Listen for vector searches where the settings have an address; return it as a ready-line field."""
+        if not self._settings.vector.listen:
+            return {}
+        listener = self._net.listen(
+            self._settings.vector.listen,
+            VectorSearchServer(self._broker, self._process.log).serve,
+            "searcher",
+            self._connection_limit,
+        )
+        self._broker.pace(listener)
+        self._listeners.append(listener)
+        return {"vector": listener.address}
+
+    def _digests(self) -> dict[str, str]:
+        """Return the ready-line fields by which a node agent checks what it started."""
+        if not self._is_supervised:
+            return {}
+        return {"program": program_digest(PACKAGE), "settings": self._process.digest}
+
+    def _reload_settings(self) -> None:
+        """Read the settings file again and apply it; errors are logged and change nothing."""
+        process = self._process
+        try:
+            digest = settings_digest(process.config)
+            changed_settings = load(process.config)
+        except (SettingsError, OSError) as error:
+            process.log("error", "settings not taken, the old ones stay", why=str(error))
+            return
+        if digest == self._broker.current_version.version:
+            return
+        try:
+            self._broker.apply_settings(changed_settings, digest)
+        except SettingsChangeError as error:
+            process.log("error", "settings need a restart, the old ones stay", why=str(error))
+
+    def _shut_down(self) -> Coro[None]:
+        """Stop accepting, hand clients over, finish open queries, flush replies, leave the fleet."""
+        process = self._process
+        process.log("info", "stopping", held=self._broker.open_count)
+        for listener in self._listeners:
+            listener.close()
+        yield from self._hand_over_clients()
+        self._broker.drain()
+        process.loop.call_at(process.loop.now() + self._settings.broker.drain_for, self._broker.idle.set)
+        yield from self._broker.idle.wait()
+        yield from self._flush_replies()
+        self._broker.close()
+        if self._agent is not None:
+            self._agent.leave()
+            yield from sleep(process.loop, LEAVE_DURATION_US)
+            self._agent.close()
+
+    def _hand_over_clients(self) -> Coro[None]:
+        """Serve open connections until each can be closed without a request in flight.
+
+        Another process may have the address by now, so that clients which reconnect reach it.
+        """
+        loop = self._process.loop
+        until_us = loop.now() + (HAND_OVER_TIMEOUT_US if self._is_supervised else 0)
+        while loop.now() < until_us and self._memcached.hand_over():
+            yield from sleep(loop, POLL_INTERVAL_US)
+
+    def _flush_replies(self) -> Coro[None]:
+        """Wait until the replies are sent, for a bounded time."""
+        for _ in range(FLUSH_ATTEMPTS):
+            yield from sleep(self._process.loop, POLL_INTERVAL_US)
+            if not any(connection.stream.unsent for connection in self._memcached.connections):
                 return
-            try:
-                served.apply_settings(again, digest)
-            except SettingsChangeError as problem:
-                process.log("error", "settings need a restart, the old ones stay", why=str(problem))
-
-        process.poller.on_signal(signal.SIGHUP, reread)
-        runs = {"program": program_digest(PACKAGE), "settings": process.digest} if report else {}
-        process.ready(address=door.address, admin=admin_door.address, zone=zone, **searches, **runs)
-        process.log("info", "serving", address=door.address, admin=admin_door.address)
-        yield from process.stop.wait()
-        process.log("info", "stopping", held=served.open_count)
-        door.close()
-        if vector_door is not None:
-            vector_door.close()
-        # Where another process has the address by now, what is asked on open connections is still served.
-        until = loop.now() + (HAND_OVER_US if report else 0)
-        while loop.now() < until and front.hand_over():
-            yield from sleep(loop, 10_000)
-        served.drain()
-        loop.call_at(loop.now() + service_settings.broker.drain_for, served.idle.set)
-        yield from served.idle.wait()
-        yield from _flush(loop, front)
-        served.close()
-        if agent is not None:
-            agent.leave()
-            yield from sleep(loop, LEAVE_US)
-            agent.close()
 
-    process.run(main)
+
+def _routed_net(net: Net, routes: str) -> Net:
+    """Return a network that connects by the relay addresses of ``--routes``; exit with code 2 if invalid."""
+    try:
+        return RoutedNet(net, json.loads(routes))
+    except ValueError as error:
+        click.echo(f"--routes: {error}", err=True)
+        sys.exit(2)
 
 
-def _agent(process: Process, zone: int, seed: int, keepers: str) -> FleetAgent | None:
-    """The agent of a broker whose settings name keepers; without these nothing of the control is imported."""
+def _fleet_agent(process: Process, zone: int, seed: int, keepers: str) -> FleetAgent | None:
+    """Return the fleet agent of a broker, or None where the settings name no coordinators.
+
+    Without coordinators nothing of the fleet's control is imported.
+    """
     fleet = process.service_settings.fleet
     if not fleet.coordinators:
         return None
@@ -305,25 +245,25 @@
     from heathwell.fleet.control.parameters import budgets_from_settings, quota_timings_from_settings  # noqa: PLC0415
     from heathwell.fleet.membership import LocalMember  # noqa: PLC0415
 
-    times, now = quota_timings_from_settings(fleet), process.loop.now()
+    timings = quota_timings_from_settings(fleet)
     member = LocalMember(
         process.name.partition("r")[0],
         time.time_ns() // 1000,
-        now,
+        process.loop.now(),
         zone=fleet.zones[zone],
         version=__version__,
         digest=process.digest,
-        timeouts=times.membership,
+        timeouts=timings.membership,
     )
-    where = tuple(keepers.split(",")) if keepers else tuple(fleet.coordinators)
+    addresses = tuple(keepers.split(",")) if keepers else tuple(fleet.coordinators)
     return FleetAgent(
         process.loop,
         process.net,
         member,
         budgets_from_settings(fleet),
-        where,
+        addresses,
         renewal_interval_us=fleet.renew,
-        timings=times,
+        timings=timings,
         seed=seed,
         log=process.log,
         events=process.events,
@@ -338,111 +278,9 @@
 def _zone_observer_factory(
     service_settings: ServiceSettings, agent: FleetAgent | None, zone: int, seed: int
 ) -> Callable[[ZoneBroker], ZoneObserver] | None:
-    """What makes a broker's zone observer; without evacuation nothing of it is imported."""
+    """Return the factory of the zone observer; without evacuation nothing of it is imported."""
     if agent is None or not service_settings.fleet.evacuate:
         return None
     from heathwell.service.zone_observer import observe_zones  # noqa: PLC0415
 
     return partial(observe_zones, agent=agent, zone=zone, zone_names=service_settings.fleet.zones, seed=seed)
-
-
-def _flush(loop: Loop, front: MemcachedServer) -> Coro[None]:
-    """Let the last replies go out."""
-    for _ in range(20):
-        yield from sleep(loop, 10_000)
-        if not any(connection.stream.unsent for connection in front.connections):
-            return
-
-
-@click.command()
-@serving("leaf")
-@click.option("--discovery", required=True, help="host:port of the host list.")
-@click.option("--cell", default=0, show_default=True, help="Its cell: which shards it holds.")
-@click.option("--zone", default=0, show_default=True, help="Number of the zone it stands in.")
-@click.option("--seed", default=1, show_default=True, help="Seed of its draws.")
-@click.option("--listen", default="127.0.0.1:0", show_default=True, help="Address.")
-@click.option(
-    "--warm/--cold", default=True, show_default=True, help="Whether it starts at its full capacity."
-)
-@click.option("--speed", type=float, help="Work done in a second, in seconds, a slot (settings' without).")
-def leaf(
-    process: Process,
-    discovery: str,
-    cell: int,
-    zone: int,
-    seed: int,
-    listen: str,
-    warm: bool,
-    speed: float | None,
-) -> None:
-    """Run a stand-in shard host with generated sale and price data."""
-
-    def main() -> Coro[None]:
-        host = Leaf(
-            process.loop,
-            process.net,
-            process.service_settings,
-            name=process.name,
-            cell=cell,
-            zone=zone,
-            discovery=discovery,
-            seed=seed,
-            address=listen,
-            events=process.events,
-            on_die=process.stop.set,
-            speed=speed,
-        )
-        process.ready(address=host.start(warm=warm), cell=cell, zone=zone)
-        yield from process.stop.wait()
-
-    process.run(main)
-
-
-@click.command()
-@serving("relay")
-@click.option("--targets", required=True, help="Hosts behind the link, host:port, with commas between.")
-@click.option("--seed", default=1, show_default=True, help="Seed of its draws.")
-@click.option("--listen", default="127.0.0.1:0", show_default=True, help="Address that takes orders.")
-def relay(process: Process, targets: str, seed: int, listen: str) -> None:
-    """Run a stand-in for the link between two regions."""
-
-    def main() -> Coro[None]:
-        link = Relay(process.loop, process.net, targets.split(","), seed)
-        process.ready(address=link.start(listen), routes=link.routes)
-        yield from process.stop.wait()
-
-    process.run(main)
-
-
-@click.command()
-@serving("source")
-@click.option("--listen", help="Address (settings' without).")
-def source(process: Process, listen: str | None) -> None:
-    """Run the stand-in source of all data: its clock."""
-
-    def main() -> Coro[None]:
-        process.ready(address=Source(process.loop, process.net, process.service_settings, listen).start())
-        yield from process.stop.wait()
-
-    process.run(main)
-
-
-@click.command()
-@serving("discovery")
-@click.option("--listen", help="Address (settings' without).")
-def discovery(process: Process, listen: str | None) -> None:
-    """Run the stand-in host list."""
-
-    def main() -> Coro[None]:
-        service = Discovery(
-            process.loop,
-            process.net,
-            process.service_settings,
-            address=listen,
-            events=process.events,
-            log=process.log,
-        )
-        process.ready(address=service.start())
-        yield from process.stop.wait()
-
-    process.run(main)
--- a/heathwell/testing/simulation/rolling.py
+++ b/heathwell/testing/simulation/rolling.py
@@ -39,7 +39,7 @@
     ("(aside 40%) (burst 2s)", "(aside 40%) (burst 5s)"),
     ("(level info)", "(level error)"),
 )
-BROKER_MAIN = "    def main() -> Coro[None]:\n        served = ServiceBroker("
+BROKER_MAIN = "    def main() -> Coro[None]:\n        options = BrokerOptions("
 FINAL = "    def on_reply_made(self, query: ServiceQuery, reply: Reply, took_us: int) -> None:\n"
 ADMISSION = "        self._check_storm(plan, client)\n"
 # By name: file, what stands there, what stands there instead.
@@ -48,9 +48,10 @@
     "dies after 5 s": (
         "cli/serve.py",
         BROKER_MAIN,
-        "    loop.call_at(loop.now() + 5_000_000, lambda: os._exit(3))\n\n" + BROKER_MAIN,
+        "    import os\n    process.loop.call_at(process.loop.now() + 5_000_000, lambda: os._exit(3))\n\n"
+        + BROKER_MAIN,
     ),
-    "dies on SIGTERM": ("cli/serve.py", "        self._signals += 1\n", "        os._exit(1)\n"),
+    "dies on SIGTERM": ("cli/process.py", "        self._signals += 1\n", "        os._exit(1)\n"),
     "a class worse": (
         "service/query_admission.py",
         ADMISSION,
@@ -72,9 +73,10 @@
     "stalls after a while": (
         "cli/serve.py",
         BROKER_MAIN,
-        "    loop.call_at(loop.now() + 6_000_000, lambda: time.sleep(1000))\n\n" + BROKER_MAIN,
+        "    process.loop.call_at(process.loop.now() + 6_000_000, lambda: time.sleep(1000))\n\n"
+        + BROKER_MAIN,
     ),
-    "an older wire": ("codec/frames.py", "VERSION = 1\n", "VERSION = 0\n"),
+    "an older wire": ("codec/frames/framing.py", "VERSION = 1\n", "VERSION = 0\n"),
     "a false digest": ("cli/serve.py", '"program": program_digest(PACKAGE)', '"program": "0123456789abcdef"'),
 }
 
