--- /dev/null
+++ b/heathwell/cli/operator_requests.py
@@ -0,0 +1,92 @@
+"""What operators' commands share: requests to coordinators, their options, and tables of results."""
+
+from __future__ import annotations
+
+import json
+import os
+import sys
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass, field
+from typing import TypeVar
+
+import click
+
+from heathwell.cli.process import settings_of
+from heathwell.codec import frames, inner_protocol
+
+REPLY_TIMEOUT_SECONDS = 3.0
+A = TypeVar("A")
+
+
+@dataclass(slots=True)
+class CoordinatorViews:
+    """The views of the coordinators that replied, and by address the error of those that did not."""
+
+    views: list[frames.FleetView] = field(default_factory=list)
+    errors: dict[str, str] = field(default_factory=dict)
+
+
+def request_reply(
+    address: str, message: frames.Message, kind: type[A], timeout_seconds: float = REPLY_TIMEOUT_SECONDS
+) -> A:
+    """Send an operator's request and return the reply of type ``kind``.
+
+    Raises as :func:`heathwell.codec.inner_protocol.request`.
+    """
+    return inner_protocol.request(address, f"cli{os.getpid()}", "cli", message, kind, timeout_seconds)
+
+
+def request_views(addresses: list[str]) -> CoordinatorViews:
+    """Request the view of each coordinator."""
+    result = CoordinatorViews()
+    for address in addresses:
+        try:
+            result.views.append(request_reply(address, frames.FleetRequest(), frames.FleetView))
+        except (OSError, ValueError, frames.FrameError) as error:
+            result.errors[address] = str(error) or type(error).__name__
+    return result
+
+
+def coordinator_addresses(config: str, keepers: str) -> list[str]:
+    """Return the addresses of ``--keepers`` or of the settings; exit with code 2 where there are none."""
+    service_settings = settings_of(config)
+    addresses = keepers.split(",") if keepers else list(service_settings.fleet.coordinators)
+    if not addresses:
+        click.echo(f"{config}: fleet.keepers: none are named, so there is no roll and no budget", err=True)
+        sys.exit(2)
+    return addresses
+
+
+def operator_options(command: Callable[..., None]) -> Callable[..., None]:
+    """Add ``--config``, ``--keepers`` and ``--json`` to a command."""
+    for option in (
+        click.option("--config", required=True, type=click.Path(dir_okay=False), help="Settings file."),
+        click.option("--keepers", default="", help="Their addresses, commas between (settings' without)."),
+        click.option("--json", "as_json", is_flag=True, help="As JSON."),
+    ):
+        command = option(command)
+    return command
+
+
+def format_table(rows: Sequence[Mapping[str, object]]) -> str:
+    """Return rows with the same keys as left-aligned columns under a line of the keys."""
+    if not rows:
+        return "none"
+    heads = list(rows[0])
+    lines = [heads, *([str(row[head]) for head in heads] for row in rows)]
+    widths = [max(len(line[column]) for line in lines) for column in range(len(heads))]
+    return "\n".join(
+        "  ".join(text.ljust(width) for text, width in zip(line, widths, strict=True)).rstrip()
+        for line in lines
+    )
+
+
+def print_and_exit(result: CoordinatorViews, body: Mapping[str, object], text: str, *, as_json: bool) -> None:
+    """Print ``body`` as JSON or ``text``, with the errors, and exit: 3 where no coordinator replied."""
+    if as_json:
+        click.echo(json.dumps({**body, "silent": result.errors}, indent=1))
+    else:
+        click.echo(text)
+        for address, error in result.errors.items():
+            click.echo(f"keeper {address} says nothing: {error}", err=True)
+    sys.exit(0 if result.views else 3)
--- a/heathwell/cli/rollout.py
+++ b/heathwell/cli/rollout.py
@@ -19,7 +19,7 @@
 import click
 
 from heathwell import __version__
-from heathwell.cli.control import ask
+from heathwell.cli.operator_requests import request_reply
 from heathwell.cli.process import Process, exit_codes, serving, settings_of
 from heathwell.codec import frames
 from heathwell.eventloop import Coro, sleep
@@ -346,7 +346,9 @@
         with exit_codes(ValueError):
             where = json.loads((Path(state) / ADDRESS).read_text())["address"]
     try:
-        answer = ask(where, frames.OperatorCommand(word, getpass.getuser(), why), frames.RolloutStatus)
+        answer = request_reply(
+            where, frames.OperatorCommand(word, getpass.getuser(), why), frames.RolloutStatus
+        )
     except (OSError, ValueError, frames.FrameError) as problem:
         click.echo(f"controller {where}: {problem}", err=True)
         sys.exit(3)
--- /dev/null
+++ b/heathwell/cli/zone.py
@@ -0,0 +1,216 @@
+"""`heathwell zone`: evacuation state of zones, operators' actions on them, and evacuation drills."""
+
+from __future__ import annotations
+
+import getpass
+import json
+import signal
+import sys
+import time
+from dataclasses import dataclass
+from typing import Any
+
+import click
+import msgspec
+
+from heathwell.cli.operator_requests import (
+    coordinator_addresses,
+    format_table,
+    operator_options,
+    request_reply,
+)
+from heathwell.codec import frames
+from heathwell.fleet.control.messages import attempt_counts_from_frames
+from heathwell.fleet.evacuation import Drill, DrillStage, DrillStageReport, OperatorAction, ZoneState
+
+DRILL_TICK_SECONDS = 2.0  # the span of which brokers report their attempts
+NO_DECIDER = "no keeper decides at this moment: the last decision stands"
+STATUS = "status"  # the operator command that changes nothing
+TERMINATED_EXIT_CODE = 128 + signal.SIGTERM
+
+
+@click.group()
+def zone() -> None:
+    """Zones that the fleet has left or leaves, and an operator's word on them."""
+
+
+@dataclass(frozen=True, slots=True)
+class ZoneReplies:
+    """By coordinator address the reply to an operator command, or the text of the error."""
+
+    by_address: dict[str, frames.ZonesStatus | str]
+
+    def from_deciders(self) -> list[frames.ZonesStatus]:
+        """Return the replies of coordinators that decide about zones."""
+        return [
+            reply
+            for reply in self.by_address.values()
+            if isinstance(reply, frames.ZonesStatus) and reply.decides
+        ]
+
+
+def _send_command(addresses: list[str], action: str, reason: str, zone_name: str) -> ZoneReplies:
+    command = frames.OperatorCommand(action, getpass.getuser(), reason, zone_name)
+    replies: dict[str, frames.ZonesStatus | str] = {}
+    for address in addresses:
+        try:
+            replies[address] = request_reply(address, command, frames.ZonesStatus)
+        except (OSError, ValueError, frames.FrameError) as error:
+            replies[address] = str(error)
+    return ZoneReplies(replies)
+
+
+def _action_command(action: str, help_text: str) -> click.Command:
+    """Return the click command of an operator action."""
+
+    def command(*, config: str, keepers: str, as_json: bool, zone: str = "", why: str = "") -> None:
+        replies = _send_command(coordinator_addresses(config, keepers), action, why, zone)
+        if as_json:
+            body = {address: msgspec.to_builtins(reply) for address, reply in replies.by_address.items()}
+            click.echo(json.dumps(body, indent=1))
+        deciding = replies.from_deciders()
+        for reply in deciding:
+            if not as_json:
+                _print_states(reply)
+            if reply.text:
+                click.echo(reply.text, err=True)
+                sys.exit(1)
+        if not deciding:
+            click.echo(NO_DECIDER, err=True)
+            sys.exit(3)
+
+    command.__doc__ = help_text
+    decorated = operator_options(command)
+    if action != STATUS:
+        decorated = click.argument("zone")(click.option("--why", default="", help="For the log.")(decorated))
+    return click.command(action)(decorated)
+
+
+def _print_states(reply: frames.ZonesStatus) -> None:
+    for name, state in reply.states.items():
+        decided = reply.decision.zones.get(name) if reply.decision is not None else None
+        line = f"{name}: {state}"
+        if decided is not None:
+            line += f", {decided.share:.0%} of its usual work"
+            line += f", without {', '.join(decided.only)}" if decided.only else ""
+            line += f": {decided.why}"
+        click.echo(line)
+
+
+for _action, _help_text in (
+    (STATUS, "How zones stand."),
+    (OperatorAction.EVACUATE.value, "Leave ZONE until return is said."),
+    (OperatorAction.RESTORE.value, "Come back to ZONE, in steps."),
+    (OperatorAction.PIN.value, "Leave ZONE as it is until unpin."),
+    (OperatorAction.UNPIN.value, "Let ZONE be decided again."),
+):
+    zone.add_command(_action_command(_action, _help_text))
+
+
+def _drill_row(report: DrillStageReport) -> dict[str, Any]:
+    """A stage of a drill under the keys of the command's output."""
+    return {
+        "stage": report.stage.value,
+        "seconds": round(report.duration_seconds, 1),
+        "there_a_second": round(report.zone_attempts_per_second, 1),
+        "elsewhere_a_second": round(report.elsewhere_attempts_per_second, 1),
+        "lost_elsewhere": round(report.elsewhere_loss, 4),
+        "worst_look": round(report.worst_tick_loss, 4),
+        "lost_by_class": {
+            query_class: round(loss, 4) for query_class, loss in report.elsewhere_loss_by_class.items()
+        },
+    }
+
+
+@zone.command()
+@click.argument("zone")
+@click.option("--seconds", default=20.0, show_default=True, help="How long to stay away.")
+@click.option(
+    "--most",
+    default=0.05,
+    show_default=True,
+    help="Share lost elsewhere beyond the usual, from which the drill is called off.",
+)
+@click.option("--why", default="a drill", show_default=True, help="For the log.")
+@operator_options
+def drill(
+    *, config: str, keepers: str, as_json: bool, zone: str, seconds: float, most: float, why: str
+) -> None:
+    """Leave a healthy ZONE and come back to it, and report what that cost. Exit 1 where it was called off.
+
+    Ended half way by a signal, it says return before it goes.
+    """
+    runner = _DrillRunner(coordinator_addresses(config, keepers), zone, why, prints_stages=not as_json)
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(TERMINATED_EXIT_CODE))
+    result = runner.run(int(seconds * 1e6), most)
+    rows = [_drill_row(stage) for stage in result.report()]
+    if as_json:
+        body = {"zone": zone, "called_off": result.cancel_reason or "", "stages": rows}
+        click.echo(json.dumps(body, indent=1))
+    else:
+        click.echo(
+            format_table(
+                [{key: value for key, value in row.items() if key != "lost_by_class"} for row in rows]
+            )
+        )
+    if result.cancel_reason is not None:
+        click.echo(f"called off: {result.cancel_reason}", err=True)
+        sys.exit(1)
+
+
+def _now_us() -> int:
+    return time.monotonic_ns() // 1000
+
+
+class _DrillRunner:
+    """Runs one drill against the coordinators; the zone is restored however the drill ends."""
+
+    def __init__(self, addresses: list[str], zone_name: str, reason: str, *, prints_stages: bool) -> None:
+        self._addresses = addresses
+        self._zone = zone_name
+        self._reason = reason
+        self._prints_stages = prints_stages
+
+    def run(self, duration_us: int, most: float) -> Drill:
+        """Run the drill and return it; raise `click.ClickException` where it cannot run.
+
+        ``most`` is the loss elsewhere, beyond the usual, from which it is cancelled.
+        """
+        view = self._command(STATUS)
+        self._check_serving(view)
+        drill_steps = Drill(self._zone, _now_us(), duration_us, most)
+        began_at_us = _now_us()
+        printed_stage = ""
+        is_evacuated = False
+        try:
+            while drill_steps.stage != DrillStage.FINISHED:
+                state = view.states[self._zone].partition(",")[0]
+                action = drill_steps.tick(_now_us(), state, attempt_counts_from_frames(view.seen))
+                if action is not None:
+                    self._command(action.value)
+                    is_evacuated = action == OperatorAction.EVACUATE
+                if drill_steps.stage != printed_stage and self._prints_stages:
+                    click.echo(f"{(_now_us() - began_at_us) / 1e6:6.1f} s  {drill_steps.stage}")
+                printed_stage = drill_steps.stage
+                time.sleep(DRILL_TICK_SECONDS)
+                view = self._command(STATUS)
+        finally:
+            if is_evacuated:
+                self._command(OperatorAction.RESTORE.value)
+        return drill_steps
+
+    def _command(self, action: str) -> frames.ZonesStatus:
+        """Return the reply of the coordinator that decides; raise `click.ClickException` on rejection."""
+        deciding = _send_command(self._addresses, action, self._reason, self._zone).from_deciders()
+        if not deciding:
+            raise click.ClickException(NO_DECIDER)
+        if deciding[0].text:
+            raise click.ClickException(deciding[0].text)
+        return deciding[0]
+
+    def _check_serving(self, view: frames.ZonesStatus) -> None:
+        state = view.states.get(self._zone)
+        if state is None:
+            raise click.ClickException(f"no zone '{self._zone}'; there are {', '.join(sorted(view.states))}")
+        if state != ZoneState.SERVING:
+            raise click.ClickException(f"{self._zone} is {state}: a drill leaves a zone that is served")
