--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -9,12 +9,12 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from heathwell.testing.simulation.budgetday import BudgetDay, random_faults
+from heathwell.testing.simulation.quota_scenario import QuotaScenario, random_faults
 
 
 def day(seed: int) -> tuple[int, list[str], int, int]:
     """A day of 20 s: its breaches, messages and brokers that took themselves for dead."""
-    played = BudgetDay(seed)
+    played = QuotaScenario(seed)
     random_faults(played, 7_000_000, 18_000_000)
     played.until(20_000_000)
     return seed, played.breaches, played.messages, played.deaths
--- a/benchmarks/class_regression.py
+++ b/benchmarks/class_regression.py
@@ -2,8 +2,8 @@
 [JOBS]`.
 
 So many releases with one class three points worse, and as many good ones of the same seeds, over the drawn
-brokers of `heathwell/testing/simulation/releases.py`. A test plays a few fixed seeds; this is the rate over
-many, and no check: it exits with 0.
+brokers of `heathwell/testing/simulation/release_experiment.py`. A test plays a few fixed seeds; this is the
+rate over many, and no check: it exits with 0.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from itertools import repeat
 
-from heathwell.testing.simulation.releases import POLICIES, Releases
+from heathwell.testing.simulation.release_experiment import POLICIES, Releases
 
 REGRESSION = "worse class"
 GOOD = ""
--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -21,7 +21,7 @@
 
 from heathwell.codec import frames
 from heathwell.settings import load
-from heathwell.testing.simulation.processes import ProcessFleet
+from heathwell.testing.simulation.process_fleet import ProcessFleet
 
 TEXT = """
 (class wide (aim 5s) (limit 10s) (work 1us))
--- a/benchmarks/fleetruns.py
+++ b/benchmarks/fleetruns.py
@@ -17,9 +17,9 @@
 
 from heathwell.settings import load
 from heathwell.testing.audit import judge_budgets
-from heathwell.testing.simulation.badday import Day
+from heathwell.testing.simulation.fault_scenario import Day
+from heathwell.testing.simulation.fault_script import load_script
 from heathwell.testing.simulation.random_fault_scripts import generate_fault_script
-from heathwell.testing.simulation.script import load_script
 
 MARKET = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
 
--- a/benchmarks/freshness.py
+++ b/benchmarks/freshness.py
@@ -19,8 +19,8 @@
 import costs
 
 from heathwell.settings import load, loads
-from heathwell.testing.simulation.processes import ProcessFleet
-from heathwell.testing.simulation.simulated import HOST_TROUBLES, LAG_TROUBLES, SimulatedDay
+from heathwell.testing.simulation.process_fleet import ProcessFleet
+from heathwell.testing.simulation.simulated_scenario import HOST_FAULTS, LAG_FAULTS, SimulatedScenario
 
 TEXT = """
 (class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (work 40ms){wish})
@@ -47,12 +47,12 @@
 def one(name: str, seed: int) -> dict[str, Any]:
     """A day under a policy."""
     on, wish = POLICIES[name]
-    day = SimulatedDay(
+    day = SimulatedScenario(
         loads(TEXT.format(on=on, wish=wish)),
         seed,
         seconds=SECONDS,
         tokens=True,
-        troubles=HOST_TROUBLES + LAG_TROUBLES * 3,
+        troubles=HOST_FAULTS + LAG_FAULTS * 3,
     ).run()
     verdict = day.verdict()
     out: dict[str, Any] = {
--- a/benchmarks/keepercost.py
+++ b/benchmarks/keepercost.py
@@ -19,7 +19,7 @@
 from heathwell.fleet.control.parameters import budgets_from_settings, quota_timings_from_settings
 from heathwell.fleet.membership import LocalMember
 from heathwell.settings import load
-from heathwell.testing.simulation.wires import Wires
+from heathwell.testing.simulation.fault_links import FaultLinks
 
 HOSTS_WANTED = 4  # cold hosts and hosts with further connections, each, that a broker asks for at a time
 MARKET = """
@@ -44,7 +44,7 @@
     folder = tempfile.mkdtemp(prefix="heathwell-")
     config = f"{folder}/market.sx"
     Path(config).write_text(MARKET.format(most=brokers, connections=2 * brokers, burst=brokers // 30 + 1))
-    service_settings, wires = load(config), Wires()
+    service_settings, wires = load(config), FaultLinks()
     names = ["k0", "k1", "k2"]
     keepers = []
     for number, name in enumerate(names):
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -11,12 +11,12 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from heathwell.testing.simulation import sockets
-from heathwell.testing.simulation.regional import (
+from heathwell.testing.simulation import region_process_experiment
+from heathwell.testing.simulation.region_experiment import (
     LARGE,
     TROUBLES,
     VARIANTS,
-    RegionalDay,
+    RegionScenario,
     compare,
     sent_by_second,
 )
@@ -25,7 +25,7 @@
 def large() -> int:
     """A region lost at 82 hosts and 89 brokers: what the hosts were sent, second by second."""
     began = time.process_time()
-    day = RegionalDay("decider", "region lost", 1, 130.0, LARGE)
+    day = RegionScenario("decider", "region lost", 1, 130.0, LARGE)
     day.run()
     took = time.process_time() - began
     verdict = day.verdict()
@@ -52,14 +52,16 @@
 
 def on_sockets(rate: float) -> int:
     """Fleets of processes, a variant after another: what each trouble did to the service, one table."""
-    runs = [sockets.play(variant, rate, print) for variant in sockets.VARIANTS]
+    runs = [
+        region_process_experiment.play(variant, rate, print) for variant in region_process_experiment.VARIANTS
+    ]
     kinds = ("on time", "late", "partial", "refused", "failed", "lost", "broken", "no broker")
     print("trouble | class | span | variant | " + " | ".join(kinds) + " | at home on time")
-    for trouble, *_ in sockets.TROUBLES:
+    for trouble, *_ in region_process_experiment.TROUBLES:
         for query_class in ("price-search", "day-report", "sale-record"):
-            for span in sockets.SPANS:
+            for span in region_process_experiment.SPANS:
                 for run in runs:
-                    service: sockets.Service = run["services"][trouble]
+                    service: region_process_experiment.Service = run["services"][trouble]
                     counts = service.counts.get((query_class, span, False), {})
                     shares = " | ".join(f"{service.share(query_class, span, kind):.1%}" for kind in kinds)
                     home = sum(service.counts.get((query_class, span, True), {}).values())
--- a/benchmarks/releases.py
+++ b/benchmarks/releases.py
@@ -15,7 +15,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from itertools import repeat
 
-from heathwell.testing.simulation.releases import DEFECTS, POLICIES, Outcome, play
+from heathwell.testing.simulation.release_experiment import DEFECTS, POLICIES, Outcome, play
 
 
 def main(each: int) -> int:
--- a/benchmarks/rollingload.py
+++ b/benchmarks/rollingload.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from heathwell.testing.audit import judge, read_logs
-from heathwell.testing.simulation.rolling import RollingFleet, plant, write_service_settings
+from heathwell.testing.simulation.rollout_fleet import RolloutFleet, plant, write_service_settings
 
 MARKET = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
 BEFORE, AFTER = 25.0, 20.0  # seconds
@@ -25,7 +25,7 @@
     """One rollout, and a table by span."""
     folder = Path(tempfile.mkdtemp(prefix="heathwell-"))
     write_service_settings(MARKET, folder / "market.sx")
-    with RollingFleet(folder / "run", folder / "market.sx", machines=3).up() as fleet:
+    with RolloutFleet(folder / "run", folder / "market.sx", machines=3).up() as fleet:
         fleet.begin_load()
         time.sleep(5.0)
         began = time.monotonic()
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -15,7 +15,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from heathwell.testing.simulation.rolling import DEFECTS, RollingFleet, plant, write_service_settings
+from heathwell.testing.simulation.rollout_fleet import DEFECTS, RolloutFleet, plant, write_service_settings
 
 SETTINGS = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
 RELEASES_PER_FLEET = 6  # releases of one fleet, after which it is put up anew
@@ -30,7 +30,7 @@
     write_service_settings(SETTINGS, folder / "market.sx")
     out: list[Row] = []
     try:
-        with RollingFleet(folder / "run", folder / "market.sx", machines=2, rate=40.0).up() as fleet:
+        with RolloutFleet(folder / "run", folder / "market.sx", machines=2, rate=40.0).up() as fleet:
             fleet.begin_load(3600.0)
             time.sleep(6)
             for number, defect in enumerate(defects):
--- a/benchmarks/settingschanges.py
+++ b/benchmarks/settingschanges.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from heathwell.testing.audit import Event, judge, read_logs
-from heathwell.testing.simulation.rolling import RollingFleet, write_service_settings
+from heathwell.testing.simulation.rollout_fleet import RolloutFleet, write_service_settings
 
 MARKET = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
 # Faults of settings: what is replaced by what. Those that are well formed and harmful are judged by what they
@@ -61,7 +61,7 @@
     draws, folder = random.Random(seed), Path(tempfile.mkdtemp(prefix="heathwell-"))
     write_service_settings(MARKET, folder / "market.sx")
     began, wrong, ends = time.monotonic(), 0, Counter[str]()
-    with RollingFleet(folder / "run", folder / "market.sx", machines=2, rate=30.0).up() as fleet:
+    with RolloutFleet(folder / "run", folder / "market.sx", machines=2, rate=30.0).up() as fleet:
         fleet.begin_load(3600.0)
         time.sleep(5)
         last, current = fleet.began, (folder / "market.sx").read_text()
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -19,9 +19,17 @@
 from heathwell.eventloop import ConnectError, Coro, Net, StreamBrokenError, sleep, socket_loop
 from heathwell.settings import loads
 from heathwell.testing.audit import judge, read_logs
-from heathwell.testing.simulation.processes import ProcessFleet
+from heathwell.testing.simulation.process_fleet import ProcessFleet
+from heathwell.testing.simulation.retry_storm_experiment import (
+    HEEDS,
+    IGNORES,
+    MARKET,
+    STORMS,
+    Crowd,
+    RetryStormScenario,
+    Storm,
+)
 from heathwell.testing.simulation.run_parameters import run_parameters_record
-from heathwell.testing.simulation.stormday import HEEDS, IGNORES, MARKET, STORMS, Crowd, Storm, StormDay
 
 VARIANTS = ("module alone", "fixed backoff", "damped")
 
@@ -30,7 +38,7 @@
     """One variant's day as lines."""
     variant, clients = job
     began = time.process_time()
-    day = StormDay(variant, clients=clients, think=clients / 50.0)
+    day = RetryStormScenario(variant, clients=clients, think=clients / 50.0)
     day.run()
     verdict = day.verdict()
     lines = [
@@ -73,7 +81,7 @@
     )
     began, bad = time.process_time(), 0
     for variant in ("module alone", "damped"):
-        day = StormDay(
+        day = RetryStormScenario(
             variant, clients=20_000, think=20_000 / 130, before=6.0, outage=10.0, after=22.0, text=text
         )
         day.run()
@@ -198,7 +206,7 @@
     return any(state == "storm" for _, _, state in day.states())
 
 
-class Festival(StormDay):
+class Festival(RetryStormScenario):
     """No outage: everybody asks four times as often for a while."""
 
     def __init__(self, seed: int) -> None:
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -28,9 +28,9 @@
 from heathwell.codec import frames
 from heathwell.service.merging import Row, TopKMerge
 from heathwell.settings import ServiceSettings, loads
-from heathwell.testing.simulation.clients import Clients, arrivals
-from heathwell.testing.simulation.processes import ProcessFleet
-from heathwell.testing.simulation.script import Load, Mix
+from heathwell.testing.simulation.client_population import Clients, arrivals
+from heathwell.testing.simulation.fault_script import Load, Mix
+from heathwell.testing.simulation.process_fleet import ProcessFleet
 from heathwell.testing.standins.vectors import shard_of
 
 SHARDS = 24
--- a/benchmarks/worthsockets.py
+++ b/benchmarks/worthsockets.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 
 from heathwell.testing.audit import judge_budgets
-from heathwell.testing.simulation.badday import Day
-from heathwell.testing.simulation.script import load_script
+from heathwell.testing.simulation.fault_scenario import Day
+from heathwell.testing.simulation.fault_script import load_script
 
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples"
 SPANS = {"slow hosts": (6, 13), "cold return": (14, 23), "release": (24, 36)}
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -18,7 +18,7 @@
 from statistics import mean
 from typing import Any
 
-from heathwell.testing.simulation.zoneday import CALM, KINDS, VARIANTS, play
+from heathwell.testing.simulation.evacuation_experiment import CALM, KINDS, VARIANTS, play
 
 SIZES: dict[str, dict[str, Any]] = {
     "tiny": {"brokers": 6, "hosts": 9, "rate": 20.0},
--- a/heathwell/cli/badday.py
+++ b/heathwell/cli/badday.py
@@ -13,10 +13,10 @@
 from heathwell.cli.process import exit_codes, settings_of
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Verdict
-from heathwell.testing.simulation.badday import Day, summary
-from heathwell.testing.simulation.processes import FleetError
-from heathwell.testing.simulation.replay import DayError, script_from
-from heathwell.testing.simulation.script import Script, load_script
+from heathwell.testing.simulation.bench_day_replay import BenchDayError, fault_script_from_bench_day
+from heathwell.testing.simulation.fault_scenario import Day, summary
+from heathwell.testing.simulation.fault_script import Script, load_script
+from heathwell.testing.simulation.process_fleet import FleetError
 
 PRINTED_BREACHES = 20
 
@@ -51,8 +51,8 @@
 def replay(day: str, config: str, seconds: float, rate: float, out: str | None) -> None:
     """Play the kinds of trouble of DAY (a day file as the bench's `draw` prints it) through real brokers."""
     service_settings = settings_of(config)
-    with exit_codes(DayError):
-        script, skipped = script_from(day, service_settings, config, seconds, rate)
+    with exit_codes(BenchDayError):
+        script, skipped = fault_script_from_bench_day(day, service_settings, config, seconds, rate)
     for line in skipped:
         click.echo(f"left out: {line}")
     sys.exit(_play(script, service_settings, config, out))
--- a/heathwell/cli/fleet.py
+++ b/heathwell/cli/fleet.py
@@ -12,7 +12,7 @@
 import click
 
 from heathwell.cli.process import settings_of
-from heathwell.testing.simulation.processes import FleetError, ProcessFleet
+from heathwell.testing.simulation.process_fleet import FleetError, ProcessFleet
 
 if TYPE_CHECKING:
     from pymemcache.client.base import Client
--- a/heathwell/cli/platform.py
+++ b/heathwell/cli/platform.py
@@ -11,7 +11,7 @@
 import click
 
 from heathwell.eventloop import Coro, sleep
-from heathwell.testing.simulation.platform import PlatformError, PlatformFleet
+from heathwell.testing.simulation.platform_fleet import PlatformError, PlatformFleet
 
 # Query class, shards, and key (empty where the class has none).
 QUERIES = (
--- a/heathwell/testing/simulation/replay.py
+++ b/heathwell/testing/simulation/bench_day_replay.py
@@ -11,24 +11,24 @@
 from typing import Any
 
 from heathwell.settings import ServiceSettings
-from heathwell.testing.simulation.script import Load, Mix, Script, Step
+from heathwell.testing.simulation.fault_script import Load, Mix, Script, Step
 
 
-class DayError(Exception):
+class BenchDayError(Exception):
     """A file that is not a bench day; the text names what is missing."""
 
 
-def script_from(
+def fault_script_from_bench_day(
     path: str, service_settings: ServiceSettings, config: str, seconds: float, rate: float
 ) -> tuple[Script, list[str]]:
     """The script of a day squeezed to so many seconds, and what could not be carried over."""
     try:
         day = json.loads(Path(path).read_text(encoding="utf-8"))
     except ValueError as problem:
-        raise DayError(f"{path}: not JSON: {problem}") from None
+        raise BenchDayError(f"{path}: not JSON: {problem}") from None
     for name in ("troubles", "length", "servers", "classes"):
         if not isinstance(day, dict) or name not in day:
-            raise DayError(f"{path}: not a day of the bench: '{name}' is missing")
+            raise BenchDayError(f"{path}: not a day of the bench: '{name}' is missing")
     squeeze = min(1.0, seconds * 1e6 / day["length"])
     steps: list[Step] = []
     skipped: list[str] = []
--- a/heathwell/testing/simulation/clients.py
+++ b/heathwell/testing/simulation/client_population.py
@@ -18,7 +18,7 @@
 from pymemcache.exceptions import MemcacheError
 
 from heathwell.settings import ServiceSettings
-from heathwell.testing.simulation.script import Load
+from heathwell.testing.simulation.fault_script import Load
 
 PATIENCE = 0.5  # seconds past its time for which a client still listens, so that lateness is seen
 LATE_START = 0.05  # seconds after which a request's start counts as off its schedule
--- a/heathwell/testing/simulation/zoneday.py
+++ b/heathwell/testing/simulation/evacuation_experiment.py
@@ -24,7 +24,7 @@
 from heathwell.fleet.evacuation import EvacuationController, ZoneState, ZoneTransition
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.simulation.quota_experiment import REGIONAL_SETTINGS
-from heathwell.testing.simulation.simulated import SimulatedDay
+from heathwell.testing.simulation.simulated_scenario import SimulatedScenario
 from heathwell.testing.standins.leaf import Leaf
 
 VARIANTS = ("nobody", "itself", "fixed", "fleet")
@@ -103,7 +103,7 @@
     return loads(REGIONAL_SETTINGS + HOSTS + f"(fleet {fleet})" + (f"(across {across})" if across else ""))
 
 
-class ZoneDay(SimulatedDay):
+class EvacuationScenario(SimulatedScenario):
     """One day of a kind under a variant; ``ends`` counts how queries ended by class and window of five
     seconds.
     """
@@ -286,4 +286,4 @@
 
 def play(variant: str, kind: str, seed: int = 1, **size: Any) -> dict[str, Any]:
     """One day under one variant."""
-    return ZoneDay(variant, kind, seed, **size).run().figures()  # type: ignore[attr-defined, no-any-return]
+    return EvacuationScenario(variant, kind, seed, **size).run().figures()  # type: ignore[attr-defined, no-any-return]
--- a/heathwell/testing/simulation/wires.py
+++ b/heathwell/testing/simulation/fault_links.py
@@ -19,11 +19,11 @@
 WAIT_SECONDS = 10.0
 
 
-class WireError(Exception):
+class FaultLinkError(Exception):
     """An order that no wire could take: a fault of the harness, never a pass."""
 
 
-class Wires:
+class FaultLinks:
     """All ways of one fleet. Used from the supervisor's thread."""
 
     def __init__(self, seed: int = 1) -> None:
@@ -58,10 +58,10 @@
             done.set()
 
         if self._loop is None:
-            raise WireError("the wires are not up")
+            raise FaultLinkError("the wires are not up")
         self._loop.call_threadsafe(made)
         if not done.wait(WAIT_SECONDS):
-            raise WireError("the wires' thread does not answer")
+            raise FaultLinkError("the wires' thread does not answer")
         if wrong:
             raise wrong[0]
         return found[0]
@@ -105,13 +105,13 @@
         self, sources: Iterable[str], targets: Iterable[str], kind: str, span_us: int, value: float = 0.0
     ) -> int:
         """Make trouble on all ways between two groups; ``cut-out`` and ``cut-back`` are what the first group
-        sends and hears. Returns how many ways there are; raises :class:`WireError` where there is none, or
-        one that refuses.
+        sends and hears. Returns how many ways there are; raises :class:`FaultLinkError` where there is none,
+        or one that refuses.
         """
         ones = set(sources)
         ways = self.between(ones, targets)
         if not ways:
-            raise WireError(f"{kind}: no way between {sorted(ones)} and {sorted(set(targets))}")
+            raise FaultLinkError(f"{kind}: no way between {sorted(ones)} and {sorted(set(targets))}")
         for source, target in ways:
             control = frames.FaultCommand(kind, value, span_us)
             if kind in ("cut-out", "cut-back"):
@@ -120,7 +120,7 @@
                 control = frames.FaultCommand("oneway", value, span_us, "out" if out else "back")
             wrong = self._call(partial(self._relays[source, target].order, control))
             if wrong:
-                raise WireError(wrong)
+                raise FaultLinkError(wrong)
         return len(ways)
 
     def close(self) -> None:
--- a/heathwell/testing/simulation/badday.py
+++ b/heathwell/testing/simulation/fault_scenario.py
@@ -16,11 +16,11 @@
 from heathwell.codec import frames
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Event, Verdict, judge, read_logs
-from heathwell.testing.simulation.clients import Arrival, Clients, Outcome, arrivals
-from heathwell.testing.simulation.processes import FleetError, ProcessFleet
+from heathwell.testing.simulation.client_population import Arrival, Clients, Outcome, arrivals
+from heathwell.testing.simulation.fault_links import FaultLinkError, FaultLinks
+from heathwell.testing.simulation.fault_script import HOST_FAULTS, LINK_FAULTS, Script, Step, named
+from heathwell.testing.simulation.process_fleet import FleetError, ProcessFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
-from heathwell.testing.simulation.script import HOST_TROUBLES, WAY_TROUBLES, Script, Step, named
-from heathwell.testing.simulation.wires import WireError, Wires
 
 KINDS = ("on time", "late", "partial", "refused", "failed", "lost", "broken", "no broker")
 WINDOW = 5.0
@@ -54,7 +54,7 @@
             service_settings,
             str(self.events),
             script.seed,
-            wires=Wires(script.seed) if script.wires else None,
+            wires=FaultLinks(script.seed) if script.wires else None,
             clocks={clock.process: clock.rate for clock in script.clocks},
         )
         self.clients: Clients | None = None
@@ -155,7 +155,7 @@
             + (f" for {step.span / 1e6:g} s" if step.span else "")
         )
         try:
-            if step.kind in HOST_TROUBLES:
+            if step.kind in HOST_FAULTS:
                 for name in step.to:
                     self.fleet.order(
                         name, frames.FaultCommand(step.kind, step.value, step.span, step.query_class)
@@ -175,7 +175,7 @@
             elif step.kind == "restart-all":  # within the span, one after another
                 for number, name in enumerate(names := self._named(["b*"])):
                     self.fleet.kill(name, step.span / 1e6 * (number + 1) / len(names))
-            elif step.kind in WAY_TROUBLES and self.fleet.wires is not None:
+            elif step.kind in LINK_FAULTS and self.fleet.wires is not None:
                 self.fleet.wires.order(
                     self._named(step.source),
                     self._named(step.to),
@@ -192,10 +192,10 @@
                 for member in list(self.fleet.members.values()):
                     if member.role in ("leaf", "broker") and member.zone in zones:
                         self.fleet.kill(member.name, step.span / 1e6)
-        except (OSError, FleetError, WireError) as problem:
+        except (OSError, FleetError, FaultLinkError) as problem:
             # A trouble that was not made must not pass for one that was borne; but who is down can't be
             # slowed.
-            if step.kind not in HOST_TROUBLES:
+            if step.kind not in HOST_FAULTS:
                 self.faults.append(f"{at:.1f} s {step.kind}: {problem}")
             self.say(f"  {step.kind} could not be carried out: {problem}")
 
--- a/heathwell/testing/simulation/script.py
+++ b/heathwell/testing/simulation/fault_script.py
@@ -12,7 +12,7 @@
 from heathwell.settings.check import loads_as
 from heathwell.settings.schema import Record, described, duration, fraction, repeated
 
-HOST_TROUBLES = (
+HOST_FAULTS = (
     "stall",
     "slow",
     "silent",
@@ -28,8 +28,8 @@
     "lie",
     "spoil",
 )
-PROCESS_TROUBLES = ("kill", "pause")  # of any process by name
-WAY_TROUBLES = (
+PROCESS_FAULTS = ("kill", "pause")  # of any process by name
+LINK_FAULTS = (
     "cut",
     "cut-out",
     "cut-back",
@@ -173,14 +173,13 @@
     for index, step in enumerate(script.steps):
         path = f"at[{index}]"
         if (
-            step.kind
-            in (*HOST_TROUBLES, "crash", "zone-loss", "kill-broker", *PROCESS_TROUBLES, *WAY_TROUBLES)
+            step.kind in (*HOST_FAULTS, "crash", "zone-loss", "kill-broker", *PROCESS_FAULTS, *LINK_FAULTS)
             and not step.to
         ):
             yield f"{path}.to", f"{step.kind} needs a target"
-        if step.kind in WAY_TROUBLES and not script.wires:
+        if step.kind in LINK_FAULTS and not script.wires:
             yield path, f"{step.kind} needs (wires yes)"
-        if step.kind in WAY_TROUBLES and not step.source:
+        if step.kind in LINK_FAULTS and not step.source:
             yield f"{path}.from", f"{step.kind} needs both sides of its ways"
         if step.kind == "resize" and not step.budget:
             yield f"{path}.budget", "resize needs a budget"
@@ -233,7 +232,7 @@
 
 def _targets(step: Step, service_settings: ServiceSettings, hosts: set[str], brokers: set[str]) -> set[str]:
     """What a trouble of the fleet may be done to."""
-    if step.kind in (*PROCESS_TROUBLES, *WAY_TROUBLES):
+    if step.kind in (*PROCESS_FAULTS, *LINK_FAULTS):
         return (
             hosts
             | brokers
--- a/heathwell/testing/simulation/fleet.py
+++ b/heathwell/testing/simulation/local_fleet.py
@@ -30,7 +30,7 @@
 from heathwell.testing.standins.source import Source
 
 
-class RunningKeeper:
+class RunningCoordinator:
     """A keeper; :meth:`kill` is what a SIGKILL does."""
 
     def __init__(self, fleet: LocalFleet, number: int, run: int, address: str) -> None:
@@ -235,7 +235,7 @@
         ]
         self.keeper_runs = [0] * len(self.keeper_addresses)
         self.keepers = [
-            RunningKeeper(self, n, 0, address) for n, address in enumerate(self.keeper_addresses) if keep
+            RunningCoordinator(self, n, 0, address) for n, address in enumerate(self.keeper_addresses) if keep
         ]
         self.runs = [0] * service_settings.fleet.brokers
         self.brokers: list[RunningBroker] = []
--- a/heathwell/testing/simulation/manybrokers.py
+++ b/heathwell/testing/simulation/multi_broker_scenario.py
@@ -14,13 +14,13 @@
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import Config, read
 from heathwell.gateway.front import Front
-from heathwell.testing.simulation.platform import config_of, setup_of
+from heathwell.testing.simulation.platform_fleet import config_of, setup_of
 from heathwell.testing.standins.platform import Client, Node, Registry
 
 UNIX_US = 1_700_000_000_000_000
 
 
-class ManyBrokers:
+class MultiBrokerScenario:
     """``brokers`` brokers, ``nodes`` nodes of a cell each; discovery spends ``line_us`` on a line and on a
     call.
     """
--- a/heathwell/testing/simulation/processes.py
+++ b/heathwell/testing/simulation/process_fleet.py
@@ -14,7 +14,7 @@
 
 from heathwell.codec import frames, inner_protocol
 from heathwell.settings import ServiceSettings
-from heathwell.testing.simulation.wires import Wires
+from heathwell.testing.simulation.fault_links import FaultLinks
 
 START_SECONDS = 30.0
 RUNS = ("broker", "keeper")  # roles whose runs have names of their own, and so logs of their own
@@ -54,7 +54,7 @@
         events: str | None = None,
         seed: int = 1,
         leaf_host: str = "127.0.0.1",
-        wires: Wires | None = None,
+        wires: FaultLinks | None = None,
         clocks: dict[str, float] | None = None,
     ) -> None:
         # With wires each process reaches the others by a relay of its own; ``clocks`` are rates by name.
--- a/heathwell/testing/simulation/quota_experiment.py
+++ b/heathwell/testing/simulation/quota_experiment.py
@@ -17,7 +17,7 @@
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.audit import judge_budgets
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.simulated import SETTLE_US, SimulatedDay
+from heathwell.testing.simulation.simulated_scenario import SETTLE_US, SimulatedScenario
 from heathwell.testing.standins.leaf import Leaf
 
 
@@ -151,7 +151,7 @@
     return loads(REGIONAL_SETTINGS + f"(fleet {fleet})")
 
 
-class QuotaExperiment(SimulatedDay):
+class QuotaExperiment(SimulatedScenario):
     """One run of a scenario under one variant.
 
     ``outcomes_by_phase`` counts how queries ended by class and phase. ``rate`` is in queries a second.
--- a/heathwell/testing/simulation/budgetday.py
+++ b/heathwell/testing/simulation/quota_scenario.py
@@ -63,7 +63,7 @@
     until: int
 
 
-class BudgetDay:
+class QuotaScenario:
     """One seeded run. ``breaches`` are the auditor's sentences; ``use`` sums what was used of the whole by
     time.
     """
@@ -331,7 +331,7 @@
                     )
 
 
-def random_faults(day: BudgetDay, begin: int, end: int, every_us: int = 700_000) -> list[str]:
+def random_faults(day: QuotaScenario, begin: int, end: int, every_us: int = 700_000) -> list[str]:
     """Faults drawn from the day's seed, and what they were, in order."""
     told: list[str] = []
     when = begin
--- a/heathwell/testing/simulation/regional.py
+++ b/heathwell/testing/simulation/region_experiment.py
@@ -12,7 +12,7 @@
 
 from heathwell.eventloop import Coro, sleep
 from heathwell.settings import ServiceSettings, loads
-from heathwell.testing.simulation.simulated import SimulatedDay
+from heathwell.testing.simulation.simulated_scenario import SimulatedScenario
 from heathwell.testing.standins.relay import lost_wait
 
 BEFORE, TROUBLE, AFTER = 10.0, 15.0, 20.0
@@ -58,7 +58,7 @@
     lost: int = 0
 
 
-class RegionalDay(SimulatedDay):
+class RegionScenario(SimulatedScenario):
     """A day with one trouble between two regions; ``cells`` lie so that a quarter of the shards is all at
     home.
     """
@@ -199,7 +199,7 @@
         )
 
 
-def sent_by_second(day: RegionalDay) -> list[dict[str, float]]:
+def sent_by_second(day: RegionScenario) -> list[dict[str, float]]:
     """What hosts were sent each second: the surviving region's mean and most, the lost one's most, in parts,
     and connections that hosts accepted.
     """
@@ -236,7 +236,7 @@
     """
     out: dict[str, Any] = {"trouble": trouble}
     for variant in VARIANTS:
-        day = RegionalDay(variant, trouble, seed, rate)
+        day = RegionScenario(variant, trouble, seed, rate)
         day.run()
         verdict = day.verdict()
         out[variant] = {
--- a/heathwell/testing/simulation/sockets.py
+++ b/heathwell/testing/simulation/region_process_experiment.py
@@ -15,9 +15,9 @@
 
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.settings import ServiceSettings, loads
-from heathwell.testing.simulation.badday import Day
-from heathwell.testing.simulation.clients import Outcome
-from heathwell.testing.simulation.script import Load, Mix, Script, Step
+from heathwell.testing.simulation.client_population import Outcome
+from heathwell.testing.simulation.fault_scenario import Day
+from heathwell.testing.simulation.fault_script import Load, Mix, Script, Step
 
 VARIANTS = {"decider": "(let-go 2s)", "off": "(decide no)", "nearest first": "(decide no) (prefer-home yes)"}
 FIRST, TROUBLE, BETWEEN = 8.0, 8.0, 12.0  # seconds: before the first, of each, and from one's end to the next
--- a/heathwell/testing/simulation/stormday.py
+++ b/heathwell/testing/simulation/retry_storm_experiment.py
@@ -12,7 +12,7 @@
 from heathwell.eventloop import ConnectError, Coro, Loop, Net, Stream, StreamBrokenError, sleep
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.settings import ServiceSettings, loads
-from heathwell.testing.simulation.simulated import SETTLE_US, SimulatedDay, _read_values
+from heathwell.testing.simulation.simulated_scenario import SETTLE_US, SimulatedScenario, _read_values
 
 HEEDS, IGNORES, FIXED = "heeds", "ignores", "fixed"
 AGAIN_US = {IGNORES: 100_000, FIXED: 500_000}  # pause of those who don't heed advice
@@ -162,7 +162,7 @@
         return stream
 
 
-class StormDay(SimulatedDay):
+class RetryStormScenario(SimulatedScenario):
     """``clients`` think for ``think`` seconds between requests; the outage takes hosts and brokers together.
 
     ``killed_after`` it by so many seconds one broker is killed once more; ``addresses``: clients share so
--- a/heathwell/testing/simulation/rolling.py
+++ b/heathwell/testing/simulation/rollout_fleet.py
@@ -23,11 +23,11 @@
 from heathwell.codec import frames, inner_protocol
 from heathwell.fleet.control.broker_process import process_start_ticks
 from heathwell.settings import ServiceSettings, load
-from heathwell.testing.simulation.clients import Clients, arrivals
-from heathwell.testing.simulation.processes import FleetError, ProcessFleet
+from heathwell.testing.simulation.client_population import Clients, arrivals
+from heathwell.testing.simulation.fault_links import FaultLinks
+from heathwell.testing.simulation.fault_script import Load, Mix
+from heathwell.testing.simulation.process_fleet import FleetError, ProcessFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
-from heathwell.testing.simulation.script import Load, Mix
-from heathwell.testing.simulation.wires import Wires
 
 PACKAGE = Path(__file__).resolve().parents[2]
 # The example of a fleet with budgets, for agents' brokers: none of its own, and room for those of two
@@ -127,7 +127,7 @@
     brokers: dict[str, str] = field(default_factory=dict)
 
 
-class RollingFleet:
+class RolloutFleet:
     """``machines`` agents of two brokers each, zones in turn. ``wires``: controllers reach agents
     by relays.
     """
@@ -140,7 +140,7 @@
         self.events = folder / "events"
         self.events.mkdir()
         self.service_settings: ServiceSettings = load(config)
-        self.wires = Wires(seed)
+        self.wires = FaultLinks(seed)
         self.fleet = ProcessFleet(
             str(config), self.service_settings, str(self.events), seed, wires=self.wires
         )
@@ -154,7 +154,7 @@
     # The fleet.
 
     @contextmanager
-    def up(self) -> Iterator[RollingFleet]:
+    def up(self) -> Iterator[RolloutFleet]:
         """All of it, until the end of the block."""
         (self.events / "run.jsonl").write_text(
             json.dumps(
--- a/heathwell/testing/simulation/searches.py
+++ b/heathwell/testing/simulation/search_scenario.py
@@ -13,12 +13,12 @@
 
 from heathwell.eventloop import ConnectError, Coro, Stream, StreamBrokenError, sleep
 from heathwell.settings import ServiceSettings
-from heathwell.testing.simulation.simulated import HOST_TROUBLES, SimulatedDay
+from heathwell.testing.simulation.simulated_scenario import HOST_FAULTS, SimulatedScenario
 
-SEARCH_TROUBLES: tuple[tuple[str, float, float], ...] = (*HOST_TROUBLES, ("spoil", 0.0, 4.0))
+SEARCH_FAULTS: tuple[tuple[str, float, float], ...] = (*HOST_FAULTS, ("spoil", 0.0, 4.0))
 
 
-class SearchingDay(SimulatedDay):
+class SearchScenario(SimulatedScenario):
     """A bad day with so many searches a second besides; ``batches`` is the share that comes as batches."""
 
     def __init__(
@@ -28,7 +28,7 @@
         *,
         searches: float = 20.0,
         batches: float = 0.1,
-        troubles: Sequence[tuple[str, float, float]] = SEARCH_TROUBLES,
+        troubles: Sequence[tuple[str, float, float]] = SEARCH_FAULTS,
         **more: Any,
     ) -> None:
         super().__init__(service_settings, seed, troubles=troubles, **more)
--- a/heathwell/testing/simulation/simulated.py
+++ b/heathwell/testing/simulation/simulated_scenario.py
@@ -18,12 +18,12 @@
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import AgeVerdict, Verdict, judge, judge_ages
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.fleet import LocalFleet
+from heathwell.testing.simulation.local_fleet import LocalFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
 from heathwell.testing.standins.leaf import Leaf
 
 # Kind, figure, seconds: what a host may be told to do.
-HOST_TROUBLES: tuple[tuple[str, float, float], ...] = (
+HOST_FAULTS: tuple[tuple[str, float, float], ...] = (
     ("silent", 0.0, 6.0),
     ("midreply", 0.0, 4.0),
     ("slow", 6.0, 5.0),
@@ -34,7 +34,7 @@
     ("stall", 0.0, 0.5),
     ("drain", 0.0, 0.0),
 )
-LAG_TROUBLES: tuple[tuple[str, float, float], ...] = (
+LAG_FAULTS: tuple[tuple[str, float, float], ...] = (
     ("lag", 4.0, 6.0),
     ("stuck", 0.0, 6.0),
     ("back", 20.0, 0.0),
@@ -44,7 +44,7 @@
 AFTER_US = 4_000_000
 
 
-class SimulatedDay:
+class SimulatedScenario:
     """One day. ``events`` holds what every process and client saw, in order."""
 
     def __init__(
@@ -54,7 +54,7 @@
         *,
         seconds: float = 25.0,
         rate: float = 30.0,
-        troubles: Sequence[tuple[str, float, float]] = HOST_TROUBLES,
+        troubles: Sequence[tuple[str, float, float]] = HOST_FAULTS,
         trouble_rate: float = 1.2,
         poison: float = 0.01,
         crashes: bool = True,
@@ -92,7 +92,7 @@
         """An event of the clients."""
         self.events.append({"t": self.loop.now(), "who": "client", "ev": event, **fields})
 
-    def run(self) -> SimulatedDay:
+    def run(self) -> SimulatedScenario:
         """Play it; raises the first error that any task ended by."""
         self.loop.run(self.loop.spawn(self._main(), "day"))
         for broker in self.fleet.brokers:
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -19,7 +19,7 @@
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import read
 from heathwell.gateway.front import Front
-from heathwell.testing.simulation.platform import CELLS, SETUP, config_of
+from heathwell.testing.simulation.platform_fleet import CELLS, SETUP, config_of
 from heathwell.testing.standins.platform import Client, Node, Registry
 
 TURNS_MOST = 20_000  # of the loop, for a point that never comes: some seconds
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -10,7 +10,7 @@
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.fleet import LocalFleet
+from heathwell.testing.simulation.local_fleet import LocalFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
 
 MARKET = """
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -3,7 +3,7 @@
 The file stands at the root of the repository. Each line names one test, the command (with its seed, where it
 has one) that showed the failure, what was seen and the issue that tracks it::
 
-    tests/test_merge.py::test_order[a-b] | make test, seed 7 | ties are ordered by arrival | issue 12
+    tests/test_top_k_merge.py::test_order[a-b] | make test, seed 7 | ties are ordered by arrival | issue 12
 
 Blank lines and lines that begin with ``#`` are ignored; an absent or empty file is the normal case. The
 separator is a vertical bar between single spaces. Command and observation can't contain a vertical bar, so
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -17,7 +17,7 @@
 from heathwell.observability.event_log import ListEvents
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.platform import CELLS, SETUP, config_of
+from heathwell.testing.simulation.platform_fleet import CELLS, SETUP, config_of
 from heathwell.testing.standins.platform import Client, Node, Registry
 
 UNIX_US = 1_700_000_000_000_000
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -111,7 +111,9 @@
 def test_a_name_that_is_gone_is_found():
     gone = "`heathwell.nowhere` `Nobody` `Driver.nothing` `no_such_function` `tests/test_nothing.py`"
     assert len(missing_names(gone)) == 5
-    assert missing_names("`heathwell.broker.driver` `Driver.kill` `Driver` `tests/test_rules.py`") == []
+    assert (
+        missing_names("`heathwell.broker.driver` `Driver.kill` `Driver` `tests/test_module_rules.py`") == []
+    )
 
 
 def test_the_on_call_drill_names_only_what_exists():
--- a/tests/test_both_fronts.py
+++ b/tests/test_both_servers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from heathwell.settings import loads
-from heathwell.testing.simulation.searches import SearchingDay
+from heathwell.testing.simulation.search_scenario import SearchScenario
 from heathwell.testing.standins.vectors import shard_of
 
 MARKET = """
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_bad_days_of_both_fronts_keep_every_rule(seed):
-    day = SearchingDay(loads(MARKET), seed, searches=12.0, rate=20.0, poison=0.002, trouble_rate=0.6).run()
+    day = SearchScenario(loads(MARKET), seed, searches=12.0, rate=20.0, poison=0.002, trouble_rate=0.6).run()
     verdict = day.verdict()
     assert verdict.kept, "\n".join(map(str, verdict.breaches[:5]))
     assert day.statuses[200] > 100 and set(day.statuses) <= {200, 503}
@@ -61,13 +61,13 @@
 def test_memcached_keeps_its_aim_while_searches_are_three_times_too_many():
     quiet = {"trouble_rate": 0.0, "poison": 0.0, "rate": 20.0, "seconds": 8.0}
     heavy = MARKET.replace("(work 25ms)", "(work 100ms)")  # the hosts can do 27 such searches a second
-    alone = SearchingDay(loads(heavy), 5, searches=0.0, **quiet).run()
-    crowded = SearchingDay(loads(heavy), 5, searches=80.0, batches=0.0, **quiet).run()
+    alone = SearchScenario(loads(heavy), 5, searches=0.0, **quiet).run()
+    crowded = SearchScenario(loads(heavy), 5, searches=80.0, batches=0.0, **quiet).run()
     assert crowded.verdict().kept and crowded.statuses[503] > crowded.statuses[200] / 2
     for name in ("sale-record", "price-search"):
         assert served(alone, name) > 0.95
         assert served(crowded, name) > 0.9, (name, crowded.outcomes)
-    open_door = SearchingDay(
+    open_door = SearchScenario(
         loads(heavy.replace("(fronts (queue-target 30ms) (memcached 2) (vector 1))", "")),
         5,
         searches=80.0,
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -19,7 +19,7 @@
 from heathwell.eventloop import socket_loop
 from heathwell.servers.memcached_replies import ValueFlag
 from heathwell.settings import loads
-from heathwell.testing.simulation.fleet import LocalFleet
+from heathwell.testing.simulation.local_fleet import LocalFleet
 
 from .fleet import MARKET
 
--- a/tests/test_processes.py
+++ b/tests/test_command_processes.py
@@ -17,10 +17,10 @@
 from heathwell.cli import main
 from heathwell.settings import SettingsError, load, loads
 from heathwell.testing.audit import judge, read_logs
-from heathwell.testing.simulation.processes import ProcessFleet
-from heathwell.testing.simulation.replay import DayError, script_from
+from heathwell.testing.simulation.bench_day_replay import BenchDayError, fault_script_from_bench_day
+from heathwell.testing.simulation.fault_script import Script, load_script
+from heathwell.testing.simulation.process_fleet import ProcessFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
-from heathwell.testing.simulation.script import Script, load_script
 
 from .fleet import MARKET
 
@@ -275,7 +275,7 @@
             }
         )
     )
-    script, skipped = script_from(str(day), loads(MARKET), "m.sx", 20.0, 10.0)
+    script, skipped = fault_script_from_bench_day(str(day), loads(MARKET), "m.sx", 20.0, 10.0)
     assert isinstance(script, Script) and script.seconds == 20.0
     assert skipped == ["unheard_of: no counterpart on loopback"]
     made = {step.kind for step in script.steps}
@@ -295,5 +295,5 @@
     }
     assert all(step.at <= 20_000_000 for step in script.steps)
     day.write_text("{}")
-    with pytest.raises(DayError, match="'troubles' is missing"):
-        script_from(str(day), loads(MARKET), "m.sx", 20.0, 10.0)
+    with pytest.raises(BenchDayError, match="'troubles' is missing"):
+        fault_script_from_bench_day(str(day), loads(MARKET), "m.sx", 20.0, 10.0)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from heathwell.eventloop import sleep
-from heathwell.testing.simulation.platform import PlatformFleet
+from heathwell.testing.simulation.platform_fleet import PlatformFleet
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
--- a/tests/test_evacuation_processes.py
+++ b/tests/test_evacuation_processes.py
@@ -23,9 +23,9 @@
 from heathwell.fleet.membership import LocalMember
 from heathwell.settings import load
 from heathwell.testing.audit import judge_budgets
-from heathwell.testing.simulation.badday import Day
-from heathwell.testing.simulation.processes import ProcessFleet
-from heathwell.testing.simulation.script import load_script
+from heathwell.testing.simulation.fault_scenario import Day
+from heathwell.testing.simulation.fault_script import load_script
+from heathwell.testing.simulation.process_fleet import ProcessFleet
 
 ROOT = Path(__file__).resolve().parent.parent
 MARKET = (ROOT / "examples/market-fleet.sx").read_text()
--- a/tests/test_crossings_processes.py
+++ b/tests/test_event_orderings_processes.py
@@ -12,7 +12,7 @@
 from heathwell.eventloop import ConnectError, StreamBrokenError, sleep, socket_loop
 from heathwell.gateway.config import read
 from heathwell.gateway.process import Process
-from heathwell.testing.simulation.platform import PlatformFleet, config_of
+from heathwell.testing.simulation.platform_fleet import PlatformFleet, config_of
 from heathwell.testing.standins.platform import Node
 
 from .crossings import CUSTOMERS, customer
--- a/tests/test_crossings_servers.py
+++ b/tests/test_event_orderings_servers.py
@@ -14,7 +14,7 @@
 
 from heathwell.eventloop import sleep, socket_loop
 from heathwell.settings import loads
-from heathwell.testing.simulation.fleet import LocalFleet
+from heathwell.testing.simulation.local_fleet import LocalFleet
 
 from .crossings import TURNS_MOST
 from .fleet import MARKET
--- a/tests/test_badday.py
+++ b/tests/test_fault_scenarios.py
@@ -9,15 +9,15 @@
 from heathwell.settings import loads
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.simulated import SimulatedDay
+from heathwell.testing.simulation.simulated_scenario import SimulatedScenario
 
 from .fleet import MARKET
 
 THREE = MARKET.replace("(brokers 1)", "(brokers 3)").replace("(leaves 6)", "(leaves 12)")
 
 
-def day(seed: int, seconds: float = 25.0) -> SimulatedDay:
-    return SimulatedDay(loads(THREE), seed, seconds=seconds).run()
+def day(seed: int, seconds: float = 25.0) -> SimulatedScenario:
+    return SimulatedScenario(loads(THREE), seed, seconds=seconds).run()
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -21,8 +21,8 @@
 from heathwell.fleet.quotas import QuotaCoordinator, QuotaTimings
 from heathwell.testing.audit import judge_budgets
 from heathwell.testing.audit.reader import Event
-from heathwell.testing.simulation.badday import Day
-from heathwell.testing.simulation.script import load_script
+from heathwell.testing.simulation.fault_scenario import Day
+from heathwell.testing.simulation.fault_script import load_script
 
 from .loaded_modules import among, loaded_modules, missing_modules
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -32,7 +32,7 @@
 from heathwell.settings import loads
 from heathwell.testing.audit import judge, judge_ages
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.simulated import HOST_TROUBLES, LAG_TROUBLES, SimulatedDay
+from heathwell.testing.simulation.simulated_scenario import HOST_FAULTS, LAG_FAULTS, SimulatedScenario
 from heathwell.testing.standins.source import OFFSET_US
 
 from .fleet import MARKET, World
@@ -379,7 +379,7 @@
 
 def day(seed, words="(wanted-age 1s) (stale another)", **more):
     text = policy(ON, words).replace("(brokers 1)", "(brokers 3)").replace("(leaves 6)", "(leaves 12)")
-    return SimulatedDay(loads(text), seed, troubles=HOST_TROUBLES + LAG_TROUBLES * 3, tokens=True, **more)
+    return SimulatedScenario(loads(text), seed, troubles=HOST_FAULTS + LAG_FAULTS * 3, tokens=True, **more)
 
 
 @pytest.mark.parametrize("words", ["", "(wanted-age 1s) (stale another)", "(max-age 2s) (stale missing)"])
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -16,7 +16,7 @@
 
 from heathwell.eventloop import sleep
 from heathwell.gateway.config import ConfigError, read
-from heathwell.testing.simulation.platform import PlatformFleet, config_of
+from heathwell.testing.simulation.platform_fleet import PlatformFleet, config_of
 
 from .loaded_modules import among, loaded_modules, missing_modules
 
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -26,15 +26,15 @@
     Stage,
 )
 from heathwell.settings import load
-from heathwell.testing.simulation.budgetday import BudgetDay, random_faults
-from heathwell.testing.simulation.manybrokers import ManyBrokers
+from heathwell.testing.simulation.evacuation_experiment import EvacuationScenario
+from heathwell.testing.simulation.multi_broker_scenario import MultiBrokerScenario
 from heathwell.testing.simulation.quota_experiment import QuotaExperiment
+from heathwell.testing.simulation.quota_scenario import QuotaScenario, random_faults
 from heathwell.testing.simulation.random_fault_scripts import generate_fault_script
-from heathwell.testing.simulation.releases import Releases
-from heathwell.testing.simulation.stormday import StormDay
-from heathwell.testing.simulation.zoneday import ZoneDay
+from heathwell.testing.simulation.release_experiment import Releases
+from heathwell.testing.simulation.retry_storm_experiment import RetryStormScenario
 
-from .test_crossings_drawn import play as play_crossings
+from .test_event_orderings_random import play as play_crossings
 
 ROOT = Path(__file__).parent.parent
 HASH_SEEDS = ("0", "1", "2")
@@ -73,7 +73,7 @@
 
 def budget_day() -> Any:
     """Keepers and brokers under drawn faults."""
-    day = BudgetDay(1, brokers=8)
+    day = QuotaScenario(1, brokers=8)
     faults = random_faults(day, 6 * SECOND_US, 12 * SECOND_US)
     day.until(13 * SECOND_US)
     holders = [
@@ -113,7 +113,7 @@
 
 def zone_day() -> Any:
     """A zone that is killed, left by the fleet and taken back, with all events."""
-    day = ZoneDay("fleet", "killed", 1, brokers=6, hosts=9, rate=16.0)
+    day = EvacuationScenario("fleet", "killed", 1, brokers=6, hosts=9, rate=16.0)
     day.seconds = 12.0
     day.run()
     figures = day.figures()
@@ -123,14 +123,14 @@
 
 def storm_day() -> Any:
     """An outage and the retries after it, with all events."""
-    day = StormDay("damped", 2, clients=40, think=8.0, outage=4.0, before=4.0, after=4.0)
+    day = RetryStormScenario("damped", 2, clients=40, think=8.0, outage=4.0, before=4.0, after=4.0)
     day.run()
     return day.events, day.storm.requests, day.states()
 
 
 def platform_brokers() -> Any:
     """Brokers of the platform, one killed and one node replaced, with what each has counted."""
-    world = ManyBrokers(3, 8, 1)
+    world = MultiBrokerScenario(3, 8, 1)
     world.loop.call_at(SECOND_US, world.restart, 1)
     world.loop.call_at(SECOND_US, world.replace, 2)
     world.run(world.load(60.0, 3 * SECOND_US))
--- a/tests/test_many_brokers.py
+++ b/tests/test_many_brokers.py
@@ -3,11 +3,11 @@
 """
 
 from heathwell.eventloop import sleep
-from heathwell.testing.simulation.manybrokers import ManyBrokers
+from heathwell.testing.simulation.multi_broker_scenario import MultiBrokerScenario
 
 
 def test_a_hundred_brokers_restart_while_nodes_are_replaced_and_all_learn_of_it():
-    world = ManyBrokers(100, 48, 1, line_us=1_200)
+    world = MultiBrokerScenario(100, 48, 1, line_us=1_200)
 
     def main():
         end = world.loop.now() + 9_000_000
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -4,7 +4,7 @@
 
 from heathwell.eventloop import sleep
 from heathwell.testing.simulation.misbehaving_clients import MisbehavingClients, malformed_requests
-from heathwell.testing.simulation.platform import PlatformFleet
+from heathwell.testing.simulation.platform_fleet import PlatformFleet
 
 from .platform import Platform
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -30,7 +30,7 @@
     allocate,
     statistics_by_budget,
 )
-from heathwell.testing.simulation.budgetday import BUDGETS, BudgetDay, random_faults
+from heathwell.testing.simulation.quota_scenario import BUDGETS, QuotaScenario, random_faults
 
 S = 1_000_000
 LEASE = Lease(3 * S, 0.03)
@@ -303,7 +303,7 @@
     "seed", [*range(3), *(pytest.param(seed, marks=pytest.mark.fleet) for seed in range(3, 203))]
 )
 def test_no_more_than_the_total_is_held_or_used_under_random_faults(seed):
-    day = BudgetDay(seed)
+    day = QuotaScenario(seed)
     random_faults(day, 7_000_000, 18_000_000)
     day.until(20_000_000)
     assert not day.breaches, day.breaches[:3]
@@ -321,14 +321,14 @@
 
 
 def test_the_auditor_finds_what_is_held_and_used_beyond_the_total():
-    day = BudgetDay(1, brokers=24, keeper=Generous)
+    day = QuotaScenario(1, brokers=24, keeper=Generous)
     day.until(14_000_000)
     told = " ".join(day.breaches)
     assert "may be held" in told and "are held" in told and "was used" in told
 
 
 def test_with_demand_above_the_total_nine_tenths_of_it_are_in_use():
-    day = BudgetDay(3, brokers=24)
+    day = QuotaScenario(3, brokers=24)
     day.until(14_000_000)
     for budget in BUDGETS:
         unit = 1_000 if budget.kind == BudgetKind.RATE else 1
@@ -337,7 +337,7 @@
 
 
 def test_the_quotas_of_a_killed_third_are_in_use_again_within_a_lease_and_a_second():
-    day = BudgetDay(4, brokers=24)
+    day = QuotaScenario(4, brokers=24)
     day.until(12_000_000)
     for broker in day.brokers[::3]:
         day.kill(broker, None)
@@ -358,7 +358,7 @@
 )
 def test_a_lost_coordinator_costs_a_third_for_a_fraction_lease_at_most(fault):
     """Its grants expire, its fraction lease does, and another grants of its fraction."""
-    day = BudgetDay(5, brokers=24)
+    day = QuotaScenario(5, brokers=24)
     day.until(12_000_000)
     lost = day.keepers[1]
     if fault == "kill":
@@ -376,7 +376,7 @@
 
 
 def test_without_any_coordinator_each_broker_goes_on_by_its_own_minimum():
-    day = BudgetDay(6, brokers=24)
+    day = QuotaScenario(6, brokers=24)
     day.until(10_000_000)
     for keeper in day.keepers:
         day.kill(keeper, None)
--- a/tests/test_reach.py
+++ b/tests/test_region_reachability.py
@@ -13,8 +13,8 @@
 from heathwell.eventloop import sleep
 from heathwell.service.regions import ClientDrain, IdleClient, LinkState, RegionRoute, answerable_fraction
 from heathwell.settings import loads
-from heathwell.testing.simulation.clients import Outcome
-from heathwell.testing.simulation.sockets import services, settings
+from heathwell.testing.simulation.client_population import Outcome
+from heathwell.testing.simulation.region_process_experiment import services, settings
 from heathwell.testing.standins.relay import RESEND_US, lost_wait
 
 from .fleet import MARKET, World
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -8,7 +8,7 @@
 from heathwell.codec import frames
 from heathwell.eventloop import sleep
 from heathwell.service.regions import LinkState, RegionLinks
-from heathwell.testing.simulation.regional import MARKET, RegionalDay
+from heathwell.testing.simulation.region_experiment import MARKET, RegionScenario
 
 from .conftest import Driver as ModuleDriver
 from .conftest import make_settings, of
@@ -263,7 +263,7 @@
 
 def test_a_class_that_may_never_cross_does_not_and_says_what_it_lacks():
     text = MARKET.replace("(work 40ms)", "(across never) (work 40ms)")
-    day = RegionalDay("decider", "100 ms", seed=3, rate=20.0, text=text)
+    day = RegionScenario("decider", "100 ms", seed=3, rate=20.0, text=text)
     day.run()
     assert day.verdict().kept and not crossings(day, "price-search") and crossings(day, "sale-record")
     spans = [day.spans["price-search", where, False] for where in (0, 1, 2)]
@@ -271,7 +271,7 @@
 
 
 def test_a_class_that_prefers_home_crosses_only_for_what_home_has_not():
-    day = RegionalDay(
+    day = RegionScenario(
         "decider",
         "cut",
         seed=3,
@@ -291,7 +291,7 @@
     assert crossed and len(far_only) >= 0.9 * len(crossed)
 
 
-class Worse(RegionalDay):
+class Worse(RegionScenario):
     """A cut that takes discovery with it, and a slow link with slow hosts at home."""
 
     def _link_trouble(self):
@@ -322,7 +322,7 @@
 
 @pytest.mark.parametrize("trouble", ["cut", "one way", "region lost"])
 def test_the_rest_of_the_service_goes_on_and_every_rule_is_kept(trouble):
-    day = RegionalDay("decider", trouble, seed=2, rate=30.0)
+    day = RegionScenario("decider", trouble, seed=2, rate=30.0)
     day.run()
     verdict = day.verdict()
     assert verdict.kept, "\n".join(map(str, verdict.breaches[:5]))
--- a/tests/test_storms.py
+++ b/tests/test_retry_storms.py
@@ -22,7 +22,7 @@
     StormState,
     hash_names,
 )
-from heathwell.testing.simulation.stormday import HEEDS, IGNORES, StormDay
+from heathwell.testing.simulation.retry_storm_experiment import HEEDS, IGNORES, RetryStormScenario
 
 from .fleet import MARKET, World
 
@@ -250,7 +250,7 @@
 
 @pytest.mark.parametrize("more", [{}, {"killed_after": 2.0, "addresses": 3}])
 def test_after_an_outage_of_everything_service_is_back_and_every_rule_kept(more):
-    day = StormDay("damped", 2, clients=240, think=8.0, outage=10.0, before=8.0, after=14.0, **more)
+    day = RetryStormScenario("damped", 2, clients=240, think=8.0, outage=10.0, before=8.0, after=14.0, **more)
     day.run()
     verdict = day.verdict()
     assert verdict.kept, "\n".join(map(str, verdict.breaches[:5]))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -32,7 +32,7 @@
 from heathwell.fleet.rollout.preflight import preflight_warnings
 from heathwell.fleet.rollout.rollout_controller import TRANSITIONS
 from heathwell.settings import load
-from heathwell.testing.simulation.releases import CLASSES, DEFECTS, WINDOW_US, Releases, play
+from heathwell.testing.simulation.release_experiment import CLASSES, DEFECTS, WINDOW_US, Releases, play
 
 S = 1_000_000
 ROOT = Path(__file__).parent.parent
--- a/tests/test_rolling.py
+++ b/tests/test_rollout_processes.py
@@ -15,7 +15,7 @@
 import pytest
 
 from heathwell.testing.audit import judge, read_logs
-from heathwell.testing.simulation.rolling import DEFECTS, RollingFleet, plant, write_service_settings
+from heathwell.testing.simulation.rollout_fleet import DEFECTS, RolloutFleet, plant, write_service_settings
 
 ROOT = Path(__file__).resolve().parent.parent
 SHORT = {"stages": "1,50%,100%", "bake": "3s", "most": "4s", "prove": "none"}
@@ -25,7 +25,7 @@
 @pytest.fixture
 def fleet(tmp_path):
     settings = write_service_settings(ROOT / "examples/market-fleet.sx", tmp_path / "market.sx")
-    with RollingFleet(tmp_path / "run", settings, machines=2).up() as running:
+    with RolloutFleet(tmp_path / "run", settings, machines=2).up() as running:
         yield running
 
 
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -28,7 +28,7 @@
 from heathwell.settings import loads
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.fleet import LocalFleet
+from heathwell.testing.simulation.local_fleet import LocalFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
 from heathwell.testing.standins.vectors import made, shard_of
 
--- a/tests/test_version_compatibility.py
+++ b/tests/test_version_compatibility.py
@@ -9,7 +9,7 @@
 - ``agent.json``: the notes of a machine agent with two brokers, one of which replaces its process;
   ``agent_restored.json``: what a second agent of that commit made of those notes, with both processes alive
   by a stubbed ``start_of``: its encoded view, the processes that it ended, and the notes it wrote itself;
-- ``day.sx``, ``day.jsonl.gz``: the settings and all events of ``SimulatedDay(settings, 11, seconds=6.0,
+- ``day.sx``, ``day.jsonl.gz``: the settings and all events of ``SimulatedScenario(settings, 11, seconds=6.0,
   tokens=True)``, one sorted JSON object a line; ``fleet_day.sx``, ``fleet_day.jsonl.xz``: those of a day with
   keepers, budgets, evacuation of zones and ages of answers, played as in ``DAYS`` below;
 - ``day_verdicts.json``, ``fleet_day_verdicts.json``: its auditors' verdicts on these events, and on the same
@@ -51,8 +51,8 @@
 from heathwell.settings.check import loads_as
 from heathwell.testing.audit import Event, Verdict, judge, judge_ages, judge_budgets
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.script import Script
-from heathwell.testing.simulation.simulated import HOST_TROUBLES, LAG_TROUBLES, SimulatedDay
+from heathwell.testing.simulation.fault_script import Script
+from heathwell.testing.simulation.simulated_scenario import HOST_FAULTS, LAG_FAULTS, SimulatedScenario
 
 FILES = Path(__file__).parent / "files" / "before_rename"
 EXAMPLES = Path(__file__).parent.parent / "examples"
@@ -167,14 +167,14 @@
 
 
 DAYS = [
-    SeededDay("day", "gz", gzip.decompress, 11, 30.0, HOST_TROUBLES, {"rules": judge_rules}),
+    SeededDay("day", "gz", gzip.decompress, 11, 30.0, HOST_FAULTS, {"rules": judge_rules}),
     SeededDay(
         "fleet_day",
         "xz",
         lzma.decompress,
         7,
         15.0,
-        HOST_TROUBLES + LAG_TROUBLES * 3,
+        HOST_FAULTS + LAG_FAULTS * 3,
         {"rules": judge_rules, "ages": judge_ages, "budgets": judge_budgets},
     ),
 ]
@@ -186,7 +186,7 @@
 
     spec: SeededDay
     old_events: list[dict[str, Any]]
-    simulated: SimulatedDay
+    simulated: SimulatedScenario
 
     def verdicts(self, events: list[dict[str, Any]]) -> dict[str, Any]:
         lines = from_lines(events)
@@ -202,7 +202,7 @@
     spec: SeededDay = request.param
     log = spec.decompress((FILES / f"{spec.name}.jsonl.{spec.log_suffix}").read_bytes())
     settings = loads((FILES / f"{spec.name}.sx").read_text())
-    simulated = SimulatedDay(
+    simulated = SimulatedScenario(
         settings, spec.seed, seconds=DAY_SECONDS, rate=spec.rate, troubles=spec.troubles, tokens=True
     )
     return PlayedDay(spec, [json.loads(line) for line in log.decode().splitlines()], simulated.run())
