--- a/heathwell/broker/driver.py
+++ b/heathwell/broker/driver.py
@@ -20,7 +20,7 @@
 from heathwell.broker.driver_hooks import ResultT
 from heathwell.broker.operator_log import log_operator_event
 from heathwell.broker.query_registry import QueryRegistry
-from heathwell.broker.query_state import ExtensionT, PartT, QueryT, SettingsVersion
+from heathwell.broker.query_state import ExtensionT, PartT, QueryT, SentAttempt, SettingsVersion
 from heathwell.broker.replies import ANSWERED, FAILED, REFUSED, OnReply, Reply
 
 IN_OBJECTIVE = "in aim"  # an interface: a metric has this label
@@ -280,7 +280,7 @@
             return
         query.in_flight[key] = node
         part.status = "out"
-        part.attempted_nodes.append(node)
+        part.sent_attempts.append(SentAttempt(node, action.reason))
         self._sent_at_us[key] = now
         if action.send_by_us is not None and action.send_by_us < query.deadline_us:
             self.loop.call_at(action.send_by_us, self._withdraw, query, key)
@@ -291,7 +291,7 @@
             seq=key[1],
             node=node,
             shard=part.plan.shard,
-            **({"further": True} if action.additional else {}),
+            **({"further": True, "reason": action.reason.value} if action.is_additional else {}),
         )
         calls.add(node, self.attempt_request(query, part, key[1], query.deadline_us - now))
 
--- a/heathwell/broker/query_state.py
+++ b/heathwell/broker/query_state.py
@@ -32,6 +32,14 @@
     open_queries: int = 0
 
 
+@dataclass(frozen=True, slots=True)
+class SentAttempt:
+    """An attempt that was given to the link of its endpoint."""
+
+    node: str
+    reason: policy.AttemptReason
+
+
 @dataclass(slots=True)
 class PartState:
     """A part of an open query.
@@ -48,7 +56,11 @@
     node: str = ""
     seq: int = -1
     status: str = "not sent"
-    attempted_nodes: list[str] = field(default_factory=list)
+    sent_attempts: list[SentAttempt] = field(default_factory=list)
+
+    def attempted_nodes(self) -> list[str]:
+        """Return the endpoints that the part was sent to, in order; one occurs once an attempt."""
+        return [attempt.node for attempt in self.sent_attempts]
 
 
 PartT = TypeVar("PartT", bound=PartState)
--- a/heathwell/policy/__init__.py
+++ b/heathwell/policy/__init__.py
@@ -8,6 +8,7 @@
 from heathwell.policy.actions import (
     Action,
     Answer,
+    AttemptReason,
     Cancel,
     EndReason,
     Fail,
@@ -50,6 +51,7 @@
     "Action",
     "Answer",
     "AttemptEnded",
+    "AttemptReason",
     "AttemptSuperseded",
     "Cancel",
     "ClientDisconnected",
--- a/heathwell/policy/actions.py
+++ b/heathwell/policy/actions.py
@@ -20,21 +20,40 @@
     DEADLINE = "deadline"
 
 
+class AttemptReason(StrEnum):
+    """Why an attempt is sent."""
+
+    FIRST = "first"
+    """The first attempt of a part that its query needs."""
+    SUBSTITUTE = "substitute"
+    """The first attempt of a part that is sent in place of, or beside, a failed or late one."""
+    HEDGE = "hedge"
+    """An attempt beside others of the same part that are in flight."""
+    CANCELLED = "cancelled"
+    """An attempt after the one before it was late and cancelled."""
+    RETRY = "retry"
+    """An attempt after the one before it failed or never left."""
+
+
 @dataclass(frozen=True, slots=True)
 class Send:
     """Send a part to an endpoint; the attempts of a part are numbered from 0 in this order.
 
-    ``additional`` marks an attempt beyond the first that are needed, ``slow_start`` one to an endpoint in
-    slow start. What still waits for its connection at ``send_by_us`` must not leave any more: its class
-    allows a repeat only up to then.
+    ``slow_start`` marks an attempt to an endpoint in slow start. What still waits for its connection at
+    ``send_by_us`` must not leave any more: its class allows a repeat only up to then.
     """
 
     id: str
     node: str
-    additional: bool = False
+    reason: AttemptReason = AttemptReason.FIRST
     slow_start: bool = False
     send_by_us: int | None = None
 
+    @property
+    def is_additional(self) -> bool:
+        """Whether the attempt is beyond the first ones of the parts that are needed."""
+        return self.reason is not AttemptReason.FIRST
+
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
--- a/heathwell/policy/sending.py
+++ b/heathwell/policy/sending.py
@@ -4,9 +4,10 @@
 
 from collections.abc import Iterator
 
-from heathwell.policy.actions import EndReason, Send
+from heathwell.policy.actions import AttemptReason, EndReason, Send
 from heathwell.policy.attempt_table import AttemptTable
 from heathwell.policy.context import DecisionContext
+from heathwell.policy.events import Outcome
 from heathwell.policy.load_shedding import LoadShedder
 from heathwell.policy.outlier_detection import OutlierDetector
 from heathwell.policy.query_completion import QueryCompletion
@@ -94,17 +95,28 @@
         return True
 
     def _send(self, part: Part, endpoint: Endpoint) -> None:
-        is_additional = bool(part.attempts) or part.is_hedge
+        reason = _attempt_reason(part)
         in_slow_start = self._slow_start.record_send(endpoint)
         send_by_us = self._rules.send_by_us(part)
-        if is_additional:
+        if reason is not AttemptReason.FIRST:
             self._budget.spend_quota()
         if part.attempts:
             self._budget.record_additional_attempt(part.attempts[-1].outcome)
         else:
             self._budget.record_first_attempt()
         attempt = self._attempts.begin(part, endpoint)
-        self._context.emit(Send(part.id, endpoint.node, is_additional, in_slow_start, send_by_us))
+        self._context.emit(Send(part.id, endpoint.node, reason, in_slow_start, send_by_us))
         least_us = part.query.spec.latency_objective_us // LATE_TIME_DIVISOR
         left_us = max(part.query.objective_at_us - self._context.now_us, least_us)
         self._context.schedule(self._context.now_us + int(left_us * LATE_FRACTION), TimerKind.LATE, attempt)
+
+
+def _attempt_reason(part: Part) -> AttemptReason:
+    """Return why a part's next attempt is sent, as its attempts so far show it."""
+    if not part.attempts:
+        return AttemptReason.SUBSTITUTE if part.is_hedge else AttemptReason.FIRST
+    if part.in_flight():
+        return AttemptReason.HEDGE
+    if part.attempts[-1].outcome == Outcome.CANCELLED:
+        return AttemptReason.CANCELLED
+    return AttemptReason.RETRY
--- a/heathwell/service/answer_freshness.py
+++ b/heathwell/service/answer_freshness.py
@@ -48,7 +48,7 @@
             node,
             Watermark(result.position, result.source_us),
             self._broker.snapshot_of(query).freshness_policies[query.plan.query_class],
-            attempted_nodes=part.attempted_nodes,
+            attempted_nodes=part.attempted_nodes(),
             rejected_count=part.turned_down,
             duration_us=now - sent_at_us,
             time_left_us=query.started_at_us + query_class.latency_objective_us - now,
--- a/heathwell/service/query_explanations.py
+++ b/heathwell/service/query_explanations.py
@@ -27,6 +27,7 @@
     node: str | None = msgspec.field(name="host")
     attempts: int
     sent_to: list[str]
+    attempt_reasons: list[str]  # of the attempts in ``sent_to``
     age_ms: float | None
     why_missing: str | None
 
@@ -104,7 +105,8 @@
             answered=part.data is not None,
             node=part.node or None,
             attempts=part.attempt_count,
-            sent_to=part.attempted_nodes,
+            sent_to=part.attempted_nodes(),
+            attempt_reasons=[attempt.reason.value for attempt in part.sent_attempts],
             age_ms=_to_milliseconds(age_us),
             why_missing=None if part.data is not None else part.status,
         )
--- a/heathwell/service/quota_gate.py
+++ b/heathwell/service/quota_gate.py
@@ -189,7 +189,7 @@
             if not self.agent.acquire(budget, price):
                 return False
             budgets.append(budget)
-        if send.additional and self.has_budget(ADDITIONAL_ATTEMPTS):
+        if send.is_additional and self.has_budget(ADDITIONAL_ATTEMPTS):
             if not self.agent.acquire(ADDITIONAL_ATTEMPTS):
                 return False
             budgets.append(ADDITIONAL_ATTEMPTS)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -345,6 +345,26 @@
     world.run(main())
 
 
+def test_why_a_part_was_sent_again_is_logged_and_explained():
+    world = World(7, ON)
+
+    def main():
+        client = yield from world.client()
+        for leaf in world.fleet.leaves:
+            leaf.order(frames.FaultCommand("failclass", 0, 60_000_000, "price-search"))
+        yield from client.get("price:tea")
+        sends = world.seen("send")
+        assert all(("reason" in send) == send.get("further", False) for send in sends)
+        assert {send["reason"] for send in sends if "reason" in send} == {"retry", "substitute"}
+        explanation = world.fleet.brokers[0].broker.explain(world.seen("final")[0]["q"])
+        for part in explanation.parts:
+            logged = [send.get("reason", "first") for send in sends if send["p"] == part.part]
+            assert part.attempt_reasons == logged
+            assert len(part.sent_to) == len(logged)
+
+    world.run(main())
+
+
 def test_why_the_module_ended_a_query_is_logged_and_explained_but_not_sent_to_the_client():
     world = World(7, ON)
 
--- a/tests/test_replica_selection.py
+++ b/tests/test_replica_selection.py
@@ -39,3 +39,33 @@
     send = of(d.query(1, [0]), policy.Send)[0]
     again = of(d.end(send, policy.Outcome.ERROR), policy.Send)
     assert len(again) == 1 and again[0].node != send.node
+
+
+def test_each_send_states_its_reason(drive):
+    first, substitute, hedge, cancelled, retry = (
+        policy.AttemptReason.FIRST,
+        policy.AttemptReason.SUBSTITUTE,
+        policy.AttemptReason.HEDGE,
+        policy.AttemptReason.CANCELLED,
+        policy.AttemptReason.RETRY,
+    )
+
+    def reasons(actions):
+        return [(send.reason, send.is_additional) for send in of(actions, policy.Send)]
+
+    spare_part = drive()
+    sends = spare_part.query(0, [0, 1, 2, 3])
+    assert reasons(sends) == [(first, False)] * 3
+    assert reasons(spare_part.wait(AIM // 2 + 10_000)) == [(substitute, True)]
+
+    hedged = drive(hedging_allowed=True)
+    assert reasons(hedged.query(1, [0])) == [(first, False)]
+    assert reasons(hedged.wait(AIM // 2 + 10_000)) == [(hedge, True)]
+
+    moved = drive(cancellation_allowed=True)
+    moved.query(1, [0])
+    assert reasons(moved.wait(AIM // 2 + 10_000)) == [(cancelled, True)]
+
+    failed = drive()
+    (send,) = of(failed.query(1, [0]), policy.Send)
+    assert reasons(failed.end(send, policy.Outcome.ERROR)) == [(retry, True)]
--- a/tests/test_version_compatibility.py
+++ b/tests/test_version_compatibility.py
@@ -227,11 +227,15 @@
 
 
 def without_added_fields(event: dict[str, Any]) -> dict[str, Any]:
-    """A present event without the one field that was added: why a query ended without an answer."""
-    if event["ev"] != "final" or "reason" not in event:
+    """A present event without the field that was added: why a query ended, or an attempt was sent."""
+    if event["ev"] not in ("final", "send") or "reason" not in event:
         return event
-    assert event["kind"] in ("refused", "failed")
-    assert event["reason"] in set(policy.EndReason)
+    if event["ev"] == "final":
+        assert event["kind"] in ("refused", "failed")
+        assert event["reason"] in set(policy.EndReason)
+    else:
+        assert event["further"] is True
+        assert event["reason"] in set(policy.AttemptReason) - {policy.AttemptReason.FIRST}
     return {name: value for name, value in event.items() if name != "reason"}
 
 
