--- a/heathwell/broker/driver.py
+++ b/heathwell/broker/driver.py
@@ -21,7 +21,7 @@
 from heathwell.broker.operator_log import log_operator_event
 from heathwell.broker.query_registry import QueryRegistry
 from heathwell.broker.query_state import ExtensionT, PartT, QueryT, SentAttempt, SettingsVersion
-from heathwell.broker.replies import ANSWERED, FAILED, REFUSED, OnReply, Reply
+from heathwell.broker.replies import OnReply, Reply, ReplyKind
 
 IN_OBJECTIVE = "in aim"  # an interface: a metric has this label
 
@@ -162,7 +162,7 @@
             on_reply = query.on_reply
             query.on_reply = None
             self._push(policy.ClientDisconnected(query.id), query.settings_version)
-            self._final(query, Reply(FAILED, query.id, self._query_class(query).name), on_reply)
+            self._final(query, Reply(ReplyKind.FAILED, query.id, self._query_class(query).name), on_reply)
         self._release(query)
 
     def _turn_end(self) -> None:
@@ -247,9 +247,9 @@
             case policy.Answer(id=query_id, complete=complete):
                 self._answer(query_id, complete=complete)
             case policy.Reject():
-                self._reply_without_answer(action.id, REFUSED, action.reason, action.retry_after_us)
+                self._reply_without_answer(action.id, ReplyKind.REFUSED, action.reason, action.retry_after_us)
             case policy.Fail():
-                self._reply_without_answer(action.id, FAILED, action.reason)
+                self._reply_without_answer(action.id, ReplyKind.FAILED, action.reason)
             case policy.Probe(node=node):
                 self.events("probe", node=node)
                 self._link(node).probe()
@@ -301,11 +301,11 @@
             self._link(node).abandon(key)
 
     def _reply_without_answer(
-        self, query_id: str, kind: str, reason: policy.EndReason, retry_after_us: int = 0
+        self, query_id: str, kind: ReplyKind, reason: policy.EndReason, retry_after_us: int = 0
     ) -> None:
         query = self.queries.get(query_id)
         if query is not None:
-            if kind == REFUSED and retry_after_us:
+            if kind == ReplyKind.REFUSED and retry_after_us:
                 retry_after_us = self.retry_after_us(query, retry_after_us)
             class_name = self._query_class(query).name
             reply = Reply(kind, query_id, class_name, retry_after_us=retry_after_us, end_reason=reason)
@@ -332,7 +332,7 @@
         duration_us = self.loop.now() - query.started_at_us
         spec = self._query_class(query)
         timeliness = IN_OBJECTIVE if duration_us <= spec.latency_objective_us else "late"
-        kind = "partial" if reply.kind == ANSWERED and not reply.complete else reply.kind
+        kind = "partial" if reply.kind == ReplyKind.ANSWERED and not reply.complete else reply.kind
         self.counters["final", spec.name, kind, timeliness] += 1
         self.on_reply_made(query, reply, duration_us)
         if self.on_final is not None:
--- a/heathwell/broker/replies.py
+++ b/heathwell/broker/replies.py
@@ -4,15 +4,23 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Any
 
 from heathwell import policy
 from heathwell.service.coverage import Cover
 
-ANSWERED = "answered"
-REFUSED = "refused"
-FAILED = "failed"
-MISS = "miss"
+
+class ReplyKind(StrEnum):
+    """How a query ended."""
+
+    ANSWERED = "answered"
+    REFUSED = "refused"
+    """Rejected or shed: a repeat is harmless."""
+    FAILED = "failed"
+    """Ended without a promise about its effect."""
+    MISS = "miss"
+    """Answered: the record does not exist."""
 
 
 JsonObject = dict[str, Any]
@@ -48,7 +56,7 @@
     ``end_reason`` is why the decision module ended the query without an answer; clients are not sent it.
     """
 
-    kind: str
+    kind: ReplyKind
     query: str = ""
     query_class: str = ""
     complete: bool = False
--- a/heathwell/codec/nodeframes.py
+++ b/heathwell/codec/nodeframes.py
@@ -13,6 +13,8 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
+from heathwell.codec.errors import CodecError
+
 # The letters of the platform's protocol. A probe and its answer have the same one.
 CALL = b"D"
 CANCEL = b"K"
@@ -51,7 +53,7 @@
 PROBE_RESULT_OF_CODE = {b"200": True, b"500": False}
 
 
-class FrameError(Exception):
+class NodeFrameError(CodecError):
     """Bytes that break the protocol.
 
     ``part_id`` is the id of the part that they answer, None where it cannot be read.
@@ -140,26 +142,26 @@
 def decode_answer(body: bytes) -> PartAnswer:
     """Decode the body of an answer.
 
-    Raises :class:`FrameError`, with the part's id where the line contains it.
+    Raises :class:`NodeFrameError`, with the part's id where the line contains it.
     """
     line, newline, value = body.partition(b"\n")
     items = line.split(b" ")
     part_id = _part_id_of(items[0])
     if not newline or len(line) > MAX_LINE_BYTES:
-        raise FrameError("an answer's line does not end", part_id)
+        raise NodeFrameError("an answer's line does not end", part_id)
     if len(items) != ANSWER_LINE_ITEMS or part_id is None:
-        raise FrameError(f"an answer's line of {len(items)} items", part_id)
+        raise NodeFrameError(f"an answer's line of {len(items)} items", part_id)
     _, code, score, report = items
     status = STATUS_OF_CODE.get(code)
     if status is None:
-        raise FrameError(f"an answer of unknown status {code[:16]!r}", part_id)
+        raise NodeFrameError(f"an answer of unknown status {code[:16]!r}", part_id)
     in_flight = decode_in_flight(report)
     if status != PartStatus.OK:
         return PartAnswer(part_id, status, 0.0, in_flight, b"")
     if not SCORE.fullmatch(score):
-        raise FrameError(f"a score that is not a number: {score[:32]!r}", part_id)
+        raise NodeFrameError(f"a score that is not a number: {score[:32]!r}", part_id)
     if not VALUE.fullmatch(value):
-        raise FrameError(f"an invalid value of {len(value)} bytes", part_id)
+        raise NodeFrameError(f"an invalid value of {len(value)} bytes", part_id)
     return PartAnswer(part_id, status, float(score), in_flight, value)
 
 
@@ -182,7 +184,7 @@
     def feed(self, data: bytes) -> Iterator[Message]:
         """Yield the messages that ``data`` completes.
 
-        Raises :class:`FrameError`, after which no further frame can be read from the connection.
+        Raises :class:`NodeFrameError`, after which no further frame can be read from the connection.
         """
         buffer = self._buffer
         buffer += data
@@ -191,7 +193,7 @@
             while len(buffer) - start >= LENGTH_BYTES:
                 (length,) = _LENGTH.unpack_from(buffer, start)
                 if not 1 <= length <= MAX_FRAME_BYTES:
-                    raise FrameError(f"a frame of {length} bytes", self._part_id_at(start))
+                    raise NodeFrameError(f"a frame of {length} bytes", self._part_id_at(start))
                 body_start = start + LENGTH_BYTES + 1
                 end = start + LENGTH_BYTES + length
                 if len(buffer) < end:
@@ -216,8 +218,8 @@
             return decode_answer(body)
         if letter == PROBE:
             if body not in PROBE_RESULT_OF_CODE:
-                raise FrameError("an invalid answer to a probe")
+                raise NodeFrameError("an invalid answer to a probe")
             return ProbeAnswer(PROBE_RESULT_OF_CODE[body])
         if letter == FRAME_REJECTED:
             return FrameRejected(body[:MAX_REASON_BYTES].decode("latin-1"))
-        raise FrameError(f"a frame of unknown letter {letter!r}")
+        raise NodeFrameError(f"a frame of unknown letter {letter!r}")
--- a/heathwell/fleet/control/fleet_agent.py
+++ b/heathwell/fleet/control/fleet_agent.py
@@ -115,7 +115,7 @@
         self._on_incarnation_ended(self.quotas.check_clock(now))
         return now
 
-    def acquire(self, budget: str, thousandths: int = UNIT_MILLIUNITS) -> bool:
+    def acquire(self, budget: str, milliunits: int = UNIT_MILLIUNITS) -> bool:
         """Use so many milliunits of a budget now, of a count one unit until :meth:`release`. Returns False
         where they are not free, or no such budget is set.
         """
@@ -123,11 +123,11 @@
         holder = self.quotas.holder(now, budget)
         if holder is None:
             return False
-        is_acquired = holder.acquire(now, thousandths)
+        is_acquired = holder.acquire(now, milliunits)
         if self.events.is_enabled:
             self._log_holder(now, budget, holder)
             if is_acquired and holder.budget.kind != BudgetKind.COUNT:
-                self.events("spends", budget=budget, amount=thousandths)
+                self.events("spends", budget=budget, amount=milliunits)
         return is_acquired
 
     def release(self, budget: str) -> None:
--- a/heathwell/gateway/broker.py
+++ b/heathwell/gateway/broker.py
@@ -16,7 +16,7 @@
 from heathwell.broker.driver import Driver
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.broker.query_state import Handle, HintedPart, PartState, QueryState
-from heathwell.broker.replies import ANSWERED, REFUSED, OnReply, Reply
+from heathwell.broker.replies import OnReply, Reply, ReplyKind
 from heathwell.codec import nodeframes as nf
 from heathwell.eventloop import Loop, Net
 from heathwell.gateway.config import Config
@@ -31,6 +31,7 @@
 # Kept back of a client's timeout: the network both ways, and the delay of the loop.
 DEADLINE_MARGIN_US = 8_000
 SECOND_STEP_SUFFIX = ".fetch"
+AT_CAPACITY = "full"  # why a query was rejected at admission, as metrics and replies name it
 
 
 @dataclass(slots=True)
@@ -142,13 +143,15 @@
         return handle
 
     def _reject(self, spec: policy.QueryClass, on_reply: OnReply) -> None:
-        self.counters["door", spec.name, "full"] += 1
+        self.counters["door", spec.name, AT_CAPACITY] += 1
         retry_after_us = (
             min(spec.latency_objective_us, self.settings.max_retry_after_us)
             if self.settings.retry_advice_allowed
             else 0
         )
-        reply = Reply(REFUSED, query_class=spec.name, retry_after_us=retry_after_us, reason="full")
+        reply = Reply(
+            ReplyKind.REFUSED, query_class=spec.name, retry_after_us=retry_after_us, reason=AT_CAPACITY
+        )
         self.loop.call_soon(on_reply, reply)
 
     def _log_arrival(self, query: PlatformQuery, spec: policy.QueryClass) -> None:
@@ -285,7 +288,7 @@
             if part.step == query.step and part.data is not None
         ]
         return Reply(
-            ANSWERED,
+            ReplyKind.ANSWERED,
             query.id,
             self._query_class(query).name,
             complete,
--- a/heathwell/gateway/config.py
+++ b/heathwell/gateway/config.py
@@ -13,6 +13,7 @@
 
 from heathwell import policy
 from heathwell.eventloop.net import split_address
+from heathwell.gateway.errors import GatewayError
 from heathwell.gateway.settings_from_platform import (
     CONNECT_TIMEOUT_US_FIELD,
     IDLE_TIMEOUT_US_FIELD,
@@ -30,7 +31,7 @@
 RESERVED_SOCKETS = 24  # standard streams, the poller, the listener, discovery, and those of the runtime
 
 
-class ConfigError(Exception):
+class ConfigError(GatewayError):
     """A configuration that cannot be used; the message names the field."""
 
 
--- a/heathwell/gateway/discovery.py
+++ b/heathwell/gateway/discovery.py
@@ -17,6 +17,7 @@
 
 from heathwell.codec.http import ClientSide, HttpError
 from heathwell.eventloop import ConnectError, Coro, Loop, Net, Stream, StreamBrokenError, Task, sleep
+from heathwell.gateway.errors import GatewayError
 from heathwell.gateway.targets import Targets, TargetsError
 
 MAX_HOLD_US = 60_000_000  # of a watch, by the platform's protocol
@@ -52,7 +53,7 @@
     return max(EFFECTIVE_AFTER_SILENCE_US + grace_us - renewed_us, 0)
 
 
-class DiscoverySilentError(Exception):
+class DiscoverySilentError(GatewayError):
     """A call was not answered in its time: its connection may be lost without a sign."""
 
 
--- a/heathwell/gateway/front.py
+++ b/heathwell/gateway/front.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from heathwell.broker.query_state import Handle
-from heathwell.broker.replies import ANSWERED, REFUSED, Reply
+from heathwell.broker.replies import Reply, ReplyKind
 from heathwell.codec.http import Request, Response, ServerSide
 from heathwell.eventloop import Coro, Event, Stream, StreamBrokenError, StreamOverrunError
 from heathwell.gateway.broker import PlatformBroker
@@ -247,9 +247,9 @@
     def _on_reply(self, reply: Reply) -> None:
         """Send the query's only reply."""
         self.handle = None
-        if reply.kind == ANSWERED:
+        if reply.kind == ReplyKind.ANSWERED:
             self._respond(Response(200, msgspec.json.encode(reply.body), JSON_CONTENT_TYPE))
-        elif reply.kind == REFUSED:
+        elif reply.kind == ReplyKind.REFUSED:
             retry_after = (
                 (("Retry-After", f"{reply.retry_after_us / 1e6:.3f}"),) if reply.retry_after_us else ()
             )
--- a/heathwell/gateway/node_connection.py
+++ b/heathwell/gateway/node_connection.py
@@ -169,7 +169,7 @@
         except StreamBrokenError as problem:
             if self.in_flight:
                 self.link.log_info("connection lost", str(problem))
-        except nf.FrameError as problem:
+        except nf.NodeFrameError as problem:
             # The part has run, and nothing behind the invalid frame can be read.
             self.link.invalid_answers += 1
             if self.in_flight:
@@ -214,7 +214,7 @@
                     self.link.log_info("a frame could not be used", reason)
                     raise StreamBrokenError("the node could not use a frame")
         if self._reader.buffered_bytes and not self.in_flight and not self._sent_probes:
-            raise nf.FrameError("bytes that belong to nothing")
+            raise nf.NodeFrameError("bytes that belong to nothing")
         self._waiting_since_us = self.loop.now() if self.in_flight or self._sent_probes else None
         self._check_idle()
 
@@ -231,11 +231,11 @@
             self.link.late_answers += 1
             self.link.owner.on_late_answer(self.link.node)
         else:
-            raise nf.FrameError(f"an answer of unknown id {message.id[:64]!r}")
+            raise nf.NodeFrameError(f"an answer of unknown id {message.id[:64]!r}")
 
     def _on_probe_answer(self, *, ok: bool) -> None:
         if not self._sent_probes:
-            raise nf.FrameError("an answer to no probe")
+            raise nf.NodeFrameError("an answer to no probe")
         outcome = policy.Outcome.OK if ok else policy.Outcome.ERROR
         self.link.on_probe_ended(self._sent_probes.popleft(), outcome)
 
--- a/heathwell/gateway/requests.py
+++ b/heathwell/gateway/requests.py
@@ -14,6 +14,7 @@
 
 from heathwell import policy
 from heathwell.codec.http import Request
+from heathwell.gateway.errors import GatewayError
 
 REQUEST_ID = re.compile(r"[0-9A-Za-z_-]{1,64}")  # no dot: a part's id is this, a dot and the shard
 TAG = re.compile(r"[0-9a-fA-F]{16}")
@@ -26,7 +27,7 @@
 WEIGHT_TOLERANCE = 5e-3  # how far from 1 rounding may leave the sum of weights
 
 
-class BadRequestError(Exception):
+class BadRequestError(GatewayError):
     """A request that is not accepted; ``status`` is the HTTP status of the answer."""
 
     def __init__(self, text: str, status: int = 400) -> None:
--- a/heathwell/gateway/settings_from_platform.py
+++ b/heathwell/gateway/settings_from_platform.py
@@ -10,6 +10,7 @@
 from typing import Any, NamedTuple, TypeAlias, TypeVar
 
 from heathwell import policy
+from heathwell.gateway.errors import GatewayError
 
 IDEMPOTENCY_OF_WORD = {
     "read_like": policy.Idempotency.IDEMPOTENT,
@@ -36,7 +37,7 @@
 CodeT = TypeVar("CodeT")
 
 
-class WireError(Exception):
+class WireError(GatewayError):
     """Input that violates the wire's contract; the message names the field."""
 
 
--- a/heathwell/gateway/targets.py
+++ b/heathwell/gateway/targets.py
@@ -10,6 +10,7 @@
 import msgspec
 
 from heathwell import policy
+from heathwell.gateway.errors import GatewayError
 
 ENDPOINT_STATES = {
     "up": policy.EndpointState.LIVE,
@@ -19,7 +20,7 @@
 UNKNOWN_ZONE = -1
 
 
-class TargetsError(ValueError):
+class TargetsError(GatewayError):
     """An answer that does not have discovery's form."""
 
 
--- a/heathwell/servers/memcached_replies.py
+++ b/heathwell/servers/memcached_replies.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from heathwell.broker.replies import ANSWERED, FAILED, MISS, REFUSED, Reply
+from heathwell.broker.replies import Reply, ReplyKind
 from heathwell.codec import memcached as protocol
 from heathwell.servers.answer_age import age_fields
 from heathwell.service.coverage import encode_cover
@@ -68,9 +68,9 @@
 
 def value_flags(reply: Reply) -> int:
     """Return the client flags of a reply's value."""
-    if reply.kind == FAILED:
+    if reply.kind == ReplyKind.FAILED:
         return int(ValueFlag.LOST)
-    if reply.kind != ANSWERED:
+    if reply.kind != ReplyKind.ANSWERED:
         return int(ValueFlag.REFUSED)
     flags = ValueFlag(0) if reply.complete else ValueFlag.PARTIAL
     if reply.age is not None and (reply.age.stale or reply.age.behind):
@@ -116,12 +116,12 @@
     lines: list[bytes] = []
     unanswered: dict[int, Reply] = {}
     for place, (key, reply) in enumerate(zip(command.keys, replies, strict=True), 1):
-        if reply.kind == MISS:
+        if reply.kind == ReplyKind.MISS:
             continue
-        if reply.kind != ANSWERED and as_error:
+        if reply.kind != ReplyKind.ANSWERED and as_error:
             unanswered[place] = reply
             continue
-        body = answer_body(reply) if reply.kind == ANSWERED else missing_answer_body(reply)
+        body = answer_body(reply) if reply.kind == ReplyKind.ANSWERED else missing_answer_body(reply)
         cas = zlib.crc32(body) if command.cas else None
         lines.append(protocol.value(key, value_flags(reply), body, cas))
     lines.append(_missing_answers(unanswered).to_error() if unanswered else protocol.END)
@@ -130,9 +130,9 @@
 
 def meta_get_reply(command: protocol.MetaGet, reply: Reply) -> bytes:
     """Return the reply to an ``mg``."""
-    if reply.kind == MISS:
+    if reply.kind == ReplyKind.MISS:
         return protocol.meta_miss(command)
-    if reply.kind != ANSWERED:
+    if reply.kind != ReplyKind.ANSWERED:
         return _missing_answers({1: reply}).to_error()
     body = answer_body(reply)
     return protocol.meta_value(command, value_flags(reply), body, zlib.crc32(body))
@@ -151,14 +151,14 @@
 
 def _missing_answers(replies: dict[int, Reply]) -> MissingAnswers:
     return MissingAnswers(
-        rejected=[place for place, reply in replies.items() if reply.kind != FAILED],
-        failed=[place for place, reply in replies.items() if reply.kind == FAILED],
+        rejected=[place for place, reply in replies.items() if reply.kind != ReplyKind.FAILED],
+        failed=[place for place, reply in replies.items() if reply.kind == ReplyKind.FAILED],
         retry_after_us=max(reply.retry_after_us for reply in replies.values()),
     )
 
 
 def _kind_name(reply: Reply) -> str:
-    return FAILED if reply.kind == FAILED else REFUSED
+    return ReplyKind.FAILED if reply.kind == ReplyKind.FAILED else ReplyKind.REFUSED
 
 
 def _milliseconds(duration_us: int) -> int:
--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -8,7 +8,7 @@
 from functools import partial
 
 from heathwell.broker.query_state import Handle
-from heathwell.broker.replies import ANSWERED, REFUSED, Reply
+from heathwell.broker.replies import Reply, ReplyKind
 from heathwell.eventloop import Coro, Event, StreamBrokenError
 from heathwell.servers import vector_api as api
 from heathwell.service.admission import CostModel, search_features, split_batch
@@ -189,7 +189,7 @@
 
     def _record_reply(self, index: int, reply: Reply) -> None:
         self._replies[index] = reply
-        if reply.kind != ANSWERED and self._first_failure is None:
+        if reply.kind != ReplyKind.ANSWERED and self._first_failure is None:
             self._first_failure = reply
         self._changed.set()
 
@@ -204,7 +204,7 @@
 
 def _error_of(reply: Reply) -> api.ApiError:
     """Return the API's error for a reply that holds no answer; clients read its text."""
-    if reply.kind == REFUSED:
+    if reply.kind == ReplyKind.REFUSED:
         reason = reply.reason or "overloaded"
         retry_after_ms = -(-reply.retry_after_us // 1000)
         text = f"Service unavailable: refused ({reason}); come back in {retry_after_ms} ms"
--- a/heathwell/service/query_admission.py
+++ b/heathwell/service/query_admission.py
@@ -30,6 +30,7 @@
     FULL = "full"
     TIMEOUT_TOO_SHORT = "no time"
     SHARDS_UNREACHABLE = "cut off"
+    QUEUE_FULL = "crowded"
 
 
 class AdmissionRejectedError(Exception):
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from heathwell.broker.query_state import Handle
-from heathwell.broker.replies import FAILED, MISS, REFUSED, OnReply, Reply
+from heathwell.broker.replies import OnReply, Reply, ReplyKind
 from heathwell.service.fair_admission import FairAdmission
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.service.query_admission import Admission, AdmissionRejectedError, QueryAdmission
@@ -56,10 +56,10 @@
         """
         plan = self._broker.keys.plan(key)
         if plan is None:
-            self._broker.loop.call_soon(on_reply, Reply(MISS, reason="no such key space"))
+            self._broker.loop.call_soon(on_reply, Reply(ReplyKind.MISS, reason="no such key space"))
             return None
         if plan.wrong:
-            self._broker.loop.call_soon(on_reply, Reply(FAILED, reason=plan.wrong))
+            self._broker.loop.call_soon(on_reply, Reply(ReplyKind.FAILED, reason=plan.wrong))
             return None
         return self.begin(plan, on_reply, request, client)
 
@@ -126,7 +126,9 @@
         reason = rejection.reason.value
         self._broker.counters["door", class_name, reason] += 1
         self._broker.events("door", req=request, key=plan.key, klass=class_name, why=reason)
-        reply = Reply(REFUSED, query_class=class_name, retry_after_us=rejection.retry_after_us, reason=reason)
+        reply = Reply(
+            ReplyKind.REFUSED, query_class=class_name, retry_after_us=rejection.retry_after_us, reason=reason
+        )
         if self._statistics is not None:
             self._statistics.ended(self._broker.loop.now(), who, plan.key, reply)
         self._broker.loop.call_soon(on_reply, reply)
--- a/heathwell/service/quota_gate.py
+++ b/heathwell/service/quota_gate.py
@@ -78,7 +78,7 @@
     def check_incarnation(self) -> int:
         """Expire grants before anything is used; returns the time (us)."""
 
-    def acquire(self, budget: str, thousandths: int = UNIT_MILLIUNITS) -> bool:
+    def acquire(self, budget: str, milliunits: int = UNIT_MILLIUNITS) -> bool:
         """Use so many milliunits now."""
 
     def release(self, budget: str) -> None:
--- a/heathwell/service/reply_merging.py
+++ b/heathwell/service/reply_merging.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from heathwell import policy
-from heathwell.broker.replies import ANSWERED, MISS, Age, Coverage, JsonObject, Reply
+from heathwell.broker.replies import Age, Coverage, JsonObject, Reply, ReplyKind
 from heathwell.service import key_spaces
 from heathwell.service.coverage import Cover
 from heathwell.service.records import SearchPlan
@@ -29,14 +29,14 @@
     search = query.plan.search
     if search is not None:
         body = _search_body(query, search)
-        return Reply(ANSWERED, query.id, query_class.name, complete, coverage, body, age=age)
+        return Reply(ReplyKind.ANSWERED, query.id, query_class.name, complete, coverage, body, age=age)
     try:
         body = key_spaces.merge(query.plan.shape, _answers(query, step=1), _answers(query, step=2))
     except (ValueError, KeyError, TypeError) as error:
         raise UnmergeablePartsError(query.id, repr(error)) from error
     if query.plan.shape == key_spaces.KeyShape.RECORD and not body.get("found", False):
-        return Reply(MISS, query.id, query_class.name, complete=True, coverage=coverage, age=age)
-    return Reply(ANSWERED, query.id, query_class.name, complete, coverage, body, age=age)
+        return Reply(ReplyKind.MISS, query.id, query_class.name, complete=True, coverage=coverage, age=age)
+    return Reply(ReplyKind.ANSWERED, query.id, query_class.name, complete, coverage, body, age=age)
 
 
 def coverage_of(query: ServiceQuery, query_class: policy.QueryClass) -> Coverage:
--- a/heathwell/service/reply_recorder.py
+++ b/heathwell/service/reply_recorder.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from heathwell.broker.replies import ANSWERED, MISS, Reply
+from heathwell.broker.replies import Reply, ReplyKind
 from heathwell.service.query_cost import query_cost_us
 from heathwell.service.query_explanations import ExplainedQuery, QueryExplanations
 from heathwell.service.service_context import ServiceContext
@@ -35,7 +35,7 @@
         if self._storm_control is not None:
             self._storm_control.record_reply(
                 query_cost_us(query.plan, query.settings_version),
-                is_answer=reply.kind in (ANSWERED, MISS),
+                is_answer=reply.kind in (ReplyKind.ANSWERED, ReplyKind.MISS),
                 within_objective=duration_us <= query_class.latency_objective_us,
             )
         if self._broker.events.is_enabled:  # the lists are costly to make
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -10,7 +10,7 @@
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.broker.endpoint_entries import to_endpoint_entry
 from heathwell.broker.query_state import Handle, HintedPart
-from heathwell.broker.replies import FAILED, REFUSED, OnReply, Reply
+from heathwell.broker.replies import OnReply, Reply, ReplyKind
 from heathwell.codec import frames
 from heathwell.eventloop import Listener, Loop, Net
 from heathwell.observability.event_log import EventLog
@@ -22,6 +22,7 @@
 from heathwell.service.host_link import HostLink
 from heathwell.service.host_pool import HostPool
 from heathwell.service.module_settings import module_settings
+from heathwell.service.query_admission import RejectionReason
 from heathwell.service.query_cost import part_work_us
 from heathwell.service.query_explanations import QueryExplanation
 from heathwell.service.records import Plan
@@ -167,7 +168,14 @@
         retry_after_us = self.retry_after_us(query, retry_after_us)
         class_name = self._query_class(query).name
         self._reply(
-            query, Reply(REFUSED, query.id, class_name, retry_after_us=retry_after_us, reason="crowded")
+            query,
+            Reply(
+                ReplyKind.REFUSED,
+                query.id,
+                class_name,
+                retry_after_us=retry_after_us,
+                reason=RejectionReason.QUEUE_FULL.value,
+            ),
         )
 
     def mean_part_latency_us(self, query_class: int) -> float:
@@ -332,7 +340,7 @@
         except UnmergeablePartsError as error:
             self.log("error", "parts that can't be merged", query=query.id, why=error.reason)
             self.counters["unmergeable",] += 1
-            return Reply(FAILED, query.id, spec.name)
+            return Reply(ReplyKind.FAILED, query.id, spec.name)
 
     def is_usable(
         self, query: ServiceQuery, part: ServicePart, node: str, key: AttemptKey, result: frames.Result
--- a/heathwell/service/service_statistics.py
+++ b/heathwell/service/service_statistics.py
@@ -13,7 +13,7 @@
 from typing import TypedDict
 
 from heathwell import policy
-from heathwell.broker.replies import ANSWERED, MISS, REFUSED, Reply
+from heathwell.broker.replies import Reply, ReplyKind
 
 MAXIMUM_FIRST_ATTEMPTS = 4_096  # remembered, to recognise retries
 COUNTER_NAMES = ("asked", "worth", "in_aim", "refused", "failed", "partial")
@@ -62,11 +62,11 @@
         sums["asked"] += credited < 0
         weight = 0.0
         within_objective = now - arrived_at_us <= query_class.latency_objective_us
-        if reply.kind not in (ANSWERED, MISS):
-            sums["refused" if reply.kind == REFUSED else "failed"] += 1
+        if reply.kind not in (ReplyKind.ANSWERED, ReplyKind.MISS):
+            sums["refused" if reply.kind == ReplyKind.REFUSED else "failed"] += 1
         else:
             weight = 1.0 if within_objective else query_class.late_weight
-            if not reply.complete and reply.kind == ANSWERED:
+            if not reply.complete and reply.kind == ReplyKind.ANSWERED:
                 sums["partial"] += 1
                 weight *= query_class.partial_weight
             sums["in_aim"] += within_objective
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -45,6 +45,7 @@
     )
 )
 DATASTRUCTURES = "heathwell.datastructures"
+GATEWAY_ERRORS = "heathwell.gateway.errors"
 PLATFORM_SETTINGS = "heathwell.gateway.settings_from_platform"
 BENCH_LINK = "heathwell.benchlink"
 PUBLIC_API = "heathwell"
@@ -115,7 +116,9 @@
         for index, component in enumerate(COMPONENTS)
     ),
     LayerRule(AGGREGATOR, (DATASTRUCTURES, INTERFACE, RECORDS, *COMPONENTS)),
-    LayerRule(PLATFORM_SETTINGS, (INTERFACE,)),
+    # The base of the errors of the gateway, of which the adapter of its settings is a part.
+    LayerRule(GATEWAY_ERRORS),
+    LayerRule(PLATFORM_SETTINGS, (INTERFACE, GATEWAY_ERRORS)),
     LayerRule(BENCH_LINK, (*POLICY, PLATFORM_SETTINGS)),
     LayerRule(PUBLIC_API, POLICY),
     LayerRule(ADMISSION, (INTERFACE,)),
--- a/tests/test_nodeframes.py
+++ b/tests/test_nodeframes.py
@@ -70,12 +70,12 @@
     ],
 )
 def test_spoilt_answers_are_told(data):
-    with pytest.raises(nf.FrameError):
+    with pytest.raises(nf.NodeFrameError):
         list(nf.FrameReader().feed(data))
 
 
 def test_a_spoilt_answer_names_its_part_where_it_can():
-    with pytest.raises(nf.FrameError) as caught:
+    with pytest.raises(nf.NodeFrameError) as caught:
         list(nf.FrameReader().feed(b"\xb2\xd0\x5e\x00" + b"Oq.1 200 5 -\n"))
     assert caught.value.part_id == "q.1"
 
@@ -100,6 +100,6 @@
     incoming = nf.FrameReader()
     try:
         list(incoming.feed(data))
-    except nf.FrameError:
+    except nf.NodeFrameError:
         return
     assert incoming.buffered_bytes <= nf.MAX_FRAME_BYTES + 4
--- a/tests/test_service_comparison.py
+++ b/tests/test_service_comparison.py
@@ -1,7 +1,7 @@
 """Sums of service: what one broker is compared with another by."""
 
 from heathwell import policy
-from heathwell.broker.replies import ANSWERED, FAILED, REFUSED, Reply
+from heathwell.broker.replies import Reply, ReplyKind
 from heathwell.observability.digests import program_digest, settings_digest
 from heathwell.service.service_statistics import ServiceStatistics
 
@@ -19,24 +19,24 @@
 
 
 def test_an_answer_is_worth_its_time_and_wholeness():
-    assert book_of((0, S, ANSWERED, True))["worth"] == 1.0
-    assert book_of((0, 2 * S, ANSWERED, True))["worth"] == 0.25
-    assert book_of((0, S, ANSWERED, False))["worth"] == 0.5
-    refused = book_of((0, S, REFUSED, False))
+    assert book_of((0, S, ReplyKind.ANSWERED, True))["worth"] == 1.0
+    assert book_of((0, 2 * S, ReplyKind.ANSWERED, True))["worth"] == 0.25
+    assert book_of((0, S, ReplyKind.ANSWERED, False))["worth"] == 0.5
+    refused = book_of((0, S, ReplyKind.REFUSED, False))
     assert (refused["asked"], refused["worth"], refused["refused"]) == (1, 0.0, 1)
 
 
 def test_a_retry_counts_with_its_first_try():
-    sums = book_of((0, 1000, REFUSED, False), (S // 2, S, ANSWERED, True))
+    sums = book_of((0, 1000, ReplyKind.REFUSED, False), (S // 2, S, ReplyKind.ANSWERED, True))
     assert (sums["asked"], sums["worth"], sums["refused"]) == (1, 1.0, 1)
-    late = book_of((0, 1000, REFUSED, False), (S // 2, 2 * S, ANSWERED, True))
+    late = book_of((0, 1000, ReplyKind.REFUSED, False), (S // 2, 2 * S, ReplyKind.ANSWERED, True))
     assert (late["asked"], late["worth"]) == (1, 0.25)  # its aim runs from the first
-    twice = book_of((0, S, ANSWERED, True), (S, S + 10, ANSWERED, True))
+    twice = book_of((0, S, ReplyKind.ANSWERED, True), (S, S + 10, ReplyKind.ANSWERED, True))
     assert (twice["asked"], twice["worth"]) == (1, 1.0)
 
 
 def test_the_same_question_later_is_another_query():
-    sums = book_of((0, S, ANSWERED, True), (4 * S, 5 * S, FAILED, False))
+    sums = book_of((0, S, ReplyKind.ANSWERED, True), (4 * S, 5 * S, ReplyKind.FAILED, False))
     assert (sums["asked"], sums["worth"], sums["failed"]) == (2, 1.0, 1)
 
 
