--- a/heathwell/benchlink.py
+++ b/heathwell/benchlink.py
@@ -14,10 +14,10 @@
 from heathwell import policy
 from heathwell.gateway.settings_from_platform import (
     WireError,
+    array,
     coded,
     need,
     number,
-    rows,
     settings_from,
     share,
     text,
@@ -200,7 +200,7 @@
             raise WireError(f"a line is not JSON: {error}") from None
         now_us = number(batch, "time-us", "batch")
         pending: dict[int, list[policy.Event]] = {}
-        for message in rows(batch, "inbox", "batch"):
+        for message in array(batch, "inbox", "batch"):
             self._receive(message, pending)
         commands: list[WireMessage] = []
         for who, events in pending.items():
@@ -213,7 +213,7 @@
         """Apply a message on lists or instances, or append its event to those of its instance."""
         kind = text(message, "event_type", "message")
         if kind == "list":
-            entries = tuple(entry_from(entry) for entry in rows(message, "members-list", kind))
+            entries = tuple(entry_from(entry) for entry in array(message, "members-list", kind))
             self.tables[number(message, "table", kind)] = entries
             return
         who = number(message, "who", kind)
--- a/heathwell/broker/call_batches.py
+++ b/heathwell/broker/call_batches.py
@@ -3,11 +3,20 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
+from dataclasses import dataclass
 from typing import Generic
 
 from heathwell.broker.driver_contract import AttemptKey, RequestT
 
 
+@dataclass(frozen=True, slots=True)
+class OutgoingCall(Generic[RequestT]):
+    """The attempt requests that go to an endpoint in one call."""
+
+    node: str
+    requests: list[RequestT]
+
+
 class CallBatches(Generic[RequestT]):
     """The calls to make at the end of a batch, each of at most ``requests_per_call`` requests."""
 
@@ -31,7 +40,8 @@
                     return True
         return False
 
-    def __iter__(self) -> Iterator[tuple[str, list[RequestT]]]:
+    def __iter__(self) -> Iterator[OutgoingCall[RequestT]]:
+        """Return the calls, those of a node one after another."""
         for node, calls in self._calls.items():
             for requests in calls:
-                yield node, requests
+                yield OutgoingCall(node, requests)
--- a/heathwell/broker/driver.py
+++ b/heathwell/broker/driver.py
@@ -207,12 +207,14 @@
         self._give_replies()
 
     def _send_calls(self, calls: CallBatches[RequestT]) -> None:
-        for node, requests in calls:
+        for call in calls:
             needed = [
-                request for request in requests if self._is_still_needed(node, (request.id, request.seq))
+                request
+                for request in call.requests
+                if self._is_still_needed(call.node, (request.id, request.seq))
             ]
             if needed:
-                self._link(node).send(needed)
+                self._link(call.node).send(needed)
 
     def _give_replies(self) -> None:
         replies = self._replies
--- a/heathwell/broker/replies.py
+++ b/heathwell/broker/replies.py
@@ -52,8 +52,9 @@
 class Reply:
     """The one final reply to a query.
 
-    ``retry_after_us`` is advice when to retry, 0 for none. ``reason`` is a text for the client.
-    ``end_reason`` is why the decision module ended the query without an answer; clients are not sent it.
+    ``retry_after_us`` is advice when to retry, 0 for none. ``reason`` is a text for the client. ``body`` is
+    the JSON object that the answers of endpoints were merged to. ``end_reason`` is why the decision module
+    ended the query without an answer; clients are not sent it.
     """
 
     kind: ReplyKind
--- a/heathwell/datastructures/sliding_window.py
+++ b/heathwell/datastructures/sliding_window.py
@@ -8,7 +8,7 @@
 class SlidingWindowCounter:
     """Counts events of the last window. With a window of 0 nothing is kept and the count is 0.
 
-    ``includes_edge`` says whether an event exactly one window old still counts.
+    ``includes_edge`` states whether an event exactly one window old still counts.
     """
 
     __slots__ = ("_at_us", "_edge_us", "window_us")
--- a/heathwell/datastructures/token_bucket.py
+++ b/heathwell/datastructures/token_bucket.py
@@ -4,7 +4,7 @@
 
 
 class TokenBucket:
-    """Tokens that are earned in fractions up to a capacity and spent whole; it starts full."""
+    """Tokens that are earned in fractions up to a capacity and spent one by one; it starts full."""
 
     __slots__ = ("capacity", "tokens")
 
@@ -21,5 +21,5 @@
         self.tokens -= 1
 
     def has_token(self) -> bool:
-        """Whether a whole token is left."""
+        """Whether at least one token is left."""
         return self.tokens >= 1
--- a/heathwell/gateway/settings_from_platform.py
+++ b/heathwell/gateway/settings_from_platform.py
@@ -77,13 +77,13 @@
 
 def coded(message: JsonValue, field: str, where: str, codes: Mapping[str, CodeT]) -> CodeT:
     """Return what a text stands for by ``codes``."""
-    word = text(message, field, where)
-    if word not in codes:
-        raise WireError(f"{where}: field '{field}' has the unknown value {word!r}")
-    return codes[word]
+    code = text(message, field, where)
+    if code not in codes:
+        raise WireError(f"{where}: field '{field}' has the unknown value {code!r}")
+    return codes[code]
 
 
-def rows(message: JsonValue, field: str, where: str) -> list[JsonValue]:
+def array(message: JsonValue, field: str, where: str) -> list[JsonValue]:
     """Return an array."""
     value = need(message, field, where)
     if not isinstance(value, list):
@@ -166,7 +166,7 @@
     partial_weights = deployment.get("incomplete-worth") or []
     second_step_parts = deployment.get("class-fetch") or []
     classes = []
-    for index, entry in enumerate(rows(setup, "classes", "setup")):
+    for index, entry in enumerate(array(setup, "classes", "setup")):
         where = f"classes[{index}]"
         classes.append(
             policy.QueryClass(
--- a/heathwell/servers/vector_answers.py
+++ b/heathwell/servers/vector_answers.py
@@ -14,6 +14,7 @@
 from heathwell.servers.answer_age import age_fields
 from heathwell.servers.vector_api import ApiError
 from heathwell.service.merging import MergedRows
+from heathwell.service.reply_merging import merged_rows
 from heathwell.service.vectors.search_messages import Hit
 from heathwell.settings.schema import Collection
 
@@ -100,7 +101,7 @@
     """Return the quality of an answer that rests on several replies: the least and oldest of theirs."""
     covers = [reply.coverage for reply in replies]
     least = min(covers, key=lambda cover: cover.weight)
-    recalls = [merged.recall for reply in replies for merged in reply.body["searches"]]
+    recalls = [merged.recall for merged in merged_rows(replies)]
     coverage = CoverageFields(
         whole=all(reply.complete for reply in replies),
         parts=(least.answered_parts, least.requested_parts),
--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -15,6 +15,7 @@
 from heathwell.service.key_spaces import consecutive_shards, place
 from heathwell.service.merging import MergedRows, TopKMerge
 from heathwell.service.records import PartPlan, Plan, SearchPlan
+from heathwell.service.reply_merging import merged_rows
 from heathwell.service.service_broker import ServiceBroker
 from heathwell.service.vectors.search_messages import SEARCH_OPERATION
 from heathwell.settings.schema import Collection
@@ -147,7 +148,7 @@
         if self._is_cancelled:
             raise StreamBrokenError("the client left")
         replies = [self._replies[index] for index in range(len(self._chunks))]
-        return SearchResults(replies, [merged for reply in replies for merged in reply.body["searches"]])
+        return SearchResults(replies, merged_rows(replies))
 
     def cancel(self) -> bool:
         """End the search as its client has disconnected; return whether any chunk had been started."""
--- a/heathwell/service/reply_merging.py
+++ b/heathwell/service/reply_merging.py
@@ -2,10 +2,14 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+from dataclasses import dataclass
+
 from heathwell import policy
-from heathwell.broker.replies import Age, Coverage, JsonObject, Reply, ReplyKind
+from heathwell.broker.replies import Age, Coverage, Reply, ReplyKind
 from heathwell.service import key_spaces
 from heathwell.service.coverage import Cover
+from heathwell.service.merging import MergedRows
 from heathwell.service.records import SearchPlan
 from heathwell.service.service_records import ServicePart, ServiceQuery
 
@@ -21,6 +25,18 @@
         self.reason = reason
 
 
+@dataclass(frozen=True, slots=True)
+class SearchReply(Reply):
+    """The answer to a query of searches: the merged rows of each, in the order of the searches."""
+
+    searches: tuple[MergedRows, ...] = ()
+
+
+def merged_rows(replies: Sequence[Reply]) -> list[MergedRows]:
+    """Return the merged rows of all searches that the replies answer, in their order."""
+    return [rows for reply in replies if isinstance(reply, SearchReply) for rows in reply.searches]
+
+
 def merge_reply(
     query: ServiceQuery, query_class: policy.QueryClass, *, complete: bool, age: Age | None
 ) -> Reply:
@@ -28,8 +44,15 @@
     coverage = coverage_of(query, query_class)
     search = query.plan.search
     if search is not None:
-        body = _search_body(query, search)
-        return Reply(ReplyKind.ANSWERED, query.id, query_class.name, complete, coverage, body, age=age)
+        return SearchReply(
+            ReplyKind.ANSWERED,
+            query.id,
+            query_class.name,
+            complete,
+            coverage,
+            age=age,
+            searches=_merged_searches(query, search),
+        )
     try:
         body = key_spaces.merge(query.plan.shape, _answers(query, step=1), _answers(query, step=2))
     except (ValueError, KeyError, TypeError) as error:
@@ -76,12 +99,7 @@
     return [part.data for part in _parts_of_step(query, step) if part.data is not None]
 
 
-def _search_body(query: ServiceQuery, search: SearchPlan) -> JsonObject:
-    """Return a search's merged rows, one :class:`~heathwell.service.merging.MergedRows` a search."""
+def _merged_searches(query: ServiceQuery, search: SearchPlan) -> tuple[MergedRows, ...]:
     missing = [part.id for part in query.parts.values() if part.data is None]
     usual_points = search.top.usual_point_count()
-    return {
-        "searches": [
-            search.top.result(number, missing, usual_points) for number in range(len(search.top.limits))
-        ]
-    }
+    return tuple(search.top.result(number, missing, usual_points) for number in range(len(search.top.limits)))
