--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -1,42 +1,68 @@
-"""Seeded days of keepers and brokers under random faults, virtual time: `python benchmarks/budgets.py [DAYS]
-[FIRST]`.
+"""Seeded runs of coordinators and brokers under random faults, in virtual time:
+`python benchmarks/budgets.py [RUNS] [FIRST_SEED]`.
 
-Exit code 1 if more than the whole of a budget was held or used at any instant of any day.
+Exit code 1 if more than the total of a budget was held or used at any instant of any run.
 """
 
 from __future__ import annotations
 
 import sys
 from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass
+from typing import Final
 
-from heathwell.testing.simulation.quota_scenario import QuotaScenario, random_faults
+from heathwell.testing.simulation.quota_auditor import Overshoot
+from heathwell.testing.simulation.quota_faults import schedule_random_faults
+from heathwell.testing.simulation.quota_scenario import QuotaScenario
 
+FAULTS_FROM_US: Final = 7_000_000
+FAULTS_UNTIL_US: Final = 18_000_000
+END_US: Final = 20_000_000
+DEFAULT_RUNS: Final = 1_000
+SEEDS_PER_TASK: Final = 8
 
-def day(seed: int) -> tuple[int, list[str], int, int]:
-    """A day of 20 s: its breaches, messages and brokers that took themselves for dead."""
-    played = QuotaScenario(seed)
-    random_faults(played, 7_000_000, 18_000_000)
-    played.until(20_000_000)
-    return seed, played.breaches, played.messages, played.deaths
 
+@dataclass(frozen=True, slots=True)
+class RunResult:
+    """What one run has found."""
 
-def main(days: int, first: int) -> int:
-    """Play them all, as many at once as there are processors."""
-    broken = messages = deaths = 0
+    seed: int
+    overshoots: list[Overshoot]
+    message_count: int
+    ended_incarnations: int
+
+
+def run_scenario(seed: int) -> RunResult:
+    """Run one scenario with random faults and return its result."""
+    scenario = QuotaScenario(seed)
+    schedule_random_faults(scenario, FAULTS_FROM_US, FAULTS_UNTIL_US)
+    scenario.run_until(END_US)
+    return RunResult(seed, scenario.overshoots, scenario.message_count, scenario.ended_incarnations)
+
+
+def main(runs: int, first_seed: int) -> int:
+    """Run all seeds, as many at a time as there are processors; return the exit code."""
+    runs_with_overshoot = 0
+    message_count = 0
+    ended_incarnations = 0
+    seeds = range(first_seed, first_seed + runs)
     with ProcessPoolExecutor() as pool:
-        for seed, breaches, sent, died in pool.map(day, range(first, first + days), chunksize=8):
-            messages, deaths = messages + sent, deaths + died
-            if breaches:
-                broken += 1
-                print(f"seed {seed}: {breaches[0]} (and {len(breaches) - 1} more)")
+        for result in pool.map(run_scenario, seeds, chunksize=SEEDS_PER_TASK):
+            message_count += result.message_count
+            ended_incarnations += result.ended_incarnations
+            if result.overshoots:
+                runs_with_overshoot += 1
+                others = len(result.overshoots) - 1
+                print(f"seed {result.seed}: {result.overshoots[0]} (and {others} more)")
     print(
-        f"{days} days from seed {first}: {broken} with an overshoot; {messages} messages, {deaths} "
-        f"brokers found "
-        "themselves dead"
+        f"{runs} days from seed {first_seed}: {runs_with_overshoot} with an overshoot; "
+        f"{message_count} messages, {ended_incarnations} brokers found themselves dead"
     )
-    return 1 if broken else 0
+    return 1 if runs_with_overshoot else 0
 
 
 if __name__ == "__main__":
-    numbers = [int(word) for word in sys.argv[1:]]
-    sys.exit(main(numbers[0] if numbers else 1_000, numbers[1] if len(numbers) > 1 else 0))
+    arguments = [int(argument) for argument in sys.argv[1:]]
+    runs_argument = arguments[0] if arguments else DEFAULT_RUNS
+    first_seed_argument = arguments[1] if len(arguments) > 1 else 0
+    sys.exit(main(runs_argument, first_seed_argument))
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -29,7 +29,8 @@
 from heathwell.testing.simulation.evacuation_experiment import EvacuationScenario
 from heathwell.testing.simulation.multi_broker_scenario import MultiBrokerScenario
 from heathwell.testing.simulation.quota_experiment import QuotaExperiment
-from heathwell.testing.simulation.quota_scenario import QuotaScenario, random_faults
+from heathwell.testing.simulation.quota_faults import schedule_random_faults
+from heathwell.testing.simulation.quota_scenario import QuotaScenario
 from heathwell.testing.simulation.random_fault_scripts import generate_fault_script
 from heathwell.testing.simulation.release_experiment import Releases
 from heathwell.testing.simulation.retry_storm_experiment import RetryStormScenario
@@ -74,15 +75,23 @@
 def budget_day() -> Any:
     """Keepers and brokers under drawn faults."""
     day = QuotaScenario(1, brokers=8)
-    faults = random_faults(day, 6 * SECOND_US, 12 * SECOND_US)
-    day.until(13 * SECOND_US)
+    faults = schedule_random_faults(day, 6 * SECOND_US, 12 * SECOND_US)
+    day.run_until(13 * SECOND_US)
     holders = [
-        (broker.name, name, holder.quota(broker.clock(day.now)), holder.in_use)
+        (broker.name, name, holder.quota(broker.clock_us(day.now_us)), holder.in_use)
         for broker in day.brokers
-        if broker.up
+        if broker.is_running
         for name, holder in broker.program.holders.items()
     ]
-    return faults, day.used, day.breaches, day.messages, day.deaths, sorted(day.cuts), holders
+    return (
+        faults,
+        day.auditor.units_used,
+        day.overshoots,
+        day.message_count,
+        day.ended_incarnations,
+        sorted(day.cut_links),
+        holders,
+    )
 
 
 def granted_quotas() -> Any:
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -30,7 +30,9 @@
     allocate,
     statistics_by_budget,
 )
-from heathwell.testing.simulation.quota_scenario import BUDGETS, QuotaScenario, random_faults
+from heathwell.testing.simulation.quota_faults import schedule_random_faults
+from heathwell.testing.simulation.quota_processes import ProcessNotRunningError
+from heathwell.testing.simulation.quota_scenario import BUDGETS, Link, QuotaScenario
 
 S = 1_000_000
 LEASE = Lease(3 * S, 0.03)
@@ -304,10 +306,10 @@
 )
 def test_no_more_than_the_total_is_held_or_used_under_random_faults(seed):
     day = QuotaScenario(seed)
-    random_faults(day, 7_000_000, 18_000_000)
-    day.until(20_000_000)
-    assert not day.breaches, day.breaches[:3]
-    assert day.messages > 1_000
+    schedule_random_faults(day, 7_000_000, 18_000_000)
+    day.run_until(20_000_000)
+    assert not day.overshoots, day.overshoots[:3]
+    assert day.message_count > 1_000
 
 
 class Generous(QuotaCoordinator):
@@ -321,35 +323,35 @@
 
 
 def test_the_auditor_finds_what_is_held_and_used_beyond_the_total():
-    day = QuotaScenario(1, brokers=24, keeper=Generous)
-    day.until(14_000_000)
-    told = " ".join(day.breaches)
+    day = QuotaScenario(1, brokers=24, coordinator_type=Generous)
+    day.run_until(14_000_000)
+    told = " ".join(map(str, day.overshoots))
     assert "may be held" in told and "are held" in told and "was used" in told
 
 
 def test_with_demand_above_the_total_nine_tenths_of_it_are_in_use():
     day = QuotaScenario(3, brokers=24)
-    day.until(14_000_000)
+    day.run_until(14_000_000)
     for budget in BUDGETS:
         unit = 1_000 if budget.kind == BudgetKind.RATE else 1
-        assert day.used[budget.name, 13] * unit >= 0.9 * budget.total, budget.name
-    assert not day.breaches
+        assert day.auditor.units_used[budget.name][13] * unit >= 0.9 * budget.total, budget.name
+    assert not day.overshoots
 
 
 def test_the_quotas_of_a_killed_third_are_in_use_again_within_a_lease_and_a_second():
     day = QuotaScenario(4, brokers=24)
-    day.until(12_000_000)
+    day.run_until(12_000_000)
     for broker in day.brokers[::3]:
-        day.kill(broker, None)
-    day.until(17_000_000)  # a lease of 3 s, and a second
+        day.kill(broker)
+    day.run_until(17_000_000)  # a lease of 3 s, and a second
     pool, further = BUDGETS
     living = 16
     reach = pool.total - pool.reserved + living * pool.broker_minimum
-    assert day.used["connections", 16] >= 0.9 * reach
-    assert day.used["further", 16] * 1_000 >= 0.9 * (
+    assert day.auditor.units_used["connections"][16] >= 0.9 * reach
+    assert day.auditor.units_used["further"][16] * 1_000 >= 0.9 * (
         further.total - further.reserved + living * further.broker_minimum
     )
-    assert not day.breaches
+    assert not day.overshoots
 
 
 @pytest.mark.parametrize(
@@ -359,29 +361,41 @@
 def test_a_lost_coordinator_costs_a_third_for_a_fraction_lease_at_most(fault):
     """Its grants expire, its fraction lease does, and another grants of its fraction."""
     day = QuotaScenario(5, brokers=24)
-    day.until(12_000_000)
-    lost = day.keepers[1]
+    day.run_until(12_000_000)
+    lost = day.coordinators[1]
     if fault == "kill":
-        day.kill(lost, None)
+        day.kill(lost)
     elif fault == "stop":
-        day.stop(lost, 60_000_000)
+        day.pause(lost, 60_000_000)
     else:
-        day.cuts |= {way for other in day.machines for way in ((lost.name, other), (other, lost.name))}
+        links = {Link(lost.name, other.name) for other in day.processes}
+        day.cut_links |= links | {link.reverse() for link in links}
     worst = []
     for second in range(13, 24):
-        day.until(second * 1_000_000)
-        worst.append(day.used["connections", second - 1] / day.budgets[0].total)
+        day.run_until(second * 1_000_000)
+        worst.append(day.auditor.units_used["connections"][second - 1] / day.budgets[0].total)
     assert min(worst) >= 0.6 and worst[-1] >= 0.9, worst
-    assert not day.breaches
+    assert not day.overshoots
 
 
 def test_without_any_coordinator_each_broker_goes_on_by_its_own_minimum():
     day = QuotaScenario(6, brokers=24)
-    day.until(10_000_000)
-    for keeper in day.keepers:
-        day.kill(keeper, None)
-    day.until(16_000_000)
+    day.run_until(10_000_000)
+    for coordinator in day.coordinators:
+        day.kill(coordinator)
+    day.run_until(16_000_000)
     pool, further = BUDGETS
-    assert day.used["connections", 15] == 24 * pool.broker_minimum
-    assert 0.8 * further.reserved <= day.used["further", 15] * 1_000 <= further.reserved + 2_000
-    assert not day.breaches
+    assert day.auditor.units_used["connections"][15] == 24 * pool.broker_minimum
+    assert 0.8 * further.reserved <= day.auditor.units_used["further"][15] * 1_000 <= further.reserved + 2_000
+    assert not day.overshoots
+
+
+def test_a_killed_process_has_no_program_until_it_is_started_again():
+    day = QuotaScenario(7, brokers=1)
+    broker = day.brokers[0]
+    first = broker.running_program
+    day.kill(broker, 50_000)
+    with pytest.raises(ProcessNotRunningError, match="b0 is not running"):
+        _ = broker.running_program
+    day.run_until(50_000)
+    assert broker.incarnation == 2 and broker.running_program is not first
