--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -32,7 +32,8 @@
 from heathwell.testing.simulation.quota_faults import schedule_random_faults
 from heathwell.testing.simulation.quota_scenario import QuotaScenario
 from heathwell.testing.simulation.random_fault_scripts import generate_fault_script
-from heathwell.testing.simulation.release_experiment import Releases
+from heathwell.testing.simulation.release_experiment import ReleaseExperiment
+from heathwell.testing.simulation.release_fleet import Defect
 from heathwell.testing.simulation.retry_storm_experiment import RetryStormScenario
 
 from .test_event_orderings_random import play as play_crossings
@@ -52,8 +53,15 @@
         Stage(0.25, 60 * SECOND_US, 120 * SECOND_US, require_proof=True),
         Stage(1.0, 20 * SECOND_US, 20 * SECOND_US),
     )
-    release = Releases(1, "worse class", brokers=16, zones=5, rate=40.0, plan=Plan(stages, max_concurrent=8))
-    return release.run(), release.course.history, release.shock, release.runs
+    release = ReleaseExperiment(
+        1, Defect.WORSE_CLASS, brokers=16, zones=5, rate=40.0, plan=Plan(stages, max_concurrent=8)
+    )
+    return (
+        release.run(),
+        release.controller.history,
+        release.fleet.zone_losses,
+        release.fleet.running_versions,
+    )
 
 
 def ruling_on_many_worse_classes() -> Any:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -32,7 +32,8 @@
 from heathwell.fleet.rollout.preflight import preflight_warnings
 from heathwell.fleet.rollout.rollout_controller import TRANSITIONS
 from heathwell.settings import load
-from heathwell.testing.simulation.release_experiment import CLASSES, DEFECTS, WINDOW_US, Releases, play
+from heathwell.testing.simulation.release_experiment import Policy, ReleaseExperiment, run_release
+from heathwell.testing.simulation.release_fleet import CLASSES, DEFECTS, WINDOW_US, Defect
 
 S = 1_000_000
 ROOT = Path(__file__).parent.parent
@@ -343,10 +344,10 @@
 
 def test_good_releases_pass_and_bad_ones_are_stopped():
     """The large figures are `benchmarks/releases.py`'s; these seeds go the same way each time."""
-    good = [play(seed) for seed in range(12)]
+    good = [run_release(seed) for seed in range(12)]
     assert sum(outcome.stopped for outcome in good) == 0
     for defect in DEFECTS:
-        outcomes = [play(seed, defect) for seed in range(100, 103)]
+        outcomes = [run_release(seed, defect) for seed in range(100, 103)]
         assert all(outcome.stopped and outcome.stage < 3 for outcome in outcomes), (defect, outcomes)
 
 
@@ -355,13 +356,13 @@
     rate is `benchmarks/class_regression.py`'s, in docs/measurements.md.
     """
     seeds = (0, 1, 2, 3, 4)
-    judged = [play(seed, "worse class") for seed in seeds]
-    thresholds = [play(seed, "worse class", "thresholds") for seed in seeds]
+    judged = [run_release(seed, Defect.WORSE_CLASS) for seed in seeds]
+    thresholds = [run_release(seed, Defect.WORSE_CLASS, Policy.THRESHOLDS) for seed in seeds]
     assert all(outcome.stopped for outcome in judged) and sum(outcome.stopped for outcome in thresholds) <= 3
 
 
 def test_the_same_seed_gives_the_same_release():
-    first, second = (Releases(7, "leak").run() for _ in range(2))
+    first, second = (ReleaseExperiment(7, Defect.MEMORY_LEAK).run() for _ in range(2))
     assert first == second and set(CLASSES) and WINDOW_US
 
 
