--- a/benchmarks/freshness.py
+++ b/benchmarks/freshness.py
@@ -19,8 +19,9 @@
 import costs
 
 from heathwell.settings import load, loads
+from heathwell.testing.simulation.host_faults import HOST_FAULTS, LAG_FAULTS
 from heathwell.testing.simulation.process_fleet import ProcessFleet
-from heathwell.testing.simulation.simulated_scenario import HOST_FAULTS, LAG_FAULTS, SimulatedScenario
+from heathwell.testing.simulation.simulated_scenario import SimulatedScenario
 
 TEXT = """
 (class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (work 40ms){wish})
@@ -50,20 +51,20 @@
     day = SimulatedScenario(
         loads(TEXT.format(on=on, wish=wish)),
         seed,
-        seconds=SECONDS,
-        tokens=True,
-        troubles=HOST_FAULTS + LAG_FAULTS * 3,
+        duration_seconds=SECONDS,
+        use_tokens=True,
+        faults=HOST_FAULTS + LAG_FAULTS * 3,
     ).run()
     verdict = day.verdict()
     out: dict[str, Any] = {
         "policy": name,
         "seed": seed,
         "rules": [str(b) for b in verdict.breaches],
-        "outcomes": day.outcomes,
+        "outcomes": day.outcome_counts,
         "judged": 0,
     }
     if name != "off":
-        ages = day.ages()
+        ages = day.age_verdict()
         out |= {
             "judged": ages.judged,
             "unknown": ages.unknown,
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -13,7 +13,7 @@
 
 from heathwell.testing.simulation import region_process_experiment
 from heathwell.testing.simulation.region_experiment import (
-    LARGE,
+    LARGE_REGION_SETTINGS,
     TROUBLES,
     VARIANTS,
     RegionScenario,
@@ -25,7 +25,7 @@
 def large() -> int:
     """A region lost at 82 hosts and 89 brokers: what the hosts were sent, second by second."""
     began = time.process_time()
-    day = RegionScenario("decider", "region lost", 1, 130.0, LARGE)
+    day = RegionScenario("decider", "region lost", 1, 130.0, LARGE_REGION_SETTINGS)
     day.run()
     took = time.process_time() - began
     verdict = day.verdict()
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -23,7 +23,7 @@
 from heathwell.testing.simulation.retry_storm_experiment import (
     HEEDS,
     IGNORES,
-    MARKET,
+    RETRY_STORM_SETTINGS,
     STORMS,
     Crowd,
     RetryStormScenario,
@@ -76,9 +76,9 @@
 
 def large() -> int:
     """The users' size to come: what cold hosts are sent together by brokers that can't talk to each other."""
-    text = MARKET.replace("(shards 32) (cells 16) (width 2)", "(shards 164) (cells 82) (width 3)").replace(
-        "(leaves 16) (brokers 3)", "(leaves 82) (brokers 89)"
-    )
+    text = RETRY_STORM_SETTINGS.replace(
+        "(shards 32) (cells 16) (width 2)", "(shards 164) (cells 82) (width 3)"
+    ).replace("(leaves 16) (brokers 3)", "(leaves 82) (brokers 89)")
     began, bad = time.process_time(), 0
     for variant in ("module alone", "damped"):
         day = RetryStormScenario(
@@ -103,7 +103,9 @@
     """
     folder = Path(tempfile.mkdtemp(prefix="heathwell-storm-"))
     text = (
-        MARKET + (STORMS if variant == "damped" else "") + "(log (level error)) (broker (listen 127.0.0.2:0))"
+        RETRY_STORM_SETTINGS
+        + (STORMS if variant == "damped" else "")
+        + "(log (level error)) (broker (listen 127.0.0.2:0))"
     )
     (folder / "market.sx").write_text(text)
     service_settings = loads(text)
--- a/heathwell/testing/simulation/evacuation_experiment.py
+++ b/heathwell/testing/simulation/evacuation_experiment.py
@@ -24,7 +24,7 @@
 from heathwell.fleet.evacuation import EvacuationController, ZoneState, ZoneTransition
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.simulation.quota_experiment import REGIONAL_SETTINGS
-from heathwell.testing.simulation.simulated_scenario import SimulatedScenario
+from heathwell.testing.simulation.simulated_scenario import CompletedRequest, SimulatedScenario
 from heathwell.testing.standins.leaf import Leaf
 
 VARIANTS = ("nobody", "itself", "fixed", "fleet")
@@ -127,11 +127,11 @@
         super().__init__(
             service_settings_of(variant, brokers, hosts),
             seed,
-            seconds=BEFORE + TROUBLE + AFTER,
-            rate=rate * busy,
-            trouble_rate=0.0,
-            poison=0.0,
-            desk=desk,
+            duration_seconds=BEFORE + TROUBLE + AFTER,
+            arrival_rate=rate * busy,
+            fault_rate=0.0,
+            poison_fraction=0.0,
+            make_evacuation_coordinator=desk,
         )
         self.cuts: list[tuple[str, str]] = []
 
@@ -198,7 +198,7 @@
         for leaf in leaves:
             leaf.order(frames.FaultCommand(what, value, span, query_class))
 
-    def _clients(self, draws: random.Random) -> Coro[None]:
+    def _generate_load(self, draws: random.Random) -> Coro[None]:
         """As ever, but on the day on which all clients come to one zone's brokers."""
         if self.kind == "clients moved":
             plain, moved = draws.randrange, self.loop.now() + int(BEFORE * 1e6)
@@ -209,15 +209,13 @@
                 return here[number % len(here)] if of_brokers and self.loop.now() > moved else number
 
             draws.randrange = chosen  # type: ignore[method-assign,assignment]
-        yield from super()._clients(draws)
+        yield from super()._generate_load(draws)
 
-    def _count(
-        self, keys: list[str], classes: list[Any], bodies: dict[str, dict[str, Any]], took: int, broker: int
-    ) -> None:
-        window = int(((self.loop.now() - took - self._zero) / 1e6) // WINDOW)
-        before = {name: Counter(counts) for name, counts in self.outcomes.items()}
-        super()._count(keys, classes, bodies, took, broker)
-        for name, counts in self.outcomes.items():
+    def _on_request_completed(self, request: CompletedRequest) -> None:
+        window = int(((request.started_at_us - self._zero) / 1e6) // WINDOW)
+        before = {name: Counter(counts) for name, counts in self.outcome_counts.items()}
+        super()._on_request_completed(request)
+        for name, counts in self.outcome_counts.items():
             self.ends[name, window].update(Counter(counts) - before.get(name, Counter()))
 
     @property
--- a/heathwell/testing/simulation/quota_experiment.py
+++ b/heathwell/testing/simulation/quota_experiment.py
@@ -17,7 +17,24 @@
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.audit import judge_budgets
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.simulated_scenario import SETTLE_US, SimulatedScenario
+from heathwell.testing.simulation.demo_settings import (
+    PRICE_KEYS,
+    RULES,
+    SALE_KEYS,
+    day_report_class,
+    discovery_section,
+    limits_section,
+    price_search_class,
+    report_keys,
+    sale_record_class,
+    settings_text,
+)
+from heathwell.testing.simulation.simulated_scenario import (
+    LOOP_START_US,
+    SETTLE_US,
+    CompletedRequest,
+    SimulatedScenario,
+)
 from heathwell.testing.standins.leaf import Leaf
 
 
@@ -62,25 +79,23 @@
 BEFORE_SECONDS: Final = 8.0
 FAULT_SECONDS: Final = 15.0
 AFTER_SECONDS: Final = 12.0
-LOOP_START_US: Final = 1_000_000
-"""The time of the virtual loop at its start."""
 FAULT_AT_US: Final = LOOP_START_US + SETTLE_US + int((COORDINATOR_SETTLE_SECONDS + BEFORE_SECONDS) * 1e6)
 RELEASE_STEPS: Final = 8
 RESTART_DELAY_US: Final = 500_000
 SLOW_HOST_STRIDE: Final = 6
 SLOW_FACTOR: Final = 10.0
 
-REGIONAL_SETTINGS: Final = """
-(class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (work 40ms))
-(class day-report (aim 1200ms) (limit 3s) (late-worth 10%) (fetch 5) (fetch-work 50%) (work 30ms))
-(class sale-record (aim 750ms) (limit 1500ms) (repeat keyed) (dedup 750ms) (late-worth 10%) (work 30ms))
-(keys sale (class sale-record) (shape record))
-(keys price (class price-search) (shape search) (parts 8))
-(keys report (class day-report) (shape report) (report-parts 4))
-(rules (drain-grace 1s) (fall-multiple 2.5) (fall-after 1s) (start-capacity 18%) (warm-within 17s))
-(limits (attempts 4) (open-cap 800) (by-work yes))
-(discovery (notice 300ms) (silent-notice 2s))
-"""
+REGIONAL_SETTINGS: Final = settings_text(
+    price_search_class(),
+    day_report_class(second_step_work_percent=50),
+    sale_record_class(),
+    SALE_KEYS,
+    PRICE_KEYS,
+    report_keys(),
+    RULES,
+    limits_section(max_in_flight=800),
+    discovery_section(),
+)
 ZONES: Final = "a-1 a-2 a-3 b-1 b-2 b-3 c-1 c-2 c-3"
 ZONE_COUNT: Final = len(ZONES.split())
 ZONES_PER_REGION: Final = 3
@@ -175,11 +190,11 @@
         super().__init__(
             quota_experiment_settings(self.variant, brokers, hosts, further, cold),
             seed,
-            seconds=BEFORE_SECONDS + FAULT_SECONDS + AFTER_SECONDS,
-            rate=rate,
-            trouble_rate=0.0,
-            poison=0.0,
-            keep=self.variant in COORDINATED_VARIANTS,
+            duration_seconds=BEFORE_SECONDS + FAULT_SECONDS + AFTER_SECONDS,
+            arrival_rate=rate,
+            fault_rate=0.0,
+            poison_fraction=0.0,
+            run_coordinators=self.variant in COORDINATED_VARIANTS,
         )
         self.net.delay = self._link_delay_us
 
@@ -244,13 +259,11 @@
             return Phase.BEFORE
         return Phase.DURING if since_fault_seconds < FAULT_SECONDS else Phase.AFTER
 
-    def _count(
-        self, keys: list[str], classes: list[Any], bodies: dict[str, dict[str, Any]], took: int, broker: int
-    ) -> None:
-        phase = self._phase(self.loop.now() - took)
-        before = {name: Counter(counts) for name, counts in self.outcomes.items()}
-        super()._count(keys, classes, bodies, took, broker)
-        for name, counts in self.outcomes.items():
+    def _on_request_completed(self, request: CompletedRequest) -> None:
+        phase = self._phase(request.started_at_us)
+        before = {name: Counter(counts) for name, counts in self.outcome_counts.items()}
+        super()._on_request_completed(request)
+        for name, counts in self.outcome_counts.items():
             added = Counter(counts) - before.get(name, Counter())
             self.outcomes_by_phase.setdefault((name, phase), Counter()).update(added)
 
--- a/heathwell/testing/simulation/region_experiment.py
+++ b/heathwell/testing/simulation/region_experiment.py
@@ -12,7 +12,20 @@
 
 from heathwell.eventloop import Coro, sleep
 from heathwell.settings import ServiceSettings, loads
-from heathwell.testing.simulation.simulated_scenario import SimulatedScenario
+from heathwell.testing.simulation.demo_settings import (
+    PRICE_KEYS,
+    RULES,
+    SALE_KEYS,
+    day_report_class,
+    discovery_section,
+    fleet_section,
+    limits_section,
+    price_search_class,
+    report_keys,
+    sale_record_class,
+    settings_text,
+)
+from heathwell.testing.simulation.simulated_scenario import CompletedRequest, QueryOutcome, SimulatedScenario
 from heathwell.testing.standins.relay import lost_wait
 
 BEFORE, TROUBLE, AFTER = 10.0, 15.0, 20.0
@@ -25,24 +38,35 @@
     "nearest first": "(across (decide no) (prefer-home yes) (region hki (zones hki-1 hki-2)) "
     "(region espoo (zones espoo-1 espoo-2)))",
 }
-MARKET = """
-(class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (floor 50%) (partial-worth 60%)
-  (work 40ms))
-(class day-report (aim 1200ms) (limit 3s) (late-worth 10%) (fetch 5) (work 30ms))
-(class sale-record (aim 750ms) (limit 1500ms) (repeat keyed) (dedup 750ms) (late-worth 10%) (work 30ms))
-(keys sale (class sale-record) (shape record))
-(keys price (class price-search) (shape search) (parts 8))
-(keys report (class day-report) (shape report) (report-parts 4))
-(fleet (shards 64) (cells 32) (width 2) (zones hki-1 hki-2 espoo-1 espoo-2) (leaves 32) (brokers 8))
-(rules (drain-grace 1s) (fall-multiple 2.5) (fall-after 1s) (start-capacity 18%) (warm-within 17s))
-(limits (attempts 4) (open-cap 800) (by-work yes))
-(discovery (notice 300ms) (silent-notice 2s))
-"""
 
-# The users' size to come: 82 hosts, 89 brokers, 130 queries a second.
-LARGE = MARKET.replace("(shards 64) (cells 32) (width 2)", "(shards 164) (cells 82) (width 3)").replace(
-    "(leaves 32) (brokers 8)", "(leaves 82) (brokers 89)"
-)
+
+def region_settings_text(
+    *, shards: int, replica_groups: int, replicas: int, leaves: int, brokers: int
+) -> str:
+    """Return the settings of a fleet of this size over both regions, without its variant."""
+    return settings_text(
+        price_search_class(minimum_percent=50),
+        day_report_class(),
+        sale_record_class(),
+        SALE_KEYS,
+        PRICE_KEYS,
+        report_keys(),
+        fleet_section(
+            shards=shards,
+            replica_groups=replica_groups,
+            replicas=replicas,
+            zones=("hki-1", "hki-2", "espoo-1", "espoo-2"),
+            leaves=leaves,
+            brokers=brokers,
+        ),
+        RULES,
+        limits_section(max_in_flight=800),
+        discovery_section(),
+    )
+
+
+REGION_SETTINGS = region_settings_text(shards=64, replica_groups=32, replicas=2, leaves=32, brokers=8)
+LARGE_REGION_SETTINGS = region_settings_text(shards=164, replica_groups=82, replicas=3, leaves=82, brokers=89)
 
 
 @dataclass(slots=True)
@@ -64,12 +88,17 @@
     """
 
     def __init__(
-        self, variant: str, trouble: str, seed: int = 1, rate: float = 60.0, text: str = MARKET
+        self, variant: str, trouble: str, seed: int = 1, rate: float = 60.0, text: str = REGION_SETTINGS
     ) -> None:
         service_settings: ServiceSettings = loads(text + VARIANTS[variant])
         self.ways: Callable[[str, str], int] = self._plain_way
         super().__init__(
-            service_settings, seed, seconds=BEFORE + TROUBLE + AFTER, rate=rate, trouble_rate=0.0, poison=0.0
+            service_settings,
+            seed,
+            duration_seconds=BEFORE + TROUBLE + AFTER,
+            arrival_rate=rate,
+            fault_rate=0.0,
+            poison_fraction=0.0,
         )
         self.net.delay = self._way
         self.trouble_name = trouble
@@ -143,34 +172,33 @@
             for leaf in lost:  # back cold all at once
                 leaf.start()
 
-    def _count(
-        self, keys: list[str], classes: list[Any], bodies: dict[str, dict[str, Any]], took: int, broker: int
-    ) -> None:
-        far_broker = self.far(f"b{broker}")
-        at = (self.loop.now() - took - 1_000_000 - 1_500_000) / 1e6
+    def _on_request_completed(self, request: CompletedRequest) -> None:
+        far_broker = self.far(f"b{request.broker}")
+        at = (request.started_at_us - 1_000_000 - 1_500_000) / 1e6
         where = 0 if at < BEFORE else 1 if at < BEFORE + TROUBLE else 2
-        for key, spec in zip(keys, classes, strict=True):
-            body = bodies.get(key)
-            plan = self.fleet.brokers[0].broker.keys.plan(key)
+        for query in request.queries:
+            plan = self.fleet.brokers[0].broker.keys.plan(query.key)
             home = plan is not None and self._all_home(plan, far_broker)
             for part in (home, None):
                 if part is None or part:
-                    span = self.spans.setdefault((spec.name, where, bool(part)), Span())
+                    span = self.spans.setdefault((query.query_class.name, where, bool(part)), Span())
                     span.asked += 1
-                    if body is not None and "coverage" not in body:
-                        span.refused += bool(body.get("refused"))
-                        span.failed += bool(body.get("failed"))
-                    elif body is not None and not body["whole"]:
-                        span.partial += 1
-                    elif took <= spec.latency_objective_us:
-                        span.on_time += 1
-                    else:
-                        span.late += 1
+                    match query.outcome:
+                        case QueryOutcome.ON_TIME:
+                            span.on_time += 1
+                        case QueryOutcome.LATE:
+                            span.late += 1
+                        case QueryOutcome.PARTIAL:
+                            span.partial += 1
+                        case QueryOutcome.REFUSED:
+                            span.refused += 1
+                        case QueryOutcome.FAILED:
+                            span.failed += 1
             second = self.by_second.setdefault(int(at), [0, 0])
             second[0] += 1
-            second[1] += took <= spec.latency_objective_us and (body is None or bool(body.get("whole")))
-            if where == 1 and body is not None and not body.get("whole") and not home:
-                self.give_up_us.append(took * 1000 // spec.latency_objective_us)
+            second[1] += query.outcome == QueryOutcome.ON_TIME
+            if where == 1 and not query.is_complete and not home:
+                self.give_up_us.append(query.duration_us * 1000 // query.query_class.latency_objective_us)
 
     def steady_after(self) -> float | None:
         """Seconds from the trouble's end until three seconds in a row are within 5 points of the
--- a/heathwell/testing/simulation/region_process_experiment.py
+++ b/heathwell/testing/simulation/region_process_experiment.py
@@ -16,6 +16,19 @@
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.simulation.client_population import Outcome
+from heathwell.testing.simulation.demo_settings import (
+    PRICE_KEYS,
+    RULES,
+    SALE_KEYS,
+    day_report_class,
+    discovery_section,
+    fleet_section,
+    limits_section,
+    price_search_class,
+    report_keys,
+    sale_record_class,
+    settings_text,
+)
 from heathwell.testing.simulation.fault_scenario import Day
 from heathwell.testing.simulation.fault_script import Load, Mix, Script, Step
 
@@ -30,20 +43,26 @@
     ("flap 2 s", "link-flap", 2.0, ()),
     ("region lost", "zone-loss", 0.0, ("espoo-1", "espoo-2")),
 )
-MARKET = """
-(class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (floor 50%) (partial-worth 60%)
-  (work 20ms))
-(class day-report (aim 1200ms) (limit 3s) (late-worth 10%) (fetch 3) (work 15ms))
-(class sale-record (aim 750ms) (limit 1500ms) (repeat keyed) (dedup 750ms) (late-worth 10%) (work 15ms))
-(keys sale (class sale-record) (shape record))
-(keys price (class price-search) (shape search) (parts 8))
-(keys report (class day-report) (shape report) (report-parts 2))
-(fleet (shards 32) (cells 32) (width 2) (zones hki-1 hki-2 espoo-1 espoo-2) (leaves 32) (brokers 8))
-(rules (drain-grace 1s) (fall-multiple 2.5) (fall-after 1s) (start-capacity 18%) (warm-within 17s))
-(limits (attempts 4) (open-cap 600) (by-work yes))
-(discovery (notice 500ms) (silent-notice 3s))
-(log (level error))
-"""
+REGION_PROCESS_SETTINGS = settings_text(
+    price_search_class(work_ms=20, minimum_percent=50),
+    day_report_class(work_ms=15, second_step_parts=3),
+    sale_record_class(work_ms=15),
+    SALE_KEYS,
+    PRICE_KEYS,
+    report_keys(parts=2),
+    fleet_section(
+        shards=32,
+        replica_groups=32,
+        replicas=2,
+        zones=("hki-1", "hki-2", "espoo-1", "espoo-2"),
+        leaves=32,
+        brokers=8,
+    ),
+    RULES,
+    limits_section(max_in_flight=600),
+    discovery_section(notice_ms=500, silent_notice_ms=3_000),
+    "(log (level error))",
+)
 REGIONS = "(region hki (zones hki-1 hki-2)) (region espoo (zones espoo-1 espoo-2))"
 SPANS = ("before", "during", "after")
 
@@ -66,7 +85,7 @@
 
 def settings(variant: str) -> str:
     """The settings text of a variant."""
-    return MARKET + f"(across {VARIANTS[variant]} {REGIONS})\n"
+    return REGION_PROCESS_SETTINGS + f"(across {VARIANTS[variant]} {REGIONS})\n"
 
 
 def script_of(
--- a/heathwell/testing/simulation/retry_storm_experiment.py
+++ b/heathwell/testing/simulation/retry_storm_experiment.py
@@ -12,24 +12,39 @@
 from heathwell.eventloop import ConnectError, Coro, Loop, Net, Stream, StreamBrokenError, sleep
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.settings import ServiceSettings, loads
-from heathwell.testing.simulation.simulated_scenario import SETTLE_US, SimulatedScenario, _read_values
+from heathwell.testing.simulation.demo_settings import (
+    PRICE_KEYS,
+    RULES,
+    SALE_KEYS,
+    discovery_section,
+    fleet_section,
+    limits_section,
+    price_search_class,
+    sale_record_class,
+    settings_text,
+)
+from heathwell.testing.simulation.memcached_values import CoverageFields, ReplyBody, read_values
+from heathwell.testing.simulation.simulated_scenario import SETTLE_US, SimulatedScenario
 
 HEEDS, IGNORES, FIXED = "heeds", "ignores", "fixed"
 AGAIN_US = {IGNORES: 100_000, FIXED: 500_000}  # pause of those who don't heed advice
 USEFUL_US = 8_000_000  # after that a client has given its request up
 LAST_US = 4_000_000  # after the last request may have begun: its answer
+MISS = ReplyBody(complete=True, coverage=CoverageFields((0, 0)))
 STORMS = "(storms (on yes) (first-rate 4s) (first-accepts 100) (accepts 2000))"
-MARKET = """
-(class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (work 40ms))
-(class sale-record (aim 750ms) (limit 1500ms) (repeat keyed) (dedup 750ms) (late-worth 10%) (work 30ms))
-(keys sale (class sale-record) (shape record))
-(keys price (class price-search) (shape search) (parts 8))
-(fleet (shards 32) (cells 16) (width 2) (zones hki-1 hki-2 espoo-1) (leaves 16) (brokers 3))
-(rules (drain-grace 1s) (fall-multiple 2.5) (fall-after 1s) (start-capacity 18%) (warm-within 17s))
-(limits (attempts 4) (open-cap 2000) (by-work yes) (max-advice 500ms))
-(leaf (slots 3) (queue 24))
-(discovery (notice 300ms) (silent-notice 2s))
-"""
+RETRY_STORM_SETTINGS = settings_text(
+    price_search_class(),
+    sale_record_class(),
+    SALE_KEYS,
+    PRICE_KEYS,
+    fleet_section(
+        shards=32, replica_groups=16, replicas=2, zones=("hki-1", "hki-2", "espoo-1"), leaves=16, brokers=3
+    ),
+    RULES,
+    limits_section(max_in_flight=2000, max_retry_after_ms=500),
+    "(leaf (slots 3) (queue 24))",
+    discovery_section(),
+)
 
 
 @dataclass(slots=True)
@@ -141,23 +156,23 @@
                         where[(number + request.tries) % len(where)], 1_000_000
                     )
                 stream.write(f"get {key}\r\n".encode())
-                values = yield from _read_values(stream)
+                values = yield from read_values(stream)
             except (ConnectError, StreamBrokenError):
                 stream = None
                 yield from sleep(self.loop, pause)
                 continue
-            body = values[0][2] if values else {"whole": True, "coverage": {}}
-            if "coverage" in body:
+            body = values[0].body if values else MISS
+            if body.is_answer:
                 request.took = self.loop.now() - request.at
                 request.ended = (
                     "partial"
-                    if not body["whole"]
+                    if not body.complete
                     else "on time"
                     if request.took <= spec.latency_objective_us
                     else "late"
                 )
                 return stream
-            advised = int(str(body.get("retry_after_ms", 0))) * 1000
+            advised = body.retry_after_ms * 1000
             yield from sleep(self.loop, AGAIN_US.get(request.policy, advised) or pause)
         return stream
 
@@ -180,14 +195,19 @@
         ignoring: float = 0.33,
         before: float = 12.0,
         after: float = 40.0,
-        text: str = MARKET,
+        text: str = RETRY_STORM_SETTINGS,
         burst: float = 1.0,
         killed_after: float = 0.0,
         addresses: int = 0,
     ) -> None:
         service_settings: ServiceSettings = loads(text + (STORMS if variant == "damped" else ""))
         super().__init__(
-            service_settings, seed, seconds=before + outage + after, rate=1.0, trouble_rate=0.0, poison=0.0
+            service_settings,
+            seed,
+            duration_seconds=before + outage + after,
+            arrival_rate=1.0,
+            fault_rate=0.0,
+            poison_fraction=0.0,
         )
         self.variant, self.clients, self.think, self.outage = variant, clients, think, outage
         self.ignoring, self.before, self.burst = ignoring, before, burst
@@ -201,7 +221,7 @@
         self.storm.outage_until = self.storm.outage_from + int(self.outage * 1e6)
         if self.outage:
             self.loop.spawn(self._lost(), "outage")
-        until = zero + int(self.seconds * 1e6)
+        until = zero + int(self.duration_seconds * 1e6)
         crowd = Crowd(
             self.loop,
             lambda number: self.net.at(f"c{number % (self.addresses or self.clients)}"),
--- a/heathwell/testing/simulation/search_scenario.py
+++ b/heathwell/testing/simulation/search_scenario.py
@@ -6,16 +6,14 @@
 
 import json
 import random
-from collections.abc import Sequence
 from typing import Any
 
 import h11
 
 from heathwell.eventloop import ConnectError, Coro, Stream, StreamBrokenError, sleep
 from heathwell.settings import ServiceSettings
-from heathwell.testing.simulation.simulated_scenario import HOST_FAULTS, SimulatedScenario
-
-SEARCH_FAULTS: tuple[tuple[str, float, float], ...] = (*HOST_FAULTS, ("spoil", 0.0, 4.0))
+from heathwell.testing.simulation.host_faults import SEARCH_FAULTS
+from heathwell.testing.simulation.simulated_scenario import SimulatedScenario
 
 
 class SearchScenario(SimulatedScenario):
@@ -28,21 +26,20 @@
         *,
         searches: float = 20.0,
         batches: float = 0.1,
-        troubles: Sequence[tuple[str, float, float]] = SEARCH_FAULTS,
         **more: Any,
     ) -> None:
-        super().__init__(service_settings, seed, troubles=troubles, **more)
+        super().__init__(service_settings, seed, faults=SEARCH_FAULTS, **more)
         self.searches, self.batches = searches, batches
         self.asked = 0
         self.statuses: dict[int, int] = {}
         self.answers: list[dict[str, Any]] = []
 
-    def _clients(self, draws: random.Random) -> Coro[None]:
+    def _generate_load(self, draws: random.Random) -> Coro[None]:
         self.loop.spawn(self._searchers(random.Random(self.seed + 7)), "searchers")
-        yield from super()._clients(draws)
+        yield from super()._generate_load(draws)
 
     def _searchers(self, draws: random.Random) -> Coro[None]:
-        until = self.loop.now() + int(self.seconds * 1e6)
+        until = self.loop.now() + int(self.duration_seconds * 1e6)
         while self.searches and self.loop.now() < until:
             yield from sleep(self.loop, int(draws.expovariate(self.searches) * 1e6))
             spec = draws.choice(self.service_settings.collections)
@@ -69,7 +66,7 @@
         self.asked += 1
         request, batch, key = f"s{self.asked}", len(wishes) > 1, f"vector:{collection}"
         if not batch:  # a batch is several queries to the broker, judged by themselves
-            self.note("ask", req=request, keys=[key], broker=f"b{broker}", limit=limit)
+            self.record_event("ask", req=request, keys=[key], broker=f"b{broker}", limit=limit)
         body = json.dumps({"searches": wishes} if batch else wishes[0]).encode()
         head = (
             f"POST /collections/{collection}/points/query{'/batch' if batch else ''} HTTP/1.1\r\nhost: b\r\n"
@@ -81,7 +78,7 @@
             stream.close()
         except StreamBrokenError:
             if not batch:
-                self.note("reply", req=request, kind="broken")
+                self.record_event("reply", req=request, kind="broken")
             return
         self.statuses[status] = self.statuses.get(status, 0) + 1
         answer = json.loads(raw)
@@ -91,7 +88,7 @@
             words = answer["heathwell"]
             values = [{"key": key, "whole": words["whole"], "got": words["parts"][0]}]
         if not batch:
-            self.note("reply", req=request, kind="answer", values=values)
+            self.record_event("reply", req=request, kind="answer", values=values)
 
 
 def _response(stream: Stream) -> Coro[tuple[int, bytes]]:
--- a/heathwell/testing/simulation/simulated_scenario.py
+++ b/heathwell/testing/simulation/simulated_scenario.py
@@ -1,254 +1,359 @@
-"""Bad days on virtual time: a whole fleet in memory, the real broker code, troubles and clients drawn by a
-seed.
+"""A scenario in virtual time: a fleet in one process with the brokers' code and stand-in hosts.
+
+Clients, their queries and the faults of hosts are drawn by a seed.
 """
 
 from __future__ import annotations
 
-import json
 import random
 from collections.abc import Callable, Sequence
-from typing import Any
+from dataclasses import dataclass
+from enum import StrEnum
+from functools import partial
+from typing import Any, Final
 
 from heathwell.codec import frames
-from heathwell.eventloop import ConnectError, Coro, HostNet, Stream, StreamBrokenError, sleep, virtual_loop
+from heathwell.eventloop import ConnectError, Coro, HostNet, StreamBrokenError, sleep, virtual_loop
 from heathwell.fleet.control.evacuation_coordinator import (
     EvacuationCoordinator,
     evacuation_coordinator_from_settings,
 )
+from heathwell.service.key_spaces import TOKEN_MARK
 from heathwell.settings import ServiceSettings
+from heathwell.settings.records.queries import QueryClass
 from heathwell.testing.audit import AgeVerdict, Verdict, judge, judge_ages
 from heathwell.testing.audit.reader import from_lines
+from heathwell.testing.simulation.errors import ScenarioTaskError
+from heathwell.testing.simulation.host_faults import HOST_FAULTS, HostFault
 from heathwell.testing.simulation.local_fleet import LocalFleet
+from heathwell.testing.simulation.memcached_values import MemcachedValue, ReplyBody, read_values
 from heathwell.testing.simulation.run_parameters import run_parameters_record
 from heathwell.testing.standins.leaf import Leaf
 
-# Kind, figure, seconds: what a host may be told to do.
-HOST_FAULTS: tuple[tuple[str, float, float], ...] = (
-    ("silent", 0.0, 6.0),
-    ("midreply", 0.0, 4.0),
-    ("slow", 6.0, 5.0),
-    ("lose", 0.4, 5.0),
-    ("reset", 0.0, 0.0),
-    ("refuse", 0.0, 3.0),
-    ("failclass", 0.0, 5.0),
-    ("stall", 0.0, 0.5),
-    ("drain", 0.0, 0.0),
-)
-LAG_FAULTS: tuple[tuple[str, float, float], ...] = (
-    ("lag", 4.0, 6.0),
-    ("stuck", 0.0, 6.0),
-    ("back", 20.0, 0.0),
-    ("lag", 0.5, 4.0),
-)
-SETTLE_US = 1_500_000
-AFTER_US = 4_000_000
+EvacuationCoordinatorFactory = Callable[[ServiceSettings], EvacuationCoordinator]
+
+US_PER_SECOND: Final = 1_000_000
+LOOP_START_US: Final = 1_000_000
+"""The time of the virtual loop at its start."""
+SETTLE_US: Final = 1_500_000
+"""The time in which the fleet starts, before the first request."""
+COMPLETION_US: Final = 4_000_000
+"""The time in which the last requests end."""
+CONNECT_TIMEOUT_US: Final = 1_000_000
+AUDIT_TOLERANCE_US: Final = 20_000
+CLIENT_COUNT: Final = 40
+REQUEST_TOKEN_PROBABILITY: Final = 0.5
+
+TERMINATED_RESTART_DELAY_US: Final = 4_000_000
+CRASHED_RESTART_DELAY_US: Final = 3_000_000
+ZONE_RESTART_DELAY_US: Final = 5_000_000
+DISCOVERY_OUTAGE_US: Final = 4_000_000
+
+# A random fault is a crash if a uniform draw is below the largest of these, of the first kind that fits.
+HOST_CRASH_BELOW: Final = 0.15
+DISCOVERY_OUTAGE_BELOW: Final = 0.22
+BROKER_RESTART_BELOW: Final = 0.28
+ZONE_CRASH_BELOW: Final = 0.34
+
+
+class QueryOutcome(StrEnum):
+    """How a query ended for its client."""
+
+    ON_TIME = "on time"
+    LATE = "late"
+    PARTIAL = "partial"
+    REFUSED = "refused"
+    FAILED = "failed"
+
+
+@dataclass(frozen=True, slots=True)
+class CompletedQuery:
+    """One key of a request with its value; ``body`` is None for a miss."""
+
+    key: str
+    query_class: QueryClass
+    body: ReplyBody | None
+    duration_us: int
+
+    @property
+    def is_complete(self) -> bool:
+        """Return whether the query has a complete answer; a miss is one."""
+        return self.body is None or self.body.complete
+
+    @property
+    def is_answer(self) -> bool:
+        """Return whether the query has an answer, complete or partial; a miss is one."""
+        return self.body is None or self.body.is_answer
+
+    @property
+    def is_within_objective(self) -> bool:
+        """Return whether its reply came within the latency objective of its class."""
+        return self.duration_us <= self.query_class.latency_objective_us
+
+    @property
+    def outcome(self) -> QueryOutcome:
+        """Return how the query ended."""
+        if self.is_complete:
+            return QueryOutcome.ON_TIME if self.is_within_objective else QueryOutcome.LATE
+        if self.is_answer:
+            return QueryOutcome.PARTIAL
+        return QueryOutcome.REFUSED if self.body is not None and self.body.refused else QueryOutcome.FAILED
+
+    @property
+    def label(self) -> str:
+        """Return the outcome as it is counted: answers with stale data apart."""
+        is_stale = self.body is not None and self.body.stale
+        return f"{self.outcome}, stale" if is_stale else self.outcome.value
+
+
+@dataclass(frozen=True, slots=True)
+class CompletedRequest:
+    """A request that was replied to by the broker of this number, with a query for each key."""
+
+    broker: int
+    started_at_us: int
+    queries: tuple[CompletedQuery, ...]
 
 
 class SimulatedScenario:
-    """One day. ``events`` holds what every process and client saw, in order."""
+    """One scenario: requests at random times, and random faults at ``fault_rate`` a second.
+
+    ``arrival_rate`` is in requests a second, in the ``duration_seconds`` after the fleet's start.
+    ``poison_fraction`` of the requests terminate the host that they reach. With ``use_tokens`` clients state
+    the tokens of earlier answers. After :meth:`run`, ``events`` are the records of all processes and clients
+    in order, and ``outcome_counts`` the number of queries by class and outcome.
+    """
 
     def __init__(
         self,
         service_settings: ServiceSettings,
         seed: int,
         *,
-        seconds: float = 25.0,
-        rate: float = 30.0,
-        troubles: Sequence[tuple[str, float, float]] = HOST_FAULTS,
-        trouble_rate: float = 1.2,
-        poison: float = 0.01,
-        crashes: bool = True,
-        tokens: bool = False,
-        keep: bool = True,
-        desk: Callable[[ServiceSettings], EvacuationCoordinator] = evacuation_coordinator_from_settings,
+        duration_seconds: float = 25.0,
+        arrival_rate: float = 30.0,
+        faults: Sequence[HostFault] = HOST_FAULTS,
+        fault_rate: float = 1.2,
+        poison_fraction: float = 0.01,
+        inject_crashes: bool = True,
+        use_tokens: bool = False,
+        run_coordinators: bool = True,
+        make_evacuation_coordinator: EvacuationCoordinatorFactory = evacuation_coordinator_from_settings,
     ) -> None:
-        self.service_settings, self.seed, self.seconds, self.rate = service_settings, seed, seconds, rate
-        self.troubles, self.trouble_rate, self.poison = troubles, trouble_rate, poison
-        self.crashes, self.tokens = crashes, tokens
+        self.service_settings = service_settings
+        self.seed = seed
+        self.duration_seconds = duration_seconds
+        self.arrival_rate = arrival_rate
+        self.faults = faults
+        self.fault_rate = fault_rate
+        self.poison_fraction = poison_fraction
+        self.inject_crashes = inject_crashes
+        self.use_tokens = use_tokens
         self.loop, self.net = virtual_loop(seed)
-        self.errors: list[tuple[str, BaseException]] = []
-        self.loop.on_error = lambda name, error: self.errors.append((name, error))
+        self.failed_tasks: list[tuple[str, BaseException]] = []
+        self.loop.on_error = lambda name, error: self.failed_tasks.append((name, error))
         self.events: list[dict[str, Any]] = []
-        self.note("run", figures=run_parameters_record(service_settings))
-        self.fleet = LocalFleet(
+        self.record_event("run", figures=run_parameters_record(service_settings))
+        self.fleet = self._make_fleet(
+            run_coordinators=run_coordinators, make_evacuation_coordinator=make_evacuation_coordinator
+        )
+        self.tokens: dict[str, str] = {}
+        self.outcome_counts: dict[str, dict[str, int]] = {}
+
+    def _make_fleet(
+        self, *, run_coordinators: bool, make_evacuation_coordinator: EvacuationCoordinatorFactory
+    ) -> LocalFleet:
+        """Return the fleet of the settings, whose terminated leaves are restarted after a while."""
+        fleet = LocalFleet(
             self.loop,
-            self._net_of,
-            service_settings,
-            seed,
+            self._host_net,
+            self.service_settings,
+            self.seed,
             into=self.events,
             host_of=lambda name: name,
-            keep=keep,
-            desk=desk,
+            keep=run_coordinators,
+            desk=make_evacuation_coordinator,
         )
-        self.known_tokens: dict[str, str] = {}
-        self.outcomes: dict[str, dict[str, int]] = {}
-        for leaf in self.fleet.leaves:
-            leaf.on_die = lambda leaf=leaf: self._back_after(leaf, 4_000_000)
+        for leaf in fleet.leaves:
+            leaf.on_die = partial(self._restart_after, leaf, TERMINATED_RESTART_DELAY_US)
+        return fleet
 
-    def _net_of(self, name: str) -> HostNet:
-        return self.net.at(name.partition("r")[0] if name[0] in "bk" else name)
+    def _host_net(self, name: str) -> HostNet:
+        """Return the network of a process's host; successive runs of a process share their host."""
+        is_numbered_run = name[0] in "bk"
+        return self.net.at(name.partition("r")[0] if is_numbered_run else name)
 
-    def note(self, event: str, **fields: Any) -> None:
-        """An event of the clients."""
+    def record_event(self, event: str, **fields: Any) -> None:
+        """Record an event of the clients."""
         self.events.append({"t": self.loop.now(), "who": "client", "ev": event, **fields})
 
     def run(self) -> SimulatedScenario:
-        """Play it; raises the first error that any task ended by."""
-        self.loop.run(self.loop.spawn(self._main(), "day"))
+        """Run the scenario to its end. Raise :class:`ScenarioTaskError` for the first task that failed."""
+        self.loop.run(self.loop.spawn(self._main(), "scenario"))
         for broker in self.fleet.brokers:
             broker.events.close()
         for leaf in self.fleet.leaves:
             leaf.events.close()
-        if self.errors:
-            raise RuntimeError(f"task {self.errors[0][0]} failed") from self.errors[0][1]
+        if self.failed_tasks:
+            task, error = self.failed_tasks[0]
+            raise ScenarioTaskError(task) from error
         return self
 
     def verdict(self) -> Verdict:
-        """The six rules."""
-        return judge(from_lines(self.events), slack=20_000)
+        """Return the audit of the six rules."""
+        return judge(from_lines(self.events), slack=AUDIT_TOLERANCE_US)
 
-    def ages(self) -> AgeVerdict:
-        """The stated ages against the truth."""
+    def age_verdict(self) -> AgeVerdict:
+        """Return the audit of the ages that answers state."""
         return judge_ages(from_lines(self.events))
 
     def _main(self) -> Coro[None]:
         yield from sleep(self.loop, SETTLE_US)
-        draws = random.Random(self.seed)
-        self.loop.spawn(self._trouble(draws), "trouble")
-        yield from self._clients(random.Random(self.seed + 1))
-        yield from sleep(self.loop, AFTER_US)
-
-    def _back_after(self, leaf: Leaf, span_us: int) -> None:
-        def back() -> None:
-            if leaf.listener is None:
-                leaf.start()
-
-        self.loop.call_at(self.loop.now() + span_us, back)
-
-    def _trouble(self, draws: random.Random) -> Coro[None]:
-        until = self.loop.now() + int(self.seconds * 1e6)
-        while self.trouble_rate > 0:
-            yield from sleep(self.loop, int(draws.expovariate(self.trouble_rate) * 1e6))
-            if self.loop.now() >= until:
+        self.loop.spawn(self._inject_faults(random.Random(self.seed)), "faults")
+        yield from self._generate_load(random.Random(self.seed + 1))
+        yield from sleep(self.loop, COMPLETION_US)
+
+    # Faults
+
+    def _restart_after(self, leaf: Leaf, delay_us: int) -> None:
+        self.loop.call_at(self.loop.now() + delay_us, self._start_if_stopped, leaf)
+
+    @staticmethod
+    def _start_if_stopped(leaf: Leaf) -> None:
+        if leaf.listener is None:
+            leaf.start()
+
+    def _inject_faults(self, draws: random.Random) -> Coro[None]:
+        """Inject random faults into random hosts for the scenario's duration."""
+        ends_at_us = self._load_ends_at_us()
+        while self.fault_rate > 0:
+            yield from self._sleep_until_next(draws, self.fault_rate)
+            if self.loop.now() >= ends_at_us:
                 return
-            leaf, what = draws.choice(self.fleet.leaves), draws.random()
-            if self.crashes and what < 0.34:
-                self._disaster(leaf, what, draws)
+            leaf = draws.choice(self.fleet.leaves)
+            draw = draws.random()
+            if self.inject_crashes and draw < ZONE_CRASH_BELOW:
+                self._inject_crash(leaf, draw, draws)
             elif leaf.listener is not None:
-                kind, value, span = draws.choice(self.troubles)
-                name = draws.choice(self.service_settings.classes).name
-                leaf.order(frames.FaultCommand(kind, value, int(span * 1e6), name))
+                fault = draws.choice(self.faults)
+                query_class = draws.choice(self.service_settings.classes).name
+                leaf.order(fault.to_command(query_class))
 
-    def _disaster(self, leaf: Leaf, what: float, draws: random.Random) -> None:
-        if what < 0.15:
-            if leaf.listener is not None:
-                leaf.crash()
-                self._back_after(leaf, 3_000_000)
-        elif what < 0.22:
-            self.fleet.discovery.order(frames.FaultCommand("down", 0.0, 4_000_000))
-        elif what < 0.28:
+    def _inject_crash(self, leaf: Leaf, draw: float, draws: random.Random) -> None:
+        """Crash the host, discovery, a broker or a zone, as the ``draw`` has it."""
+        if draw < HOST_CRASH_BELOW:
+            self._crash([leaf], CRASHED_RESTART_DELAY_US)
+        elif draw < DISCOVERY_OUTAGE_BELOW:
+            self.fleet.discovery.order(frames.FaultCommand("down", 0.0, DISCOVERY_OUTAGE_US))
+        elif draw < BROKER_RESTART_BELOW:
             self.fleet.restart_broker(draws.randrange(len(self.fleet.brokers)))
         else:
             zone = draws.randrange(len(self.service_settings.fleet.zones))
-            for other in self.fleet.leaves:
-                if other.zone == zone and other.listener is not None:
-                    other.crash()
-                    self._back_after(other, 5_000_000)
-
-    def _clients(self, draws: random.Random) -> Coro[None]:
-        """Arrivals that do not wait for answers; each opens a connection of its own."""
-        until = self.loop.now() + int(self.seconds * 1e6)
-        while self.loop.now() < until:
-            yield from sleep(self.loop, int(draws.expovariate(self.rate) * 1e6))
-            who = draws.randrange(40)
-            keys = draws.choice(
-                [
-                    [f"price:t{who}"],
-                    [f"sale:t{who}:5"],
-                    [f"report:t{who},t{who + 1}:2026-11-28"],
-                    [f"price:t{who}", f"sale:t{who}:9"],
-                ]
-            )
-            if draws.random() < self.poison:
-                keys = [f"price:poison{who}"]
-            if self.tokens and draws.random() < 0.5:
-                keys = [
-                    f"{key}@~{self.known_tokens[key]}" if key in self.known_tokens else key for key in keys
-                ]
-            self.loop.spawn(self._one(draws.randrange(len(self.fleet.brokers)), keys), "client")
-
-    def _one(self, broker: int, keys: list[str]) -> Coro[None]:
-        plan = self.fleet.brokers[broker].broker.keys.plan
-        classes = [self.service_settings.classes[p.query_class] for p in map(plan, keys) if p is not None]
-        began = self.loop.now()
+            self._crash([leaf for leaf in self.fleet.leaves if leaf.zone == zone], ZONE_RESTART_DELAY_US)
+
+    def _crash(self, leaves: Sequence[Leaf], restart_delay_us: int) -> None:
+        """Crash those of the leaves that run, and restart them later."""
+        for leaf in leaves:
+            if leaf.listener is not None:
+                leaf.crash()
+                self._restart_after(leaf, restart_delay_us)
+
+    # Clients
+
+    def _load_ends_at_us(self) -> int:
+        """Return when the load ends that begins now."""
+        return self.loop.now() + int(self.duration_seconds * US_PER_SECOND)
+
+    def _sleep_until_next(self, draws: random.Random, rate: float) -> Coro[None]:
+        """Sleep until the next event of a Poisson process with this rate a second."""
+        yield from sleep(self.loop, int(draws.expovariate(rate) * US_PER_SECOND))
+
+    def _generate_load(self, draws: random.Random) -> Coro[None]:
+        """Start requests at random times, independent of the replies (open loop)."""
+        ends_at_us = self._load_ends_at_us()
+        while self.loop.now() < ends_at_us:
+            yield from self._sleep_until_next(draws, self.arrival_rate)
+            keys = self._draw_keys(draws)
+            broker = draws.randrange(len(self.fleet.brokers))
+            self.loop.spawn(self._request(broker, keys), "client")
+
+    def _draw_keys(self, draws: random.Random) -> list[str]:
+        """Return the keys of one request."""
+        client = draws.randrange(CLIENT_COUNT)
+        keys = draws.choice(
+            [
+                [f"price:t{client}"],
+                [f"sale:t{client}:5"],
+                [f"report:t{client},t{client + 1}:2026-11-28"],
+                [f"price:t{client}", f"sale:t{client}:9"],
+            ]
+        )
+        if draws.random() < self.poison_fraction:
+            keys = [f"price:poison{client}"]
+        if self.use_tokens and draws.random() < REQUEST_TOKEN_PROBABILITY:
+            keys = [self._with_token(key) for key in keys]
+        return keys
+
+    def _with_token(self, key: str) -> str:
+        """Return a key with the token of its last answer, if it had one."""
+        return f"{key}{TOKEN_MARK}{self.tokens[key]}" if key in self.tokens else key
+
+    def _request(self, broker: int, keys: list[str]) -> Coro[None]:
+        """Send one request on a connection of its own and record its reply."""
+        classes = self._query_classes(broker, keys)
+        started_at_us = self.loop.now()
         try:
-            stream = yield from self.net.connect(self.fleet.brokers[broker].address, 1_000_000, "client")
+            stream = yield from self.net.connect(
+                self.fleet.brokers[broker].address, CONNECT_TIMEOUT_US, "client"
+            )
         except ConnectError:
             return
-        request = f"{stream.here}#1"  # type: ignore[attr-defined]  # the broker knows this client by it
-        self.note(
-            "ask", req=request, keys=keys, broker=f"b{broker}", limit=max(c.timeout_us for c in classes)
-        )
+        # The broker names requests by the client's address and their number on the connection.
+        request_id = f"{stream.here}#1"  # type: ignore[attr-defined]
+        timeout_us = max(query_class.timeout_us for query_class in classes)
+        self.record_event("ask", req=request_id, keys=keys, broker=f"b{broker}", limit=timeout_us)
         try:
             stream.write(f"get {' '.join(keys)}\r\n".encode())
-            values = yield from _read_values(stream)
+            values = yield from read_values(stream)
             stream.close()
         except StreamBrokenError:
-            self.note("reply", req=request, kind="broken")
+            self.record_event("reply", req=request_id, kind="broken")
             return
-        told = []
-        for key, flags, body in values:
-            if "coverage" in body:
-                told.append(
-                    {
-                        "key": key,
-                        "whole": body["whole"],
-                        "got": body["coverage"]["parts"][0],
-                        "age_ms": body.get("age_ms"),
-                        "flags": flags,
-                        "behind": body.get("behind", []),
-                    }
-                )
-                if body.get("token"):
-                    self.known_tokens[key.partition("@~")[0]] = body["token"]
-        self.note("reply", req=request, kind="answer", values=told)
-        self._count(keys, classes, {key: body for key, _, body in values}, self.loop.now() - began, broker)
-
-    def _count(
-        self, keys: list[str], classes: list[Any], bodies: dict[str, dict[str, Any]], took: int, broker: int
-    ) -> None:
-        """Note how each key of a request that was asked of a broker ended."""
-        for key, spec in zip(keys, classes, strict=True):
-            body = bodies.get(key)
-            kind = (
-                ("on time" if took <= spec.latency_objective_us else "late")
-                if body is None or body.get("whole")
-                else ("partial" if "coverage" in body else "refused" if body.get("refused") else "failed")
+        self._record_values(request_id, values)
+        bodies = {value.key: value.body for value in values}
+        duration_us = self.loop.now() - started_at_us
+        queries = tuple(
+            CompletedQuery(key, query_class, bodies.get(key), duration_us)
+            for key, query_class in zip(keys, classes, strict=True)
+        )
+        self._on_request_completed(CompletedRequest(broker, started_at_us, queries))
+
+    def _query_classes(self, broker: int, keys: list[str]) -> list[QueryClass]:
+        plans = map(self.fleet.brokers[broker].broker.keys.plan, keys)
+        return [self.service_settings.classes[plan.query_class] for plan in plans if plan is not None]
+
+    def _record_values(self, request_id: str, values: list[MemcachedValue]) -> None:
+        """Record the answers of a reply, and keep their tokens."""
+        answers = []
+        for value in values:
+            body = value.body
+            if body.coverage is None:
+                continue
+            answers.append(
+                {
+                    "key": value.key,
+                    "whole": body.complete,
+                    "got": body.coverage.parts[0],
+                    "age_ms": body.age_ms,
+                    "flags": value.flags,
+                    "behind": list(body.behind),
+                }
             )
-            if body is not None and body.get("stale"):
-                kind += ", stale"
-            counts = self.outcomes.setdefault(spec.name, {})
-            counts[kind] = counts.get(kind, 0) + 1
-
-
-def _read_values(stream: Stream) -> Coro[list[tuple[str, int, dict[str, Any]]]]:
-    """The values of one classic get, to its END."""
-    data = b""
-    values: list[tuple[str, int, dict[str, Any]]] = []
-    while True:
-        while b"\r\n" not in data:
-            more = yield from stream.read()
-            if not more:
-                raise StreamBrokenError("end")
-            data += more
-        line, data = data.split(b"\r\n", 1)
-        if not line.startswith(b"VALUE "):
-            return values
-        _, key, flags, size = line.split()[:4]
-        while len(data) < int(size) + 2:
-            more = yield from stream.read()
-            if not more:
-                raise StreamBrokenError("end")
-            data += more
-        values.append((key.decode(), int(flags), json.loads(data[: int(size)])))
-        data = data[int(size) + 2 :]
+            if body.token:
+                self.tokens[value.key.partition(TOKEN_MARK)[0]] = body.token
+        self.record_event("reply", req=request_id, kind="answer", values=answers)
+
+    def _on_request_completed(self, request: CompletedRequest) -> None:
+        """Count how the queries of a request ended."""
+        for query in request.queries:
+            counts = self.outcome_counts.setdefault(query.query_class.name, {})
+            counts[query.label] = counts.get(query.label, 0) + 1
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -10,21 +10,34 @@
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
+from heathwell.testing.simulation.demo_settings import (
+    PRICE_KEYS,
+    RULES,
+    SALE_KEYS,
+    day_report_class,
+    discovery_section,
+    fleet_section,
+    limits_section,
+    price_search_class,
+    report_keys,
+    sale_record_class,
+    settings_text,
+)
 from heathwell.testing.simulation.local_fleet import LocalFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
 
-MARKET = """
-(class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (work 40ms))
-(class day-report (aim 1200ms) (limit 3s) (late-worth 10%) (fetch 5) (work 30ms))
-(class sale-record (aim 750ms) (limit 1500ms) (repeat keyed) (dedup 750ms) (late-worth 10%) (work 30ms))
-(keys sale (class sale-record) (shape record))
-(keys price (class price-search) (shape search) (parts 8))
-(keys report (class day-report) (shape report) (report-parts 4))
-(fleet (shards 12) (cells 6) (width 3) (zones a b c) (leaves 6) (brokers 1))
-(rules (drain-grace 1s) (fall-multiple 2.5) (fall-after 1s) (start-capacity 18%) (warm-within 17s))
-(limits (attempts 4) (open-cap 600) (by-work yes))
-(discovery (notice 300ms) (silent-notice 2s))
-"""
+MARKET = settings_text(
+    price_search_class(),
+    day_report_class(),
+    sale_record_class(),
+    SALE_KEYS,
+    PRICE_KEYS,
+    report_keys(),
+    fleet_section(shards=12, replica_groups=6, replicas=3, zones=("a", "b", "c"), leaves=6, brokers=1),
+    RULES,
+    limits_section(max_in_flight=600),
+    discovery_section(),
+)
 
 
 class World:
--- a/tests/test_both_servers.py
+++ b/tests/test_both_servers.py
@@ -32,7 +32,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_bad_days_of_both_fronts_keep_every_rule(seed):
-    day = SearchScenario(loads(MARKET), seed, searches=12.0, rate=20.0, poison=0.002, trouble_rate=0.6).run()
+    day = SearchScenario(
+        loads(MARKET), seed, searches=12.0, arrival_rate=20.0, poison_fraction=0.002, fault_rate=0.6
+    ).run()
     verdict = day.verdict()
     assert verdict.kept, "\n".join(map(str, verdict.breaches[:5]))
     assert day.statuses[200] > 100 and set(day.statuses) <= {200, 503}
@@ -54,19 +56,19 @@
 
 
 def served(day, name):
-    counts = day.outcomes.get(name, {})
+    counts = day.outcome_counts.get(name, {})
     return counts.get("on time", 0) / max(1, sum(counts.values()))
 
 
 def test_memcached_keeps_its_aim_while_searches_are_three_times_too_many():
-    quiet = {"trouble_rate": 0.0, "poison": 0.0, "rate": 20.0, "seconds": 8.0}
+    quiet = {"fault_rate": 0.0, "poison_fraction": 0.0, "arrival_rate": 20.0, "duration_seconds": 8.0}
     heavy = MARKET.replace("(work 25ms)", "(work 100ms)")  # the hosts can do 27 such searches a second
     alone = SearchScenario(loads(heavy), 5, searches=0.0, **quiet).run()
     crowded = SearchScenario(loads(heavy), 5, searches=80.0, batches=0.0, **quiet).run()
     assert crowded.verdict().kept and crowded.statuses[503] > crowded.statuses[200] / 2
     for name in ("sale-record", "price-search"):
         assert served(alone, name) > 0.95
-        assert served(crowded, name) > 0.9, (name, crowded.outcomes)
+        assert served(crowded, name) > 0.9, (name, crowded.outcome_counts)
     open_door = SearchScenario(
         loads(heavy.replace("(fronts (queue-target 30ms) (memcached 2) (vector 1))", "")),
         5,
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -17,7 +17,7 @@
 
 
 def day(seed: int, seconds: float = 25.0) -> SimulatedScenario:
-    return SimulatedScenario(loads(THREE), seed, seconds=seconds).run()
+    return SimulatedScenario(loads(THREE), seed, duration_seconds=seconds).run()
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -32,7 +32,8 @@
 from heathwell.settings import loads
 from heathwell.testing.audit import judge, judge_ages
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.simulated_scenario import HOST_FAULTS, LAG_FAULTS, SimulatedScenario
+from heathwell.testing.simulation.host_faults import HOST_FAULTS, LAG_FAULTS
+from heathwell.testing.simulation.simulated_scenario import SimulatedScenario
 from heathwell.testing.standins.source import OFFSET_US
 
 from .fleet import MARKET, World
@@ -379,32 +380,32 @@
 
 def day(seed, words="(wanted-age 1s) (stale another)", **more):
     text = policy(ON, words).replace("(brokers 1)", "(brokers 3)").replace("(leaves 6)", "(leaves 12)")
-    return SimulatedScenario(loads(text), seed, troubles=HOST_FAULTS + LAG_FAULTS * 3, tokens=True, **more)
+    return SimulatedScenario(loads(text), seed, faults=HOST_FAULTS + LAG_FAULTS * 3, use_tokens=True, **more)
 
 
 @pytest.mark.parametrize("words", ["", "(wanted-age 1s) (stale another)", "(max-age 2s) (stale missing)"])
 def test_no_stated_age_is_younger_than_the_truth_and_all_rules_are_kept(words):
-    done = day(21, words, seconds=20.0).run()
-    verdict, ages = done.verdict(), done.ages()
+    done = day(21, words, duration_seconds=20.0).run()
+    verdict, ages = done.verdict(), done.age_verdict()
     assert verdict.kept, "\n".join(map(str, verdict.breaches[:5]))
     assert ages.kept and ages.judged > 300, "\n".join(map(str, ages.breaches[:5]))
     assert ages.excess_at(0.99) < 5_000 and max(ages.true_ages) > 2_000_000
 
 
 def test_a_host_that_overstates_its_watermark_is_caught():
-    lying = day(22, seconds=10.0, crashes=False, trouble_rate=0.0)
+    lying = day(22, duration_seconds=10.0, inject_crashes=False, fault_rate=0.0)
     liar = lying.fleet.leaves[1]
     order(liar, "lag", 60, 3.0)
     order(liar, "lie", 60, 2.5)
-    ages = lying.run().ages()
+    ages = lying.run().age_verdict()
     assert ages.breaches and "states an age" in ages.breaches[0].text
     assert any(breach.text.startswith("the client was told") for breach in ages.breaches)
 
 
 def test_a_host_that_claims_the_future_is_caught_by_the_broker_itself():
-    lying = day(23, seconds=10.0, crashes=False, trouble_rate=0.0)
+    lying = day(23, duration_seconds=10.0, inject_crashes=False, fault_rate=0.0)
     order(lying.fleet.leaves[1], "lie", 60, 60.0)
-    ages = lying.run().ages()
+    ages = lying.run().age_verdict()
     assert ages.kept and ages.unknown > 0
     assert sum(b.broker.freshness.liars for b in lying.fleet.brokers) > 0
 
@@ -419,7 +420,8 @@
 
     monkeypatch.setattr(ServiceBroker, "_final", twice)
     verdict = judge(
-        from_lines(day(24, seconds=4.0, crashes=False, trouble_rate=0.0).run().events), slack=20_000
+        from_lines(day(24, duration_seconds=4.0, inject_crashes=False, fault_rate=0.0).run().events),
+        slack=20_000,
     )
     assert any("twice" in breach.text for breach in verdict.breaches)
 
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -114,7 +114,7 @@
 def zone_day() -> Any:
     """A zone that is killed, left by the fleet and taken back, with all events."""
     day = EvacuationScenario("fleet", "killed", 1, brokers=6, hosts=9, rate=16.0)
-    day.seconds = 12.0
+    day.duration_seconds = 12.0
     day.run()
     figures = day.figures()
     assert figures["left_after_s"] is not None and figures["back_after_s"] is not None
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -8,7 +8,7 @@
 from heathwell.codec import frames
 from heathwell.eventloop import sleep
 from heathwell.service.regions import LinkState, RegionLinks
-from heathwell.testing.simulation.region_experiment import MARKET, RegionScenario
+from heathwell.testing.simulation.region_experiment import REGION_SETTINGS, RegionScenario
 
 from .conftest import Driver as ModuleDriver
 from .conftest import make_settings, of
@@ -262,7 +262,7 @@
 
 
 def test_a_class_that_may_never_cross_does_not_and_says_what_it_lacks():
-    text = MARKET.replace("(work 40ms)", "(across never) (work 40ms)")
+    text = REGION_SETTINGS.replace("(work 40ms)", "(across never) (work 40ms)")
     day = RegionScenario("decider", "100 ms", seed=3, rate=20.0, text=text)
     day.run()
     assert day.verdict().kept and not crossings(day, "price-search") and crossings(day, "sale-record")
@@ -276,7 +276,7 @@
         "cut",
         seed=3,
         rate=20.0,
-        text=MARKET.replace("(work 30ms))\n(keys", "(across prefer-home) (work 30ms))\n(keys"),
+        text=REGION_SETTINGS.replace("(work 30ms))\n(keys", "(across prefer-home) (work 30ms))\n(keys"),
     )
     day.run()
     assert day.verdict().kept
--- a/tests/test_version_compatibility.py
+++ b/tests/test_version_compatibility.py
@@ -9,9 +9,10 @@
 - ``agent.json``: the notes of a machine agent with two brokers, one of which replaces its process;
   ``agent_restored.json``: what a second agent of that commit made of those notes, with both processes alive
   by a stubbed ``start_of``: its encoded view, the processes that it ended, and the notes it wrote itself;
-- ``day.sx``, ``day.jsonl.gz``: the settings and all events of ``SimulatedScenario(settings, 11, seconds=6.0,
-  tokens=True)``, one sorted JSON object a line; ``fleet_day.sx``, ``fleet_day.jsonl.xz``: those of a day with
-  keepers, budgets, evacuation of zones and ages of answers, played as in ``DAYS`` below;
+- ``day.sx``, ``day.jsonl.gz``: the settings and all events of ``SimulatedScenario(settings, 11,
+  duration_seconds=6.0, use_tokens=True)``, one sorted JSON object a line; ``fleet_day.sx``,
+  ``fleet_day.jsonl.xz``: those of a day with keepers, budgets, evacuation of zones and ages of answers,
+  played as in ``DAYS`` below;
 - ``day_verdicts.json``, ``fleet_day_verdicts.json``: its auditors' verdicts on these events, and on the same
   ones without every 97th line; ``day_metrics.txt``, ``fleet_day_metrics.txt``: type, name and label names of
   each sample that the admin pages of the day's brokers held at its end;
@@ -52,7 +53,8 @@
 from heathwell.testing.audit import Event, Verdict, judge, judge_ages, judge_budgets
 from heathwell.testing.audit.reader import from_lines
 from heathwell.testing.simulation.fault_script import Script
-from heathwell.testing.simulation.simulated_scenario import HOST_FAULTS, LAG_FAULTS, SimulatedScenario
+from heathwell.testing.simulation.host_faults import HOST_FAULTS, LAG_FAULTS, HostFault
+from heathwell.testing.simulation.simulated_scenario import SimulatedScenario
 
 FILES = Path(__file__).parent / "files" / "before_rename"
 EXAMPLES = Path(__file__).parent.parent / "examples"
@@ -158,7 +160,7 @@
     decompress: Callable[[bytes], bytes]
     seed: int
     rate: float
-    troubles: tuple[tuple[str, float, float], ...]
+    faults: tuple[HostFault, ...]
     auditors: dict[str, Callable[[list[Event]], Any]]
 
 
@@ -203,7 +205,12 @@
     log = spec.decompress((FILES / f"{spec.name}.jsonl.{spec.log_suffix}").read_bytes())
     settings = loads((FILES / f"{spec.name}.sx").read_text())
     simulated = SimulatedScenario(
-        settings, spec.seed, seconds=DAY_SECONDS, rate=spec.rate, troubles=spec.troubles, tokens=True
+        settings,
+        spec.seed,
+        duration_seconds=DAY_SECONDS,
+        arrival_rate=spec.rate,
+        faults=spec.faults,
+        use_tokens=True,
     )
     return PlayedDay(spec, [json.loads(line) for line in log.decode().splitlines()], simulated.run())
 
