--- a/heathwell/testing/simulation/search_scenario.py
+++ b/heathwell/testing/simulation/search_scenario.py
@@ -1,112 +1,132 @@
-"""Searches on virtual time beside memcached clients: bad days of both fronts on one broker, judged by the six
-rules.
-"""
+"""A scenario with vector searches beside memcached clients on the same brokers, in virtual time."""
 
 from __future__ import annotations
 
-import json
 import random
-from typing import Any
+from typing import Final, Unpack
 
-import h11
+import msgspec
 
-from heathwell.eventloop import ConnectError, Coro, Stream, StreamBrokenError, sleep
+from heathwell.eventloop import ConnectError, Coro, StreamBrokenError
 from heathwell.settings import ServiceSettings
+from heathwell.settings.records.queries import Collection
 from heathwell.testing.simulation.host_faults import SEARCH_FAULTS
-from heathwell.testing.simulation.simulated_scenario import SimulatedScenario
+from heathwell.testing.simulation.search_requests import (
+    HttpResponse,
+    MalformedSearchReplyError,
+    SearchAnswer,
+    SearchQuery,
+    SearchReplyBody,
+    SearchRequest,
+    read_response,
+)
+from heathwell.testing.simulation.simulated_scenario import (
+    CONNECT_TIMEOUT_US,
+    ScenarioOptions,
+    SimulatedScenario,
+)
+
+HTTP_OK: Final = 200
+MIN_BATCH_SIZE: Final = 2
+MAX_BATCH_SIZE: Final = 23
+MAX_RESULTS: Final = 12
+VECTOR_STANDARD_DEVIATION: Final = 1.5
+SEARCH_SEED_OFFSET: Final = 7
+"""Searches are drawn by a seed of their own, so that the other clients' draws stay the same."""
 
 
 class SearchScenario(SimulatedScenario):
-    """A bad day with so many searches a second besides; ``batches`` is the share that comes as batches."""
+    """A scenario with ``search_rate`` search requests a second besides, of which a fraction are batches.
+
+    After :meth:`run`, ``status_counts`` is the number of responses by status.
+    """
 
     def __init__(
         self,
         service_settings: ServiceSettings,
         seed: int,
         *,
-        searches: float = 20.0,
-        batches: float = 0.1,
-        **more: Any,
+        search_rate: float = 20.0,
+        batch_fraction: float = 0.1,
+        **options: Unpack[ScenarioOptions],
     ) -> None:
-        super().__init__(service_settings, seed, faults=SEARCH_FAULTS, **more)
-        self.searches, self.batches = searches, batches
-        self.asked = 0
-        self.statuses: dict[int, int] = {}
-        self.answers: list[dict[str, Any]] = []
+        super().__init__(service_settings, seed, faults=SEARCH_FAULTS, **options)
+        self.search_rate = search_rate
+        self.batch_fraction = batch_fraction
+        self.status_counts: dict[int, int] = {}
+        self.answers: list[SearchAnswer] = []
+        self._sent_count = 0
 
     def _generate_load(self, draws: random.Random) -> Coro[None]:
-        self.loop.spawn(self._searchers(random.Random(self.seed + 7)), "searchers")
+        search_draws = random.Random(self.seed + SEARCH_SEED_OFFSET)
+        self.loop.spawn(self._generate_searches(search_draws), "searches")
         yield from super()._generate_load(draws)
 
-    def _searchers(self, draws: random.Random) -> Coro[None]:
-        until = self.loop.now() + int(self.duration_seconds * 1e6)
-        while self.searches and self.loop.now() < until:
-            yield from sleep(self.loop, int(draws.expovariate(self.searches) * 1e6))
-            spec = draws.choice(self.service_settings.collections)
-            count = draws.randrange(2, 24) if draws.random() < self.batches else 1
-            wishes = [
-                {"query": [draws.gauss(0, 1.5) for _ in range(spec.size)], "limit": 1 + draws.randrange(12)}
-                for _ in range(count)
-            ]
-            self.loop.spawn(
-                self._search(draws.randrange(len(self.fleet.brokers)), spec.name, wishes), "searcher"
+    def _generate_searches(self, draws: random.Random) -> Coro[None]:
+        """Start search requests at random times, independent of the replies (open loop)."""
+        ends_at_us = self._load_ends_at_us()
+        while self.search_rate and self.loop.now() < ends_at_us:
+            yield from self._sleep_until_next(draws, self.search_rate)
+            collection = draws.choice(self.service_settings.collections)
+            searches = self._draw_searches(draws, collection)
+            broker = draws.randrange(len(self.fleet.brokers))
+            self.loop.spawn(self._search(broker, collection.name, searches), "search")
+
+    def _draw_searches(self, draws: random.Random, collection: Collection) -> list[SearchQuery]:
+        """Return the searches of one request."""
+        is_batch = draws.random() < self.batch_fraction
+        count = draws.randrange(MIN_BATCH_SIZE, MAX_BATCH_SIZE + 1) if is_batch else 1
+        return [
+            SearchQuery(
+                query=tuple(draws.gauss(0, VECTOR_STANDARD_DEVIATION) for _ in range(collection.size)),
+                limit=1 + draws.randrange(MAX_RESULTS),
             )
+            for _ in range(count)
+        ]
 
-    def _search(self, broker: int, collection: str, wishes: list[dict[str, Any]]) -> Coro[None]:
-        """One request on a connection of its own."""
-        running = self.fleet.brokers[broker]
-        query_class = 0
-        if running.vector is not None:
-            query_class = running.vector.query_class(collection, is_batch=len(wishes) > 1)
-        limit = self.service_settings.classes[query_class].timeout_us
+    def _search(self, broker: int, collection: str, searches: list[SearchQuery]) -> Coro[None]:
+        """Send one request on a connection of its own and record its reply.
+
+        Batches are not recorded: to the broker their searches are queries of their own.
+        """
+        address = self.fleet.brokers[broker].vector_address
         try:
-            stream = yield from self.net.connect(running.vector_address, 1_000_000, "client")
+            stream = yield from self.net.connect(address, CONNECT_TIMEOUT_US, "client")
         except ConnectError:
             return
-        self.asked += 1
-        request, batch, key = f"s{self.asked}", len(wishes) > 1, f"vector:{collection}"
-        if not batch:  # a batch is several queries to the broker, judged by themselves
-            self.record_event("ask", req=request, keys=[key], broker=f"b{broker}", limit=limit)
-        body = json.dumps({"searches": wishes} if batch else wishes[0]).encode()
-        head = (
-            f"POST /collections/{collection}/points/query{'/batch' if batch else ''} HTTP/1.1\r\nhost: b\r\n"
-            f"x-request-id: {request}\r\ncontent-length: {len(body)}\r\n\r\n"
-        ).encode()
+        self._sent_count += 1
+        request = SearchRequest(f"s{self._sent_count}", broker, collection, searches)
+        timeout_us = self._timeout_us(request)
+        if not request.is_batch:
+            self.record_event(
+                "ask", req=request.id, keys=[request.key], broker=f"b{broker}", limit=timeout_us
+            )
         try:
-            stream.write(head + body)
-            status, raw = yield from _response(stream)
+            stream.write(request.encode())
+            response = yield from read_response(stream)
             stream.close()
         except StreamBrokenError:
-            if not batch:
-                self.record_event("reply", req=request, kind="broken")
+            if not request.is_batch:
+                self.record_event("reply", req=request.id, kind="broken")
             return
-        self.statuses[status] = self.statuses.get(status, 0) + 1
-        answer = json.loads(raw)
+        self._on_search_response(request, response)
+
+    def _timeout_us(self, request: SearchRequest) -> int:
+        """Return the timeout of the request's query class."""
+        vector_server = self.fleet.brokers[request.broker].vector
+        query_class = 0
+        if vector_server is not None:
+            query_class = vector_server.query_class(request.collection, is_batch=request.is_batch)
+        return self.service_settings.classes[query_class].timeout_us
+
+    def _on_search_response(self, request: SearchRequest, response: HttpResponse) -> None:
+        self.status_counts[response.status] = self.status_counts.get(response.status, 0) + 1
+        body = msgspec.json.decode(response.body, type=SearchReplyBody)
         values = []
-        if status == 200:
-            self.answers.append({"collection": collection, "wishes": wishes, "answer": answer})
-            words = answer["heathwell"]
-            values = [{"key": key, "whole": words["whole"], "got": words["parts"][0]}]
-        if not batch:
-            self.record_event("reply", req=request, kind="answer", values=values)
-
-
-def _response(stream: Stream) -> Coro[tuple[int, bytes]]:
-    """Status and body of one response."""
-    side = h11.Connection(h11.CLIENT)
-    side.send(h11.Request(method="POST", target="/", headers=[("host", "b"), ("content-length", "0")]))
-    side.send(h11.EndOfMessage())
-    status, body = 0, b""
-    while True:
-        event = side.next_event()
-        if event is h11.NEED_DATA:
-            data = yield from stream.read()
-            if not data:
-                raise StreamBrokenError("end")
-            side.receive_data(data)
-        elif isinstance(event, h11.Response):
-            status = event.status_code
-        elif isinstance(event, h11.Data):
-            body += event.data
-        elif isinstance(event, h11.EndOfMessage):
-            return status, body
+        if response.status == HTTP_OK:
+            if body.coverage is None:
+                raise MalformedSearchReplyError("heathwell", is_batch=request.is_batch)
+            self.answers.append(SearchAnswer(request, body.results(is_batch=request.is_batch)))
+            values = [{"key": request.key, "whole": body.coverage.complete, "got": body.coverage.parts[0]}]
+        if not request.is_batch:
+            self.record_event("reply", req=request.id, kind="answer", values=values)
--- a/heathwell/testing/simulation/simulated_scenario.py
+++ b/heathwell/testing/simulation/simulated_scenario.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 from functools import partial
-from typing import Any, Final
+from typing import Any, Final, TypedDict
 
 from heathwell.codec import frames
 from heathwell.eventloop import ConnectError, Coro, HostNet, StreamBrokenError, sleep, virtual_loop
@@ -56,6 +56,17 @@
 ZONE_CRASH_BELOW: Final = 0.34
 
 
+class ScenarioOptions(TypedDict, total=False):
+    """Keyword arguments of :class:`SimulatedScenario` that its subclasses pass on."""
+
+    duration_seconds: float
+    arrival_rate: float
+    fault_rate: float
+    poison_fraction: float
+    inject_crashes: bool
+    use_tokens: bool
+
+
 class QueryOutcome(StrEnum):
     """How a query ended for its client."""
 
--- a/tests/test_both_servers.py
+++ b/tests/test_both_servers.py
@@ -33,24 +33,22 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_bad_days_of_both_fronts_keep_every_rule(seed):
     day = SearchScenario(
-        loads(MARKET), seed, searches=12.0, arrival_rate=20.0, poison_fraction=0.002, fault_rate=0.6
+        loads(MARKET), seed, search_rate=12.0, arrival_rate=20.0, poison_fraction=0.002, fault_rate=0.6
     ).run()
     verdict = day.verdict()
     assert verdict.kept, "\n".join(map(str, verdict.breaches[:5]))
-    assert day.statuses[200] > 100 and set(day.statuses) <= {200, 503}
+    assert day.status_counts[200] > 100 and set(day.status_counts) <= {200, 503}
     truth = {}
     for shard in range(12):
         held = shard_of(day.service_settings.collections[0], shard, 12)
         truth |= dict(zip(held.ids, held.vectors, strict=True))
     checked = 0
     for one in day.answers[:80]:
-        batch = len(one["wishes"]) > 1
-        results = one["answer"]["result"] if batch else [one["answer"]["result"]]
-        for wish, result in zip(one["wishes"], results, strict=True):
-            assert len(result["points"]) <= wish["limit"]
-            scores = [(-p["score"], p["id"]) for p in result["points"]]
-            assert scores == sorted(scores) and len({p["id"] for p in result["points"]}) == len(scores)
-            assert all(p["id"] in truth for p in result["points"])
+        for search, result in zip(one.request.searches, one.results, strict=True):
+            assert len(result.points) <= search.limit
+            scores = [(-point.score, point.id) for point in result.points]
+            assert scores == sorted(scores) and len({point.id for point in result.points}) == len(scores)
+            assert all(point.id in truth for point in result.points)
             checked += len(scores)
     assert checked > 200
 
@@ -63,17 +61,17 @@
 def test_memcached_keeps_its_aim_while_searches_are_three_times_too_many():
     quiet = {"fault_rate": 0.0, "poison_fraction": 0.0, "arrival_rate": 20.0, "duration_seconds": 8.0}
     heavy = MARKET.replace("(work 25ms)", "(work 100ms)")  # the hosts can do 27 such searches a second
-    alone = SearchScenario(loads(heavy), 5, searches=0.0, **quiet).run()
-    crowded = SearchScenario(loads(heavy), 5, searches=80.0, batches=0.0, **quiet).run()
-    assert crowded.verdict().kept and crowded.statuses[503] > crowded.statuses[200] / 2
+    alone = SearchScenario(loads(heavy), 5, search_rate=0.0, **quiet).run()
+    crowded = SearchScenario(loads(heavy), 5, search_rate=80.0, batch_fraction=0.0, **quiet).run()
+    assert crowded.verdict().kept and crowded.status_counts[503] > crowded.status_counts[200] / 2
     for name in ("sale-record", "price-search"):
         assert served(alone, name) > 0.95
         assert served(crowded, name) > 0.9, (name, crowded.outcome_counts)
     open_door = SearchScenario(
         loads(heavy.replace("(fronts (queue-target 30ms) (memcached 2) (vector 1))", "")),
         5,
-        searches=80.0,
-        batches=0.0,
+        search_rate=80.0,
+        batch_fraction=0.0,
         **quiet,
     ).run()
     assert served(open_door, "sale-record") < served(crowded, "sale-record") - 0.2
