--- a/heathwell/testing/simulation/quota_processes.py
+++ b/heathwell/testing/simulation/quota_processes.py
@@ -16,12 +16,13 @@
     QuotaRenewal,
     QuotaRenewalReply,
 )
+from heathwell.testing.simulation.errors import SimulationError
 
 Program = TypeVar("Program", BrokerQuotas, QuotaCoordinator)
 Message = QuotaRenewal | QuotaRenewalReply | FractionLeaseRequest | FractionLeaseVote
 
 
-class ProcessNotRunningError(RuntimeError):
+class ProcessNotRunningError(SimulationError):
     """A killed process has no program.
 
     Attributes:
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -34,7 +34,11 @@
 from heathwell.testing.simulation.random_fault_scripts import generate_fault_script
 from heathwell.testing.simulation.release_experiment import ReleaseExperiment
 from heathwell.testing.simulation.release_fleet import Defect
-from heathwell.testing.simulation.retry_storm_experiment import RetryStormScenario
+from heathwell.testing.simulation.retry_storm_experiment import (
+    RetryStormParameters,
+    RetryStormScenario,
+    Variant,
+)
 
 from .test_event_orderings_random import play as play_crossings
 
@@ -140,9 +144,12 @@
 
 def storm_day() -> Any:
     """An outage and the retries after it, with all events."""
-    day = RetryStormScenario("damped", 2, clients=40, think=8.0, outage=4.0, before=4.0, after=4.0)
+    parameters = RetryStormParameters(
+        clients=40, think_seconds=8.0, outage_seconds=4.0, before_seconds=4.0, after_seconds=4.0
+    )
+    day = RetryStormScenario(Variant.STORM_CONTROL, 2, parameters)
     day.run()
-    return day.events, day.storm.requests, day.states()
+    return day.events, day.record.requests, day.state_changes()
 
 
 def platform_brokers() -> Any:
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -22,7 +22,12 @@
     StormState,
     hash_names,
 )
-from heathwell.testing.simulation.retry_storm_experiment import HEEDS, IGNORES, RetryStormScenario
+from heathwell.testing.simulation.outage_record import ClientBehavior
+from heathwell.testing.simulation.retry_storm_experiment import (
+    RetryStormParameters,
+    RetryStormScenario,
+    Variant,
+)
 
 from .fleet import MARKET, World
 
@@ -248,19 +253,26 @@
     loop.shutdown()
 
 
-@pytest.mark.parametrize("more", [{}, {"killed_after": 2.0, "addresses": 3}])
+@pytest.mark.parametrize("more", [{}, {"broker_restart_after_seconds": 2.0, "client_addresses": 3}])
 def test_after_an_outage_of_everything_service_is_back_and_every_rule_kept(more):
-    day = RetryStormScenario("damped", 2, clients=240, think=8.0, outage=10.0, before=8.0, after=14.0, **more)
+    parameters = RetryStormParameters(
+        clients=240, think_seconds=8.0, outage_seconds=10.0, before_seconds=8.0, after_seconds=14.0, **more
+    )
+    day = RetryStormScenario(Variant.STORM_CONTROL, 2, parameters)
     day.run()
     verdict = day.verdict()
     assert verdict.kept, "\n".join(map(str, verdict.breaches[:5]))
     assert verdict.counts["falls"] == 0 and verdict.coldest < 1
-    storm = day.storm
-    assert storm.service(storm.outage_from - 5_000_000, storm.outage_from)[0] > 0.9
-    assert storm.service(storm.outage_until + 9_000_000, storm.outage_until + 14_000_000)[0] > 0.9
-    span = storm.outage_until, storm.outage_until + 8_000_000
-    assert storm.service(*span, HEEDS)[1] > storm.service(*span, IGNORES)[1] - 0.1
-    assert any(state == StormState.STORM for _, _, state in day.states())
+    record = day.record
+    began, ended = record.outage_started_at_us, record.outage_ended_at_us
+    assert record.service_level(began - 5_000_000, began).on_time_fraction > 0.9
+    assert record.service_level(ended + 9_000_000, ended + 14_000_000).on_time_fraction > 0.9
+    obeying, ignoring = (
+        record.service_level(ended, ended + 8_000_000, behavior)
+        for behavior in (ClientBehavior.OBEYS_RETRY_AFTER, ClientBehavior.IGNORES_RETRY_AFTER)
+    )
+    assert obeying.answered_fraction > ignoring.answered_fraction - 0.1
+    assert any(change.state == StormState.STORM for change in day.state_changes())
 
 
 def test_a_heedful_client_waits_as_told_gives_up_in_time_and_tells_kinds_apart():
