--- a/heathwell/testing/simulation/evacuation_experiment.py
+++ b/heathwell/testing/simulation/evacuation_experiment.py
@@ -1,287 +1,258 @@
-"""Days on which a zone fails, on virtual time, by who decides to leave it. Real broker and keeper code,
-stand-in hosts.
-
-``nobody``: the module alone, host by host. ``itself``: each broker judges the links to the other zones
-(`docs/regions.md`). ``fixed``: a health check of the whole fleet: half of all attempts lost for two seconds
-leaves a zone whole, five seconds without brings it back at once. ``fleet``: evidence, one decision, steps
-(`docs/evacuation.md`), and each broker's own judgement of links beside it. Hosts have one slot each, and are
-about half at work.
+"""An experiment on zone evacuation: scenarios in which a zone fails, by who decides to evacuate it.
+
+It runs in virtual time with the code of brokers and coordinators and stand-in hosts. Hosts have one slot
+each, and are about half in use.
 """
 
 from __future__ import annotations
 
 import random
-from collections import Counter, defaultdict
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Iterable
+from typing import Final, TypedDict, Unpack
 
 from heathwell.codec import frames
 from heathwell.eventloop import Coro, sleep
-from heathwell.fleet.control.evacuation_coordinator import (
-    EvacuationCoordinator,
-    evacuation_coordinator_from_settings,
-)
-from heathwell.fleet.evacuation import EvacuationController, ZoneState, ZoneTransition
+from heathwell.fleet.control.evacuation_coordinator import evacuation_coordinator_from_settings
 from heathwell.settings import ServiceSettings, loads
+from heathwell.testing.simulation.evacuation_result import (
+    FAULTY_ZONE_NUMBER,
+    ZONES,
+    EvacuationResult,
+    Scenario,
+    Variant,
+    read_decisions,
+    summarize_decisions,
+    summarize_service,
+)
+from heathwell.testing.simulation.fixed_threshold_controller import fixed_threshold_coordinator
+from heathwell.testing.simulation.outcomes_by_period import OutcomesByPeriod
 from heathwell.testing.simulation.quota_experiment import REGIONAL_SETTINGS
-from heathwell.testing.simulation.simulated_scenario import CompletedRequest, SimulatedScenario
+from heathwell.testing.simulation.simulated_scenario import (
+    LOOP_START_US,
+    SETTLE_US,
+    US_PER_SECOND,
+    CompletedRequest,
+    SimulatedScenario,
+)
 from heathwell.testing.standins.leaf import Leaf
 
-VARIANTS = ("nobody", "itself", "fixed", "fleet")
-KEPT = ("fixed", "fleet")  # those with keepers
-ZONES = ("za", "zb", "zc")
-SICK = 1  # the zone that fails, by its number
-KINDS = (
-    "killed",
-    "cut off",
-    "one way",
-    "slow",
-    "class",
-    "lossy",
-    "a fifth",
-    "one broker",
-    "two zones",
-    "flapping",
-    "peak",
-    "clients moved",
+COORDINATED_VARIANTS: Final = (Variant.FIXED_THRESHOLDS, Variant.FLEET)
+LINK_OBSERVING_VARIANTS: Final = (Variant.EACH_BROKER, Variant.FLEET)
+LOAD_FACTORS: Final = {Scenario.BUSY: 1.5, Scenario.KILLED_AT_PEAK: 1.6}
+LEAF_SECTION: Final = "(leaf (slots 1) (queue 12))\n"
+
+COORDINATOR_SETTLE_SECONDS: Final = 9.0
+"""Coordinators decide from the third second on."""
+BEFORE_SECONDS: Final = 6.0
+FAULT_SECONDS: Final = 12.0
+AFTER_SECONDS: Final = 33.0
+WINDOW_SECONDS: Final = 5.0
+LAST_COUNTED_WINDOW: Final = int((FAULT_SECONDS + AFTER_SECONDS) / WINDOW_SECONDS) - 1
+FAULT_AT_US: Final = (
+    LOOP_START_US + SETTLE_US + int((COORDINATOR_SETTLE_SECONDS + BEFORE_SECONDS) * US_PER_SECOND)
 )
-CALM = ("healthy", "busy")
-SETTLE, BEFORE, TROUBLE, AFTER = 9.0, 6.0, 12.0, 33.0  # seconds; keepers decide from the third on
-WINDOW = 5.0
-LOST, FOR_US, WELL_US = 0.5, 2_000_000, 5_000_000  # of the fixed check
-HOSTS = "(leaf (slots 1) (queue 12))\n"
-
-
-class FixedCheck(EvacuationController):
-    """The baseline: thresholds of its own, no steps, everybody's word alike."""
-
-    def reconcile(self, now_us: int) -> list[ZoneTransition]:
-        """Leave or come back, all at once."""
-        transitions = []
-        for name, zone in self.zones.items():
-            seen = [
-                some
-                for report in self.health.reports()
-                for (of, _), some in report.counts.items()
-                if of == name
-            ]
-            total = sum(some.total for some in seen)
-            lost = (
-                total >= self.parameters.minimum_attempts and sum(some.bad for some in seen) >= LOST * total
-            )
-            if lost == (zone.state == ZoneState.SERVING):
-                if now_us - zone.state_since_us >= (FOR_US if zone.state == ZoneState.SERVING else WELL_US):
-                    before = zone.state
-                    zone.state = ZoneState.EVACUATED if lost else ZoneState.SERVING
-                    zone.traffic_share = 0.0 if lost else 1.0
-                    zone.state_since_us = now_us
-                    transitions.append(ZoneTransition(name, before, zone.state, "fixed check"))
-            else:
-                zone.state_since_us = now_us
-        if transitions:
-            self._publish()
-        return transitions
-
-
-def _fixed_desk(service_settings: ServiceSettings) -> EvacuationCoordinator:
-    return EvacuationCoordinator(service_settings.fleet.zones, controller_type=FixedCheck)
-
-
-def service_settings_of(variant: str, brokers: int, hosts: int) -> ServiceSettings:
-    """The settings of a variant: each shard has a holder in each zone."""
+
+MIN_FAULT_FRACTION: Final = 0.7
+FLAP_COUNT: Final = 3
+FLAP_US: Final = 4_000_000
+SLOW_FACTOR: Final = 10.0
+LOSSY_PROBABILITY: Final = 0.05
+VERY_LOSSY_PROBABILITY: Final = 0.9
+LOSSY_HOSTS_DIVISOR: Final = 5
+CUT_BROKERS: Final = ("b0", "b1", "b2")
+MAX_REPORTED_BREACHES: Final = 3
+
+
+class ExperimentSize(TypedDict, total=False):
+    """The size of an experiment; ``rate`` is in requests a second."""
+
+    brokers: int
+    hosts: int
+    rate: float
+
+
+def evacuation_settings(variant: Variant, brokers: int, hosts: int) -> ServiceSettings:
+    """Return the settings of a variant: each shard has a replica in each zone."""
     fleet = (
         f"(shards {2 * hosts}) (cells {hosts}) (width 3) (zones {' '.join(ZONES)}) (leaves {hosts})"
         f" (brokers {brokers})"
     )
-    if variant in KEPT:
+    if variant in COORDINATED_VARIANTS:
         fleet += f' (keepers "k0:7100" "k1:7101" "k2:7102") (most {brokers}) (evacuate yes)'
-    across = (
-        "".join(f"(region r{zone} (zones {zone}))" for zone in ZONES)
-        if variant in ("itself", "fleet")
-        else ""
-    )
-    return loads(REGIONAL_SETTINGS + HOSTS + f"(fleet {fleet})" + (f"(across {across})" if across else ""))
+    text = f"{REGIONAL_SETTINGS}{LEAF_SECTION}(fleet {fleet})"
+    if variant in LINK_OBSERVING_VARIANTS:
+        regions = "".join(f"(region r{zone} (zones {zone}))" for zone in ZONES)
+        text += f"(across {regions})"
+    return loads(text)
 
 
 class EvacuationScenario(SimulatedScenario):
-    """One day of a kind under a variant; ``ends`` counts how queries ended by class and window of five
-    seconds.
+    """One run of a scenario under one variant; ``outcomes`` counts queries by windows of five seconds.
+
+    Windows are numbered from the fault's beginning. ``rate`` is in requests a second.
     """
 
     def __init__(
         self,
-        variant: str,
-        kind: str,
+        variant: Variant,
+        scenario: Scenario,
         seed: int = 1,
         *,
         brokers: int = 89,
         hosts: int = 82,
         rate: float = 130.0,
     ) -> None:
-        self.variant, self.kind = variant, kind
-        self.ends: dict[tuple[str, int], Counter[str]] = defaultdict(Counter)
-        desk: Callable[[ServiceSettings], EvacuationCoordinator] = (
-            _fixed_desk if variant == "fixed" else evacuation_coordinator_from_settings
-        )
-        busy = {"busy": 1.5, "peak": 1.6}.get(kind, 1.0)
+        self.variant = variant
+        self.scenario = scenario
+        self.outcomes: OutcomesByPeriod[int] = OutcomesByPeriod()
         super().__init__(
-            service_settings_of(variant, brokers, hosts),
+            evacuation_settings(variant, brokers, hosts),
             seed,
-            duration_seconds=BEFORE + TROUBLE + AFTER,
-            arrival_rate=rate * busy,
+            duration_seconds=BEFORE_SECONDS + FAULT_SECONDS + AFTER_SECONDS,
+            arrival_rate=rate * LOAD_FACTORS.get(scenario, 1.0),
             fault_rate=0.0,
             poison_fraction=0.0,
-            make_evacuation_coordinator=desk,
+            make_evacuation_coordinator=(
+                fixed_threshold_coordinator
+                if variant is Variant.FIXED_THRESHOLDS
+                else evacuation_coordinator_from_settings
+            ),
+        )
+
+    def result(self) -> EvacuationResult:
+        """Return the result of a run that has ended, with the audit of its rules."""
+        verdict = self.verdict()
+        service = summarize_service(self.outcomes, LAST_COUNTED_WINDOW)
+        decisions = summarize_decisions(read_decisions(self.events), FAULT_AT_US)
+        return EvacuationResult(
+            scenario=self.scenario,
+            variant=self.variant,
+            seed=self.seed,
+            service=service.service,
+            worst_on_time_fraction=service.worst_on_time_fraction,
+            on_time_fraction=service.on_time_fraction,
+            evacuated_after_seconds=decisions.evacuated_after_seconds,
+            restored_after_seconds=decisions.restored_after_seconds,
+            other_evacuated_zones=decisions.other_evacuated_zones,
+            evacuations=decisions.evacuations,
+            max_propagation_seconds=decisions.max_propagation_seconds,
+            overloads=verdict.counts["falls"],
+            nearest_to_overload=round(verdict.coldest, 2),
+            breach_count=len(verdict.breaches),
+            breaches=[str(breach) for breach in verdict.breaches[:MAX_REPORTED_BREACHES]],
         )
-        self.cuts: list[tuple[str, str]] = []
 
     def _main(self) -> Coro[None]:
-        yield from sleep(self.loop, int(SETTLE * 1e6))
-        self.loop.spawn(self._harm(), self.kind)
+        yield from sleep(self.loop, int(COORDINATOR_SETTLE_SECONDS * US_PER_SECOND))
+        self.loop.spawn(self._inject_fault(), self.scenario)
         yield from super()._main()
 
-    def _harm(self) -> Coro[None]:
-        """The trouble: its figures are drawn by the seed, so that no two days are alike."""
-        draw = random.Random(self.seed * 7 + 3)
-        yield from sleep(self.loop, 1_500_000 + int(BEFORE * 1e6))
-        span = int(TROUBLE * 1e6 * draw.uniform(0.7, 1.0))
-        there = [leaf for leaf in self.fleet.leaves if leaf.zone == SICK]
-        match self.kind:
-            case "killed" | "peak":
-                yield from self._killed(there, span)
-            case "two zones":
-                yield from self._killed([leaf for leaf in self.fleet.leaves if leaf.zone != 0], span)
-            case "flapping":
-                for _ in range(3):
-                    yield from self._killed(there, 4_000_000)
-                    yield from sleep(self.loop, 4_000_000)
-            case "cut off":
-                yield from self._cut(lambda broker, leaf: (broker == SICK) != (leaf == SICK), span)
-            case "one way":
-                yield from self._cut(lambda broker, leaf: broker == 0 and leaf == SICK, span)
-            case "one broker":
-                yield from self._cut(lambda _broker, _leaf: True, span, {draw.choice(["b0", "b1", "b2"])})
-            case "slow":
-                self._order(there, "slow", 10.0, span)
-            case "class":
-                self._order(there, "failclass", 0.0, span, draw.choice(self.service_settings.classes).name)
-            case "lossy":
-                self._order(there, "lose", 0.05, span)
-            case "a fifth":
-                self._order(draw.sample(there, max(1, len(there) // 5)), "lose", 0.9, span)
-
-    def _killed(self, leaves: list[Leaf], span: int) -> Coro[None]:
+    # Clients
+
+    def _request(self, broker: int, keys: list[str]) -> Coro[None]:
+        if self.scenario is Scenario.CLIENTS_MOVED and self.loop.now() > FAULT_AT_US:
+            near = [number for number, other in enumerate(self.fleet.brokers) if other.zone == 0]
+            broker = near[broker % len(near)]
+        return super()._request(broker, keys)
+
+    def _on_request_completed(self, request: CompletedRequest) -> None:
+        super()._on_request_completed(request)
+        since_fault_seconds = (request.started_at_us - FAULT_AT_US) / 1e6
+        self.outcomes.record(int(since_fault_seconds // WINDOW_SECONDS), request)
+
+    # Faults
+
+    def _inject_fault(self) -> Coro[None]:
+        """Inject the scenario's fault; its duration and places are drawn from the seed."""
+        draws = random.Random(self.seed * 7 + 3)
+        yield from sleep(self.loop, SETTLE_US + int(BEFORE_SECONDS * US_PER_SECOND))
+        max_duration_us = FAULT_SECONDS * US_PER_SECOND
+        duration_us = int(max_duration_us * draws.uniform(MIN_FAULT_FRACTION, 1.0))
+        leaves = [leaf for leaf in self.fleet.leaves if leaf.zone == FAULTY_ZONE_NUMBER]
+        match self.scenario:
+            case Scenario.KILLED | Scenario.KILLED_AT_PEAK:
+                yield from self._kill(leaves, duration_us)
+            case Scenario.TWO_ZONES_KILLED:
+                yield from self._kill([leaf for leaf in self.fleet.leaves if leaf.zone != 0], duration_us)
+            case Scenario.FLAPPING:
+                yield from self._flap(leaves)
+            case Scenario.PARTITIONED:
+                yield from self._cut(_is_across_fault, duration_us)
+            case Scenario.ONE_ZONE_PAIR_CUT:
+                yield from self._cut(_is_first_to_faulty, duration_us)
+            case Scenario.ONE_BROKER_CUT:
+                yield from self._cut(_is_any, duration_us, {draws.choice(CUT_BROKERS)})
+            case Scenario.SLOW:
+                _order(leaves, frames.FaultCommand("slow", SLOW_FACTOR, duration_us))
+            case Scenario.FAILING_CLASS:
+                query_class = draws.choice(self.service_settings.classes).name
+                _order(leaves, frames.FaultCommand("failclass", 0.0, duration_us, query_class))
+            case Scenario.LOSSY:
+                _order(leaves, frames.FaultCommand("lose", LOSSY_PROBABILITY, duration_us))
+            case Scenario.LOSSY_FIFTH:
+                some = draws.sample(leaves, max(1, len(leaves) // LOSSY_HOSTS_DIVISOR))
+                _order(some, frames.FaultCommand("lose", VERY_LOSSY_PROBABILITY, duration_us))
+
+    def _kill(self, leaves: list[Leaf], duration_us: int) -> Coro[None]:
+        """Kill leaves, and start them again at the same time."""
         for leaf in leaves:
             leaf.on_die = None
             leaf.crash()
-        yield from sleep(self.loop, span)
+        yield from sleep(self.loop, duration_us)
         for leaf in leaves:
             leaf.start()
 
-    def _cut(self, of: Callable[[int, int], bool], span: int, only: set[str] | None = None) -> Coro[None]:
-        ways = []
-        for number, broker in enumerate(self.fleet.brokers):
-            name = f"b{number}"
-            if only is not None and name not in only:
-                continue
-            ways += [(name, leaf.name) for leaf in self.fleet.leaves if of(broker.zone, leaf.zone)]
-        for name, leaf in ways:
-            self.net.cut(name, leaf)
-            self.net.cut(leaf, name)
-        yield from sleep(self.loop, span)
-        for name, leaf in ways:
-            self.net.heal(name, leaf)
-            self.net.heal(leaf, name)
-
-    @staticmethod
-    def _order(leaves: list[Leaf], what: str, value: float, span: int, query_class: str = "") -> None:
-        for leaf in leaves:
-            leaf.order(frames.FaultCommand(what, value, span, query_class))
+    def _flap(self, leaves: list[Leaf]) -> Coro[None]:
+        """Kill leaves for a while, several times."""
+        for _ in range(FLAP_COUNT):
+            yield from self._kill(leaves, FLAP_US)
+            yield from sleep(self.loop, FLAP_US)
 
-    def _generate_load(self, draws: random.Random) -> Coro[None]:
-        """As ever, but on the day on which all clients come to one zone's brokers."""
-        if self.kind == "clients moved":
-            plain, moved = draws.randrange, self.loop.now() + int(BEFORE * 1e6)
-            here = [n for n, broker in enumerate(self.fleet.brokers) if broker.zone == 0]
+    def _cut(
+        self,
+        is_cut: Callable[[int, int], bool],
+        duration_us: int,
+        broker_names: Iterable[str] | None = None,
+    ) -> Coro[None]:
+        """Cut links between brokers (of these names) and leaves, by the zones of both, for a while."""
+        links = [
+            (f"b{number}", leaf.name)
+            for number, broker in enumerate(self.fleet.brokers)
+            for leaf in self.fleet.leaves
+            if (broker_names is None or f"b{number}" in broker_names) and is_cut(broker.zone, leaf.zone)
+        ]
+        for broker_name, leaf_name in links:
+            self.net.cut(broker_name, leaf_name)
+            self.net.cut(leaf_name, broker_name)
+        yield from sleep(self.loop, duration_us)
+        for broker_name, leaf_name in links:
+            self.net.heal(broker_name, leaf_name)
+            self.net.heal(leaf_name, broker_name)
 
-            def chosen(upto: int, *more: int) -> int:
-                number, of_brokers = plain(upto, *more), upto == len(self.fleet.brokers)
-                return here[number % len(here)] if of_brokers and self.loop.now() > moved else number
 
-            draws.randrange = chosen  # type: ignore[method-assign,assignment]
-        yield from super()._generate_load(draws)
+def _is_across_fault(broker_zone: int, leaf_zone: int) -> bool:
+    """Whether exactly one end of a link is in the zone with the fault."""
+    return (broker_zone == FAULTY_ZONE_NUMBER) != (leaf_zone == FAULTY_ZONE_NUMBER)
 
-    def _on_request_completed(self, request: CompletedRequest) -> None:
-        window = int(((request.started_at_us - self._zero) / 1e6) // WINDOW)
-        before = {name: Counter(counts) for name, counts in self.outcome_counts.items()}
-        super()._on_request_completed(request)
-        for name, counts in self.outcome_counts.items():
-            self.ends[name, window].update(Counter(counts) - before.get(name, Counter()))
 
-    @property
-    def _zero(self) -> int:
-        """When the trouble begins (clock, us)."""
-        return 1_000_000 + 1_500_000 + int((SETTLE + BEFORE) * 1e6)
+def _is_first_to_faulty(broker_zone: int, leaf_zone: int) -> bool:
+    """Whether a link is from the first zone's brokers to the zone with the fault."""
+    return broker_zone == 0 and leaf_zone == FAULTY_ZONE_NUMBER
 
-    def figures(self) -> dict[str, Any]:
-        """Service by class and five seconds from the trouble's beginning on, decisions, falls and rules."""
-        verdict = self.verdict()
-        service: dict[str, dict[int, float]] = defaultdict(dict)
-        windows: dict[int, list[int]] = defaultdict(lambda: [0, 0])
-        for (query_class, window), counts in sorted(self.ends.items()):
-            asked, good = sum(counts.values()), counts.get("on time", 0)
-            service[query_class][window] = round(good / asked, 3) if asked else 1.0
-            windows[window][0] += good
-            windows[window][1] += asked
-        inside = [
-            good / asked
-            for window, (good, asked) in windows.items()
-            if asked >= 20 and -1 <= window <= int((TROUBLE + AFTER) / WINDOW) - 1
-        ]
-        worst = min(inside, default=1.0)
-        total = [sum(column) for column in zip(*windows.values(), strict=True)] or [0, 1]
-        by_keepers = [
-            event for event in self.events if event["ev"] == "zones" and event["who"].startswith("k")
-        ]
-        leaving = [
-            event["t"]
-            for event in by_keepers
-            for name, (state, _) in event["states"].items()
-            if state in (ZoneState.EVACUATING, ZoneState.EVACUATED) and name == ZONES[SICK]
-        ]
-        empty = [event["t"] for event in by_keepers if not event["states"]]
-        left_at = next((at for at in leaving if at >= self._zero), None)
-        told: dict[tuple[int, int], list[int]] = defaultdict(list)
-        for event in self.events:
-            if event["ev"] == "zones" and event["who"].startswith("b"):
-                told[event["term"], event["number"]].append(event["t"])
-        states = [event["states"].get(ZONES[SICK], [ZoneState.SERVING])[0] for event in by_keepers]
-        return {
-            "kind": self.kind,
-            "variant": self.variant,
-            "seed": self.seed,
-            "service": {query_class: dict(row) for query_class, row in service.items()},
-            "worst": round(worst, 3),
-            "all": round(total[0] / max(total[1], 1), 4),
-            "left_after_s": round((left_at - self._zero) / 1e6, 1) if left_at is not None else None,
-            "back_after_s": round((max(empty) - self._zero) / 1e6, 1)
-            if empty and left_at is not None
-            else None,
-            "others_left": sorted(
-                {name for event in by_keepers for name in event["states"] if name != ZONES[SICK]}
-            ),
-            "leaves": sum(
-                after in (ZoneState.EVACUATING, ZoneState.EVACUATED) and before == ZoneState.SERVING
-                for before, after in zip([ZoneState.SERVING, *states], states, strict=False)
-            ),
-            "apart_s": round(max((max(ats) - min(ats) for ats in told.values()), default=0) / 1e6, 2),
-            "fell": verdict.counts["falls"],
-            "coldest": round(verdict.coldest, 2),
-            "broken": len(verdict.breaches),
-            "rules": [str(breach) for breach in verdict.breaches[:3]],
-        }
+
+def _is_any(_broker_zone: int, _leaf_zone: int) -> bool:
+    return True
+
+
+def _order(leaves: list[Leaf], command: frames.FaultCommand) -> None:
+    for leaf in leaves:
+        leaf.order(command)
 
 
-def play(variant: str, kind: str, seed: int = 1, **size: Any) -> dict[str, Any]:
-    """One day under one variant."""
-    return EvacuationScenario(variant, kind, seed, **size).run().figures()  # type: ignore[attr-defined, no-any-return]
+def run_evacuation_experiment(
+    variant: Variant, scenario: Scenario, seed: int = 1, **size: Unpack[ExperimentSize]
+) -> EvacuationResult:
+    """Run one scenario under one variant and return its result."""
+    experiment = EvacuationScenario(variant, scenario, seed, **size)
+    experiment.run()
+    return experiment.result()
--- a/heathwell/testing/simulation/quota_experiment.py
+++ b/heathwell/testing/simulation/quota_experiment.py
@@ -1,4 +1,4 @@
-"""An experiment on quotas of the whole fleet: scenarios in which all brokers together overload hosts.
+"""An experiment on a fleet's quotas: scenarios in which all brokers together overload hosts.
 
 It compares four ways to bound attempts, see :class:`Variant`, in virtual time with the brokers' code and
 stand-in hosts.
@@ -8,7 +8,7 @@
 
 import enum
 from collections import Counter
-from typing import Any, Final
+from typing import Final, NamedTuple, TypedDict, Unpack
 
 import msgspec
 
@@ -29,9 +29,11 @@
     sale_record_class,
     settings_text,
 )
+from heathwell.testing.simulation.outcomes_by_period import OutcomesByPeriod
 from heathwell.testing.simulation.simulated_scenario import (
     LOOP_START_US,
     SETTLE_US,
+    US_PER_SECOND,
     CompletedRequest,
     SimulatedScenario,
 )
@@ -73,7 +75,6 @@
 PHASES: Final = tuple(Phase)
 OUTCOMES: Final = ("on time", "late", "partial", "refused", "failed", "no reply")
 
-US_PER_SECOND: Final = 1_000_000
 COORDINATOR_SETTLE_SECONDS: Final = 8.0
 """Coordinators grant no quota in their first six seconds."""
 BEFORE_SECONDS: Final = 8.0
@@ -107,6 +108,23 @@
 MAX_REPORTED_OVERSHOOTS: Final = 3
 
 
+class ExperimentSize(TypedDict, total=False):
+    """The size of an experiment, see :class:`QuotaExperiment`."""
+
+    brokers: int
+    hosts: int
+    rate: float
+    additional_attempt_budget: float
+    cold_host_budget: float
+
+
+class AttemptRate(NamedTuple):
+    """Attempts a second."""
+
+    mean: float
+    maximum: int
+
+
 class QuotaExperimentResult(
     msgspec.Struct,
     frozen=True,
@@ -127,8 +145,8 @@
     variant: Variant
     service: dict[str, dict[str, int]]
     """Number of queries by outcome, for each ``class/phase``."""
-    additional_attempts_per_second: tuple[float, int]
-    """Mean and maximum of the whole fleet during the fault."""
+    additional_attempts_per_second: AttemptRate
+    """Those of the fleet during the fault."""
     arrived_attempts: int
     """Attempts that arrived at hosts during the fault."""
     nearest_to_overload: float
@@ -141,35 +159,43 @@
     """The largest fraction of each budget that was granted at a time."""
 
 
-def _budget_settings(variant: Variant, brokers: int, further: float, cold: float) -> str:
+def _budget_settings(
+    variant: Variant, brokers: int, additional_attempt_budget: float, cold_host_budget: float
+) -> str:
     """Return the settings of the coordinators and of both budgets, in units a second."""
     reserved = {Variant.SPLIT: "100%", Variant.GRANTED: "20%", Variant.HALF_RESERVED: "50%"}[variant]
     burst = "8s" if variant is Variant.GRANTED else "4s"
     cold_reserved = {Variant.SPLIT: 1.0, Variant.GRANTED: 0.0, Variant.HALF_RESERVED: 0.5}[variant]
-    cold_burst_seconds = brokers / cold / (cold_reserved or 1) + 0.1
+    cold_burst_seconds = brokers / cold_host_budget / (cold_reserved or 1) + 0.1
     return (
         f' (keepers "k0:7100" "k1:7101" "k2:7102") (most {brokers})'
-        f" (budget further (whole {further:g}) (aside {reserved}) (burst {burst}))"
-        f" (budget cold (whole {cold:g}) (aside {cold_reserved:.0%}) (burst {cold_burst_seconds:.1f}s))"
+        f" (budget further (whole {additional_attempt_budget:g}) (aside {reserved}) (burst {burst}))"
+        f" (budget cold (whole {cold_host_budget:g}) (aside {cold_reserved:.0%})"
+        f" (burst {cold_burst_seconds:.1f}s))"
     )
 
 
 def quota_experiment_settings(
-    variant: Variant, brokers: int, hosts: int, further: float, cold: float
+    variant: Variant,
+    brokers: int,
+    hosts: int,
+    additional_attempt_budget: float,
+    cold_host_budget: float,
 ) -> ServiceSettings:
-    """Return the settings of a variant; ``further`` and ``cold`` are budgets in units a second."""
+    """Return the settings of a variant; both budgets are in units a second."""
     fleet = (
         f"(shards {2 * hosts}) (cells {hosts}) (width 3) (zones {ZONES}) (leaves {hosts}) (brokers {brokers})"
     )
     if variant is not Variant.LOCAL:
-        fleet += _budget_settings(variant, brokers, further, cold)
+        fleet += _budget_settings(variant, brokers, additional_attempt_budget, cold_host_budget)
     return loads(REGIONAL_SETTINGS + f"(fleet {fleet})")
 
 
 class QuotaExperiment(SimulatedScenario):
     """One run of a scenario under one variant.
 
-    ``outcomes_by_phase`` counts how queries ended by class and phase. ``rate`` is in queries a second.
+    ``outcomes`` counts how queries ended by class and phase. ``rate`` is in requests a
+    second, both budgets are in units a second.
     """
 
     def __init__(
@@ -181,14 +207,16 @@
         brokers: int = 89,
         hosts: int = 82,
         rate: float = 130.0,
-        further: float = 120.0,
-        cold: float = 20.0,
+        additional_attempt_budget: float = 120.0,
+        cold_host_budget: float = 20.0,
     ) -> None:
         self.variant = Variant(variant)
         self.scenario = Scenario(scenario)
-        self.outcomes_by_phase: dict[tuple[str, Phase], Counter[str]] = {}
+        self.outcomes: OutcomesByPeriod[Phase] = OutcomesByPeriod()
         super().__init__(
-            quota_experiment_settings(self.variant, brokers, hosts, further, cold),
+            quota_experiment_settings(
+                self.variant, brokers, hosts, additional_attempt_budget, cold_host_budget
+            ),
             seed,
             duration_seconds=BEFORE_SECONDS + FAULT_SECONDS + AFTER_SECONDS,
             arrival_rate=rate,
@@ -260,29 +288,27 @@
         return Phase.DURING if since_fault_seconds < FAULT_SECONDS else Phase.AFTER
 
     def _on_request_completed(self, request: CompletedRequest) -> None:
-        phase = self._phase(request.started_at_us)
-        before = {name: Counter(counts) for name, counts in self.outcome_counts.items()}
         super()._on_request_completed(request)
-        for name, counts in self.outcome_counts.items():
-            added = Counter(counts) - before.get(name, Counter())
-            self.outcomes_by_phase.setdefault((name, phase), Counter()).update(added)
+        self.outcomes.record(self._phase(request.started_at_us), request)
 
     def _service(self) -> dict[str, dict[str, int]]:
         """Return the number of queries by outcome for each class and phase, in order of both."""
-        ordered = sorted(
-            self.outcomes_by_phase.items(), key=lambda item: (item[0][0], PHASES.index(item[0][1]))
-        )
-        return {f"{query_class}/{phase}": dict(counts) for (query_class, phase), counts in ordered}
-
-    def _additional_attempts_per_second(self) -> tuple[float, int]:
-        """Return the mean and the maximum of additional attempts a second during the fault."""
+        return {
+            f"{query_class}/{phase}": dict(by_phase[phase])
+            for query_class, by_phase in sorted(self.outcomes.counts.items())
+            for phase in PHASES
+            if phase in by_phase
+        }
+
+    def _additional_attempt_rate(self) -> AttemptRate:
+        """Return the additional attempts a second during the fault."""
         attempts = Counter(
             (event["t"] - FAULT_AT_US) // US_PER_SECOND
             for event in self.events
             if event["ev"] == "send" and event.get("further")
         )
         during = [attempts[second] for second in range(int(FAULT_SECONDS))]
-        return round(sum(during) / len(during), 1), max(during)
+        return AttemptRate(mean=round(sum(during) / len(during), 1), maximum=max(during))
 
     def _arrived_attempts(self) -> int:
         """Return the number of attempts that arrived at hosts during the fault."""
@@ -304,7 +330,7 @@
             scenario=self.scenario,
             variant=self.variant,
             service=self._service(),
-            additional_attempts_per_second=self._additional_attempts_per_second(),
+            additional_attempts_per_second=self._additional_attempt_rate(),
             arrived_attempts=self._arrived_attempts(),
             nearest_to_overload=round(verdict.coldest, 2),
             overloads=verdict.counts["falls"],
@@ -315,7 +341,9 @@
         )
 
 
-def run_quota_experiment(variant: str, scenario: str, seed: int = 1, **size: Any) -> QuotaExperimentResult:
+def run_quota_experiment(
+    variant: str, scenario: str, seed: int = 1, **size: Unpack[ExperimentSize]
+) -> QuotaExperimentResult:
     """Run one scenario under one variant and return its result."""
     experiment = QuotaExperiment(variant, scenario, seed, **size)
     experiment.run()
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -27,6 +27,8 @@
 )
 from heathwell.settings import load
 from heathwell.testing.simulation.evacuation_experiment import EvacuationScenario
+from heathwell.testing.simulation.evacuation_result import Scenario
+from heathwell.testing.simulation.evacuation_result import Variant as EvacuationVariant
 from heathwell.testing.simulation.multi_broker_scenario import MultiBrokerScenario
 from heathwell.testing.simulation.quota_experiment import QuotaExperiment
 from heathwell.testing.simulation.quota_faults import schedule_random_faults
@@ -129,17 +131,17 @@
     """Brokers with quotas from keepers, hosts that come back cold, and the event logs of all of them."""
     experiment = QuotaExperiment("lent", "cold return", 1, brokers=3, hosts=9, rate=2.0)
     experiment.run()
-    return experiment.events, sorted(experiment.outcomes_by_phase.items())
+    return experiment.events, sorted(experiment.outcomes.counts.items())
 
 
 def zone_day() -> Any:
     """A zone that is killed, left by the fleet and taken back, with all events."""
-    day = EvacuationScenario("fleet", "killed", 1, brokers=6, hosts=9, rate=16.0)
+    day = EvacuationScenario(EvacuationVariant.FLEET, Scenario.KILLED, 1, brokers=6, hosts=9, rate=16.0)
     day.duration_seconds = 12.0
     day.run()
-    figures = day.figures()
-    assert figures["left_after_s"] is not None and figures["back_after_s"] is not None
-    return day.events, figures
+    result = day.result()
+    assert result.evacuated_after_seconds is not None and result.restored_after_seconds is not None
+    return day.events, result
 
 
 def storm_day() -> Any:
