--- a/heathwell/testing/simulation/errors.py
+++ b/heathwell/testing/simulation/errors.py
@@ -1,15 +1,7 @@
-"""The base of the exceptions that simulations raise."""
+"""The base of the errors of this package."""
 
 from __future__ import annotations
 
 
 class SimulationError(Exception):
-    """A simulation can't be carried out, or ended by a fault of its own."""
-
-
-class ScenarioTaskError(SimulationError):
-    """A task of a scenario ended by an exception, which is this one's cause."""
-
-    def __init__(self, task: str) -> None:
-        super().__init__(f"task {task} failed")
-        self.task = task
+    """An error of the harness of experiments, not of the program that it runs."""
--- a/heathwell/testing/simulation/simulated_scenario.py
+++ b/heathwell/testing/simulation/simulated_scenario.py
@@ -23,7 +23,7 @@
 from heathwell.settings.records.queries import QueryClass
 from heathwell.testing.audit import AgeVerdict, Verdict, judge, judge_ages
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.errors import ScenarioTaskError
+from heathwell.testing.simulation.errors import SimulationError
 from heathwell.testing.simulation.host_faults import HOST_FAULTS, HostFault
 from heathwell.testing.simulation.local_fleet import LocalFleet
 from heathwell.testing.simulation.memcached_values import MemcachedValue, ReplyBody, read_values
@@ -56,6 +56,14 @@
 ZONE_CRASH_BELOW: Final = 0.34
 
 
+class ScenarioTaskError(SimulationError):
+    """A task of a scenario ended by an exception, which is this one's cause."""
+
+    def __init__(self, task: str) -> None:
+        super().__init__(f"task {task} failed")
+        self.task = task
+
+
 class ScenarioOptions(TypedDict, total=False):
     """Keyword arguments of :class:`SimulatedScenario` that its subclasses pass on."""
 
