--- a/heathwell/testing/simulation/region_experiment.py
+++ b/heathwell/testing/simulation/region_experiment.py
@@ -1,17 +1,21 @@
-"""Two regions on virtual time: a link that slows, loses a way, is cut, flaps, or a region that is lost.
+"""An experiment on two regions in virtual time: a fault of the link between them, or the loss of one.
 
-The service is counted by class in three spans: before, while the trouble lasts, and after it.
+Queries are counted by class in three phases: before, during and after the fault.
 """
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from typing import Any
+from enum import StrEnum
+from typing import Final
+
+import msgspec
 
 from heathwell.eventloop import Coro, sleep
-from heathwell.settings import ServiceSettings, loads
+from heathwell.service.records import Plan
+from heathwell.settings import loads
 from heathwell.testing.simulation.demo_settings import (
     PRICE_KEYS,
     RULES,
@@ -25,19 +29,58 @@
     sale_record_class,
     settings_text,
 )
-from heathwell.testing.simulation.simulated_scenario import CompletedRequest, QueryOutcome, SimulatedScenario
+from heathwell.testing.simulation.experiment_phases import Phase, phase_order
+from heathwell.testing.simulation.region_settings import (
+    ZONE_NAMES,
+    RegionName,
+    Variant,
+    across_section,
+    region_of_number,
+)
+from heathwell.testing.simulation.simulated_scenario import (
+    LOOP_START_US,
+    SETTLE_US,
+    US_PER_SECOND,
+    CompletedQuery,
+    CompletedRequest,
+    QueryOutcome,
+    SimulatedScenario,
+)
 from heathwell.testing.standins.relay import lost_wait
 
-BEFORE, TROUBLE, AFTER = 10.0, 15.0, 20.0
-LOSS = 0.05  # share of packets
-HOME_WAY_US, FAR_WAY_US = 300, 3_000
-TROUBLES = ("100 ms", "400 ms", "loss", "one way", "cut", "flap", "region lost")
-VARIANTS = {
-    "decider": "(across (region hki (zones hki-1 hki-2)) (region espoo (zones espoo-1 espoo-2)))",
-    "off": "(across (decide no) (region hki (zones hki-1 hki-2)) (region espoo (zones espoo-1 espoo-2)))",
-    "nearest first": "(across (decide no) (prefer-home yes) (region hki (zones hki-1 hki-2)) "
-    "(region espoo (zones espoo-1 espoo-2)))",
-}
+BEFORE_SECONDS: Final = 10.0
+FAULT_SECONDS: Final = 15.0
+AFTER_SECONDS: Final = 20.0
+FAULT_DURATION_US: Final = int(FAULT_SECONDS * US_PER_SECOND)
+LOAD_START_US: Final = LOOP_START_US + SETTLE_US
+
+LOCAL_DELAY_US: Final = 300
+CROSS_REGION_DELAY_US: Final = 3_000
+PACKET_LOSS_FRACTION: Final = 0.05
+SMALL_MESSAGE_BYTES: Final = 1
+FLAP_INTERVAL_SECONDS: Final = 2
+
+RECOVERY_WINDOW_SECONDS: Final = 3
+RECOVERY_TOLERANCE: Final = 0.05
+"""The service has recovered when the fraction on time is at most so much below that before the fault."""
+WARM_UP_SECONDS: Final = 2
+"""Seconds at the start that don't count for the usual service."""
+
+
+class RegionFault(StrEnum):
+    """The fault that is injected."""
+
+    DELAY_100_MS = "100 ms"
+    DELAY_400_MS = "400 ms"
+    PACKET_LOSS = "loss"
+    ONE_WAY = "one way"
+    """Requests from hki arrive, their replies don't."""
+    CUT = "cut"
+    FLAPPING = "flap"
+    REGION_LOST = "region lost"
+
+
+REGION_FAULTS: Final = tuple(RegionFault)
 
 
 def region_settings_text(
@@ -55,7 +98,7 @@
             shards=shards,
             replica_groups=replica_groups,
             replicas=replicas,
-            zones=("hki-1", "hki-2", "espoo-1", "espoo-2"),
+            zones=ZONE_NAMES,
             leaves=leaves,
             brokers=brokers,
         ),
@@ -65,15 +108,16 @@
     )
 
 
-REGION_SETTINGS = region_settings_text(shards=64, replica_groups=32, replicas=2, leaves=32, brokers=8)
-LARGE_REGION_SETTINGS = region_settings_text(shards=164, replica_groups=82, replicas=3, leaves=82, brokers=89)
+REGION_SETTINGS: Final = region_settings_text(shards=64, replica_groups=32, replicas=2, leaves=32, brokers=8)
+LARGE_REGION_SETTINGS: Final = region_settings_text(
+    shards=164, replica_groups=82, replicas=3, leaves=82, brokers=89
+)
 
 
-@dataclass(slots=True)
-class Span:
-    """How queries of a class ended within a span."""
+class QueryCounts(msgspec.Struct, rename={"queries": "asked"}):
+    """The number of queries by how they ended, of a class in a phase; encoded by the report's names."""
 
-    asked: int = 0
+    queries: int = 0
     on_time: int = 0
     late: int = 0
     partial: int = 0
@@ -81,206 +125,243 @@
     failed: int = 0
     lost: int = 0
 
+    def record(self, outcome: QueryOutcome) -> None:
+        """Count a query."""
+        self.queries += 1
+        match outcome:
+            case QueryOutcome.ON_TIME:
+                self.on_time += 1
+            case QueryOutcome.LATE:
+                self.late += 1
+            case QueryOutcome.PARTIAL:
+                self.partial += 1
+            case QueryOutcome.REFUSED:
+                self.refused += 1
+            case QueryOutcome.FAILED:
+                self.failed += 1
+
+
+@dataclass(frozen=True, slots=True)
+class ServiceKey:
+    """Which queries are counted: of a class in a phase; all, or those with replicas in their region alone."""
+
+    query_class: str
+    phase: Phase
+    is_local: bool = False
+
+
+@dataclass(slots=True)
+class SecondCounts:
+    """The queries of one second, and those of them that were answered in full on time."""
+
+    queries: int = 0
+    on_time: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class Link:
+    """One direction of the connection between two hosts."""
+
+    source: str
+    target: str
+
 
 class RegionScenario(SimulatedScenario):
-    """A day with one trouble between two regions; ``cells`` lie so that a quarter of the shards is all at
-    home.
+    """A scenario with one fault between two regions.
+
+    Queries for which each shard has a replica in the region of their broker are counted apart as local.
+    ``abandoned_after_permille`` are the durations of the fault's other queries that were not answered in
+    full, in thousandths of their latency objective.
     """
 
     def __init__(
-        self, variant: str, trouble: str, seed: int = 1, rate: float = 60.0, text: str = REGION_SETTINGS
+        self,
+        variant: str,
+        fault: str,
+        seed: int = 1,
+        rate: float = 60.0,
+        text: str = REGION_SETTINGS,
     ) -> None:
-        service_settings: ServiceSettings = loads(text + VARIANTS[variant])
-        self.ways: Callable[[str, str], int] = self._plain_way
         super().__init__(
-            service_settings,
+            loads(text + across_section(Variant(variant))),
             seed,
-            duration_seconds=BEFORE + TROUBLE + AFTER,
+            duration_seconds=BEFORE_SECONDS + FAULT_SECONDS + AFTER_SECONDS,
             arrival_rate=rate,
             fault_rate=0.0,
             poison_fraction=0.0,
         )
-        self.net.delay = self._way
-        self.trouble_name = trouble
-        self.spans: dict[tuple[str, int, bool], Span] = {}
-        self.give_up_us: list[int] = []
-        self.by_second: dict[int, list[int]] = {}
+        self.fault = RegionFault(fault)
+        self.net.delay = self._delay_us
+        self.counts: dict[ServiceKey, QueryCounts] = {}
+        self.abandoned_after_permille: list[int] = []
+        self._counts_by_second: dict[int, SecondCounts] = {}
+        self._cross_region_extra_delay_us: Callable[[], int] = _no_extra_delay
+
+    # Network
+
+    @staticmethod
+    def region_of(host: str) -> RegionName:
+        """Return the region of a host; all but leaves and brokers are in hki."""
+        if not host.startswith(("leaf", "b")):
+            return RegionName.HKI
+        digits = "".join(character for character in host if character.isdigit())
+        return region_of_number(int(digits or 0))
+
+    def _delay_us(self, source: str, target: str) -> int:
+        is_crossing = self.region_of(source) is not self.region_of(target)
+        if not is_crossing or "client" in (source, target):
+            return LOCAL_DELAY_US
+        return CROSS_REGION_DELAY_US + self._cross_region_extra_delay_us()
+
+    def _hosts_in(self, region: RegionName) -> list[str]:
+        """Return the leaves and brokers of a region."""
+        names = [leaf.name for leaf in self.fleet.leaves]
+        names += [f"b{number}" for number in range(len(self.fleet.brokers))]
+        return [name for name in names if self.region_of(name) is region]
+
+    def _links(self, *, both_ways: bool) -> list[Link]:
+        """Return the links from espoo to hki, with ``both_ways`` those from hki to espoo too."""
+        links = []
+        for hki_host in self._hosts_in(RegionName.HKI):
+            for espoo_host in self._hosts_in(RegionName.ESPOO):
+                if both_ways:
+                    links.append(Link(hki_host, espoo_host))
+                links.append(Link(espoo_host, hki_host))
+        return links
 
-    def far(self, host: str) -> bool:
-        """Whether a host stands in espoo."""
-        number = int("".join(c for c in host if c.isdigit()) or 0)
-        return host.startswith(("leaf", "b")) and number % 4 >= 2
+    def _cut(self, links: Iterable[Link]) -> None:
+        for link in links:
+            self.net.cut(link.source, link.target)
 
-    def _plain_way(self, a: str, b: str) -> int:
-        return FAR_WAY_US if self.far(a) != self.far(b) and "client" not in (a, b) else HOME_WAY_US
+    def _heal(self, links: Iterable[Link]) -> None:
+        for link in links:
+            self.net.heal(link.source, link.target)
 
-    def _way(self, a: str, b: str) -> int:
-        return self.ways(a, b)
+    # The fault
 
     def _main(self) -> Coro[None]:
-        self.loop.spawn(self._link_trouble(), "link")
+        self.loop.spawn(self._inject_region_fault(), "region fault")
         yield from super()._main()
 
-    def _hosts(self, far: bool) -> list[str]:
-        names = [leaf.name for leaf in self.fleet.leaves] + [f"b{n}" for n in range(len(self.fleet.brokers))]
-        return [name for name in names if self.far(name) == far]
-
-    def _cut(self, away: bool = True, back: bool = True, heal: bool = False) -> None:
-        act = self.net.heal if heal else self.net.cut
-        for home in self._hosts(False):
-            for far in self._hosts(True):
-                if away:
-                    act(home, far)
-                if back:
-                    act(far, home)
-
-    def _link_trouble(self) -> Coro[None]:
-        yield from sleep(self.loop, 1_500_000 + int(BEFORE * 1e6))
-        span = int(TROUBLE * 1e6)
-        if self.trouble_name in ("100 ms", "400 ms"):
-            extra = int(self.trouble_name.split()[0]) * 1000
-            self.ways = lambda a, b: (
-                self._plain_way(a, b) + (extra if self._plain_way(a, b) == FAR_WAY_US else 0)
-            )
-            yield from sleep(self.loop, span)
-            self.ways = self._plain_way
-        elif self.trouble_name == "loss":
-            draws = random.Random(self.seed)
-            self.ways = lambda a, b: (
-                (way := self._plain_way(a, b)) + (lost_wait(1, LOSS, draws) if way == FAR_WAY_US else 0)
-            )
-            yield from sleep(self.loop, span)
-            self.ways = self._plain_way
-        elif self.trouble_name == "one way":
-            self._cut(away=False)  # what hki asks arrives, the answers don't
-            yield from sleep(self.loop, span)
-            self._cut(away=False, heal=True)
-        elif self.trouble_name == "cut":
-            self._cut()
-            yield from sleep(self.loop, span)
-            self._cut(heal=True)
-        elif self.trouble_name == "flap":
-            for turn in range(int(TROUBLE // 2)):
-                self._cut(heal=turn % 2 == 1)
-                yield from sleep(self.loop, 2_000_000)
-            self._cut(heal=True)
-        elif self.trouble_name == "region lost":
-            lost = [leaf for leaf in self.fleet.leaves if self.far(leaf.name)]
-            for leaf in lost:
-                leaf.crash()
-            yield from sleep(self.loop, span)
-            for leaf in lost:  # back cold all at once
-                leaf.start()
+    def _inject_region_fault(self) -> Coro[None]:
+        yield from sleep(self.loop, SETTLE_US + int(BEFORE_SECONDS * US_PER_SECOND))
+        match self.fault:
+            case RegionFault.DELAY_100_MS:
+                yield from self._delay_links(lambda: 100_000)
+            case RegionFault.DELAY_400_MS:
+                yield from self._delay_links(lambda: 400_000)
+            case RegionFault.PACKET_LOSS:
+                draws = random.Random(self.seed)
+                yield from self._delay_links(
+                    lambda: lost_wait(SMALL_MESSAGE_BYTES, PACKET_LOSS_FRACTION, draws)
+                )
+            case RegionFault.ONE_WAY:
+                yield from self._cut_links(self._links(both_ways=False))
+            case RegionFault.CUT:
+                yield from self._cut_links(self._links(both_ways=True))
+            case RegionFault.FLAPPING:
+                yield from self._flap_links(self._links(both_ways=True))
+            case RegionFault.REGION_LOST:
+                yield from self._lose_region(RegionName.ESPOO)
+
+    def _delay_links(self, extra_delay_us: Callable[[], int]) -> Coro[None]:
+        """Delay what crosses regions further, for the fault's duration."""
+        self._cross_region_extra_delay_us = extra_delay_us
+        yield from sleep(self.loop, FAULT_DURATION_US)
+        self._cross_region_extra_delay_us = _no_extra_delay
+
+    def _cut_links(self, links: list[Link]) -> Coro[None]:
+        """Cut links for the fault's duration."""
+        self._cut(links)
+        yield from sleep(self.loop, FAULT_DURATION_US)
+        self._heal(links)
+
+    def _flap_links(self, links: list[Link]) -> Coro[None]:
+        """Cut links and restore them in turn, for the fault's duration."""
+        for interval in range(int(FAULT_SECONDS // FLAP_INTERVAL_SECONDS)):
+            if interval % 2 == 0:
+                self._cut(links)
+            else:
+                self._heal(links)
+            yield from sleep(self.loop, FLAP_INTERVAL_SECONDS * US_PER_SECOND)
+        self._heal(links)
+
+    def _lose_region(self, region: RegionName) -> Coro[None]:
+        """Crash all leaves of a region, and start them again at the same time with cold caches."""
+        leaves = [leaf for leaf in self.fleet.leaves if self.region_of(leaf.name) is region]
+        for leaf in leaves:
+            leaf.crash()
+        yield from sleep(self.loop, FAULT_DURATION_US)
+        for leaf in leaves:
+            leaf.start()
+
+    # Statistics
+
+    @staticmethod
+    def _phase(load_seconds: float) -> Phase:
+        """Return the phase of a time, in seconds from the load's start."""
+        if load_seconds < BEFORE_SECONDS:
+            return Phase.BEFORE
+        return Phase.DURING if load_seconds < BEFORE_SECONDS + FAULT_SECONDS else Phase.AFTER
 
     def _on_request_completed(self, request: CompletedRequest) -> None:
-        far_broker = self.far(f"b{request.broker}")
-        at = (request.started_at_us - 1_000_000 - 1_500_000) / 1e6
-        where = 0 if at < BEFORE else 1 if at < BEFORE + TROUBLE else 2
+        broker_region = self.region_of(f"b{request.broker}")
+        load_seconds = (request.started_at_us - LOAD_START_US) / US_PER_SECOND
         for query in request.queries:
-            plan = self.fleet.brokers[0].broker.keys.plan(query.key)
-            home = plan is not None and self._all_home(plan, far_broker)
-            for part in (home, None):
-                if part is None or part:
-                    span = self.spans.setdefault((query.query_class.name, where, bool(part)), Span())
-                    span.asked += 1
-                    match query.outcome:
-                        case QueryOutcome.ON_TIME:
-                            span.on_time += 1
-                        case QueryOutcome.LATE:
-                            span.late += 1
-                        case QueryOutcome.PARTIAL:
-                            span.partial += 1
-                        case QueryOutcome.REFUSED:
-                            span.refused += 1
-                        case QueryOutcome.FAILED:
-                            span.failed += 1
-            second = self.by_second.setdefault(int(at), [0, 0])
-            second[0] += 1
-            second[1] += query.outcome == QueryOutcome.ON_TIME
-            if where == 1 and not query.is_complete and not home:
-                self.give_up_us.append(query.duration_us * 1000 // query.query_class.latency_objective_us)
-
-    def steady_after(self) -> float | None:
-        """Seconds from the trouble's end until three seconds in a row are within 5 points of the
-        time before.
-        """
-
-        def share(seconds: range) -> float:
-            rows = [self.by_second[s] for s in seconds if s in self.by_second]
-            return sum(row[1] for row in rows) / max(1, sum(row[0] for row in rows))
-
-        usual, end = share(range(2, int(BEFORE))), int(BEFORE + TROUBLE)
-        for start in range(end, end + int(AFTER) - 2):
-            if share(range(start, start + 3)) >= usual - 0.05:
-                return float(start - end)
-        return None
+            self._record_query(query, broker_region, load_seconds)
 
-    def _all_home(self, plan: Any, far: bool) -> bool:
-        """Whether every shard of a plan has a holder in the region of the broker that was asked."""
-        cells = self.service_settings.fleet.cells
+    def _record_query(self, query: CompletedQuery, broker_region: RegionName, load_seconds: float) -> None:
+        phase = self._phase(load_seconds)
+        plan = self.fleet.brokers[0].broker.keys.plan(query.key)
+        is_local = plan is not None and self._has_local_replicas(plan, broker_region)
+        keys = [ServiceKey(query.query_class.name, phase)]
+        if is_local:
+            keys.append(ServiceKey(query.query_class.name, phase, is_local=True))
+        for key in keys:
+            self.counts.setdefault(key, QueryCounts()).record(query.outcome)
+        second = self._counts_by_second.setdefault(int(load_seconds), SecondCounts())
+        second.queries += 1
+        second.on_time += query.outcome is QueryOutcome.ON_TIME
+        if phase is Phase.DURING and not query.is_complete and not is_local:
+            self.abandoned_after_permille.append(
+                query.duration_us * 1000 // query.query_class.latency_objective_us
+            )
+
+    def _has_local_replicas(self, plan: Plan, region: RegionName) -> bool:
+        """Return whether each shard of a plan has a replica in a region."""
+        fleet = self.service_settings.fleet
         return all(
             any(
-                ((part.shard + step) % cells % 4 >= 2) == far
-                for step in range(self.service_settings.fleet.width)
+                region_of_number((part.shard + replica) % fleet.cells) is region
+                for replica in range(fleet.width)
             )
             for part in plan.parts
         )
 
-
-def sent_by_second(day: RegionScenario) -> list[dict[str, float]]:
-    """What hosts were sent each second: the surviving region's mean and most, the lost one's most, in parts,
-    and connections that hosts accepted.
-    """
-    zero = 1_000_000 + 1_500_000
-    counts: dict[int, dict[str, int]] = {}
-    opened: dict[int, int] = {}
-    names = {e["node"]: e["who"] for e in day.events if e["ev"] == "up"}
-    for event in day.events:
-        second = (event["t"] - zero) // 1_000_000
-        if event["ev"] == "arrive":
-            row = counts.setdefault(second, {})
-            row[names[event["node"]]] = row.get(names[event["node"]], 0) + 1
-        elif event["ev"] == "met":
-            opened[second] = opened.get(second, 0) + 1
-    out = []
-    for second in sorted(counts):
-        home = [count for name, count in counts[second].items() if not day.far(name)]
-        far = [count for name, count in counts[second].items() if day.far(name)]
-        out.append(
-            {
-                "second": second,
-                "home mean": round(sum(home) / max(1, len(home)), 1),
-                "home most": max(home, default=0),
-                "far most": max(far, default=0),
-                "connections": opened.get(second, 0),
-            }
+    def ordered_counts(self) -> dict[ServiceKey, QueryCounts]:
+        """Return the counts in order of class and phase, those of local queries last."""
+        ordered_keys = sorted(
+            self.counts, key=lambda key: (key.query_class, phase_order(key.phase), key.is_local)
         )
-    return out
+        return {key: self.counts[key] for key in ordered_keys}
 
+    def recovery_seconds(self) -> float | None:
+        """Return how long after the fault the service was as before it, None if it never was."""
+        fraction_before = self._on_time_fraction(range(WARM_UP_SECONDS, int(BEFORE_SECONDS)))
+        fault_end = int(BEFORE_SECONDS + FAULT_SECONDS)
+        last_start = fault_end + int(AFTER_SECONDS) - RECOVERY_WINDOW_SECONDS
+        for start in range(fault_end, last_start + 1):
+            window = range(start, start + RECOVERY_WINDOW_SECONDS)
+            if self._on_time_fraction(window) >= fraction_before - RECOVERY_TOLERANCE:
+                return float(start - fault_end)
+        return None
 
-def compare(trouble: str, seed: int = 1, rate: float = 60.0) -> dict[str, Any]:
-    """One trouble under every variant: service by class and span, rules, and how far a cold host
-    was pushed.
-    """
-    out: dict[str, Any] = {"trouble": trouble}
-    for variant in VARIANTS:
-        day = RegionScenario(variant, trouble, seed, rate)
-        day.run()
-        verdict = day.verdict()
-        out[variant] = {
-            "rules": [str(breach) for breach in verdict.breaches[:5]],
-            "broken": len(verdict.breaches),
-            "coldest": round(verdict.coldest, 2),
-            "service": {
-                f"{query_class}/{('before', 'during', 'after')[where]}{'/home' if home else ''}": {
-                    name: getattr(span, name) for name in Span.__slots__
-                }
-                for (query_class, where, home), span in sorted(day.spans.items())
-            },
-            "steady after, s": day.steady_after(),
-            "gave up after, of the aim in 1000": sorted(day.give_up_us)[len(day.give_up_us) // 2 :][:1],
-            "links": [
-                (e["t"], e["who"], e["region"], e["state"], e["why"]) for e in day.events if e["ev"] == "link"
-            ][:6],
-        }
-    return out
+    def _on_time_fraction(self, seconds: range) -> float:
+        """Return the fraction of the queries of these seconds that were answered in full on time."""
+        counts = [self._counts_by_second[second] for second in seconds if second in self._counts_by_second]
+        queries = sum(count.queries for count in counts)
+        return sum(count.on_time for count in counts) / max(1, queries)
+
+
+def _no_extra_delay() -> int:
+    return 0
--- a/heathwell/testing/simulation/region_process_experiment.py
+++ b/heathwell/testing/simulation/region_process_experiment.py
@@ -1,20 +1,21 @@
-"""Two regions on sockets: one run a variant, every trouble of the link after another, the service counted
-around each.
+"""An experiment on two regions with processes on sockets: one run a variant, with all faults in turn.
 
-A fleet of processes, real clients, the relay as the link; the rules are judged from the logs of the whole
-run.
+Real clients, brokers and stand-in hosts are connected by relays, which inject the faults of the link. Queries
+are counted around each fault; the rules are audited over all of the run.
 """
 
 from __future__ import annotations
 
 import tempfile
-from collections.abc import Callable
+from collections import Counter, defaultdict
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import Final
 
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.settings import ServiceSettings, loads
+from heathwell.testing.audit import Verdict
 from heathwell.testing.simulation.client_population import Outcome
 from heathwell.testing.simulation.demo_settings import (
     PRICE_KEYS,
@@ -29,170 +30,256 @@
     sale_record_class,
     settings_text,
 )
+from heathwell.testing.simulation.experiment_phases import Phase
 from heathwell.testing.simulation.fault_scenario import Day
-from heathwell.testing.simulation.fault_script import Load, Mix, Script, Step
-
-VARIANTS = {"decider": "(let-go 2s)", "off": "(decide no)", "nearest first": "(decide no) (prefer-home yes)"}
-FIRST, TROUBLE, BETWEEN = 8.0, 8.0, 12.0  # seconds: before the first, of each, and from one's end to the next
-TROUBLES: tuple[tuple[str, str, float, tuple[str, ...]], ...] = (
-    ("100 ms", "link-delay", 0.1, ()),
-    ("400 ms", "link-delay", 0.4, ()),
-    ("loss 5 %", "link-loss", 0.05, ()),
-    ("one way", "link-oneway", 0.0, ("hki",)),
-    ("cut", "link-cut", 0.0, ()),
-    ("flap 2 s", "link-flap", 2.0, ()),
-    ("region lost", "zone-loss", 0.0, ("espoo-1", "espoo-2")),
+from heathwell.testing.simulation.fault_script import Kind, Load, Mix, Script, Step
+from heathwell.testing.simulation.region_experiment import SecondCounts, ServiceKey
+from heathwell.testing.simulation.region_settings import (
+    ZONE_NAMES,
+    RegionName,
+    Variant,
+    across_section,
+    region_of_number,
 )
-REGION_PROCESS_SETTINGS = settings_text(
+from heathwell.testing.simulation.simulated_scenario import US_PER_SECOND, QueryOutcome
+
+FIRST_FAULT_AT_SECONDS: Final = 8.0
+FAULT_SECONDS: Final = 8.0
+AFTER_SECONDS: Final = 12.0
+"""From a fault's end to the next one's begin."""
+BEFORE_SECONDS: Final = 4.0
+"""The end of the time between two faults, when the service has recovered from the first."""
+RECOVERY_WINDOW_SECONDS: Final = 3
+RECOVERY_TOLERANCE: Final = 0.1
+"""The service has recovered when the fraction on time is at most so much below that before the fault."""
+CLIENT_DRAIN_SECONDS: Final = 2
+CLIENT_COUNT: Final = 120
+SETTINGS_FILE_NAME: Final = "market.sx"
+
+_SETTINGS: Final = settings_text(
     price_search_class(work_ms=20, minimum_percent=50),
     day_report_class(work_ms=15, second_step_parts=3),
     sale_record_class(work_ms=15),
     SALE_KEYS,
     PRICE_KEYS,
     report_keys(parts=2),
-    fleet_section(
-        shards=32,
-        replica_groups=32,
-        replicas=2,
-        zones=("hki-1", "hki-2", "espoo-1", "espoo-2"),
-        leaves=32,
-        brokers=8,
-    ),
+    fleet_section(shards=32, replica_groups=32, replicas=2, zones=ZONE_NAMES, leaves=32, brokers=8),
     RULES,
     limits_section(max_in_flight=600),
     discovery_section(notice_ms=500, silent_notice_ms=3_000),
     "(log (level error))",
 )
-REGIONS = "(region hki (zones hki-1 hki-2)) (region espoo (zones espoo-1 espoo-2))"
-SPANS = ("before", "during", "after")
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessFault:
+    """A fault by the name that reports use, with its kind, value and targets in a fault script."""
+
+    name: str
+    kind: Kind
+    value: float = 0.0
+    targets: tuple[str, ...] = ()
+
+
+PROCESS_FAULTS: Final = (
+    ProcessFault("100 ms", "link-delay", value=0.1),
+    ProcessFault("400 ms", "link-delay", value=0.4),
+    ProcessFault("loss 5 %", "link-loss", value=0.05),
+    ProcessFault("one way", "link-oneway", targets=("hki",)),
+    ProcessFault("cut", "link-cut"),
+    ProcessFault("flap 2 s", "link-flap", value=2.0),
+    ProcessFault("region lost", "zone-loss", targets=("espoo-1", "espoo-2")),
+)
 
 
 @dataclass(slots=True)
-class Service:
-    """How requests of a class ended around one trouble, by span; ``home``: all holders on their broker's
-    side.
+class FaultService:
+    """How requests ended around one fault, by class and phase.
+
+    Those whose replicas are all in the region of their broker are counted apart as local.
+    ``refused_after_objectives`` are the durations of the requests that were refused during the fault, in
+    latency objectives.
     """
 
-    counts: dict[tuple[str, str, bool], dict[str, int]] = field(default_factory=dict)
-    steady_after: float | None = None
-    refused_after: list[float] = field(default_factory=list)
+    counts: dict[ServiceKey, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
+    recovery_seconds: float | None = None
+    refused_after_objectives: list[float] = field(default_factory=list)
 
-    def share(self, query_class: str, span: str, kind: str, home: bool = False) -> float:
-        """The share of a class that ended so; 0 where nothing was asked."""
-        counts = self.counts.get((query_class, span, home), {})
-        return counts.get(kind, 0) / max(1, sum(counts.values()))
+    def count(self, key: ServiceKey) -> int:
+        """Return the number of requests."""
+        return self.counts[key].total() if key in self.counts else 0
 
+    def fraction(self, key: ServiceKey, outcome: str) -> float:
+        """Return the fraction of requests that ended so; 0 where there were none."""
+        counts = self.counts.get(key, Counter[str]())
+        return counts[outcome] / max(1, counts.total())
 
-def settings(variant: str) -> str:
-    """The settings text of a variant."""
-    return REGION_PROCESS_SETTINGS + f"(across {VARIANTS[variant]} {REGIONS})\n"
 
+@dataclass(frozen=True, slots=True)
+class RegionProcessResult:
+    """The result of one run under a variant; logs are in ``folder``."""
 
-def script_of(
-    rate: float, troubles: tuple[tuple[str, str, float, tuple[str, ...]], ...], seed: int = 3
-) -> Script:
-    """Every trouble after another."""
+    variant: Variant
+    services: dict[str, FaultService]
+    """By the fault's name."""
+    verdict: Verdict
+    off_schedule_count: int
+    """Requests that the clients sent later than scheduled."""
+    request_count: int
+    folder: Path
+
+
+def region_process_settings(variant: str) -> str:
+    """Return the text of a variant's settings."""
+    across = across_section(Variant(variant), client_drain_seconds=CLIENT_DRAIN_SECONDS)
+    return f"{_SETTINGS}{across}\n"
+
+
+def fault_script(rate: float, faults: Sequence[ProcessFault], seed: int = 3) -> Script:
+    """Return the script of all faults in turn, under a load of ``rate`` requests a second."""
     steps = [
-        Step(int((FIRST + n * (TROUBLE + BETWEEN)) * 1e6), kind, list(to), int(TROUBLE * 1e6), value)  # type: ignore[arg-type]
-        for n, (_, kind, value, to) in enumerate(troubles)
+        Step(
+            at=int(_fault_at_seconds(number) * US_PER_SECOND),
+            kind=fault.kind,
+            to=list(fault.targets),
+            span=int(FAULT_SECONDS * US_PER_SECOND),
+            value=fault.value,
+        )
+        for number, fault in enumerate(faults)
     ]
     load = Load(
         rate,
-        clients=120,
+        clients=CLIENT_COUNT,
         multi=0.0,
         retries=0,
         mix=[Mix("price", 0.35), Mix("report", 0.3), Mix("sale", 0.35)],
     )
-    return Script("market.sx", FIRST + len(troubles) * (TROUBLE + BETWEEN), load, seed, steps)
-
-
-def all_home(keys: KeySpaces, service_settings: ServiceSettings, key: str, broker: str) -> bool:
-    """Whether all holders of all shards that a key asks for stand in the broker's region."""
-    plan = keys.plan(key)
-    if plan is None or not broker:
-        return False
-    fleet = service_settings.fleet
-    region = {name: r.name for r in service_settings.across.regions for name in r.zones}
-    home = region[fleet.zones[int(broker[1:]) % len(fleet.zones)]]
-    cells = {(part.shard + step) % fleet.cells for part in plan.parts for step in range(fleet.width)}
-    return all(
-        region[fleet.zones[leaf % len(fleet.zones)]] == home
-        for leaf in range(fleet.leaves)
-        if leaf % fleet.cells in cells
-    )
+    return Script(SETTINGS_FILE_NAME, _fault_at_seconds(len(faults)), load, seed, steps)
+
+
+def _fault_at_seconds(number: int) -> float:
+    """Return when the fault of this number begins, from the load's start."""
+    return FIRST_FAULT_AT_SECONDS + number * (FAULT_SECONDS + AFTER_SECONDS)
+
 
+class _ReplicaRegions:
+    """Where the replicas of keys are."""
 
-def services(
-    outcomes: list[Outcome],
-    service_settings: ServiceSettings,
-    troubles: tuple[tuple[str, str, float, tuple[str, ...]], ...],
-) -> dict[str, Service]:
-    """The service around each trouble."""
-    keys = KeySpaces(service_settings)
-    aims = {spec.name: spec.latency_objective_us / 1e6 for spec in service_settings.classes}
-    out: dict[str, Service] = {}
-    for number, (name, *_) in enumerate(troubles):
-        begin = FIRST + number * (TROUBLE + BETWEEN)
-        end = begin + TROUBLE
-        service = out[name] = Service()
-        per_second: dict[int, list[int]] = {}
-        for outcome in outcomes:
-            # The last seconds before are the recovered ones; the first minute of all is the start's.
-            span = (
-                "before"
-                if begin - 4 <= outcome.at < begin
-                else "during"
-                if begin <= outcome.at < end
-                else "after"
-                if end <= outcome.at < end + BETWEEN
-                else ""
-            )
-            if not span:
-                continue
-            home = all_home(keys, service_settings, outcome.key, outcome.broker)
-            for mine in {False, home}:
-                counts = service.counts.setdefault((outcome.query_class, span, mine), {})
-                counts[outcome.kind] = counts.get(outcome.kind, 0) + 1
-            if span == "during" and outcome.kind == "refused":
-                service.refused_after.append(outcome.took / aims[outcome.query_class])
-            second = per_second.setdefault(int(outcome.at - end) if outcome.at >= end else -1, [0, 0])
-            second[0] += 1
-            second[1] += outcome.kind == "on time"
-        service.steady_after = _steady(per_second, service)
-    return out
-
-
-def _steady(per_second: dict[int, list[int]], service: Service) -> float | None:
-    """Seconds from the trouble's end until three in a row are within 10 points of the time before it."""
-    before = [counts for (_, span, home), counts in service.counts.items() if span == "before" and not home]
-    asked = sum(sum(counts.values()) for counts in before)
-    usual = sum(counts.get("on time", 0) for counts in before) / max(1, asked)
-    for second in range(int(BETWEEN) - 2):
-        rows = [per_second.get(second + n, [0, 0]) for n in range(3)]
-        if sum(row[1] for row in rows) >= (usual - 0.1) * sum(row[0] for row in rows):
-            return float(second)
+    def __init__(self, service_settings: ServiceSettings) -> None:
+        self._keys = KeySpaces(service_settings)
+        self._fleet = service_settings.fleet
+
+    def is_local(self, outcome: Outcome) -> bool:
+        """Return whether all replicas of all shards of a request are in its broker's region."""
+        plan = self._keys.plan(outcome.key)
+        if plan is None or not outcome.broker:
+            return False
+        broker_region = region_of_number(int(outcome.broker.removeprefix("b")))
+        groups = {
+            (part.shard + replica) % self._fleet.cells
+            for part in plan.parts
+            for replica in range(self._fleet.width)
+        }
+        return self._regions_of(groups) <= {broker_region}
+
+    def _regions_of(self, replica_groups: set[int]) -> set[RegionName]:
+        """Return the regions of the leaves that hold these replica groups."""
+        return {
+            region_of_number(leaf)
+            for leaf in range(self._fleet.leaves)
+            if leaf % self._fleet.cells in replica_groups
+        }
+
+
+def services_by_fault(
+    outcomes: Sequence[Outcome], service_settings: ServiceSettings, faults: Sequence[ProcessFault]
+) -> dict[str, FaultService]:
+    """Return the service around each fault, by its name."""
+    regions = _ReplicaRegions(service_settings)
+    objectives_us = {spec.name: spec.latency_objective_us for spec in service_settings.classes}
+    return {
+        fault.name: _service_around(_fault_at_seconds(number), outcomes, regions, objectives_us)
+        for number, fault in enumerate(faults)
+    }
+
+
+def _service_around(
+    fault_at_seconds: float,
+    outcomes: Sequence[Outcome],
+    regions: _ReplicaRegions,
+    objectives_us: dict[str, int],
+) -> FaultService:
+    """Return the service before, during and after the fault that begins at this time."""
+    service = FaultService()
+    fault_ended_at_seconds = fault_at_seconds + FAULT_SECONDS
+    counts_by_second: dict[int, SecondCounts] = defaultdict(SecondCounts)
+    for outcome in outcomes:
+        phase = _phase(outcome.at - fault_at_seconds)
+        if phase is None:
+            continue
+        service.counts[ServiceKey(outcome.query_class, phase)][outcome.kind] += 1
+        if regions.is_local(outcome):
+            service.counts[ServiceKey(outcome.query_class, phase, is_local=True)][outcome.kind] += 1
+        if phase is Phase.DURING and outcome.kind == QueryOutcome.REFUSED:
+            objective_seconds = objectives_us[outcome.query_class] / US_PER_SECOND
+            service.refused_after_objectives.append(outcome.took / objective_seconds)
+        if phase is Phase.AFTER:
+            second = counts_by_second[int(outcome.at - fault_ended_at_seconds)]
+            second.queries += 1
+            second.on_time += outcome.kind == QueryOutcome.ON_TIME
+    service.recovery_seconds = _recovery_seconds(service, counts_by_second)
+    return service
+
+
+def _phase(since_fault_seconds: float) -> Phase | None:
+    """Return the phase of a time relative to a fault, None if it is of another fault or of none."""
+    if -BEFORE_SECONDS <= since_fault_seconds < 0:
+        return Phase.BEFORE
+    if 0 <= since_fault_seconds < FAULT_SECONDS:
+        return Phase.DURING
+    if FAULT_SECONDS <= since_fault_seconds < FAULT_SECONDS + AFTER_SECONDS:
+        return Phase.AFTER
+    return None
+
+
+def _recovery_seconds(service: FaultService, counts_by_second: dict[int, SecondCounts]) -> float | None:
+    """Return how long after the fault the service was as before it, None if it never was."""
+    before = [
+        counts for key, counts in service.counts.items() if key.phase is Phase.BEFORE and not key.is_local
+    ]
+    query_count = sum(counts.total() for counts in before)
+    fraction_before = sum(counts[QueryOutcome.ON_TIME] for counts in before) / max(1, query_count)
+    for start in range(int(AFTER_SECONDS) - RECOVERY_WINDOW_SECONDS + 1):
+        window = [
+            counts_by_second.get(second, SecondCounts())
+            for second in range(start, start + RECOVERY_WINDOW_SECONDS)
+        ]
+        on_time = sum(second.on_time for second in window)
+        if on_time >= (fraction_before - RECOVERY_TOLERANCE) * sum(second.queries for second in window):
+            return float(start)
     return None
 
 
-def play(
+def run_region_processes(
     variant: str,
     rate: float = 30.0,
-    say: Callable[[str], None] = lambda _text: None,
-    troubles: tuple[tuple[str, str, float, tuple[str, ...]], ...] = TROUBLES,
-) -> dict[str, Any]:
-    """One variant's run: service by trouble, the verdict, and what started off its schedule."""
+    log: Callable[[str], None] = lambda _text: None,
+    faults: Sequence[ProcessFault] = PROCESS_FAULTS,
+) -> RegionProcessResult:
+    """Run all faults under one variant and return the result; ``log`` receives lines on the progress."""
     folder = Path(tempfile.mkdtemp(prefix="heathwell-regions-"))
-    config = folder / "market.sx"
-    config.write_text(settings(variant))
-    service_settings = loads(settings(variant))
-    day = Day(script_of(rate, troubles), service_settings, str(config), folder, say)
-    verdict = day.play()
-    assert day.clients is not None
-    return {
-        "variant": variant,
-        "services": services(day.clients.outcomes, service_settings, troubles),
-        "verdict": verdict,
-        "off_schedule": day.clients.off_schedule,
-        "asked": day.clients.asked,
-        "folder": str(folder),
-    }
+    text = region_process_settings(variant)
+    config = folder / SETTINGS_FILE_NAME
+    config.write_text(text)
+    service_settings = loads(text)
+    scenario = Day(fault_script(rate, faults), service_settings, str(config), folder, log)
+    verdict = scenario.play()
+    assert scenario.clients is not None
+    return RegionProcessResult(
+        variant=Variant(variant),
+        services=services_by_fault(scenario.clients.outcomes, service_settings, faults),
+        verdict=verdict,
+        off_schedule_count=scenario.clients.off_schedule,
+        request_count=scenario.clients.asked,
+        folder=folder,
+    )
--- a/tests/test_region_reachability.py
+++ b/tests/test_region_reachability.py
@@ -14,7 +14,13 @@
 from heathwell.service.regions import ClientDrain, IdleClient, LinkState, RegionRoute, answerable_fraction
 from heathwell.settings import loads
 from heathwell.testing.simulation.client_population import Outcome
-from heathwell.testing.simulation.region_process_experiment import services, settings
+from heathwell.testing.simulation.experiment_phases import Phase
+from heathwell.testing.simulation.region_experiment import ServiceKey
+from heathwell.testing.simulation.region_process_experiment import (
+    ProcessFault,
+    region_process_settings,
+    services_by_fault,
+)
 from heathwell.testing.standins.relay import RESEND_US, lost_wait
 
 from .fleet import MARKET, World
@@ -162,8 +168,8 @@
 
 
 def test_the_service_around_a_trouble_is_counted_by_class_span_and_home():
-    service_settings = loads(settings("decider"))
-    troubles = (("cut", "link-cut", 0.0, ()),)
+    service_settings = loads(region_process_settings("decider"))
+    faults = (ProcessFault("cut", "link-cut"),)
     rows = [
         Outcome(
             at / 10,
@@ -176,9 +182,11 @@
         for at in range(40, 280)
         for n in range(8)
     ]
-    service = services(rows, service_settings, troubles)["cut"]
-    assert service.share("sale-record", "during", "refused") == 0.5
-    assert service.share("sale-record", "before", "refused") == 0 and service.steady_after == 0
-    at_home = sum(service.counts["sale-record", "during", True].values())
+    service = services_by_fault(rows, service_settings, faults)["cut"]
+    during = ServiceKey("sale-record", Phase.DURING)
+    before = ServiceKey("sale-record", Phase.BEFORE)
+    assert service.fraction(during, "refused") == 0.5
+    assert service.fraction(before, "refused") == 0 and service.recovery_seconds == 0
+    at_home = service.count(ServiceKey("sale-record", Phase.DURING, is_local=True))
     assert 0.2 * 640 < at_home < 0.3 * 640  # a quarter of the shards lies all at home
-    assert len(service.refused_after) == 320
+    assert len(service.refused_after_objectives) == 320
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -8,7 +8,14 @@
 from heathwell.codec import frames
 from heathwell.eventloop import sleep
 from heathwell.service.regions import LinkState, RegionLinks
-from heathwell.testing.simulation.region_experiment import REGION_SETTINGS, RegionScenario
+from heathwell.testing.simulation.experiment_phases import PHASES, Phase
+from heathwell.testing.simulation.region_experiment import (
+    REGION_SETTINGS,
+    RegionFault,
+    RegionScenario,
+    ServiceKey,
+)
+from heathwell.testing.simulation.region_settings import RegionName
 
 from .conftest import Driver as ModuleDriver
 from .conftest import make_settings, of
@@ -266,8 +273,8 @@
     day = RegionScenario("decider", "100 ms", seed=3, rate=20.0, text=text)
     day.run()
     assert day.verdict().kept and not crossings(day, "price-search") and crossings(day, "sale-record")
-    spans = [day.spans["price-search", where, False] for where in (0, 1, 2)]
-    assert sum(span.on_time for span in spans) > 0.5 * sum(span.asked for span in spans)
+    counts = [day.counts[ServiceKey("price-search", phase)] for phase in PHASES]
+    assert sum(count.on_time for count in counts) > 0.5 * sum(count.queries for count in counts)
 
 
 def test_a_class_that_prefers_home_crosses_only_for_what_home_has_not():
@@ -294,17 +301,17 @@
 class Worse(RegionScenario):
     """A cut that takes discovery with it, and a slow link with slow hosts at home."""
 
-    def _link_trouble(self):
+    def _inject_region_fault(self):
         yield from sleep(self.loop, 9_000_000)
-        if self.trouble_name == "cut":
-            for home in self._hosts(False):
+        if self.fault is RegionFault.CUT:
+            for home in self._hosts_in(RegionName.HKI):
                 self.net.cut(home, "discovery")
                 self.net.cut("discovery", home)
         else:
             for leaf in self.fleet.leaves[:8:2]:
                 leaf.order(frames.FaultCommand("slow", 6.0, 12_000_000))
-        yield from super()._link_trouble()
-        for home in self._hosts(False):
+        yield from super()._inject_region_fault()
+        for home in self._hosts_in(RegionName.HKI):
             self.net.heal(home, "discovery")
             self.net.heal("discovery", home)
 
@@ -315,9 +322,10 @@
     day.run()
     verdict = day.verdict()
     assert verdict.kept, "\n".join(map(str, verdict.breaches[:5]))
-    during, after = day.spans["price-search", 1, False], day.spans["price-search", 2, False]
-    assert during.on_time + during.late + during.partial > 0.8 * during.asked
-    assert after.on_time > 0.9 * after.asked
+    during = day.counts[ServiceKey("price-search", Phase.DURING)]
+    after = day.counts[ServiceKey("price-search", Phase.AFTER)]
+    assert during.on_time + during.late + during.partial > 0.8 * during.queries
+    assert after.on_time > 0.9 * after.queries
 
 
 @pytest.mark.parametrize("trouble", ["cut", "one way", "region lost"])
@@ -326,13 +334,14 @@
     day.run()
     verdict = day.verdict()
     assert verdict.kept, "\n".join(map(str, verdict.breaches[:5]))
-    before, during = day.spans["price-search", 0, False], day.spans["price-search", 1, False]
-    assert before.on_time > 0.95 * before.asked
-    assert during.on_time + during.partial + during.late > 0.9 * during.asked
+    before = day.counts[ServiceKey("price-search", Phase.BEFORE)]
+    during = day.counts[ServiceKey("price-search", Phase.DURING)]
+    assert before.on_time > 0.95 * before.queries
+    assert during.on_time + during.partial + during.late > 0.9 * during.queries
     assert any(e["ev"] == "door" and e["why"] == "cut off" for e in day.events)
     assert any(e["ev"] == "link" and e["state"] == "down" for e in day.events)
     links = [link for b in day.fleet.brokers for link in b.broker.regions.links.values()]
     assert all(link.state == LinkState.OPEN for link in links)
     if trouble != "region lost":
-        home = day.spans["sale-record", 1, True]
-        assert home.on_time >= 0.95 * home.asked
+        home = day.counts[ServiceKey("sale-record", Phase.DURING, is_local=True)]
+        assert home.on_time >= 0.95 * home.queries
