--- a/benchmarks/worth.py
+++ b/benchmarks/worth.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
+from heathwell.testing.simulation.experiment_phases import PHASES
 from heathwell.testing.simulation.quota_experiment import (
     OUTCOMES,
-    PHASES,
     SCENARIOS,
     VARIANTS,
     run_quota_experiment,
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -24,14 +24,8 @@
 import msgspec
 
 from heathwell.testing.simulation.evacuation_experiment import ExperimentSize, run_evacuation_experiment
-from heathwell.testing.simulation.evacuation_result import (
-    FAULT_SCENARIOS,
-    FAULTLESS_SCENARIOS,
-    VARIANTS,
-    EvacuationResult,
-    Scenario,
-    Variant,
-)
+from heathwell.testing.simulation.evacuation_result import VARIANTS, EvacuationResult, Variant
+from heathwell.testing.simulation.zone_faults import FAULT_SCENARIOS, FAULTLESS_SCENARIOS, Scenario
 
 SIZES: Final[dict[str, ExperimentSize]] = {
     "tiny": {"brokers": 6, "hosts": 9, "rate": 20.0},
--- a/heathwell/testing/simulation/evacuation_experiment.py
+++ b/heathwell/testing/simulation/evacuation_experiment.py
@@ -7,18 +7,13 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Iterable
 from typing import Final, TypedDict, Unpack
 
-from heathwell.codec import frames
 from heathwell.eventloop import Coro, sleep
 from heathwell.fleet.control.evacuation_coordinator import evacuation_coordinator_from_settings
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.simulation.evacuation_result import (
-    FAULTY_ZONE_NUMBER,
-    ZONES,
     EvacuationResult,
-    Scenario,
     Variant,
     read_decisions,
     summarize_decisions,
@@ -34,7 +29,7 @@
     CompletedRequest,
     SimulatedScenario,
 )
-from heathwell.testing.standins.leaf import Leaf
+from heathwell.testing.simulation.zone_faults import FIRST_ZONE_NUMBER, ZONES, Scenario, ZoneFaultInjector
 
 COORDINATED_VARIANTS: Final = (Variant.FIXED_THRESHOLDS, Variant.FLEET)
 LINK_OBSERVING_VARIANTS: Final = (Variant.EACH_BROKER, Variant.FLEET)
@@ -53,13 +48,6 @@
 )
 
 MIN_FAULT_FRACTION: Final = 0.7
-FLAP_COUNT: Final = 3
-FLAP_US: Final = 4_000_000
-SLOW_FACTOR: Final = 10.0
-LOSSY_PROBABILITY: Final = 0.05
-VERY_LOSSY_PROBABILITY: Final = 0.9
-LOSSY_HOSTS_DIVISOR: Final = 5
-CUT_BROKERS: Final = ("b0", "b1", "b2")
 MAX_REPORTED_BREACHES: Final = 3
 
 
@@ -147,11 +135,11 @@
         self.loop.spawn(self._inject_fault(), self.scenario)
         yield from super()._main()
 
-    # Clients
-
     def _request(self, broker: int, keys: list[str]) -> Coro[None]:
         if self.scenario is Scenario.CLIENTS_MOVED and self.loop.now() > FAULT_AT_US:
-            near = [number for number, other in enumerate(self.fleet.brokers) if other.zone == 0]
+            near = [
+                number for number, other in enumerate(self.fleet.brokers) if other.zone == FIRST_ZONE_NUMBER
+            ]
             broker = near[broker % len(near)]
         return super()._request(broker, keys)
 
@@ -160,93 +148,14 @@
         since_fault_seconds = (request.started_at_us - FAULT_AT_US) / 1e6
         self.outcomes.record(int(since_fault_seconds // WINDOW_SECONDS), request)
 
-    # Faults
-
     def _inject_fault(self) -> Coro[None]:
         """Inject the scenario's fault; its duration and places are drawn from the seed."""
         draws = random.Random(self.seed * 7 + 3)
         yield from sleep(self.loop, SETTLE_US + int(BEFORE_SECONDS * US_PER_SECOND))
         max_duration_us = FAULT_SECONDS * US_PER_SECOND
         duration_us = int(max_duration_us * draws.uniform(MIN_FAULT_FRACTION, 1.0))
-        leaves = [leaf for leaf in self.fleet.leaves if leaf.zone == FAULTY_ZONE_NUMBER]
-        match self.scenario:
-            case Scenario.KILLED | Scenario.KILLED_AT_PEAK:
-                yield from self._kill(leaves, duration_us)
-            case Scenario.TWO_ZONES_KILLED:
-                yield from self._kill([leaf for leaf in self.fleet.leaves if leaf.zone != 0], duration_us)
-            case Scenario.FLAPPING:
-                yield from self._flap(leaves)
-            case Scenario.PARTITIONED:
-                yield from self._cut(_is_across_fault, duration_us)
-            case Scenario.ONE_ZONE_PAIR_CUT:
-                yield from self._cut(_is_first_to_faulty, duration_us)
-            case Scenario.ONE_BROKER_CUT:
-                yield from self._cut(_is_any, duration_us, {draws.choice(CUT_BROKERS)})
-            case Scenario.SLOW:
-                _order(leaves, frames.FaultCommand("slow", SLOW_FACTOR, duration_us))
-            case Scenario.FAILING_CLASS:
-                query_class = draws.choice(self.service_settings.classes).name
-                _order(leaves, frames.FaultCommand("failclass", 0.0, duration_us, query_class))
-            case Scenario.LOSSY:
-                _order(leaves, frames.FaultCommand("lose", LOSSY_PROBABILITY, duration_us))
-            case Scenario.LOSSY_FIFTH:
-                some = draws.sample(leaves, max(1, len(leaves) // LOSSY_HOSTS_DIVISOR))
-                _order(some, frames.FaultCommand("lose", VERY_LOSSY_PROBABILITY, duration_us))
-
-    def _kill(self, leaves: list[Leaf], duration_us: int) -> Coro[None]:
-        """Kill leaves, and start them again at the same time."""
-        for leaf in leaves:
-            leaf.on_die = None
-            leaf.crash()
-        yield from sleep(self.loop, duration_us)
-        for leaf in leaves:
-            leaf.start()
-
-    def _flap(self, leaves: list[Leaf]) -> Coro[None]:
-        """Kill leaves for a while, several times."""
-        for _ in range(FLAP_COUNT):
-            yield from self._kill(leaves, FLAP_US)
-            yield from sleep(self.loop, FLAP_US)
-
-    def _cut(
-        self,
-        is_cut: Callable[[int, int], bool],
-        duration_us: int,
-        broker_names: Iterable[str] | None = None,
-    ) -> Coro[None]:
-        """Cut links between brokers (of these names) and leaves, by the zones of both, for a while."""
-        links = [
-            (f"b{number}", leaf.name)
-            for number, broker in enumerate(self.fleet.brokers)
-            for leaf in self.fleet.leaves
-            if (broker_names is None or f"b{number}" in broker_names) and is_cut(broker.zone, leaf.zone)
-        ]
-        for broker_name, leaf_name in links:
-            self.net.cut(broker_name, leaf_name)
-            self.net.cut(leaf_name, broker_name)
-        yield from sleep(self.loop, duration_us)
-        for broker_name, leaf_name in links:
-            self.net.heal(broker_name, leaf_name)
-            self.net.heal(leaf_name, broker_name)
-
-
-def _is_across_fault(broker_zone: int, leaf_zone: int) -> bool:
-    """Whether exactly one end of a link is in the zone with the fault."""
-    return (broker_zone == FAULTY_ZONE_NUMBER) != (leaf_zone == FAULTY_ZONE_NUMBER)
-
-
-def _is_first_to_faulty(broker_zone: int, leaf_zone: int) -> bool:
-    """Whether a link is from the first zone's brokers to the zone with the fault."""
-    return broker_zone == 0 and leaf_zone == FAULTY_ZONE_NUMBER
-
-
-def _is_any(_broker_zone: int, _leaf_zone: int) -> bool:
-    return True
-
-
-def _order(leaves: list[Leaf], command: frames.FaultCommand) -> None:
-    for leaf in leaves:
-        leaf.order(command)
+        injector = ZoneFaultInjector(self.loop, self.net, self.fleet, self.service_settings.classes, draws)
+        yield from injector.inject(self.scenario, duration_us)
 
 
 def run_evacuation_experiment(
--- a/heathwell/testing/simulation/evacuation_result.py
+++ b/heathwell/testing/simulation/evacuation_result.py
@@ -13,10 +13,8 @@
 from heathwell.fleet.evacuation import ZoneState
 from heathwell.testing.simulation.outcomes_by_period import OutcomesByPeriod
 from heathwell.testing.simulation.simulated_scenario import QueryOutcome
+from heathwell.testing.simulation.zone_faults import FAULTY_ZONE, Scenario
 
-ZONES: Final = ("za", "zb", "zc")
-FAULTY_ZONE_NUMBER: Final = 1
-FAULTY_ZONE: Final = ZONES[FAULTY_ZONE_NUMBER]
 EVACUATED_STATES: Final = frozenset({ZoneState.EVACUATING, ZoneState.EVACUATED})
 MIN_WINDOW_QUERIES: Final = 20
 """A window with fewer queries does not count as the worst."""
@@ -36,30 +34,7 @@
     """The quota coordinators (``docs/evacuation.md``), and each broker by its own links."""
 
 
-class Scenario(enum.StrEnum):
-    """The fault that is injected; the order of the members is that of reports."""
-
-    KILLED = "killed"
-    PARTITIONED = "cut off"
-    ONE_ZONE_PAIR_CUT = "one way"
-    SLOW = "slow"
-    FAILING_CLASS = "class"
-    LOSSY = "lossy"
-    LOSSY_FIFTH = "a fifth"
-    """A fifth of the zone's hosts loses most attempts."""
-    ONE_BROKER_CUT = "one broker"
-    TWO_ZONES_KILLED = "two zones"
-    FLAPPING = "flapping"
-    KILLED_AT_PEAK = "peak"
-    CLIENTS_MOVED = "clients moved"
-    """All clients send their requests to the brokers of one zone."""
-    HEALTHY = "healthy"
-    BUSY = "busy"
-
-
 VARIANTS: Final = tuple(Variant)
-FAULTLESS_SCENARIOS: Final = (Scenario.HEALTHY, Scenario.BUSY)
-FAULT_SCENARIOS: Final = tuple(scenario for scenario in Scenario if scenario not in FAULTLESS_SCENARIOS)
 
 
 class EvacuationResult(
--- a/heathwell/testing/simulation/quota_experiment.py
+++ b/heathwell/testing/simulation/quota_experiment.py
@@ -29,6 +29,7 @@
     sale_record_class,
     settings_text,
 )
+from heathwell.testing.simulation.experiment_phases import PHASES, Phase
 from heathwell.testing.simulation.outcomes_by_period import OutcomesByPeriod
 from heathwell.testing.simulation.simulated_scenario import (
     LOOP_START_US,
@@ -61,18 +62,9 @@
     RELEASE = "release"
 
 
-class Phase(enum.StrEnum):
-    """The time of a query relative to the fault."""
-
-    BEFORE = "before"
-    DURING = "during"
-    AFTER = "after"
-
-
 VARIANTS: Final = tuple(Variant)
 COORDINATED_VARIANTS: Final = (Variant.GRANTED, Variant.HALF_RESERVED)
 SCENARIOS: Final = tuple(Scenario)
-PHASES: Final = tuple(Phase)
 OUTCOMES: Final = ("on time", "late", "partial", "refused", "failed", "no reply")
 
 COORDINATOR_SETTLE_SECONDS: Final = 8.0
@@ -194,8 +186,8 @@
 class QuotaExperiment(SimulatedScenario):
     """One run of a scenario under one variant.
 
-    ``outcomes`` counts how queries ended by class and phase. ``rate`` is in requests a
-    second, both budgets are in units a second.
+    ``outcomes`` counts how queries ended by class and phase. ``rate`` is in requests a second, both budgets
+    are in units a second.
     """
 
     def __init__(
--- a/heathwell/testing/simulation/quota_faults.py
+++ b/heathwell/testing/simulation/quota_faults.py
@@ -7,8 +7,9 @@
 from functools import partial
 from typing import Final
 
+from heathwell.testing.simulation.process_links import Link
 from heathwell.testing.simulation.quota_processes import Process
-from heathwell.testing.simulation.quota_scenario import Link, QuotaScenario
+from heathwell.testing.simulation.quota_scenario import QuotaScenario
 
 MEAN_FAULT_INTERVAL_US: Final = 700_000
 MIN_FAULT_DURATION_US: Final = 50_000
--- a/heathwell/testing/simulation/quota_scenario.py
+++ b/heathwell/testing/simulation/quota_scenario.py
@@ -9,7 +9,6 @@
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass
 from functools import partial
 from typing import Final, TypeVar
 
@@ -28,6 +27,7 @@
     QuotaTimings,
 )
 from heathwell.testing.simulation.call_schedule import CallSchedule
+from heathwell.testing.simulation.process_links import Link
 from heathwell.testing.simulation.quota_auditor import Overshoot, QuotaAuditor
 from heathwell.testing.simulation.quota_processes import (
     BrokerProcess,
@@ -60,18 +60,6 @@
 TIMINGS: Final = QuotaTimings(Lease(3_000_000, 0.03), Lease(6_000_000, 0.03))
 
 
-@dataclass(frozen=True, slots=True, order=True)
-class Link:
-    """One direction between two processes, by their names."""
-
-    source: str
-    target: str
-
-    def reverse(self) -> Link:
-        """Return the other direction."""
-        return Link(self.target, self.source)
-
-
 class QuotaScenario:
     """One seeded run.
 
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -27,7 +27,6 @@
 )
 from heathwell.settings import load
 from heathwell.testing.simulation.evacuation_experiment import EvacuationScenario
-from heathwell.testing.simulation.evacuation_result import Scenario
 from heathwell.testing.simulation.evacuation_result import Variant as EvacuationVariant
 from heathwell.testing.simulation.multi_broker_scenario import MultiBrokerScenario
 from heathwell.testing.simulation.quota_experiment import QuotaExperiment
@@ -41,6 +40,7 @@
     RetryStormScenario,
     Variant,
 )
+from heathwell.testing.simulation.zone_faults import Scenario
 
 from .test_event_orderings_random import play as play_crossings
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -30,9 +30,10 @@
     allocate,
     statistics_by_budget,
 )
+from heathwell.testing.simulation.process_links import Link
 from heathwell.testing.simulation.quota_faults import schedule_random_faults
 from heathwell.testing.simulation.quota_processes import ProcessNotRunningError
-from heathwell.testing.simulation.quota_scenario import BUDGETS, Link, QuotaScenario
+from heathwell.testing.simulation.quota_scenario import BUDGETS, QuotaScenario
 
 S = 1_000_000
 LEASE = Lease(3 * S, 0.03)
