--- a/heathwell/testing/simulation/multi_broker_scenario.py
+++ b/heathwell/testing/simulation/multi_broker_scenario.py
@@ -1,12 +1,14 @@
-"""Many of the platform's brokers on virtual time, with one discovery that serves them in turn: what does no
-harm in one broker and harm in all of them is seen here.
+"""Many of the platform's brokers in virtual time, with one discovery that serves their requests in turn.
+
+It shows the load that all brokers together put on discovery, which a single broker doesn't.
 """
 
 from __future__ import annotations
 
 import random
 from collections import Counter
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, Final, TypeVar
 
 import msgspec
 
@@ -14,107 +16,157 @@
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import Config, read
 from heathwell.gateway.front import Front
+from heathwell.testing.simulation.errors import SimulationError
 from heathwell.testing.simulation.platform_fleet import config_of, setup_of
 from heathwell.testing.standins.platform import Client, Node, Registry
 
-UNIX_US = 1_700_000_000_000_000
+T = TypeVar("T")
+
+US_PER_SECOND: Final = 1_000_000
+UNIX_TIME_US: Final = 1_700_000_000_000_000
+SHARDS_PER_REPLICA_GROUP: Final = 2
+QUERY_CLASS: Final = "price-search"
+QUERY_PARTS: Final = 4
+MINIMUM_ANSWERED_PARTS: Final = 3
+HTTP_OK: Final = 200
+NO_RESPONSE: Final = 0
+"""The status under which queries are counted whose connection broke."""
+
+
+class AnswerBelowMinimumError(SimulationError):
+    """A query was answered with fewer parts than its class requires."""
+
+    def __init__(self, query: str, answered_parts: int) -> None:
+        super().__init__(f"{query}: answered with {answered_parts} parts, below its minimum")
+        self.query = query
+        self.answered_parts = answered_parts
+
+
+@dataclass(frozen=True, slots=True)
+class _BrokerProcess:
+    """A broker with its server for clients."""
+
+    broker: PlatformBroker
+    front: Front
+    listener: Listener
+
+    def kill(self) -> None:
+        """End it as SIGKILL does."""
+        self.listener.close()
+        self.broker.kill()
+        for client in list(self.front.clients):
+            client.stream.abort()
 
 
 class MultiBrokerScenario:
-    """``brokers`` brokers, ``nodes`` nodes of a cell each; discovery spends ``line_us`` on a line and on a
-    call.
+    """``brokers`` brokers and ``nodes`` nodes, each of a replica group of its own.
+
+    Discovery works ``entry_work_us`` on each request and on each entry that it sends. ``status_counts`` are
+    the numbers of queries by the status of their response; ``errors`` are the tasks that failed.
     """
 
-    def __init__(self, brokers: int, nodes: int, seed: int, *, line_us: int = 0) -> None:
+    def __init__(self, brokers: int, nodes: int, seed: int, *, entry_work_us: int = 0) -> None:
         self.loop, self.net = virtual_loop(seed)
-        self.draw = random.Random(seed)
         self.errors: list[tuple[str, BaseException]] = []
         self.loop.on_error = lambda name, error: self.errors.append((name, error))
-        self.cells = nodes
-        self.nodes = [self._node(cell, cell) for cell in range(nodes)]
+        self.nodes = [self._make_node(group, group) for group in range(nodes)]
         self.registry = Registry(
-            self.loop, self.net.at("registry"), "registry:8500", self.nodes, line_us=line_us
+            self.loop, self.net.at("registry"), "registry:8500", self.nodes, line_us=entry_work_us
         )
-        self.known = {"rev": 1, "all": True, "targets": [node.entry for node in self.nodes]}
-        self.brokers: list[PlatformBroker] = []
-        self._fronts: list[tuple[Front, Listener]] = []
-        self.told: Counter[int] = Counter()  # answers by status; 0: none came
-        self._asked = self._made = 0
-        for number in range(brokers):
-            self._start(number, brokers)
-
-    def _node(self, number: int, cell: int) -> Node:
+        self.status_counts: Counter[int] = Counter()
+        self._draws = random.Random(seed)
+        self._replica_groups = nodes
+        self._shards = SHARDS_PER_REPLICA_GROUP * nodes
+        self._initial_endpoints = {"rev": 1, "all": True, "targets": [node.entry for node in self.nodes]}
+        self._query_count = 0
+        self._replacement_count = 0
+        self._broker_count = brokers
+        self._processes = [self._start(number) for number in range(brokers)]
+
+    @property
+    def brokers(self) -> list[PlatformBroker]:
+        """Return the brokers that run now, by number."""
+        return [process.broker for process in self._processes]
+
+    def _make_node(self, number: int, replica_group: int) -> Node:
         uid = f"s{number}"
-        return Node(self.loop, self.net.at(uid), f"{uid}:7070", uid, cell)
+        return Node(self.loop, self.net.at(uid), f"{uid}:7070", uid, replica_group)
 
-    def _config(self, number: int, brokers: int) -> Config:
+    def _config(self, number: int) -> Config:
         return read(
             config_of(
                 name=f"n{number}",
                 listen=f"b{number}:7070",
-                seed=f"{self.draw.getrandbits(64):016x}",
-                known=self.known,
-                settings=setup_of(replica_groups=self.cells, shards=2 * self.cells, brokers=brokers),
+                seed=f"{self._draws.getrandbits(64):016x}",
+                known=self._initial_endpoints,
+                settings=setup_of(
+                    replica_groups=self._replica_groups, shards=self._shards, brokers=self._broker_count
+                ),
             )
         )
 
-    def _start(self, number: int, brokers: int) -> None:
-        config = self._config(number, brokers)
+    def _start(self, number: int) -> _BrokerProcess:
+        """Start a broker with the endpoints that the scenario began with."""
+        config = self._config(number)
         net = self.net.at(f"b{number}")
-        broker = PlatformBroker(self.loop, net, config, log=lambda *_a, **_k: None, unix_us=lambda: UNIX_US)
-        front = Front(broker, config.client_sockets, config.kept_clients, lambda *_a, **_k: None)
-        self.brokers[number : number + 1] = [broker]
-        self._fronts[number : number + 1] = [(front, net.listen(config.listen, front.serve, "client"))]
+        broker = PlatformBroker(self.loop, net, config, log=_discard_log, unix_us=lambda: UNIX_TIME_US)
+        front = Front(broker, config.client_sockets, config.kept_clients, _discard_log)
+        return _BrokerProcess(broker, front, net.listen(config.listen, front.serve, "client"))
 
     def restart(self, number: int) -> None:
-        """As SIGKILL and a start at the same address, with the list as the broker was first given it."""
-        front, listener = self._fronts[number]
-        listener.close()
-        self.brokers[number].kill()
-        for client in list(front.clients):
-            client.stream.abort()
-        self._start(number, len(self.brokers))
-
-    def replace(self, cell: int) -> None:
-        """A cell's node is replaced by a new one of another id."""
-        old = self.nodes[cell]
-        self._made += 1
-        self.nodes[cell] = self._node(self.cells + self._made, cell)
+        """Kill a broker and start its successor at the same address."""
+        self._processes[number].kill()
+        self._processes[number] = self._start(number)
+
+    def replace(self, replica_group: int) -> None:
+        """Replace the node of a replica group by one of another id."""
+        old = self.nodes[replica_group]
+        self._replacement_count += 1
+        new = self._make_node(self._replica_groups + self._replacement_count, replica_group)
+        self.nodes[replica_group] = new
         self.registry.put({**old.entry, "state": "removed"})
-        self.registry.put(self.nodes[cell].entry)
+        self.registry.put(new.entry)
         old.kill()
 
-    def unaware(self) -> int:
-        """How many brokers don't know the nodes of now."""
-        wanted = {node.uid for node in self.nodes}
-        return sum(
-            {server.node for server in broker.aggregator.endpoints.values() if server.live} != wanted
-            for broker in self.brokers
-        )
+    def outdated_broker_count(self) -> int:
+        """Return how many brokers have other endpoints than the nodes that run now."""
+        running = {node.uid for node in self.nodes}
+        return sum(_live_nodes(broker) != running for broker in self.brokers)
 
     def load(self, rate: float, until_us: int) -> Coro[None]:
-        """Queries of four parts each, so many a second over all brokers, until then."""
+        """Send ``rate`` queries a second to random brokers until this time of the loop."""
         while self.loop.now() < until_us:
-            self._asked += 1
-            self.loop.spawn(self._query(self._asked, self.draw.randrange(len(self.brokers))), "query")
-            yield from sleep(self.loop, int(self.draw.expovariate(rate) * 1e6))
-
-    def _query(self, number: int, broker: int) -> Coro[None]:
-        client = Client(self.loop, self.net.at(f"c{number}"), f"b{broker}:7070")
-        first = self.draw.randrange(2 * self.cells)
+            self._query_count += 1
+            broker = self._draws.randrange(len(self._processes))
+            self.loop.spawn(self._query(f"q{self._query_count}", self._query_count, broker), "query")
+            yield from sleep(self.loop, int(self._draws.expovariate(rate) * US_PER_SECOND))
+
+    def _query(self, query: str, client_number: int, broker: int) -> Coro[None]:
+        """Send a query on a connection of its own and count its response."""
+        client = Client(self.loop, self.net.at(f"c{client_number}"), f"b{broker}:7070")
+        first_shard = self._draws.randrange(self._shards)
+        shards = [(first_shard + step) % self._shards for step in range(QUERY_PARTS)]
         try:
-            response = yield from client.ask(
-                f"q{number}", "price-search", [(first + step) % (2 * self.cells) for step in range(4)]
-            )
+            response = yield from client.ask(query, QUERY_CLASS, shards)
         except (StreamBrokenError, ConnectError):
-            self.told[0] += 1
+            self.status_counts[NO_RESPONSE] += 1
             return
-        self.told[response.status] += 1
-        if response.status == 200 and len(msgspec.json.decode(response.body)["rows"]) < 3:
-            raise AssertionError(f"q{number}: an answer under its floor")
+        self.status_counts[response.status] += 1
+        if response.status == HTTP_OK:
+            answered_parts = len(msgspec.json.decode(response.body)["rows"])
+            if answered_parts < MINIMUM_ANSWERED_PARTS:
+                raise AnswerBelowMinimumError(query, answered_parts)
         if client.stream is not None:
             client.stream.close()
 
-    def run(self, gen: Coro[Any]) -> Any:
-        """Run a coroutine to its end."""
-        return self.loop.run(self.loop.spawn(gen, "main"))
+    def run(self, main: Coro[T]) -> T | None:
+        """Run a coroutine to its end and return its result."""
+        return self.loop.run(self.loop.spawn(main, "main"))
+
+
+def _live_nodes(broker: PlatformBroker) -> set[str]:
+    return {endpoint.node for endpoint in broker.aggregator.endpoints.values() if endpoint.live}
+
+
+def _discard_log(*_arguments: Any, **_fields: Any) -> None:
+    """Drop a line of a broker's log."""
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -135,8 +135,8 @@
     world.loop.call_at(SECOND_US, world.replace, 2)
     world.run(world.load(60.0, 3 * SECOND_US))
     return (
-        world.told,
-        world.unaware(),
+        world.status_counts,
+        world.outdated_broker_count(),
         world.loop.turns,
         [sorted(broker.counters.items()) for broker in world.brokers],
     )
--- a/tests/test_many_brokers.py
+++ b/tests/test_many_brokers.py
@@ -7,7 +7,7 @@
 
 
 def test_a_hundred_brokers_restart_while_nodes_are_replaced_and_all_learn_of_it():
-    world = MultiBrokerScenario(100, 48, 1, line_us=1_200)
+    world = MultiBrokerScenario(100, 48, 1, entry_work_us=1_200)
 
     def main():
         end = world.loop.now() + 9_000_000
@@ -19,11 +19,11 @@
             world.replace(cell)
             yield from sleep(world.loop, 250_000)
         yield from sleep(world.loop, 3_000_000)
-        return world.unaware()
+        return world.outdated_broker_count()
 
     unaware = world.run(main())
     assert not world.errors, world.errors[:3]
     assert unaware == 0, (
         f"{unaware} of 100 brokers send by an old list; {world.registry.turned_away} calls turned away"
     )
-    assert world.told[200] > 0.9 * world.told.total(), world.told
+    assert world.status_counts[200] > 0.9 * world.status_counts.total(), world.status_counts
