--- a/heathwell/testing/simulation/multi_broker_scenario.py
+++ b/heathwell/testing/simulation/multi_broker_scenario.py
@@ -8,7 +8,7 @@
 import random
 from collections import Counter
 from dataclasses import dataclass
-from typing import Any, Final, TypeVar
+from typing import Final, TypeVar
 
 import msgspec
 
@@ -168,5 +168,5 @@
     return {endpoint.node for endpoint in broker.aggregator.endpoints.values() if endpoint.live}
 
 
-def _discard_log(*_arguments: Any, **_fields: Any) -> None:
+def _discard_log(*_arguments: object, **_fields: object) -> None:
     """Drop a line of a broker's log."""
--- a/heathwell/testing/simulation/simulated_scenario.py
+++ b/heathwell/testing/simulation/simulated_scenario.py
@@ -201,7 +201,7 @@
         is_numbered_run = name[0] in "bk"
         return self.net.at(name.partition("r")[0] if is_numbered_run else name)
 
-    def record_event(self, event: str, **fields: Any) -> None:
+    def record_event(self, event: str, **fields: object) -> None:
         """Record an event of the clients."""
         self.events.append({"t": self.loop.now(), "who": "client", "ev": event, **fields})
 
--- a/tests/test_both_servers.py
+++ b/tests/test_both_servers.py
@@ -7,33 +7,46 @@
 import pytest
 
 from heathwell.settings import loads
+from heathwell.testing.simulation.demo_settings import (
+    PRICE_KEYS,
+    RULES,
+    SALE_KEYS,
+    day_report_class,
+    discovery_section,
+    fleet_section,
+    limits_section,
+    price_search_class,
+    report_keys,
+    sale_record_class,
+    settings_text,
+)
 from heathwell.testing.simulation.search_scenario import SearchScenario
 from heathwell.testing.standins.vectors import shard_of
 
-MARKET = """
-(class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (work 40ms))
-(class day-report (aim 1200ms) (limit 3s) (late-worth 10%) (fetch 5) (work 30ms))
-(class sale-record (aim 750ms) (limit 1500ms) (repeat keyed) (dedup 750ms) (late-worth 10%) (work 30ms))
-(class alike (aim 800ms) (limit 2s) (need 75%) (floor 50%))
-(class bulk (aim 4s) (limit 8s) (worth 0.2) (need 100%))
-(keys sale (class sale-record) (shape record))
-(keys price (class price-search) (shape search) (parts 8))
-(keys report (class day-report) (shape report) (report-parts 4))
-(collection goods (class alike) (batch-class bulk) (size 8) (points 40) (overlap 20%) (spread 40%)
-(work 25ms))
-(vector (listen 127.0.0.1:0))
-(fronts (queue-target 30ms) (memcached 2) (vector 1))
-(fleet (shards 12) (cells 6) (width 3) (zones a b c) (leaves 6) (brokers 2))
-(rules (drain-grace 1s) (fall-multiple 2.5) (fall-after 1s) (start-capacity 18%) (warm-within 17s))
-(limits (attempts 4) (open-cap 600) (by-work yes))
-(discovery (notice 300ms) (silent-notice 2s))
-"""
+SETTINGS = settings_text(
+    price_search_class(),
+    day_report_class(),
+    sale_record_class(),
+    "(class alike (aim 800ms) (limit 2s) (need 75%) (floor 50%))",
+    "(class bulk (aim 4s) (limit 8s) (worth 0.2) (need 100%))",
+    SALE_KEYS,
+    PRICE_KEYS,
+    report_keys(),
+    "(collection goods (class alike) (batch-class bulk) (size 8) (points 40) (overlap 20%) (spread 40%)",
+    "(work 25ms))",
+    "(vector (listen 127.0.0.1:0))",
+    "(fronts (queue-target 30ms) (memcached 2) (vector 1))",
+    fleet_section(shards=12, replica_groups=6, replicas=3, zones=("a", "b", "c"), leaves=6, brokers=2),
+    RULES,
+    limits_section(max_in_flight=600),
+    discovery_section(),
+)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_bad_days_of_both_fronts_keep_every_rule(seed):
     day = SearchScenario(
-        loads(MARKET), seed, search_rate=12.0, arrival_rate=20.0, poison_fraction=0.002, fault_rate=0.6
+        loads(SETTINGS), seed, search_rate=12.0, arrival_rate=20.0, poison_fraction=0.002, fault_rate=0.6
     ).run()
     verdict = day.verdict()
     assert verdict.kept, "\n".join(map(str, verdict.breaches[:5]))
@@ -60,7 +73,7 @@
 
 def test_memcached_keeps_its_aim_while_searches_are_three_times_too_many():
     quiet = {"fault_rate": 0.0, "poison_fraction": 0.0, "arrival_rate": 20.0, "duration_seconds": 8.0}
-    heavy = MARKET.replace("(work 25ms)", "(work 100ms)")  # the hosts can do 27 such searches a second
+    heavy = SETTINGS.replace("(work 25ms)", "(work 100ms)")  # the hosts can do 27 such searches a second
     alone = SearchScenario(loads(heavy), 5, search_rate=0.0, **quiet).run()
     crowded = SearchScenario(loads(heavy), 5, search_rate=80.0, batch_fraction=0.0, **quiet).run()
     assert crowded.verdict().kept and crowded.status_counts[503] > crowded.status_counts[200] / 2
