--- a/heathwell/testing/simulation/quota_experiment.py
+++ b/heathwell/testing/simulation/quota_experiment.py
@@ -1,4 +1,4 @@
-"""An experiment on quotas of the whole fleet: scenarios in which all brokers together overload hosts.
+"""An experiment on a fleet's quotas: scenarios in which all brokers together overload hosts.
 
 It compares four ways to bound attempts, see :class:`Variant`, in virtual time with the brokers' code and
 stand-in hosts.
@@ -8,7 +8,7 @@
 
 import enum
 from collections import Counter
-from typing import Any, Final
+from typing import Final, NamedTuple, TypedDict, Unpack
 
 import msgspec
 
@@ -17,7 +17,27 @@
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.audit import judge_budgets
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.simulated_scenario import SETTLE_US, SimulatedScenario
+from heathwell.testing.simulation.demo_settings import (
+    PRICE_KEYS,
+    RULES,
+    SALE_KEYS,
+    day_report_class,
+    discovery_section,
+    limits_section,
+    price_search_class,
+    report_keys,
+    sale_record_class,
+    settings_text,
+)
+from heathwell.testing.simulation.experiment_phases import PHASES, Phase
+from heathwell.testing.simulation.outcomes_by_period import OutcomesByPeriod
+from heathwell.testing.simulation.simulated_scenario import (
+    LOOP_START_US,
+    SETTLE_US,
+    US_PER_SECOND,
+    CompletedRequest,
+    SimulatedScenario,
+)
 from heathwell.testing.standins.leaf import Leaf
 
 
@@ -42,45 +62,33 @@
     RELEASE = "release"
 
 
-class Phase(enum.StrEnum):
-    """The time of a query relative to the fault."""
-
-    BEFORE = "before"
-    DURING = "during"
-    AFTER = "after"
-
-
 VARIANTS: Final = tuple(Variant)
 COORDINATED_VARIANTS: Final = (Variant.GRANTED, Variant.HALF_RESERVED)
 SCENARIOS: Final = tuple(Scenario)
-PHASES: Final = tuple(Phase)
 OUTCOMES: Final = ("on time", "late", "partial", "refused", "failed", "no reply")
 
-US_PER_SECOND: Final = 1_000_000
 COORDINATOR_SETTLE_SECONDS: Final = 8.0
 """Coordinators grant no quota in their first six seconds."""
 BEFORE_SECONDS: Final = 8.0
 FAULT_SECONDS: Final = 15.0
 AFTER_SECONDS: Final = 12.0
-LOOP_START_US: Final = 1_000_000
-"""The time of the virtual loop at its start."""
 FAULT_AT_US: Final = LOOP_START_US + SETTLE_US + int((COORDINATOR_SETTLE_SECONDS + BEFORE_SECONDS) * 1e6)
 RELEASE_STEPS: Final = 8
 RESTART_DELAY_US: Final = 500_000
 SLOW_HOST_STRIDE: Final = 6
 SLOW_FACTOR: Final = 10.0
 
-REGIONAL_SETTINGS: Final = """
-(class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (work 40ms))
-(class day-report (aim 1200ms) (limit 3s) (late-worth 10%) (fetch 5) (fetch-work 50%) (work 30ms))
-(class sale-record (aim 750ms) (limit 1500ms) (repeat keyed) (dedup 750ms) (late-worth 10%) (work 30ms))
-(keys sale (class sale-record) (shape record))
-(keys price (class price-search) (shape search) (parts 8))
-(keys report (class day-report) (shape report) (report-parts 4))
-(rules (drain-grace 1s) (fall-multiple 2.5) (fall-after 1s) (start-capacity 18%) (warm-within 17s))
-(limits (attempts 4) (open-cap 800) (by-work yes))
-(discovery (notice 300ms) (silent-notice 2s))
-"""
+REGIONAL_SETTINGS: Final = settings_text(
+    price_search_class(),
+    day_report_class(second_step_work_percent=50),
+    sale_record_class(),
+    SALE_KEYS,
+    PRICE_KEYS,
+    report_keys(),
+    RULES,
+    limits_section(max_in_flight=800),
+    discovery_section(),
+)
 ZONES: Final = "a-1 a-2 a-3 b-1 b-2 b-3 c-1 c-2 c-3"
 ZONE_COUNT: Final = len(ZONES.split())
 ZONES_PER_REGION: Final = 3
@@ -92,6 +100,23 @@
 MAX_REPORTED_OVERSHOOTS: Final = 3
 
 
+class ExperimentSize(TypedDict, total=False):
+    """The size of an experiment, see :class:`QuotaExperiment`."""
+
+    brokers: int
+    hosts: int
+    rate: float
+    additional_attempt_budget: float
+    cold_host_budget: float
+
+
+class AttemptRate(NamedTuple):
+    """Attempts a second."""
+
+    mean: float
+    maximum: int
+
+
 class QuotaExperimentResult(
     msgspec.Struct,
     frozen=True,
@@ -112,8 +137,8 @@
     variant: Variant
     service: dict[str, dict[str, int]]
     """Number of queries by outcome, for each ``class/phase``."""
-    additional_attempts_per_second: tuple[float, int]
-    """Mean and maximum of the whole fleet during the fault."""
+    additional_attempts_per_second: AttemptRate
+    """Those of the fleet during the fault."""
     arrived_attempts: int
     """Attempts that arrived at hosts during the fault."""
     nearest_to_overload: float
@@ -126,35 +151,43 @@
     """The largest fraction of each budget that was granted at a time."""
 
 
-def _budget_settings(variant: Variant, brokers: int, further: float, cold: float) -> str:
+def _budget_settings(
+    variant: Variant, brokers: int, additional_attempt_budget: float, cold_host_budget: float
+) -> str:
     """Return the settings of the coordinators and of both budgets, in units a second."""
     reserved = {Variant.SPLIT: "100%", Variant.GRANTED: "20%", Variant.HALF_RESERVED: "50%"}[variant]
     burst = "8s" if variant is Variant.GRANTED else "4s"
     cold_reserved = {Variant.SPLIT: 1.0, Variant.GRANTED: 0.0, Variant.HALF_RESERVED: 0.5}[variant]
-    cold_burst_seconds = brokers / cold / (cold_reserved or 1) + 0.1
+    cold_burst_seconds = brokers / cold_host_budget / (cold_reserved or 1) + 0.1
     return (
         f' (keepers "k0:7100" "k1:7101" "k2:7102") (most {brokers})'
-        f" (budget further (whole {further:g}) (aside {reserved}) (burst {burst}))"
-        f" (budget cold (whole {cold:g}) (aside {cold_reserved:.0%}) (burst {cold_burst_seconds:.1f}s))"
+        f" (budget further (whole {additional_attempt_budget:g}) (aside {reserved}) (burst {burst}))"
+        f" (budget cold (whole {cold_host_budget:g}) (aside {cold_reserved:.0%})"
+        f" (burst {cold_burst_seconds:.1f}s))"
     )
 
 
 def quota_experiment_settings(
-    variant: Variant, brokers: int, hosts: int, further: float, cold: float
+    variant: Variant,
+    brokers: int,
+    hosts: int,
+    additional_attempt_budget: float,
+    cold_host_budget: float,
 ) -> ServiceSettings:
-    """Return the settings of a variant; ``further`` and ``cold`` are budgets in units a second."""
+    """Return the settings of a variant; both budgets are in units a second."""
     fleet = (
         f"(shards {2 * hosts}) (cells {hosts}) (width 3) (zones {ZONES}) (leaves {hosts}) (brokers {brokers})"
     )
     if variant is not Variant.LOCAL:
-        fleet += _budget_settings(variant, brokers, further, cold)
+        fleet += _budget_settings(variant, brokers, additional_attempt_budget, cold_host_budget)
     return loads(REGIONAL_SETTINGS + f"(fleet {fleet})")
 
 
 class QuotaExperiment(SimulatedScenario):
     """One run of a scenario under one variant.
 
-    ``outcomes_by_phase`` counts how queries ended by class and phase. ``rate`` is in queries a second.
+    ``outcomes`` counts how queries ended by class and phase. ``rate`` is in requests a second, both budgets
+    are in units a second.
     """
 
     def __init__(
@@ -166,20 +199,22 @@
         brokers: int = 89,
         hosts: int = 82,
         rate: float = 130.0,
-        further: float = 120.0,
-        cold: float = 20.0,
+        additional_attempt_budget: float = 120.0,
+        cold_host_budget: float = 20.0,
     ) -> None:
         self.variant = Variant(variant)
         self.scenario = Scenario(scenario)
-        self.outcomes_by_phase: dict[tuple[str, Phase], Counter[str]] = {}
+        self.outcomes: OutcomesByPeriod[Phase] = OutcomesByPeriod()
         super().__init__(
-            quota_experiment_settings(self.variant, brokers, hosts, further, cold),
+            quota_experiment_settings(
+                self.variant, brokers, hosts, additional_attempt_budget, cold_host_budget
+            ),
             seed,
-            seconds=BEFORE_SECONDS + FAULT_SECONDS + AFTER_SECONDS,
-            rate=rate,
-            trouble_rate=0.0,
-            poison=0.0,
-            keep=self.variant in COORDINATED_VARIANTS,
+            duration_seconds=BEFORE_SECONDS + FAULT_SECONDS + AFTER_SECONDS,
+            arrival_rate=rate,
+            fault_rate=0.0,
+            poison_fraction=0.0,
+            run_coordinators=self.variant in COORDINATED_VARIANTS,
         )
         self.net.delay = self._link_delay_us
 
@@ -244,32 +279,28 @@
             return Phase.BEFORE
         return Phase.DURING if since_fault_seconds < FAULT_SECONDS else Phase.AFTER
 
-    def _count(
-        self, keys: list[str], classes: list[Any], bodies: dict[str, dict[str, Any]], took: int, broker: int
-    ) -> None:
-        phase = self._phase(self.loop.now() - took)
-        before = {name: Counter(counts) for name, counts in self.outcomes.items()}
-        super()._count(keys, classes, bodies, took, broker)
-        for name, counts in self.outcomes.items():
-            added = Counter(counts) - before.get(name, Counter())
-            self.outcomes_by_phase.setdefault((name, phase), Counter()).update(added)
+    def _on_request_completed(self, request: CompletedRequest) -> None:
+        super()._on_request_completed(request)
+        self.outcomes.record(self._phase(request.started_at_us), request)
 
     def _service(self) -> dict[str, dict[str, int]]:
         """Return the number of queries by outcome for each class and phase, in order of both."""
-        ordered = sorted(
-            self.outcomes_by_phase.items(), key=lambda item: (item[0][0], PHASES.index(item[0][1]))
-        )
-        return {f"{query_class}/{phase}": dict(counts) for (query_class, phase), counts in ordered}
-
-    def _additional_attempts_per_second(self) -> tuple[float, int]:
-        """Return the mean and the maximum of additional attempts a second during the fault."""
+        return {
+            f"{query_class}/{phase}": dict(by_phase[phase])
+            for query_class, by_phase in sorted(self.outcomes.counts.items())
+            for phase in PHASES
+            if phase in by_phase
+        }
+
+    def _additional_attempt_rate(self) -> AttemptRate:
+        """Return the additional attempts a second during the fault."""
         attempts = Counter(
             (event["t"] - FAULT_AT_US) // US_PER_SECOND
             for event in self.events
             if event["ev"] == "send" and event.get("further")
         )
         during = [attempts[second] for second in range(int(FAULT_SECONDS))]
-        return round(sum(during) / len(during), 1), max(during)
+        return AttemptRate(mean=round(sum(during) / len(during), 1), maximum=max(during))
 
     def _arrived_attempts(self) -> int:
         """Return the number of attempts that arrived at hosts during the fault."""
@@ -291,7 +322,7 @@
             scenario=self.scenario,
             variant=self.variant,
             service=self._service(),
-            additional_attempts_per_second=self._additional_attempts_per_second(),
+            additional_attempts_per_second=self._additional_attempt_rate(),
             arrived_attempts=self._arrived_attempts(),
             nearest_to_overload=round(verdict.coldest, 2),
             overloads=verdict.counts["falls"],
@@ -302,7 +333,9 @@
         )
 
 
-def run_quota_experiment(variant: str, scenario: str, seed: int = 1, **size: Any) -> QuotaExperimentResult:
+def run_quota_experiment(
+    variant: str, scenario: str, seed: int = 1, **size: Unpack[ExperimentSize]
+) -> QuotaExperimentResult:
     """Run one scenario under one variant and return its result."""
     experiment = QuotaExperiment(variant, scenario, seed, **size)
     experiment.run()
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -27,12 +27,20 @@
 )
 from heathwell.settings import load
 from heathwell.testing.simulation.evacuation_experiment import EvacuationScenario
+from heathwell.testing.simulation.evacuation_result import Variant as EvacuationVariant
 from heathwell.testing.simulation.multi_broker_scenario import MultiBrokerScenario
 from heathwell.testing.simulation.quota_experiment import QuotaExperiment
-from heathwell.testing.simulation.quota_scenario import QuotaScenario, random_faults
+from heathwell.testing.simulation.quota_faults import schedule_random_faults
+from heathwell.testing.simulation.quota_scenario import QuotaScenario
 from heathwell.testing.simulation.random_fault_scripts import generate_fault_script
-from heathwell.testing.simulation.release_experiment import Releases
-from heathwell.testing.simulation.retry_storm_experiment import RetryStormScenario
+from heathwell.testing.simulation.release_experiment import ReleaseExperiment
+from heathwell.testing.simulation.release_fleet import Defect
+from heathwell.testing.simulation.retry_storm_experiment import (
+    RetryStormParameters,
+    RetryStormScenario,
+    Variant,
+)
+from heathwell.testing.simulation.zone_faults import Scenario
 
 from .test_event_orderings_random import play as play_crossings
 
@@ -51,8 +59,15 @@
         Stage(0.25, 60 * SECOND_US, 120 * SECOND_US, require_proof=True),
         Stage(1.0, 20 * SECOND_US, 20 * SECOND_US),
     )
-    release = Releases(1, "worse class", brokers=16, zones=5, rate=40.0, plan=Plan(stages, max_concurrent=8))
-    return release.run(), release.course.history, release.shock, release.runs
+    release = ReleaseExperiment(
+        1, Defect.WORSE_CLASS, brokers=16, zones=5, rate=40.0, plan=Plan(stages, max_concurrent=8)
+    )
+    return (
+        release.run(),
+        release.controller.history,
+        release.fleet.zone_losses,
+        release.fleet.running_versions,
+    )
 
 
 def ruling_on_many_worse_classes() -> Any:
@@ -74,15 +89,23 @@
 def budget_day() -> Any:
     """Keepers and brokers under drawn faults."""
     day = QuotaScenario(1, brokers=8)
-    faults = random_faults(day, 6 * SECOND_US, 12 * SECOND_US)
-    day.until(13 * SECOND_US)
+    faults = schedule_random_faults(day, 6 * SECOND_US, 12 * SECOND_US)
+    day.run_until(13 * SECOND_US)
     holders = [
-        (broker.name, name, holder.quota(broker.clock(day.now)), holder.in_use)
+        (broker.name, name, holder.quota(broker.clock_us(day.now_us)), holder.in_use)
         for broker in day.brokers
-        if broker.up
+        if broker.is_running
         for name, holder in broker.program.holders.items()
     ]
-    return faults, day.used, day.breaches, day.messages, day.deaths, sorted(day.cuts), holders
+    return (
+        faults,
+        day.auditor.units_used,
+        day.overshoots,
+        day.message_count,
+        day.ended_incarnations,
+        sorted(day.cut_links),
+        holders,
+    )
 
 
 def granted_quotas() -> Any:
@@ -108,24 +131,27 @@
     """Brokers with quotas from keepers, hosts that come back cold, and the event logs of all of them."""
     experiment = QuotaExperiment("lent", "cold return", 1, brokers=3, hosts=9, rate=2.0)
     experiment.run()
-    return experiment.events, sorted(experiment.outcomes_by_phase.items())
+    return experiment.events, sorted(experiment.outcomes.counts.items())
 
 
 def zone_day() -> Any:
     """A zone that is killed, left by the fleet and taken back, with all events."""
-    day = EvacuationScenario("fleet", "killed", 1, brokers=6, hosts=9, rate=16.0)
-    day.seconds = 12.0
+    day = EvacuationScenario(EvacuationVariant.FLEET, Scenario.KILLED, 1, brokers=6, hosts=9, rate=16.0)
+    day.duration_seconds = 12.0
     day.run()
-    figures = day.figures()
-    assert figures["left_after_s"] is not None and figures["back_after_s"] is not None
-    return day.events, figures
+    result = day.result()
+    assert result.evacuated_after_seconds is not None and result.restored_after_seconds is not None
+    return day.events, result
 
 
 def storm_day() -> Any:
     """An outage and the retries after it, with all events."""
-    day = RetryStormScenario("damped", 2, clients=40, think=8.0, outage=4.0, before=4.0, after=4.0)
+    parameters = RetryStormParameters(
+        clients=40, think_seconds=8.0, outage_seconds=4.0, before_seconds=4.0, after_seconds=4.0
+    )
+    day = RetryStormScenario(Variant.STORM_CONTROL, 2, parameters)
     day.run()
-    return day.events, day.storm.requests, day.states()
+    return day.events, day.record.requests, day.state_changes()
 
 
 def platform_brokers() -> Any:
@@ -135,8 +161,8 @@
     world.loop.call_at(SECOND_US, world.replace, 2)
     world.run(world.load(60.0, 3 * SECOND_US))
     return (
-        world.told,
-        world.unaware(),
+        world.status_counts,
+        world.outdated_broker_count(),
         world.loop.turns,
         [sorted(broker.counters.items()) for broker in world.brokers],
     )
