--- a/benchmarks/keepercost.py
+++ b/benchmarks/keepercost.py
@@ -48,7 +48,7 @@
     names = ["k0", "k1", "k2"]
     keepers = []
     for number, name in enumerate(names):
-        where = ",".join(wires.door(name, other) for other in names)
+        where = ",".join(wires.open_link(name, other) for other in names)
         keepers.append(
             subprocess.Popen(
                 [
@@ -75,7 +75,7 @@
     for name, process in zip(names, keepers, strict=True):
         assert process.stdout is not None
         addresses.append(json.loads(process.stdout.readline())["address"])
-        wires.point(name, addresses[-1])
+        wires.set_target(name, addresses[-1])
     loop, net, _ = socket_loop()
     times, draws = quota_timings_from_settings(service_settings.fleet), random.Random(1)
     agents = []
--- a/heathwell/testing/simulation/fault_links.py
+++ b/heathwell/testing/simulation/fault_links.py
@@ -1,130 +1,150 @@
-"""Faults *between* processes: each way from one process to another goes through a relay of its own, in a
-thread here.
+"""Links with faults between the processes of a fleet.
 
-A door is opened before its target runs, at a port that the kernel chooses; where the target is, is told once
-it serves.
+A link leads from one process to another through a :class:`Relay` of its own. All relays run on one event loop
+in a thread here. The address of a link is known before its target runs: the kernel chooses the port, and the
+address of the target is set once the target serves.
 """
 
 from __future__ import annotations
 
-import threading
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
+from dataclasses import dataclass
+from enum import StrEnum
 from functools import partial
-from typing import Any
+from typing import Final
 
 from heathwell.codec import frames
-from heathwell.eventloop import Loop, SocketNet, socket_loop
+from heathwell.testing.simulation.errors import SimulationError
+from heathwell.testing.simulation.loop_thread import LoopThread
 from heathwell.testing.standins.relay import Relay
 
-WAIT_SECONDS = 10.0
+THREAD_NAME: Final = "fault links"
+SEED_FACTOR: Final = 10_007  # seeds of the links of two fleets differ
 
 
-class FaultLinkError(Exception):
-    """An order that no wire could take: a fault of the harness, never a pass."""
+class FaultLinkError(SimulationError):
+    """A fault that cannot be injected: an error of the harness, which must not pass for a fault survived."""
+
+    def __init__(self, kind: str, reason: str) -> None:
+        super().__init__(reason)
+        self.kind = kind
+        self.reason = reason
+
+
+class NoLinkError(FaultLinkError):
+    """No link connects the two groups of processes."""
+
+    def __init__(self, kind: str, sources: Iterable[str], targets: Iterable[str]) -> None:
+        self.sources = sorted(set(sources))
+        self.targets = sorted(set(targets))
+        super().__init__(kind, f"{kind}: no link between {self.sources} and {self.targets}")
+
+
+class OneWayCut(StrEnum):
+    """Cuts of one direction, as seen from the first of two groups of processes."""
+
+    SENT = "cut-out"
+    RECEIVED = "cut-back"
+
+
+class RelayDirection(StrEnum):
+    """Direction of a relay: towards its target, or back from it."""
+
+    FORWARD = "out"
+    BACKWARD = "back"
+
+
+ONE_WAY_CUTS: Final = frozenset(OneWayCut)
+RELAY_ONE_WAY_CUT: Final = "oneway"
+
+
+@dataclass(frozen=True, slots=True)
+class Link:
+    """The path of all connections that ``source`` opens to ``target``; both are names of processes."""
+
+    source: str
+    target: str
+
+    def connects(self, group: set[str], others: set[str]) -> bool:
+        """Return whether the link leads from one group to the other, in either direction."""
+        forward = self.source in group and self.target in others
+        backward = self.source in others and self.target in group
+        return forward or backward
 
 
 class FaultLinks:
-    """All ways of one fleet. Used from the supervisor's thread."""
+    """All links of one fleet. Its methods are called from outside the thread of the relays."""
 
     def __init__(self, seed: int = 1) -> None:
         self.seed = seed
-        self._relays: dict[tuple[str, str], Relay] = {}
-        self._where: dict[str, str] = {}
-        self._loop: Loop | None = None
-        self._net: SocketNet | None = None
-        self._thread = threading.Thread(target=self._run, name="wires", daemon=True)
-        self._up = threading.Event()
-        self._thread.start()
-        self._up.wait(WAIT_SECONDS)
-
-    def _run(self) -> None:
-        loop, net, _ = socket_loop()
-        self._loop, self._net = loop, net
-        loop.call_soon(self._up.set)
-        loop.run()
-        loop.shutdown()
-
-    def _call(self, call: Callable[[], Any]) -> Any:
-        """Make a call in the wires' thread and wait for its result; raises what it raises."""
-        done = threading.Event()
-        found: list[Any] = []
-        wrong: list[Exception] = []
-
-        def made() -> None:
-            try:
-                found.append(call())
-            except Exception as problem:
-                wrong.append(problem)
-            done.set()
-
-        if self._loop is None:
-            raise FaultLinkError("the wires are not up")
-        self._loop.call_threadsafe(made)
-        if not done.wait(WAIT_SECONDS):
-            raise FaultLinkError("the wires' thread does not answer")
-        if wrong:
-            raise wrong[0]
-        return found[0]
-
-    def door(self, source: str, target: str) -> str:
-        """The address by which one process reaches another."""
-        relay = self._relays.get((source, target))
-        if relay is None:
-
-            def opened() -> Relay:
-                assert self._loop is not None and self._net is not None
-                made = Relay(
-                    self._loop,
-                    self._net,
-                    [target],
-                    self.seed * 10_007 + len(self._relays),
-                    lambda name: self._where.get(name, ""),
-                )
-                made.open_doors()
-                return made
-
-            relay = self._relays[source, target] = self._call(opened)
-        return relay.routes[target]
-
-    def point(self, target: str, address: str) -> None:
-        """Where a process serves now."""
-        self._where[target] = address
-
-    def between(self, sources: Iterable[str], targets: Iterable[str]) -> list[tuple[str, str]]:
-        """The ways that there are from any of these to any of those, whoever connects: ``(connector,
-        listener)``.
-        """
-        ones, others = set(sources), set(targets)
-        return [
-            way
-            for way in self._relays
-            if (way[0] in ones and way[1] in others) or (way[0] in others and way[1] in ones)
-        ]
-
-    def order(
-        self, sources: Iterable[str], targets: Iterable[str], kind: str, span_us: int, value: float = 0.0
+        self._relays: dict[Link, Relay] = {}
+        self._target_addresses: dict[str, str] = {}
+        self._thread = LoopThread(THREAD_NAME)
+
+    def open_link(self, source: str, target: str) -> str:
+        """Return the address by which one process reaches another; the link is opened on the first call."""
+        link = Link(source, target)
+        if link not in self._relays:
+            self._relays[link] = self._thread.call(partial(self._start_relay, target))
+        return self._relays[link].routes[target]
+
+    def _start_relay(self, target: str) -> Relay:
+        relay = Relay(
+            self._thread.loop,
+            self._thread.net,
+            [target],
+            self.seed * SEED_FACTOR + len(self._relays),
+            self._target_address,
+        )
+        relay.open_doors()
+        return relay
+
+    def _target_address(self, target: str) -> str:
+        return self._target_addresses.get(target, "")
+
+    def set_target(self, target: str, address: str) -> None:
+        """Set the address at which a process serves; while it is empty, connections to it are reset."""
+        self._target_addresses[target] = address
+
+    def links_between(self, sources: Iterable[str], targets: Iterable[str]) -> list[Link]:
+        """Return the open links between two groups of processes, whichever of them connects."""
+        source_set = set(sources)
+        target_set = set(targets)
+        return [link for link in self._relays if link.connects(source_set, target_set)]
+
+    def inject_fault(
+        self, sources: Iterable[str], targets: Iterable[str], kind: str, duration_us: int, value: float = 0.0
     ) -> int:
-        """Make trouble on all ways between two groups; ``cut-out`` and ``cut-back`` are what the first group
-        sends and hears. Returns how many ways there are; raises :class:`FaultLinkError` where there is none,
-        or one that refuses.
+        """Inject a fault into all links between two groups of processes, and return the number of links.
+
+        ``kind`` is a fault of :class:`Relay`, or a :class:`OneWayCut` of what the first group sends or
+        receives. Raise :class:`NoLinkError` where there is no link and :class:`FaultLinkError` where a relay
+        rejects the fault.
         """
-        ones = set(sources)
-        ways = self.between(ones, targets)
-        if not ways:
-            raise FaultLinkError(f"{kind}: no way between {sorted(ones)} and {sorted(set(targets))}")
-        for source, target in ways:
-            control = frames.FaultCommand(kind, value, span_us)
-            if kind in ("cut-out", "cut-back"):
-                # Of a way that the second group opened, what the first sends is what comes back.
-                out = (kind == "cut-out") == (source in ones)
-                control = frames.FaultCommand("oneway", value, span_us, "out" if out else "back")
-            wrong = self._call(partial(self._relays[source, target].order, control))
-            if wrong:
-                raise FaultLinkError(wrong)
-        return len(ways)
+        source_set = set(sources)
+        target_set = set(targets)
+        links = self.links_between(source_set, target_set)
+        if not links:
+            raise NoLinkError(kind, source_set, target_set)
+        for link in links:
+            command = _fault_command(link, source_set, kind, duration_us, value)
+            error = self._thread.call(partial(self._relays[link].order, command))
+            if error:
+                raise FaultLinkError(kind, error)
+        return len(links)
 
     def close(self) -> None:
         """End the thread, and with it all connections."""
-        if self._loop is not None:
-            self._loop.call_threadsafe(self._loop.stop)
-            self._thread.join(WAIT_SECONDS)
+        self._thread.stop()
+
+
+def _fault_command(
+    link: Link, source_group: set[str], kind: str, duration_us: int, value: float
+) -> frames.FaultCommand:
+    """Return a fault as the link's relay takes it: with directions as seen from the process that connects."""
+    if kind not in ONE_WAY_CUTS:
+        return frames.FaultCommand(kind, value, duration_us)
+    opened_by_group = link.source in source_group
+    cuts_forward = (kind == OneWayCut.SENT) == opened_by_group
+    direction = RelayDirection.FORWARD if cuts_forward else RelayDirection.BACKWARD
+    return frames.FaultCommand(RELAY_ONE_WAY_CUT, value, duration_us, direction)
--- a/heathwell/testing/simulation/fault_scenario.py
+++ b/heathwell/testing/simulation/fault_scenario.py
@@ -176,7 +176,7 @@
                 for number, name in enumerate(names := self._named(["b*"])):
                     self.fleet.kill(name, step.span / 1e6 * (number + 1) / len(names))
             elif step.kind in LINK_FAULTS and self.fleet.wires is not None:
-                self.fleet.wires.order(
+                self.fleet.wires.inject_fault(
                     self._named(step.source),
                     self._named(step.to),
                     step.kind.removeprefix("way-"),
--- a/heathwell/testing/simulation/process_fleet.py
+++ b/heathwell/testing/simulation/process_fleet.py
@@ -175,7 +175,9 @@
 
     def _way(self, source: str, target: str) -> str:
         """The address by which one process reaches another."""
-        return self.wires.door(source, target) if self.wires is not None else self.members[target].address
+        return (
+            self.wires.open_link(source, target) if self.wires is not None else self.members[target].address
+        )
 
     def _keepers(self, source: str, names: list[str]) -> list[str]:
         """How a process finds the keepers: with wires by its own ways to them, else as settings say."""
@@ -183,7 +185,7 @@
             return []
         return [
             "--keepers",
-            ",".join(self.wires.door(source, name) for name in names),
+            ",".join(self.wires.open_link(source, name) for name in names),
             *(["--listen", "127.0.0.1:0"] if source in names else []),
         ]
 
@@ -216,7 +218,7 @@
         member = self.members[name]
         member.stopping = True
         if self.wires is not None:
-            self.wires.point(name, "")  # its port may be another's meanwhile, of another run even
+            self.wires.set_target(name, "")  # its port may be another's meanwhile, of another run even
         member.process.kill()
         member.process.wait()
         self.deaths.append((time.monotonic(), name))
@@ -347,4 +349,4 @@
                 raise FleetError(f"{member.name} did not start: exit code {code}")
             member.ready = json.loads(line)
             if self.wires is not None:
-                self.wires.point(member.name, member.address)
+                self.wires.set_target(member.name, member.address)
--- a/heathwell/testing/simulation/rollout_fleet.py
+++ b/heathwell/testing/simulation/rollout_fleet.py
@@ -235,7 +235,7 @@
             raise FleetError(f"agent {machine.name} did not start: {machine.process.wait(30)}")
         ready = json.loads(line)
         machine.address, machine.brokers = ready["address"], ready["brokers"]
-        self.wires.point(machine.name, machine.address)
+        self.wires.set_target(machine.name, machine.address)
 
     def restart_agent(self, name: str) -> None:
         """SIGKILL an agent, and start the next at the same address: its brokers run on."""
@@ -332,7 +332,7 @@
         """Start a controller, from the version that began or another."""
         old = old or self.began
         keepers = ",".join(member.address for member in self.fleet.of("keeper"))
-        ways = ",".join(self.wires.door("controller", name) for name in self.machines)
+        ways = ",".join(self.wires.open_link("controller", name) for name in self.machines)
         return subprocess.Popen(
             [
                 sys.executable,
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -151,7 +151,7 @@
         for name, machine in fleet.machines.items()
         if any(fleet.runs()[broker].version == "v2" for broker in machine.brokers)
     ][0]
-    fleet.wires.order(["controller"], [cut], "cut", 8_000_000)
+    fleet.wires.inject_fault(["controller"], [cut], "cut", 8_000_000)
     time.sleep(3)
     said = subprocess.run(
         [
@@ -188,7 +188,7 @@
         for name, machine in fleet.machines.items()
         if not any(fleet.runs()[broker].version == "v2" for broker in machine.brokers)
     ]
-    assert len(far) == 1 and fleet.wires.order(["controller"], far, "cut", 12_000_000) == 1
+    assert len(far) == 1 and fleet.wires.inject_fault(["controller"], far, "cut", 12_000_000) == 1
     time.sleep(10)
     assert not any(fleet.runs()[broker].version == "v2" for broker in fleet.machines[far[0]].brokers)
     change = fleet.finish(controller)
