--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -105,7 +105,7 @@
 
 def latency(fleet: ProcessFleet, rounds: int) -> dict[str, float]:
     """A one-part get through the broker against the same part asked of its host."""
-    broker = Line(fleet.of("broker")[0].address)
+    broker = Line(fleet.brokers[0].address)
     shard = 0
     for number in range(1000):  # a trader whose shard the first host holds
         import zlib  # noqa: PLC0415
@@ -114,7 +114,7 @@
         if shard % 10 in (0, 9, 8):
             trader = f"t{number}"
             break
-    direct = Direct(fleet.of("leaf")[0].address)
+    direct = Direct(fleet.leaves[0].address)
     through, straight = (HdrHistogram(1, 10_000_000, 3) for _ in range(2))
     for number in range(rounds):
         began = time.perf_counter_ns()
@@ -134,13 +134,13 @@
 
 def cost(fleet: ProcessFleet, key: str, count: int, window: int = 8) -> dict[str, float]:
     """Processor time of the broker and of its module a query, and queries a second, some at once."""
-    member = fleet.of("broker")[0]
+    member = fleet.brokers[0]
     lines = [Line(member.address) for _ in range(window)]
     for line in lines:
         line.get(f"{key}:warm")
     cpu, module, began = (
-        cpu_seconds(member.ready["pid"]),
-        module_seconds(member.ready["admin"]),
+        cpu_seconds(member.pid),
+        module_seconds(member.admin_address),
         time.monotonic(),
     )
     refused = 0
@@ -150,7 +150,7 @@
         for line in lines:
             refused += b'"refused":true' in line.replies(1)
     took = time.monotonic() - began
-    cpu, module = cpu_seconds(member.ready["pid"]) - cpu, module_seconds(member.ready["admin"]) - module
+    cpu, module = cpu_seconds(member.pid) - cpu, module_seconds(member.admin_address) - module
     for line in lines:
         line.sock.close()
     done = count // window * window
@@ -166,7 +166,7 @@
 
 def throughput(fleet: ProcessFleet, key: str, seconds: float, lines_count: int = 16, deep: int = 8) -> float:
     """Gets a second that one broker process answers with pipelining clients."""
-    lines = [Line(fleet.of("broker")[0].address) for _ in range(lines_count)]
+    lines = [Line(fleet.brokers[0].address) for _ in range(lines_count)]
     request = "".join(f"get {key}:{n}\r\n" for n in range(deep)).encode()
     began, done = time.monotonic(), 0
     while time.monotonic() - began < seconds:
@@ -182,8 +182,8 @@
     """Memory of idle connections, and whether the broker still answers beside them."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    member = fleet.of("broker")[0]
-    before = rss(member.ready["pid"])
+    member = fleet.brokers[0]
+    before = rss(member.pid)
     host, _, port = member.address.rpartition(":")
     held = []
     for number in range(count):
@@ -193,7 +193,7 @@
             sock.recv(100)
         held.append(sock)
     answered = b'"found":true' in Line(member.address).get("sale:anna:1")
-    grown = rss(member.ready["pid"]) - before
+    grown = rss(member.pid) - before
     for sock in held:
         sock.close()
     return {"connections": count, "bytes each": round(grown / count), "answers beside them": answered}
@@ -207,7 +207,7 @@
         Path(config).write_text(TEXT)
         fleet = ProcessFleet(config, load(config))
         try:
-            fleet.up()
+            fleet.start()
             time.sleep(1.0)
             result = {
                 "machine": f"{os.cpu_count()} processors, {platform.machine()}, Python "
@@ -221,7 +221,7 @@
                 "idle connections": idle(fleet, 500 if quick else 10_000),
             }
         finally:
-            fleet.down()
+            fleet.stop()
     for name, figures in result.items():
         print(f"{name}: {figures}")
     print(json.dumps(result))
--- a/benchmarks/freshness.py
+++ b/benchmarks/freshness.py
@@ -85,7 +85,7 @@
             fleets.append(ProcessFleet(config, load(config)))
         try:
             for fleet in fleets:
-                fleet.up()
+                fleet.start()
             time.sleep(1.0)
             for _ in range(rounds):
                 with_ages, without = (
@@ -94,7 +94,7 @@
                 ratios.append(with_ages / without)
         finally:
             for fleet in fleets:
-                fleet.down()
+                fleet.stop()
     return sorted(ratios)
 
 
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -125,12 +125,12 @@
     loop, net, _ = socket_loop()
     storm = Storm()
     try:
-        fleet.up()
+        fleet.start()
         time.sleep(2.0)
         crowd = Crowd(
             loop,
             lambda _number: net,
-            lambda: [m.address for m in fleet.of("broker")],
+            lambda: [m.address for m in fleet.brokers],
             service_settings,
             storm,
             think=clients / 50.0,
@@ -144,17 +144,17 @@
 
         def run() -> Coro[None]:
             for number in range(clients):  # connected beforehand: all lose their connection at once
-                loop.spawn(_connected(net, fleet.of("broker")[number % 3].address), "socket")
+                loop.spawn(_connected(net, fleet.brokers[number % 3].address), "socket")
             crowd.start(clients, until)
             yield from sleep(loop, storm.outage_from - loop.now())
-            for member in [*fleet.of("broker"), *fleet.of("leaf")]:
+            for member in [*fleet.brokers, *fleet.leaves]:
                 fleet.kill(member.name, outage)
             yield from sleep(loop, until - loop.now() + 8_000_000)
 
         loop.run(loop.spawn(run(), "run"))
         loop.shutdown()
     finally:
-        fleet.down()
+        fleet.stop()
     verdict = judge(read_logs([folder / "events"]))
     lines = [
         f"{variant}: {clients} clients on sockets: rules broken {len(verdict.breaches)}, nearest to "
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -84,11 +84,11 @@
     service_settings = loads(text)
     fleet = ProcessFleet(str(config), service_settings, str(folder / "events") if events else None)
     try:
-        fleet.up()
+        fleet.start()
         time.sleep(2.0)
         yield fleet, service_settings
     finally:
-        fleet.down()
+        fleet.stop()
 
 
 def search(link: HTTPConnection, vector: list[float], limit: int = 10) -> Asked:
@@ -179,7 +179,7 @@
             service_settings,
         ):
             nearest = truth(service_settings)
-            done = load(fleet.of("broker")[0].ready["vector"], 40, 6)
+            done = load(fleet.brokers[0].vector_address, 40, 6)
             good = [(vector, one) for vector, one in done if one.status == 200]
             hits = [len(set(one.ids) & set(nearest(vector))) / 10 for vector, one in good]
             said = [one.words["recall"] for _, one in good]
@@ -195,8 +195,8 @@
     """At any time three of the hosts work sixty times slower, others every second."""
     draws = random.Random(seed)
     while not until.wait(1.0):
-        for name in draws.sample([m.name for m in fleet.of("leaf")], 3):
-            fleet.order(name, frames.FaultCommand("slow", 60.0, 1_000_000))
+        for name in draws.sample([m.name for m in fleet.leaves], 3):
+            fleet.inject_fault(name, frames.FaultCommand("slow", 60.0, 1_000_000))
 
 
 def slow() -> None:
@@ -212,7 +212,7 @@
             nearest, until = truth(service_settings), threading.Event()
             maker = threading.Thread(target=troubled, args=(fleet, until), daemon=True)
             maker.start()
-            done = load(fleet.of("broker")[0].ready["vector"], 25, 15)
+            done = load(fleet.brokers[0].vector_address, 25, 15)
             until.set()
             maker.join()
             good = [(vector, one) for vector, one in done if one.status == 200]
@@ -240,7 +240,7 @@
                 fleet,
                 service_settings,
             ):
-                brokers = fleet.of("broker")
+                brokers = fleet.brokers
                 where = [(m.name, m.address, "") for m in brokers]
                 crowd = Clients(
                     Load(40.0, clients=60, retries=0, mix=[Mix("price", 0.5), Mix("sale", 0.5)]),
@@ -249,7 +249,7 @@
                     None,
                 )
                 threads = [
-                    threading.Thread(target=load, args=(m.ready["vector"], times * capacity / 2, 10, 160, n))
+                    threading.Thread(target=load, args=(m.vector_address, times * capacity / 2, 10, 160, n))
                     for n, m in enumerate(brokers)
                     if times
                 ]
@@ -279,7 +279,7 @@
     print("throughput of one broker core (24 parts a search, 18 needed)")
     for batch in (1, 40):
         with fleet_of(market_text("(aim 2s) (limit 5s) (need 75%)", work="1us", noise="0%")) as (fleet, _):
-            broker = fleet.of("broker")[0]
+            broker = fleet.brokers[0]
             draws = random.Random(1)
             wishes = [{"query": [draws.gauss(0, 1) for _ in range(32)], "limit": 10} for _ in range(batch)]
             path = "/collections/goods/points/query" + ("/batch" if batch > 1 else "")
@@ -287,7 +287,7 @@
             done: list[int] = []
             before = _processor(broker.process.pid)
             crowd = [
-                threading.Thread(target=_hammer, args=(broker.ready["vector"], path, body, 6.0, done))
+                threading.Thread(target=_hammer, args=(broker.vector_address, path, body, 6.0, done))
                 for _ in range(6)
             ]
             for thread in crowd:
--- a/heathwell/cli/badday.py
+++ b/heathwell/cli/badday.py
@@ -14,9 +14,9 @@
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Verdict
 from heathwell.testing.simulation.bench_day_replay import BenchDayError, fault_script_from_bench_day
+from heathwell.testing.simulation.errors import FleetError
 from heathwell.testing.simulation.fault_scenario import Day, summary
 from heathwell.testing.simulation.fault_script import Script, load_script
-from heathwell.testing.simulation.process_fleet import FleetError
 
 PRINTED_BREACHES = 20
 
--- a/heathwell/cli/fleet.py
+++ b/heathwell/cli/fleet.py
@@ -10,9 +10,11 @@
 from typing import TYPE_CHECKING
 
 import click
+import msgspec
 
 from heathwell.cli.process import settings_of
-from heathwell.testing.simulation.process_fleet import FleetError, ProcessFleet
+from heathwell.testing.simulation.errors import FleetError
+from heathwell.testing.simulation.process_fleet import ProcessFleet
 
 if TYPE_CHECKING:
     from pymemcache.client.base import Client
@@ -48,7 +50,7 @@
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signal_number, lambda received, _frame: stop_signals.append(received))
     try:
-        running.up()
+        running.start()
         _announce(running, ready_file)
         if demo:
             _demo(running)
@@ -57,12 +59,12 @@
         click.echo(str(error), err=True)
         sys.exit(3)
     finally:
-        running.down()
+        running.stop()
 
 
 def _announce(running: ProcessFleet, ready_file: str | None) -> None:
     """Write the table of processes to the ready file, or print it."""
-    table = running.table()
+    table = msgspec.to_builtins(running.ready_table())
     if not ready_file:
         click.echo(json.dumps(table))
         return
@@ -75,8 +77,8 @@
     """Restart processes that ended, until a signal or the deadline."""
     while not stop_signals and time.monotonic() < deadline_seconds:
         time.sleep(POLL_INTERVAL_SECONDS)
-        for name in running.watch():
-            click.echo(f"{name} ended; it is back, cold, in {running.restart_after:g} s", err=True)
+        for name in running.restart_ended_members():
+            click.echo(f"{name} ended; it is back, cold, in {running.restart_delay_seconds:g} s", err=True)
 
 
 def _get_values(client: Client, keys: list[str]) -> dict[str, bytes]:
@@ -95,20 +97,18 @@
     """Send one multi-get with a key of each class, print the answers, and print commands to try next."""
     from pymemcache.client.base import Client  # noqa: PLC0415  # a client library, for the demo alone
 
-    brokers = running.of("broker")
+    brokers = running.brokers
     host, _, port = brokers[0].address.rpartition(":")
     keys = ["price:tea", "sale:anna:17", "report:anna,bo:2026-11-28", "sale:anna:99999"]
     values = _get_values(Client((host, int(port)), timeout=5), keys)
-    click.echo(
-        f"\n{len(running.of('leaf'))} hosts and {len(brokers)} brokers are up. A multi-get of four keys:"
-    )
+    click.echo(f"\n{len(running.leaves)} hosts and {len(brokers)} brokers are up. A multi-get of four keys:")
     for key in keys:
         click.echo(f"  {key}: {values[key].decode()[:150] if key in values else '(a miss)'}")
-    admin = brokers[0].ready["admin"]
+    admin = brokers[0].admin_address
     click.echo(f"""
 Try next:
   printf 'get price:tea sale:bo:5\\r\\nquit\\r\\n' | nc {host} {port}
   curl http://{admin}/state    curl http://{admin}/metrics    curl http://{admin}/healthz
-  kill -9 {running.of("leaf")[0].ready["pid"]}    (a host; it comes back cold, and answers go on)
+  kill -9 {running.leaves[0].pid}    (a host; it comes back cold, and answers go on)
   .venv/bin/heathwell badday examples/badday.sx
 Stop with Ctrl-C.""")
--- /dev/null
+++ b/heathwell/testing/simulation/command_process.py
@@ -0,0 +1,25 @@
+"""Processes of this program that an experiment starts."""
+
+from __future__ import annotations
+
+import os
+import subprocess
+import sys
+from collections.abc import Sequence
+
+
+def start_command(arguments: Sequence[str], stderr: int | None = None) -> subprocess.Popen[str]:
+    """Start a command of this program and return its process, whose standard output is a pipe of text.
+
+    The process has a session of its own, so that signals to the caller's terminal do not reach it. ``stderr``
+    is as for :class:`subprocess.Popen`.
+    """
+    return subprocess.Popen(
+        [sys.executable, "-m", "heathwell", *arguments],
+        stdout=subprocess.PIPE,
+        stderr=stderr,
+        stdin=subprocess.DEVNULL,
+        text=True,
+        start_new_session=True,
+        env={**os.environ, "PYTHONUNBUFFERED": "1"},
+    )
--- a/heathwell/testing/simulation/fault_scenario.py
+++ b/heathwell/testing/simulation/fault_scenario.py
@@ -17,9 +17,10 @@
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Event, Verdict, judge, read_logs
 from heathwell.testing.simulation.client_population import Arrival, Clients, Outcome, arrivals
+from heathwell.testing.simulation.errors import FleetError
 from heathwell.testing.simulation.fault_links import FaultLinkError, FaultLinks
 from heathwell.testing.simulation.fault_script import HOST_FAULTS, LINK_FAULTS, Script, Step, named
-from heathwell.testing.simulation.process_fleet import FleetError, ProcessFleet
+from heathwell.testing.simulation.process_fleet import ProcessFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
 
 KINDS = ("on time", "late", "partial", "refused", "failed", "lost", "broken", "no broker")
@@ -54,8 +55,8 @@
             service_settings,
             str(self.events),
             script.seed,
-            wires=FaultLinks(script.seed) if script.wires else None,
-            clocks={clock.process: clock.rate for clock in script.clocks},
+            links=FaultLinks(script.seed) if script.wires else None,
+            clock_rates={clock.process: clock.rate for clock in script.clocks},
         )
         self.clients: Clients | None = None
         self.exits: dict[str, int] = {}
@@ -72,7 +73,7 @@
         self._note("run", figures=run_parameters_record(self.service_settings))
         began = time.monotonic()
         try:
-            self.fleet.up()
+            self.fleet.start()
             self.say(
                 f"{self.service_settings.fleet.leaves} hosts and "
                 f"{self.service_settings.fleet.brokers} brokers up after "
@@ -82,7 +83,7 @@
             self._run()
         finally:
             self._over = True
-            self.exits = self.fleet.down()
+            self.exits = self.fleet.stop()
         self.logged = read_logs([self.events])
         return judge(self.logged)
 
@@ -120,14 +121,14 @@
     def _wait(self, until: float) -> None:
         while (left := until - time.monotonic()) > 0:
             time.sleep(min(left, 0.2))
-            for name in self.fleet.watch():
-                self.say(f"  {name} died; back, cold, in {self.fleet.restart_after:g} s")
+            for name in self.fleet.restart_ended_members():
+                self.say(f"  {name} died; back, cold, in {self.fleet.restart_delay_seconds:g} s")
 
     def _brokers(self) -> list[tuple[str, str, str]]:
         asked = self.script.load.ask
         return [
-            (m.name, m.address, str(m.ready.get("vector", "")))
-            for m in self.fleet.of("broker")
+            (m.name, m.address, m.vector_address)
+            for m in self.fleet.brokers
             if m.address and (not asked or m.name in asked)
         ]
 
@@ -157,17 +158,19 @@
         try:
             if step.kind in HOST_FAULTS:
                 for name in step.to:
-                    self.fleet.order(
+                    self.fleet.inject_fault(
                         name, frames.FaultCommand(step.kind, step.value, step.span, step.query_class)
                     )
             elif step.kind in ("discovery-down", "discovery-late"):
-                self.fleet.order(
+                self.fleet.inject_fault(
                     "discovery", frames.FaultCommand(step.kind.partition("-")[2], step.value, step.span)
                 )
             elif step.kind.startswith("link-"):
-                for link in self.fleet.of("relay"):
+                for link in self.fleet.relays:
                     if not step.to or link.name.removeprefix("link-") in step.to:
-                        self.fleet.order(link.name, frames.FaultCommand(step.kind[5:], step.value, step.span))
+                        self.fleet.inject_fault(
+                            link.name, frames.FaultCommand(step.kind[5:], step.value, step.span)
+                        )
             elif step.kind in ("crash", "kill-broker", "kill", "pause"):
                 act = self._pause if step.kind == "pause" else self.fleet.kill
                 for name in self._named(step.to):
@@ -175,8 +178,8 @@
             elif step.kind == "restart-all":  # within the span, one after another
                 for number, name in enumerate(names := self._named(["b*"])):
                     self.fleet.kill(name, step.span / 1e6 * (number + 1) / len(names))
-            elif step.kind in LINK_FAULTS and self.fleet.wires is not None:
-                self.fleet.wires.inject_fault(
+            elif step.kind in LINK_FAULTS and self.fleet.links is not None:
+                self.fleet.links.inject_fault(
                     self._named(step.source),
                     self._named(step.to),
                     step.kind.removeprefix("way-"),
@@ -215,12 +218,12 @@
 
     def _join(self, step: Step) -> None:
         """A broker more each so many seconds, until the span is over; each is asked to end after a while."""
-        first, count = len(self.fleet.of("broker")), int(step.span / 1e6 / step.value)
+        first, count = len(self.fleet.brokers), int(step.span / 1e6 / step.value)
 
         def one(number: int) -> None:
             if not self._over:
                 try:
-                    self.fleet.join(number, JOINED_SECONDS)
+                    self.fleet.add_broker(number, JOINED_SECONDS)
                 except (OSError, FleetError) as problem:
                     self.faults.append(f"join of b{number}: {problem}")
 
@@ -238,8 +241,8 @@
         aside = float(found[1]) * float(found[2]) / step.value  # brokers' own minima stay as they are
         said = f"(budget {step.budget} (whole {step.value:g}) (aside {aside:g}%)"
         Path(self.config).write_text(text[: found.start()] + said + text[found.end() :], encoding="utf-8")
-        for keeper in self.fleet.of("keeper"):
-            self.fleet.signal(keeper.name, signal.SIGHUP)
+        for keeper in self.fleet.coordinators:
+            self.fleet.send_signal(keeper.name, signal.SIGHUP)
 
     def service(self) -> list[str]:
         """Per class and window: how requests ended, in shares of those that arrived."""
--- a/heathwell/testing/simulation/process_fleet.py
+++ b/heathwell/testing/simulation/process_fleet.py
@@ -1,51 +1,56 @@
-"""A fleet of processes on loopback: started, killed, restarted and ordered about by one supervisor."""
+"""A fleet of processes on loopback, which this process starts, restarts, stops and injects faults into."""
 
 from __future__ import annotations
 
-import json
-import os
-import signal
-import subprocess
 import sys
 import threading
 import time
-from dataclasses import dataclass, field
-from typing import Any
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
+from typing import Final
 
-from heathwell.codec import frames, inner_protocol
+from heathwell.codec import frames
 from heathwell.settings import ServiceSettings
+from heathwell.testing.simulation.errors import FleetError
 from heathwell.testing.simulation.fault_links import FaultLinks
-
-START_SECONDS = 30.0
-RUNS = ("broker", "keeper")  # roles whose runs have names of their own, and so logs of their own
-
-
-class FleetError(Exception):
-    """A process that did not start, or an order that was not taken."""
-
-
-@dataclass(slots=True)
-class Member:
-    """One process of the fleet and how to start it again."""
+from heathwell.testing.simulation.fleet_member import (
+    FleetMember,
+    MemberLauncher,
+    MemberSpec,
+    ReadyRecord,
+    Role,
+)
+from heathwell.testing.simulation.fleet_member_specs import ANY_LOOPBACK_PORT, MemberSpecs
+
+RESTART_DELAY_SECONDS: Final = 5.0
+STOP_TIMEOUT_SECONDS: Final = 10.0
+MIN_STOP_TIMEOUT_SECONDS: Final = 0.1
+# Brokers first: they finish what they hold while all else still serves.
+STOP_ORDER: Final = (
+    Role.BROKER,
+    Role.COORDINATOR,
+    Role.RELAY,
+    Role.LEAF,
+    Role.DISCOVERY,
+    Role.SOURCE,
+)
+
+
+@dataclass(frozen=True, slots=True)
+class MemberDeath:
+    """A process that was killed or ended by itself, in seconds of the monotonic clock."""
 
     name: str
-    role: str
-    number: int
-    zone: int
-    args: list[str]
-    process: subprocess.Popen[str]
-    ready: dict[str, Any] = field(default_factory=dict)
-    runs: int = 0
-    stopping: bool = False
-
-    @property
-    def address(self) -> str:
-        """Where it serves."""
-        return str(self.ready.get("address", ""))
+    at_seconds: float
 
 
 class ProcessFleet:
-    """Discovery, hosts and brokers of a settings file, each a process of its own."""
+    """Discovery, coordinators, hosts and brokers of a settings file, each a process of its own.
+
+    With ``links`` each process reaches the others through a link of its own; ``clock_rates`` are by member
+    name. ``leaf_host`` is the loopback address of the hosts: with many clients on this machine, another one
+    than the clients' keeps the port of a killed host free for its restart.
+    """
 
     def __init__(
         self,
@@ -54,299 +59,159 @@
         events: str | None = None,
         seed: int = 1,
         leaf_host: str = "127.0.0.1",
-        wires: FaultLinks | None = None,
-        clocks: dict[str, float] | None = None,
+        links: FaultLinks | None = None,
+        clock_rates: dict[str, float] | None = None,
     ) -> None:
-        # With wires each process reaches the others by a relay of its own; ``clocks`` are rates by name.
-        self.wires, self.clocks = wires, clocks or {}
-        # With many clients of this machine another loopback address for hosts keeps a killed host's port its
-        # own.
-        self.leaf_host = leaf_host
-        self.config, self.service_settings, self.events, self.seed = config, service_settings, events, seed
-        self.members: dict[str, Member] = {}
-        self.restart_after = 5.0
+        self.service_settings = service_settings
+        self.links = links
+        self.members: dict[str, FleetMember] = {}
+        self.deaths: list[MemberDeath] = []
+        self.restart_delay_seconds = RESTART_DELAY_SECONDS
+        self._launcher = MemberLauncher(config, events, clock_rates or {})
+        self._specs = MemberSpecs(service_settings, self.members, seed=seed, leaf_host=leaf_host, links=links)
         self._lock = threading.Lock()
         self._stopping = False
-        self._clock: list[str] = []
-        self.deaths: list[tuple[float, str]] = []
-
-    def up(self) -> None:
-        """Start everything; raises :class:`FleetError`."""
-        zones = len(self.service_settings.fleet.zones)
-        self._wait([self._start("discovery", "discovery", 0, 0, [])])
-        clock: list[str] = []
+
+    def members_of(self, role: Role) -> list[FleetMember]:
+        """Return the members of a role, in the order of their first start."""
+        return [member for member in self.members.values() if member.role is role]
+
+    @property
+    def brokers(self) -> list[FleetMember]:
+        """The brokers."""
+        return self.members_of(Role.BROKER)
+
+    @property
+    def coordinators(self) -> list[FleetMember]:
+        """The quota coordinators."""
+        return self.members_of(Role.COORDINATOR)
+
+    @property
+    def leaves(self) -> list[FleetMember]:
+        """The hosts."""
+        return self.members_of(Role.LEAF)
+
+    @property
+    def relays(self) -> list[FleetMember]:
+        """The relays between regions."""
+        return self.members_of(Role.RELAY)
+
+    def ready_table(self) -> dict[str, ReadyRecord]:
+        """Return what each member reported, with its role and zone, by its name."""
+        zones = self.service_settings.fleet.zones
+        return {member.name: member.table_row(zones[member.zone]) for member in self.members.values()}
+
+    def start(self) -> None:
+        """Start all processes; raise :class:`FleetError` where one does not serve."""
+        fleet = self.service_settings.fleet
+        self._start_and_wait([self._specs.discovery()])
         if self.service_settings.freshness.enabled:
-            self._wait([self._start("source", "source", 0, 0, [])])
-            clock = ["--source", self.members["source"].address]
-        names = [f"k{n}" for n in range(len(self.service_settings.fleet.coordinators))]
-        self._wait(
-            [
-                self._start("keeper", name, n, n % zones, ["--number", str(n), *self._keepers(name, names)])
-                for n, name in enumerate(names)
-            ]
-        )
-        hosts = [
-            self._start(
-                "leaf",
-                f"leaf{n}",
-                n,
-                n % zones,
-                [
-                    "--discovery",
-                    self._way(f"leaf{n}", "discovery"),
-                    "--cell",
-                    str(n % self.service_settings.fleet.cells),
-                    "--zone",
-                    str(n % zones),
-                    "--seed",
-                    str(self.seed * 100 + n),
-                    "--listen",
-                    f"{self.leaf_host}:0",
-                ],
-            )
-            for n in range(self.service_settings.fleet.leaves)
-        ]
-        self._wait(hosts)
-        self._wait(self._relays())
-        self._clock = clock
-        self._wait([self._broker(n) for n in range(self.service_settings.fleet.brokers)])
-
-    def _broker(self, n: int) -> Member:
-        zone, keepers = (
-            n % len(self.service_settings.fleet.zones),
-            [member.name for member in self.of("keeper")],
-        )
-        return self._start(
-            "broker",
-            f"b{n}",
-            n,
-            zone,
-            [
-                "--discovery",
-                self._way(f"b{n}", "discovery"),
-                "--zone",
-                str(zone),
-                "--seed",
-                str(self.seed * 1000 + n),
-                *self._clock,
-                *self._routes(f"b{n}", zone),
-                *self._keepers(f"b{n}", keepers),
-            ],
-        )
-
-    def join(self, number: int, seconds: float) -> None:
-        """One broker more, which is asked to end after so many seconds."""
+            [source] = self._start_and_wait([self._specs.source()])
+            self._specs.source_address = source.address
+        self._start_and_wait(self._specs.coordinator(n) for n in range(len(fleet.coordinators)))
+        self._start_and_wait(self._specs.leaf(n) for n in range(fleet.leaves))
+        self._start_and_wait(self._specs.region_relays())
+        self._start_and_wait(self._specs.broker(n) for n in range(fleet.brokers))
+
+    def stop(self, timeout_seconds: float = STOP_TIMEOUT_SECONDS) -> dict[str, int]:
+        """Send SIGTERM to all processes, one role after the other, and return their exit codes by name.
+
+        What does not end in ``timeout_seconds`` (of its role) is killed.
+        """
         with self._lock:
-            if self._stopping:
-                return
-            member = self._broker(number)
-        self._wait([member])
-        threading.Timer(seconds, self._leave, (member,)).start()
-
-    @staticmethod
-    def _leave(member: Member) -> None:
-        member.stopping = True
-        if member.process.poll() is None:
-            member.process.send_signal(signal.SIGTERM)
-
-    def region_of(self, zone: int) -> str:
-        """The region that a zone stands in; empty where there are none."""
-        name = self.service_settings.fleet.zones[zone]
-        return next(
-            (region.name for region in self.service_settings.across.regions if name in region.zones), ""
-        )
-
-    def _relays(self) -> list[Member]:
-        """A link a region: the way of its brokers to the hosts of the others."""
-        out = []
-        for number, region in enumerate(self.service_settings.across.regions):
-            far = [leaf.address for leaf in self.of("leaf") if self.region_of(leaf.zone) != region.name]
-            if far:
-                out.append(
-                    self._start(
-                        "relay",
-                        f"link-{region.name}",
-                        number,
-                        0,
-                        ["--targets", ",".join(far), "--seed", str(self.seed * 10 + number)],
-                    )
-                )
-        return out
-
-    def _way(self, source: str, target: str) -> str:
-        """The address by which one process reaches another."""
-        return (
-            self.wires.open_link(source, target) if self.wires is not None else self.members[target].address
-        )
-
-    def _keepers(self, source: str, names: list[str]) -> list[str]:
-        """How a process finds the keepers: with wires by its own ways to them, else as settings say."""
-        if not names or self.wires is None:
-            return []
-        return [
-            "--keepers",
-            ",".join(self.wires.open_link(source, name) for name in names),
-            *(["--listen", "127.0.0.1:0"] if source in names else []),
-        ]
-
-    def _routes(self, source: str, zone: int) -> list[str]:
-        if self.wires is not None:
-            return [
-                "--routes",
-                json.dumps({leaf.address: self._way(source, leaf.name) for leaf in self.of("leaf")}),
-            ]
-        link = self.members.get(f"link-{self.region_of(zone)}")
-        return ["--routes", json.dumps(link.ready["routes"])] if link is not None else []
-
-    def of(self, role: str) -> list[Member]:
-        """The members of a role, in their order."""
-        return [member for member in self.members.values() if member.role == role]
-
-    def table(self) -> dict[str, Any]:
-        """Names and addresses, for a ready file."""
+            self._stopping = True
+        exit_codes: dict[str, int] = {}
+        for role in STOP_ORDER:
+            exit_codes.update(self._stop_role(role, timeout_seconds))
+        if self.links is not None:
+            self.links.close()
+        return exit_codes
+
+    def _stop_role(self, role: Role, timeout_seconds: float) -> dict[str, int]:
+        running = [member for member in self.members_of(role) if member.is_running]
+        for member in running:
+            member.resume()
+            member.terminate()
+        stop_at_seconds = time.monotonic() + timeout_seconds
         return {
-            member.name: {
-                "role": member.role,
-                "zone": self.service_settings.fleet.zones[member.zone],
-                **member.ready,
-            }
-            for member in self.members.values()
+            member.name: member.wait(max(MIN_STOP_TIMEOUT_SECONDS, stop_at_seconds - time.monotonic()))
+            for member in running
         }
 
-    def kill(self, name: str, back_after: float | None) -> None:
-        """SIGKILL a member; it comes back at its address after so many seconds (never with None)."""
-        member = self.members[name]
-        member.stopping = True
-        if self.wires is not None:
-            self.wires.set_target(name, "")  # its port may be another's meanwhile, of another run even
-        member.process.kill()
-        member.process.wait()
-        self.deaths.append((time.monotonic(), name))
-        if back_after is not None:
-            threading.Timer(back_after, self._again, (name,)).start()
-
-    def pause(self, name: str, seconds: float) -> None:
-        """SIGSTOP a member, and SIGCONT it after so many seconds."""
-        process = self.members[name].process
-        process.send_signal(signal.SIGSTOP)
-        threading.Timer(seconds, self._go_on, (process,)).start()
-
-    @staticmethod
-    def _go_on(process: subprocess.Popen[str]) -> None:
-        if process.poll() is None:
-            process.send_signal(signal.SIGCONT)
-
-    def signal(self, name: str, number: int) -> None:
-        """Send a member a signal."""
-        self.members[name].process.send_signal(number)
-
-    def watch(self) -> list[str]:
-        """Members that ended by themselves since the last look; each comes back cold after a while."""
-        ended = []
-        for member in list(self.members.values()):
-            if not member.stopping and member.process.poll() is not None:
-                member.stopping = True
-                ended.append(member.name)
-                self.deaths.append((time.monotonic(), member.name))
-                threading.Timer(self.restart_after, self._again, (member.name,)).start()
-        return ended
-
-    def order(self, name: str, control: frames.FaultCommand) -> None:
-        """Tell a stand-in to make trouble; raises :class:`FleetError` with its complaint."""
-        address = self.members[name].address
-        if not address:
-            raise FleetError(f"{name} is not up")
-        try:
-            done = inner_protocol.request(address, "script", "script", control, frames.FaultCommandReply, 5)
-        except ValueError:
-            raise FleetError(f"{name} closed without taking the order") from None
-        if done.text:
-            raise FleetError(f"{name}: {done.text}")
-
-    def down(self, seconds: float = 10.0) -> dict[str, int]:
-        """SIGTERM to all, brokers first, and their exit codes; what does not end in time is killed."""
-        with self._lock:
-            self._stopping = True
-        codes = {}
-        for role in ("broker", "keeper", "relay", "leaf", "discovery", "source"):
-            group = [m for m in self.of(role) if m.process.poll() is None]
-            for member in group:
-                member.stopping = True
-                self._go_on(member.process)
-                member.process.send_signal(signal.SIGTERM)
-            until = time.monotonic() + seconds
-            for member in group:
-                try:
-                    codes[member.name] = member.process.wait(max(0.1, until - time.monotonic()))
-                except subprocess.TimeoutExpired:
-                    member.process.kill()
-                    codes[member.name] = member.process.wait()
-        if self.wires is not None:
-            self.wires.close()
-        return codes
-
-    def _again(self, name: str) -> None:
+    def add_broker(self, number: int, lifetime_seconds: float) -> None:
+        """Start one more broker, and send it SIGTERM after ``lifetime_seconds``."""
         with self._lock:
             if self._stopping:
                 return
+            member = self._launch(self._specs.broker(number))
+        self._wait_until_ready(member)
+        threading.Timer(lifetime_seconds, member.terminate).start()
+
+    def kill(self, name: str, restart_after_seconds: float | None) -> None:
+        """Send SIGKILL to a member; restart it at its address after a while, or never with None."""
+        member = self.members[name]
+        if self.links is not None:
+            self.links.set_target(
+                name, ""
+            )  # another process, even of another run, may get its port meanwhile
+        member.kill()
+        self.deaths.append(MemberDeath(name, time.monotonic()))
+        if restart_after_seconds is not None:
+            threading.Timer(restart_after_seconds, self._restart, (name,)).start()
+
+    def pause(self, name: str, duration_seconds: float) -> None:
+        """Stop a member by SIGSTOP for a while."""
+        self.members[name].pause(duration_seconds)
+
+    def send_signal(self, name: str, signal_number: int) -> None:
+        """Send a signal to a member."""
+        self.members[name].process.send_signal(signal_number)
+
+    def inject_fault(self, name: str, command: frames.FaultCommand) -> None:
+        """Inject a fault into a stand-in; raise :class:`FleetError` where it is not accepted."""
+        self.members[name].inject_fault(command)
+
+    def restart_ended_members(self) -> list[str]:
+        """Schedule a restart of each member that ended by itself since the last call; return their names."""
+        members = list(self.members.values())  # restarts and new brokers change the map meanwhile
+        ended = [member for member in members if not member.end_expected and not member.is_running]
+        for member in ended:
+            member.end_expected = True
+            self.deaths.append(MemberDeath(member.name, time.monotonic()))
+            threading.Timer(self.restart_delay_seconds, self._restart, (member.name,)).start()
+        return [member.name for member in ended]
+
+    def _restart(self, name: str) -> None:
+        with self._lock:
             old = self.members[name]
-            if old.process.poll() is None:
-                return  # killed twice, and back by the first
-            # By wires a keeper is met where it was, wherever it listens.
-            moved = self.wires is not None and old.role == "keeper"
-            extra = ["--listen", "127.0.0.1:0" if moved else old.address] + (
-                ["--cold"] if old.role == "leaf" else []
-            )
-            run_name = f"{name}r{old.runs + 1}" if old.role in RUNS else name
-            member = self._spawn(old.role, name, old.number, old.zone, old.args, extra, run_name)
-            member.runs = old.runs + 1
+            if self._stopping or old.is_running:  # a member that was killed twice is restarted once
+                return
+            member = self._launch(old.spec, old.run + 1, self._restart_arguments(old))
         try:
-            self._wait([member])
-        except FleetError as problem:
-            if not member.stopping:  # else it was killed as it started
-                print(problem, file=sys.stderr)
-
-    def _start(self, role: str, name: str, number: int, zone: int, args: list[str]) -> Member:
-        return self._spawn(role, name, number, zone, args, [], f"{name}r0" if role in RUNS else name)
-
-    def _spawn(
-        self, role: str, name: str, number: int, zone: int, args: list[str], extra: list[str], run_name: str
-    ) -> Member:
-        command = [
-            sys.executable,
-            "-m",
-            "heathwell",
-            role,
-            "--config",
-            self.config,
-            "--name",
-            run_name,
-            *args,
-            *extra,
-        ]
-        if self.events:
-            command += ["--events", self.events]
-        if name in self.clocks:
-            command += ["--clock-rate", str(self.clocks[name])]
-        process = subprocess.Popen(
-            command,
-            stdout=subprocess.PIPE,
-            stdin=subprocess.DEVNULL,
-            text=True,
-            start_new_session=True,
-            env={**os.environ, "PYTHONUNBUFFERED": "1"},
-        )
-        member = Member(name, role, number, zone, args, process)
-        self.members[name] = member
+            self._wait_until_ready(member)
+        except FleetError as error:
+            if not member.end_expected:  # else it was killed while it started
+                print(error, file=sys.stderr)
+
+    def _restart_arguments(self, old: FleetMember) -> Sequence[str]:
+        # With links the others reach a coordinator through the same addresses wherever it listens.
+        keeps_address = self.links is None or old.role is not Role.COORDINATOR
+        listen = ("--listen", old.address if keeps_address else ANY_LOOPBACK_PORT)
+        return (*listen, "--cold") if old.role is Role.LEAF else listen
+
+    def _start_and_wait(self, specs: Iterable[MemberSpec]) -> list[FleetMember]:
+        """Start members side by side and wait until all of them serve."""
+        started = [self._launch(spec) for spec in specs]
+        for member in started:
+            self._wait_until_ready(member)
+        return started
+
+    def _launch(self, spec: MemberSpec, run: int = 0, run_arguments: Sequence[str] = ()) -> FleetMember:
+        member = self._launcher.launch(spec, run, run_arguments)
+        self.members[spec.name] = member
         return member
 
-    def _wait(self, members: list[Member]) -> None:
-        for member in members:
-            assert member.process.stdout is not None
-            line = member.process.stdout.readline()
-            if not line:
-                code = member.process.wait(START_SECONDS)
-                raise FleetError(f"{member.name} did not start: exit code {code}")
-            member.ready = json.loads(line)
-            if self.wires is not None:
-                self.wires.set_target(member.name, member.address)
+    def _wait_until_ready(self, member: FleetMember) -> None:
+        member.wait_until_ready()
+        if self.links is not None:
+            self.links.set_target(member.name, member.address)
--- a/heathwell/testing/simulation/rollout_fleet.py
+++ b/heathwell/testing/simulation/rollout_fleet.py
@@ -24,9 +24,10 @@
 from heathwell.fleet.control.broker_process import process_start_ticks
 from heathwell.settings import ServiceSettings, load
 from heathwell.testing.simulation.client_population import Clients, arrivals
+from heathwell.testing.simulation.errors import FleetError
 from heathwell.testing.simulation.fault_links import FaultLinks
 from heathwell.testing.simulation.fault_script import Load, Mix
-from heathwell.testing.simulation.process_fleet import FleetError, ProcessFleet
+from heathwell.testing.simulation.process_fleet import ProcessFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
 
 PACKAGE = Path(__file__).resolve().parents[2]
@@ -142,7 +143,7 @@
         self.service_settings: ServiceSettings = load(config)
         self.wires = FaultLinks(seed)
         self.fleet = ProcessFleet(
-            str(config), self.service_settings, str(self.events), seed, wires=self.wires
+            str(config), self.service_settings, str(self.events), seed, links=self.wires
         )
         self.count = machines
         self.machines: dict[str, Machine] = {}
@@ -168,7 +169,7 @@
             + "\n"
         )
         try:
-            self.fleet.up()
+            self.fleet.start()
             for number in range(self.count):
                 self._launch(number)
             for machine in self.machines.values():
@@ -180,7 +181,7 @@
     def _launch(self, number: int) -> None:
         zones = len(self.service_settings.fleet.zones)
         names = [f"b{2 * number + n}" for n in range(2)]
-        keepers = ",".join(member.address for member in self.fleet.of("keeper"))
+        keepers = ",".join(member.address for member in self.fleet.coordinators)
         more = {
             name: [
                 "--discovery",
@@ -259,7 +260,7 @@
                 machine.process.kill()
                 machine.process.wait()
         self._sweep()
-        self.fleet.down()
+        self.fleet.stop()
 
     def _sweep(self) -> None:
         """Brokers that an agent left behind: by their pids in its notes, which are ours."""
@@ -331,7 +332,7 @@
     ) -> subprocess.Popen[str]:
         """Start a controller, from the version that began or another."""
         old = old or self.began
-        keepers = ",".join(member.address for member in self.fleet.of("keeper"))
+        keepers = ",".join(member.address for member in self.fleet.coordinators)
         ways = ",".join(self.wires.open_link("controller", name) for name in self.machines)
         return subprocess.Popen(
             [
--- a/tests/test_command_processes.py
+++ b/tests/test_command_processes.py
@@ -54,13 +54,13 @@
     config = tmp_path / "m.sx"
     config.write_text(SLOW)
     fleet = ProcessFleet(str(config), load(config), str(tmp_path / "events"))
-    fleet.up()
+    fleet.start()
     yield fleet
-    fleet.down()
+    fleet.stop()
 
 
 def test_sigterm_finishes_what_is_held_refuses_the_rest_and_exits_0(slow_fleet, tmp_path):
-    broker = slow_fleet.of("broker")[0]
+    broker = slow_fleet.brokers[0]
     host, _, port = broker.address.rpartition(":")
     client = pymemcache.Client((host, int(port)), timeout=10)
     until_answered(client, "sale:anna:1")
@@ -86,7 +86,7 @@
 
 
 def test_a_second_sigterm_exits_at_once_and_a_killed_host_comes_back(slow_fleet):
-    broker = slow_fleet.of("broker")[0]
+    broker = slow_fleet.brokers[0]
     host, _, port = broker.address.rpartition(":")
     client = pymemcache.Client((host, int(port)), timeout=10)
     until_answered(client, "sale:anna:1")
--- a/tests/test_evacuation_processes.py
+++ b/tests/test_evacuation_processes.py
@@ -264,19 +264,19 @@
     fleet = ProcessFleet(config, load(config))
     askers = []
     try:
-        fleet.up()
-        askers = [Asker(member.address) for member in fleet.of("broker")]
+        fleet.start()
+        askers = [Asker(member.address) for member in fleet.brokers]
         for asker in askers:
             asker.start()
         yield (
             fleet,
             [sys.executable, "-m", "heathwell", "zone"],
-            ["--config", config, "--keepers", ",".join(member.address for member in fleet.of("keeper"))],
+            ["--config", config, "--keepers", ",".join(member.address for member in fleet.coordinators)],
         )
     finally:
         for asker in askers:
             asker.stop.set()
-        fleet.down()
+        fleet.stop()
 
 
 def resting(address):
@@ -290,7 +290,7 @@
 
 def health(member):
     try:
-        return urllib.request.urlopen(f"http://{member.ready['admin']}/healthz", timeout=30).read()
+        return urllib.request.urlopen(f"http://{member.admin_address}/healthz", timeout=30).read()
     except urllib.error.HTTPError as problem:
         return problem.read()
 
@@ -313,9 +313,9 @@
     """Processes of nine hosts, six brokers and three keepers, asked all the while."""
     fleet, command, where = running
     decides(command, where)
-    there = [member for member in fleet.of("broker") if member.zone == 1]
+    there = [member for member in fleet.brokers if member.zone == 1]
     socks = [resting(member.address) for member in there for _ in range(4)]
-    others = [resting(member.address) for member in fleet.of("broker") if member.zone != 1]
+    others = [resting(member.address) for member in fleet.brokers if member.zone != 1]
     drill = subprocess.Popen(
         [*command, "drill", "hki-2", "--seconds", "14", "--json", *where],
         cwd=ROOT,
@@ -327,7 +327,7 @@
         socks
     )  # let go, within the ten seconds of the settings
     assert {health(member) for member in there} == {b"the fleet leaves this zone\n"}
-    assert {health(member) for member in fleet.of("broker") if member.zone != 1} == {b"ok\n"}
+    assert {health(member) for member in fleet.brokers if member.zone != 1} == {b"ok\n"}
     resting(there[0].address).close()  # who comes is served
     out, err = drill.communicate(timeout=300)
     assert drill.returncode == 0, (out, err)
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -280,7 +280,7 @@
     )
     wait_changed(fleet, 2)
     time.sleep(6)
-    for leaf in fleet.fleet.of("leaf")[:4]:
+    for leaf in fleet.fleet.leaves[:4]:
         fleet.fleet.kill(leaf.name, 6.0)
     change = fleet.finish(controller)
     whys = " ".join(why for _, _, why, *_ in change.record["history"])
