--- a/heathwell/testing/simulation/search_scenario.py
+++ b/heathwell/testing/simulation/search_scenario.py
@@ -59,8 +59,8 @@
         """One request on a connection of its own."""
         running = self.fleet.brokers[broker]
         query_class = 0
-        if running.vector is not None:
-            query_class = running.vector.query_class(collection, is_batch=len(wishes) > 1)
+        if running.vector_server is not None:
+            query_class = running.vector_server.query_class(collection, is_batch=len(wishes) > 1)
         limit = self.service_settings.classes[query_class].timeout_us
         try:
             stream = yield from self.net.connect(running.vector_address, 1_000_000, "client")
--- a/heathwell/testing/simulation/simulated_scenario.py
+++ b/heathwell/testing/simulation/simulated_scenario.py
@@ -75,10 +75,10 @@
             self._net_of,
             service_settings,
             seed,
-            into=self.events,
+            event_records=self.events,
             host_of=lambda name: name,
-            keep=keep,
-            desk=desk,
+            run_coordinators=keep,
+            make_evacuation_coordinator=desk,
         )
         self.known_tokens: dict[str, str] = {}
         self.outcomes: dict[str, dict[str, int]] = {}
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -38,7 +38,12 @@
         self.events: list[dict[str, Any]] = []
         self.note("run", figures=run_parameters_record(self.service_settings))
         self.fleet = LocalFleet(
-            self.loop, self.net_of, self.service_settings, seed, into=self.events, host_of=lambda name: name
+            self.loop,
+            self.net_of,
+            self.service_settings,
+            seed,
+            event_records=self.events,
+            host_of=lambda name: name,
         )
         self.run(self.settle())
 
--- a/tests/test_event_orderings_servers.py
+++ b/tests/test_event_orderings_servers.py
@@ -102,7 +102,7 @@
 
     def __init__(self, servers: Servers) -> None:
         self.servers = servers
-        self.front, self.address = servers.running.front, servers.running.address
+        self.front, self.address = servers.running.memcached_server, servers.running.address
 
     def connections(self) -> list[Any]:
         return list(self.front.connections)
@@ -129,7 +129,7 @@
 
     def __init__(self, servers: Servers) -> None:
         self.servers = servers
-        self.front, self.address = servers.running.vector, servers.running.vector_address
+        self.front, self.address = servers.running.vector_server, servers.running.vector_address
 
     def connections(self) -> list[Any]:
         return list(self.front.clients.connections.values())
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -312,7 +312,7 @@
         for number in range(300):
             client.stream.write(b"get sale:anna:%d sale:bo:%d\r\n" % (number, number))
         yield from sleep(world.loop, 30_000_000)
-        front = world.fleet.brokers[0].front
+        front = world.fleet.brokers[0].memcached_server
         assert max(c.stream.unsent for c in front.connections) <= 100 * 1024
         values, _ = yield from other.get("sale:anna:1")
         assert values
--- a/tests/test_region_reachability.py
+++ b/tests/test_region_reachability.py
@@ -70,7 +70,7 @@
         return [leaf.name for leaf in world.fleet.leaves if leaf.zone != 0]
 
     def page(path, query=""):
-        return broker.admin.answer(Request("GET", path, query, {}, b""))
+        return broker.admin_server.answer(Request("GET", path, query, {}, b""))
 
     def waits(client, ended, name):
         data = yield from client.stream.read()
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -348,6 +348,6 @@
         assert line == b"SERVER_ERROR heathwell too many connections"
         assert (yield from over.stream.read()) == b""
         yield from clients[1].get("sale:t1:6")
-        assert world.fleet.brokers[0].front.stats().clients_refused == 1
+        assert world.fleet.brokers[0].memcached_server.stats().clients_refused == 1
 
     world.run(main())
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -72,7 +72,9 @@
                 "figures": run_parameters_record(self.service_settings),
             }
         )
-        self.fleet = LocalFleet(self.loop, lambda _name: self.net, self.service_settings, 1, into=self.events)
+        self.fleet = LocalFleet(
+            self.loop, lambda _name: self.net, self.service_settings, 1, event_records=self.events
+        )
         self.broker = self.fleet.brokers[0]
         self.stop = False
         self.wishes: list = []
--- a/tests/test_version_compatibility.py
+++ b/tests/test_version_compatibility.py
@@ -257,7 +257,7 @@
 def test_metrics_have_their_old_names_and_labels(day: PlayedDay) -> None:
     rows = set()
     for broker in day.simulated.fleet.brokers:
-        page = generate_latest(broker.admin._metrics.registry).decode()
+        page = generate_latest(broker.admin_server._metrics.registry).decode()
         for family in text_string_to_metric_families(page):
             for sample in family.samples:
                 rows.add(" ".join([family.type, sample.name, *sorted(sample.labels)]))
