--- a/benchmarks/rollingload.py
+++ b/benchmarks/rollingload.py
@@ -14,7 +14,9 @@
 from pathlib import Path
 
 from heathwell.testing.audit import judge, read_logs
-from heathwell.testing.simulation.rollout_fleet import RolloutFleet, plant, write_service_settings
+from heathwell.testing.simulation.controller_process import RolloutPlan
+from heathwell.testing.simulation.planted_versions import plant_version
+from heathwell.testing.simulation.rollout_fleet import RolloutFleet, write_service_settings
 
 MARKET = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
 BEFORE, AFTER = 25.0, 20.0  # seconds
@@ -25,13 +27,13 @@
     """One rollout, and a table by span."""
     folder = Path(tempfile.mkdtemp(prefix="heathwell-"))
     write_service_settings(MARKET, folder / "market.sx")
-    with RolloutFleet(folder / "run", folder / "market.sx", machines=3).up() as fleet:
+    with RolloutFleet(folder / "run", folder / "market.sx", machine_count=3).running() as fleet:
         fleet.begin_load()
         time.sleep(5.0)
         began = time.monotonic()
         time.sleep(BEFORE)
         rolled = time.monotonic()
-        change = fleet.change("v2", program=plant(fleet.folder, "v2"))
+        change = fleet.start_controller(RolloutPlan("v2", program=plant_version(fleet.folder, "v2"))).finish()
         ended = time.monotonic()
         time.sleep(AFTER)
         fleet.end_load()
@@ -52,7 +54,7 @@
     verdict = judge(read_logs([fleet.events]))
     hurt = sum(outcome.kind in HURT for outcome in outcomes)
     print(
-        f"the change is {change.record.get('state')} after {change.seconds:.0f} s; p99 during over before "
+        f"the change is {change.state} after {change.duration_seconds:.0f} s; p99 during over before "
         f"{p99['during'] / p99['before']:.2f}, after over before "
         f"{p99['after'] / p99['before']:.2f}; {hurt} lost or "
         f"refused a connect; {len(verdict.breaches)} rules broken"
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -15,7 +15,9 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from heathwell.testing.simulation.rollout_fleet import DEFECTS, RolloutFleet, plant, write_service_settings
+from heathwell.testing.simulation.controller_process import RolloutPlan
+from heathwell.testing.simulation.planted_versions import DEFECTS, Defect, plant_version
+from heathwell.testing.simulation.rollout_fleet import RolloutFleet, write_service_settings
 
 SETTINGS = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
 RELEASES_PER_FLEET = 6  # releases of one fleet, after which it is put up anew
@@ -30,34 +32,39 @@
     write_service_settings(SETTINGS, folder / "market.sx")
     out: list[Row] = []
     try:
-        with RolloutFleet(folder / "run", folder / "market.sx", machines=2, rate=40.0).up() as fleet:
+        with RolloutFleet(
+            folder / "run", folder / "market.sx", machine_count=2, arrival_rate=40.0
+        ).running() as fleet:
             fleet.begin_load(3600.0)
             time.sleep(6)
             for number, defect in enumerate(defects):
-                tree = plant(fleet.folder, f"v{number + 2}", defect)
+                tree = plant_version(fleet.folder, f"v{number + 2}", Defect(defect) if defect else None)
                 state = f"change{number}"
-                change = fleet.change(f"v{number + 2}", program=tree, state=state, seconds=240.0)
-                record = change.record
-                stage = max((row[3] for row in record.get("history", [])), default=0)
-                why = [row[2] for row in record.get("history", []) if row[1] in ("undoing", "held")]
-                out.append((defect, record.get("state", "?"), stage, change.seconds, "; ".join(why)))
-                if record.get("state") == "done":  # the next one begins from the old version again
-                    back = fleet.change(
-                        f"back{number}",
-                        program=fleet.old,
-                        state=f"back{number}",
-                        old=f"v{number + 2}",
-                        old_program=tree,
-                        stages="100%",
-                        bake="1s",
-                        most="2s",
-                        prove="none",
-                    )
-                    if back.code:
+                change = fleet.start_controller(
+                    RolloutPlan(f"v{number + 2}", program=tree, name=state)
+                ).finish(timeout_seconds=240.0)
+                stage = max((row[3] for row in change.history), default=0)
+                why = [row[2] for row in change.history if row[1] in ("undoing", "held")]
+                out.append((defect, change.state or "?", stage, change.duration_seconds, "; ".join(why)))
+                if change.state == "done":  # the next one begins from the old version again
+                    back = fleet.start_controller(
+                        RolloutPlan(
+                            f"back{number}",
+                            program=fleet.old_program,
+                            name=f"back{number}",
+                            old_version=f"v{number + 2}",
+                            old_program=tree,
+                            stages="100%",
+                            min_stage_duration="1s",
+                            max_stage_duration="2s",
+                            proof_stage="none",
+                        )
+                    ).finish()
+                    if back.exit_code:
                         raise RuntimeError(f"the way back failed: {back.output[-300:]}")
-                    fleet.began = f"back{number}"
-                elif record.get("state") != "undone":
-                    raise RuntimeError(f"neither done nor undone: {record.get('state')} {why}")
+                    fleet.old_version = f"back{number}"
+                elif change.state != "undone":
+                    raise RuntimeError(f"neither done nor undone: {change.state} {why}")
     except Exception as problem:
         out.append(("harness", "?", 0, 0.0, repr(problem)[:300]))
     shutil.rmtree(folder, ignore_errors=True)
--- a/benchmarks/settingschanges.py
+++ b/benchmarks/settingschanges.py
@@ -16,6 +16,7 @@
 from pathlib import Path
 
 from heathwell.testing.audit import Event, judge, read_logs
+from heathwell.testing.simulation.controller_process import RolloutPlan
 from heathwell.testing.simulation.rollout_fleet import RolloutFleet, write_service_settings
 
 MARKET = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
@@ -61,10 +62,12 @@
     draws, folder = random.Random(seed), Path(tempfile.mkdtemp(prefix="heathwell-"))
     write_service_settings(MARKET, folder / "market.sx")
     began, wrong, ends = time.monotonic(), 0, Counter[str]()
-    with RolloutFleet(folder / "run", folder / "market.sx", machines=2, rate=30.0).up() as fleet:
+    with RolloutFleet(
+        folder / "run", folder / "market.sx", machine_count=2, arrival_rate=30.0
+    ).running() as fleet:
         fleet.begin_load(3600.0)
         time.sleep(5)
-        last, current = fleet.began, (folder / "market.sx").read_text()
+        last, current = fleet.old_version, (folder / "market.sx").read_text()
         for number in range(count):
             faulty = number % 3 == 2
             kind = draws.choice(sorted(FAULTS)) if faulty else "good"
@@ -73,30 +76,31 @@
                 raise ValueError(f"change {number}, {kind}: nothing was changed")
             path = fleet.folder / f"s{number}.sx"
             path.write_text(wanted)
-            change = fleet.change(
-                f"s{number}",
-                settings=path,
-                state=f"change{number}",
-                old=last,
-                old_settings=fleet.config,
-                stages="50%,100%",
-                bake="5s",
-                most="20s",
-                prove="50%",
-                undo_held=True,
-            )
-            state = change.record.get("state", "refused")
+            change = fleet.start_controller(
+                RolloutPlan(
+                    f"s{number}",
+                    settings=path,
+                    name=f"change{number}",
+                    old_version=last,
+                    old_settings=fleet.config,
+                    stages="50%,100%",
+                    min_stage_duration="5s",
+                    max_stage_duration="20s",
+                    proof_stage="50%",
+                )
+            ).finish(undo_held=True)
+            state = change.state or "refused"
             ends[f"{kind}: {state}"] += 1
             if state == "done":
                 last, current, fleet.config = f"s{number}", wanted, path
             if (state == "done") == faulty:
                 wrong += 1
                 print(
-                    f"change {number}, {kind}: {state}: {change.record.get('why')} {change.output[-200:]}",
+                    f"change {number}, {kind}: {state}: {change.reason} {change.output[-200:]}",
                     flush=True,
                 )
-        same = fleet.wait_for(last)
-        runs = max(running.run for running in fleet.runs().values())
+        same = fleet.wait_for_version(last)
+        runs = max(running.run for running in fleet.broker_statuses().values())
         time.sleep(1)
         fleet.end_load()
     events = read_logs([fleet.events])
--- a/heathwell/testing/simulation/command_process.py
+++ b/heathwell/testing/simulation/command_process.py
@@ -23,3 +23,13 @@
         start_new_session=True,
         env={**os.environ, "PYTHONUNBUFFERED": "1"},
     )
+
+
+def run_command(arguments: Sequence[str], timeout_seconds: float) -> subprocess.CompletedProcess[bytes]:
+    """Run a command of this program to its end; its output and exit code are in the result."""
+    return subprocess.run(
+        [sys.executable, "-m", "heathwell", *arguments],
+        capture_output=True,
+        timeout=timeout_seconds,
+        check=False,
+    )
--- a/heathwell/testing/simulation/rollout_fleet.py
+++ b/heathwell/testing/simulation/rollout_fleet.py
@@ -1,452 +1,248 @@
-"""Rollouts over processes: machines' agents with their brokers, hosts, keepers, clients, and versions planted
-bad.
-
-A bad version is a copy of this program with one place altered.
-"""
+"""A fleet for rollouts: machines with agents that run brokers, hosts, coordinators, clients, a controller."""
 
 from __future__ import annotations
 
 import json
-import os
-import shutil
-import signal
-import subprocess
-import sys
-import threading
 import time
 from collections.abc import Iterator
 from contextlib import contextmanager
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Final
 
-from heathwell.codec import frames, inner_protocol
-from heathwell.fleet.control.broker_process import process_start_ticks
+from heathwell.codec import frames
+from heathwell.fleet.control.state_file import base_version
+from heathwell.fleet.rollout.broker_supervisor import SupervisorState
 from heathwell.settings import ServiceSettings, load
+from heathwell.testing.simulation.agent_process import AgentProcess
 from heathwell.testing.simulation.client_population import Clients, arrivals
-from heathwell.testing.simulation.errors import FleetError
+from heathwell.testing.simulation.controller_process import ControllerProcess, RolloutPlan
 from heathwell.testing.simulation.fault_links import FaultLinks
 from heathwell.testing.simulation.fault_script import Load, Mix
+from heathwell.testing.simulation.load_thread import LoadThread
+from heathwell.testing.simulation.planted_versions import EditError, plant_version
 from heathwell.testing.simulation.process_fleet import ProcessFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
 
-PACKAGE = Path(__file__).resolve().parents[2]
-# The example of a fleet with budgets, for agents' brokers: none of its own, and room for those of two
-# versions.
-SWAPS = (
-    ("(leaves 6) (brokers 6)", "(leaves 6) (brokers 0)"),
-    ("(most 8)", "(most 20)"),
-    ("(whole 14)", "(whole 40)"),
-    ("(aside 40%) (burst 2s)", "(aside 40%) (burst 5s)"),
-    ("(level info)", "(level error)"),
+BROKERS_PER_MACHINE: Final = 2
+BROKER_SEED: Final = 100
+CONTROLLER: Final = "controller"
+OLD_VERSION: Final = "v1"
+LOAD_SECONDS: Final = 600.0
+LOAD_CLIENTS: Final = 48
+SEARCH_SHARE: Final = 3.0
+RECORD_SHARE: Final = 1.0
+VERSION_TIMEOUT_SECONDS: Final = 30.0
+VERSION_POLL_INTERVAL_SECONDS: Final = 0.2
+ROLLOUT_ANALYSIS: Final = ("--zone-share", "0.5", "--window", "1s", "--tolerance", "0.12")
+
+
+@dataclass(frozen=True, slots=True)
+class SettingsEdit:
+    """A text of the settings file and its replacement."""
+
+    old: str
+    new: str
+
+
+# From the example fleet with budgets: no brokers of its own, and budgets for the brokers of two versions.
+SETTINGS_EDITS: Final = (
+    SettingsEdit("(leaves 6) (brokers 6)", "(leaves 6) (brokers 0)"),
+    SettingsEdit("(most 8)", "(most 20)"),
+    SettingsEdit("(whole 14)", "(whole 40)"),
+    SettingsEdit("(aside 40%) (burst 2s)", "(aside 40%) (burst 5s)"),
+    SettingsEdit("(level info)", "(level error)"),
 )
-BROKER_MAIN = "    def main() -> Coro[None]:\n        options = BrokerOptions("
-FINAL = "    def on_reply_made(self, query: ServiceQuery, reply: Reply, took_us: int) -> None:\n"
-ADMISSION = "        self._check_storm(plan, client)\n"
-# By name: file, what stands there, what stands there instead.
-DEFECTS: dict[str, tuple[str, str, str]] = {
-    "does not start": ("cli/serve.py", BROKER_MAIN, "    raise SystemExit(9)\n\n" + BROKER_MAIN),
-    "dies after 5 s": (
-        "cli/serve.py",
-        BROKER_MAIN,
-        "    import os\n    process.loop.call_at(process.loop.now() + 5_000_000, lambda: os._exit(3))\n\n"
-        + BROKER_MAIN,
-    ),
-    "dies on SIGTERM": ("cli/process.py", "        self._signals += 1\n", "        os._exit(1)\n"),
-    "a class worse": (
-        "service/query_admission.py",
-        ADMISSION,
-        ADMISSION + "        spec = self._broker.settings.classes[plan.query_class]\n"
-        "        if sum(plan.key.encode()) % 8 == 0 and spec.name == 'price-search':\n"
-        "            raise AdmissionRejectedError(RejectionReason.FULL, 0)\n",
-    ),
-    "twice the processor": (
-        "service/service_broker.py",
-        FINAL,
-        FINAL + "        import time\n        end = time.process_time() + 0.02\n"
-        "        while time.process_time() < end:\n            pass\n",
-    ),
-    "leaks": (
-        "service/service_broker.py",
-        FINAL,
-        FINAL + "        self.__dict__.setdefault('leak', []).append(bytearray(3_000_000))\n",
-    ),
-    "stalls after a while": (
-        "cli/serve.py",
-        BROKER_MAIN,
-        "    process.loop.call_at(process.loop.now() + 6_000_000, lambda: time.sleep(1000))\n\n"
-        + BROKER_MAIN,
-    ),
-    "an older wire": ("codec/frames/framing.py", "VERSION = 1\n", "VERSION = 0\n"),
-    "a false digest": ("cli/serve.py", '"program": program_digest(PACKAGE)', '"program": "0123456789abcdef"'),
-}
 
 
 def write_service_settings(example: Path, into: Path) -> Path:
-    """The settings of a fleet whose brokers agents run, from the example's."""
+    """Write the settings of a fleet whose brokers agents run, from those of the example; return ``into``.
+
+    Raise :class:`EditError` where the example lacks a text that is to be replaced.
+    """
     text = example.read_text(encoding="utf-8")
-    for old, new in SWAPS:
-        if old not in text:
-            raise FleetError(f"{example}: no {old} to alter")
-        text = text.replace(old, new)
+    for edit in SETTINGS_EDITS:
+        if edit.old not in text:
+            raise EditError(str(example), edit.old)
+        text = text.replace(edit.old, edit.new)
     into.write_text(text, encoding="utf-8")
     return into
 
 
-def plant(folder: Path, name: str, defect: str = "") -> Path:
-    """A program tree of another version: a copy, good but for its digest, or with a defect."""
-    tree = folder / name.replace(" ", "-")
-    shutil.copytree(PACKAGE, tree / "heathwell", ignore=shutil.ignore_patterns("__pycache__"))
-    (tree / "heathwell/_version.py").write_text(f'"""Planted."""\n\nNAME = "{name}"\n')
-    if defect:
-        path, before, after = DEFECTS[defect]
-        text = (tree / "heathwell" / path).read_text()
-        if before not in text:
-            raise FleetError(f"defect '{defect}': {path} has changed, there is nothing to alter")
-        (tree / "heathwell" / path).write_text(text.replace(before, after, 1))
-    return tree
-
-
-@dataclass(slots=True)
-class Change:
-    """How a rollout ended."""
-
-    code: int
-    record: dict[str, Any]
-    seconds: float
-    output: str
-
-
-@dataclass(slots=True)
-class Machine:
-    """An agent's process."""
-
-    name: str
-    command: list[str]
-    process: subprocess.Popen[str]
-    address: str = ""
-    brokers: dict[str, str] = field(default_factory=dict)
-
-
 class RolloutFleet:
-    """``machines`` agents of two brokers each, zones in turn. ``wires``: controllers reach agents
-    by relays.
+    """Machines with an agent and two brokers each, zones in turn, and all else that the brokers need.
+
+    The controller reaches the agents through ``links``. ``arrival_rate`` is in requests a second. All files
+    are in ``folder``; rollouts begin from ``old_version``, whose program is ``old_program``.
     """
 
     def __init__(
-        self, folder: Path, config: Path, *, machines: int = 3, rate: float = 40.0, seed: int = 1
+        self,
+        folder: Path,
+        config: Path,
+        *,
+        machine_count: int = 3,
+        arrival_rate: float = 40.0,
+        seed: int = 1,
     ) -> None:
-        self.folder, self.config, self.seed, self.rate = folder, config, seed, rate
-        folder.mkdir(parents=True, exist_ok=True)
+        self.folder = folder
+        self.config = config
+        self.seed = seed
+        self.arrival_rate = arrival_rate
+        self.machine_count = machine_count
         self.events = folder / "events"
-        self.events.mkdir()
+        self.events.mkdir(parents=True)
         self.service_settings: ServiceSettings = load(config)
-        self.wires = FaultLinks(seed)
-        self.fleet = ProcessFleet(
-            str(config), self.service_settings, str(self.events), seed, links=self.wires
+        self.links = FaultLinks(seed)
+        self.processes = ProcessFleet(
+            str(config), self.service_settings, str(self.events), seed, links=self.links
         )
-        self.count = machines
-        self.machines: dict[str, Machine] = {}
+        self.machines: dict[str, AgentProcess] = {}
         self.clients: Clients | None = None
-        self._stop = threading.Event()
-        self._offering: threading.Thread | None = None
-        self.old, self.began = plant(folder, "v1"), "v1"
-
-    # The fleet.
+        self._load: LoadThread | None = None
+        self.old_program = plant_version(folder, OLD_VERSION)
+        self.old_version = OLD_VERSION
 
     @contextmanager
-    def up(self) -> Iterator[RolloutFleet]:
-        """All of it, until the end of the block."""
-        (self.events / "run.jsonl").write_text(
-            json.dumps(
-                {
-                    "t": time.monotonic_ns() // 1000,
-                    "who": "run",
-                    "ev": "run",
-                    "figures": run_parameters_record(self.service_settings),
-                }
-            )
-            + "\n"
-        )
+    def running(self) -> Iterator[RolloutFleet]:
+        """Run all processes until the end of the block; raise :class:`FleetError` where one cannot start."""
+        self._record_run()
         try:
-            self.fleet.start()
-            for number in range(self.count):
-                self._launch(number)
+            self.processes.start()
+            for number in range(self.machine_count):
+                name = f"m{number}"
+                self.machines[name] = self._start_agent(number)
             for machine in self.machines.values():
-                self._ready(machine)
+                self._wait_until_ready(machine)
             yield self
         finally:
-            self.down()
-
-    def _launch(self, number: int) -> None:
-        zones = len(self.service_settings.fleet.zones)
-        names = [f"b{2 * number + n}" for n in range(2)]
-        keepers = ",".join(member.address for member in self.fleet.coordinators)
-        more = {
-            name: [
-                "--discovery",
-                self.fleet.members["discovery"].address,
-                "--seed",
-                str(100 + int(name[1:])),
-                *(["--keepers", keepers] if keepers else []),
-            ]
-            for name in names
+            self._stop()
+
+    def _record_run(self) -> None:
+        record = {
+            "t": time.monotonic_ns() // 1000,
+            "who": "run",
+            "ev": "run",
+            "figures": run_parameters_record(self.service_settings),
         }
-        command = [
-            sys.executable,
-            "-m",
-            "heathwell",
+        (self.events / "run.jsonl").write_text(json.dumps(record) + "\n")
+
+    def _start_agent(self, number: int) -> AgentProcess:
+        name = f"m{number}"
+        first_broker = BROKERS_PER_MACHINE * number
+        brokers = range(first_broker, first_broker + BROKERS_PER_MACHINE)
+        state_folder = self.folder / name
+        arguments = [
             "agent",
-            "--config",
-            str(self.config),
-            "--name",
-            f"m{number}",
-            "--state",
-            str(self.folder / f"m{number}"),
-            "--version",
-            "v1",
-            "--program",
-            str(self.old),
-            "--settings",
-            str(self.config),
-            "--args",
-            json.dumps(more),
-            "--broker-events",
-            str(self.events),
+            *("--config", str(self.config)),
+            *("--name", name),
+            *("--state", str(state_folder)),
+            *("--version", OLD_VERSION),
+            *("--program", str(self.old_program)),
+            *("--settings", str(self.config)),
+            *("--args", json.dumps({f"b{broker}": self._broker_arguments(broker) for broker in brokers})),
+            *("--broker-events", str(self.events)),
         ]
-        for name in names:
-            command += ["--broker", f"{name}:{int(name[1:]) % zones}:127.0.0.1:0"]
-        self.machines[f"m{number}"] = Machine(f"m{number}", command, self._spawn(command))
-
-    def _spawn(self, command: list[str]) -> subprocess.Popen[str]:
-        return subprocess.Popen(
-            command,
-            stdout=subprocess.PIPE,
-            stderr=subprocess.DEVNULL,
-            stdin=subprocess.DEVNULL,
-            text=True,
-            start_new_session=True,
-            env={**os.environ, "PYTHONUNBUFFERED": "1"},
-        )
+        zone_count = len(self.service_settings.fleet.zones)
+        for broker in brokers:
+            arguments += ["--broker", f"b{broker}:{broker % zone_count}:127.0.0.1:0"]
+        return AgentProcess(name, state_folder, arguments)
+
+    def _broker_arguments(self, number: int) -> list[str]:
+        discovery = self.processes.members["discovery"].address
+        return ["--discovery", discovery, "--seed", str(BROKER_SEED + number), *self._coordinator_arguments()]
+
+    def _coordinator_arguments(self) -> list[str]:
+        addresses = [coordinator.address for coordinator in self.processes.coordinators]
+        return ["--keepers", ",".join(addresses)] if addresses else []
 
-    def _ready(self, machine: Machine) -> None:
-        assert machine.process.stdout is not None
-        line = machine.process.stdout.readline()
-        if not line:
-            raise FleetError(f"agent {machine.name} did not start: {machine.process.wait(30)}")
-        ready = json.loads(line)
-        machine.address, machine.brokers = ready["address"], ready["brokers"]
-        self.wires.set_target(machine.name, machine.address)
+    def _wait_until_ready(self, machine: AgentProcess) -> None:
+        machine.wait_until_ready()
+        self.links.set_target(machine.name, machine.address)
 
     def restart_agent(self, name: str) -> None:
-        """SIGKILL an agent, and start the next at the same address: its brokers run on."""
+        """Kill an agent and start its next run at the same address; its brokers go on meanwhile."""
         machine = self.machines[name]
-        machine.process.kill()
-        machine.process.wait()
-        old = machine.address
-        machine.process = self._spawn([*machine.command, "--listen", old])
-        self._ready(machine)
-
-    def down(self) -> None:
-        """End all."""
+        machine.restart()
+        self.links.set_target(name, machine.address)
+
+    def _stop(self) -> None:
         self.end_load()
         for machine in self.machines.values():
-            if machine.process.poll() is None:
-                machine.process.send_signal(signal.SIGTERM)
+            machine.terminate()
+        for machine in self.machines.values():
+            machine.wait()
         for machine in self.machines.values():
-            try:
-                machine.process.wait(15)
-            except subprocess.TimeoutExpired:
-                machine.process.kill()
-                machine.process.wait()
-        self._sweep()
-        self.fleet.stop()
-
-    def _sweep(self) -> None:
-        """Brokers that an agent left behind: by their pids in its notes, which are ours."""
-        for name in self.machines:
-            notes = self.folder / name / "agent.json"
-            if not notes.exists():
-                continue
-            for row in json.loads(notes.read_text())["brokers"].values():
-                for pid, _, started, _ in row["processes"].values():
-                    if process_start_ticks(pid) == started:
-                        os.kill(pid, signal.SIGKILL)
-
-    def addresses(self) -> list[tuple[str, str, str]]:
-        """Brokers, as clients find them."""
+            machine.kill_orphaned_brokers()
+        self.processes.stop()
+
+    def broker_addresses(self) -> list[tuple[str, str, str]]:
+        """Return name, memcached address and (empty) vector search address of each broker."""
         return [
             (name, address, "")
             for machine in self.machines.values()
             for name, address in machine.brokers.items()
         ]
 
-    # Load.
-
-    def begin_load(self, seconds: float = 600.0) -> None:
-        """Clients ask until :meth:`end_load`."""
-        spaces = [
-            Mix(space.prefix, 3.0 if space.shape == "search" else 1.0) for space in self.service_settings.keys
+    def begin_load(self, seconds: float = LOAD_SECONDS) -> None:
+        """Send requests until :meth:`end_load`, or for so long."""
+        mix = [
+            Mix(space.prefix, SEARCH_SHARE if space.shape == "search" else RECORD_SHARE)
+            for space in self.service_settings.keys
         ]
-        spec = Load(rate=self.rate, clients=48, mix=spaces)
-        clients = self.clients = Clients(
-            spec, self.service_settings, self.addresses, self.events / "clients.jsonl"
+        load_spec = Load(rate=self.arrival_rate, clients=LOAD_CLIENTS, mix=mix)
+        self.clients = Clients(
+            load_spec, self.service_settings, self.broker_addresses, self.events / "clients.jsonl"
         )
-        zero = clients.start()
-
-        def offer() -> None:
-            for arrival in arrivals(spec, self.service_settings, self.seed, 0.0, seconds, lambda _at: 1.0):
-                if self._stop.wait(max(0.0, zero + arrival.at - time.monotonic())):
-                    return
-                clients.offer(arrival)
-
-        self._offering = threading.Thread(target=offer, daemon=True)
-        self._offering.start()
+        requests = arrivals(load_spec, self.service_settings, self.seed, 0.0, seconds, lambda _at: 1.0)
+        self._load = LoadThread(self.clients, requests)
 
     def end_load(self) -> None:
-        """No more; what is out is waited for."""
-        self._stop.set()
-        if self._offering is not None:
-            self._offering.join(10)
-            self._offering = None
-            assert self.clients is not None
-            self.clients.finish()
-
-    # Changes.
-
-    def controller(
-        self,
-        to: str,
-        *,
-        program: Path | None = None,
-        settings: Path | None = None,
-        state: str = "change",
-        stages: str = "1,50%,100%",
-        bake: str = "10s",
-        most: str = "30s",
-        prove: str = "50%",
-        more: tuple[str, ...] = (),
-        old: str = "",
-        old_program: Path | None = None,
-        old_settings: Path | None = None,
-    ) -> subprocess.Popen[str]:
-        """Start a controller, from the version that began or another."""
-        old = old or self.began
-        keepers = ",".join(member.address for member in self.fleet.coordinators)
-        ways = ",".join(self.wires.open_link("controller", name) for name in self.machines)
-        return subprocess.Popen(
-            [
-                sys.executable,
-                "-m",
-                "heathwell",
-                "rollout",
-                "start",
-                "--config",
-                str(self.config),
-                "--name",
-                f"rollout-{state}",
-                "--state",
-                str(self.folder / state),
-                "--machines",
-                ways,
-                "--from",
-                old,
-                "--from-program",
-                str(old_program or self.old),
-                "--from-settings",
-                str(old_settings or self.config),
-                "--to",
-                to,
-                "--program",
-                str(program or self.old),
-                "--settings",
-                str(settings or self.config),
-                "--stages",
-                stages,
-                "--bake",
-                bake,
-                "--most",
-                most,
-                "--prove",
-                prove,
-                "--zone-share",
-                "0.5",
-                "--window",
-                "1s",
-                "--tolerance",
-                "0.12",
-                *(["--keepers", keepers] if keepers else []),
-                *more,
-            ],
-            stdout=subprocess.PIPE,
-            stderr=subprocess.STDOUT,
-            stdin=subprocess.DEVNULL,
-            text=True,
-            start_new_session=True,
-            env={**os.environ, "PYTHONUNBUFFERED": "1"},
-        )
-
-    def finish(
-        self,
-        controller: subprocess.Popen[str],
-        state: str = "change",
-        seconds: float = 150.0,
-        undo_held: bool = False,
-    ) -> Change:
-        """Wait for its end; ``undo_held``: as an operator, undo what is held for want of evidence."""
-        began = time.monotonic()
-        while undo_held and controller.poll() is None and time.monotonic() - began < seconds:
-            time.sleep(0.5)
-            path = self.folder / state / "rollout.json"
-            record = json.loads(path.read_text()) if path.exists() else {}
-            if record.get("state") == "held" and not record["by_trouble"]:
-                subprocess.run(
-                    [
-                        sys.executable,
-                        "-m",
-                        "heathwell",
-                        "rollout",
-                        "undo",
-                        "--why",
-                        "not shown to be sound",
-                        "--state",
-                        str(self.folder / state),
-                    ],
-                    capture_output=True,
-                    timeout=30,
-                    check=False,
-                )
-        try:
-            output, _ = controller.communicate(timeout=seconds)
-        except subprocess.TimeoutExpired:
-            controller.kill()
-            output, _ = controller.communicate()
-        path = self.folder / state / "rollout.json"
-        record = json.loads(path.read_text()) if path.exists() else {}
-        return Change(controller.returncode, record, time.monotonic() - began, output)
-
-    def change(self, to: str, *, seconds: float = 150.0, undo_held: bool = False, **more: Any) -> Change:
-        """A change from its start to its end."""
-        return self.finish(self.controller(to, **more), more.get("state", "change"), seconds, undo_held)
-
-    def runs(self) -> dict[str, frames.BrokerStatus]:
-        """What each broker runs, by its machine's agent."""
-        out = {}
-        for machine in self.machines.values():
-            for running in inner_protocol.request(
-                machine.address, "lab", "lab", frames.MachineRequest(), frames.MachineView, 5
-            ).running:
-                out[running.broker] = running
-        return out
-
-    def wait_for(self, version: str, seconds: float = 30.0) -> bool:
-        """Whether all brokers come to run a version."""
-        until = time.monotonic() + seconds
-        while time.monotonic() < until:
-            if all(
-                running.version.rstrip("~") == version and running.state == "running"
-                for running in self.runs().values()
-            ):
+        """Send no more requests, and wait for the replies to those that were sent."""
+        if self._load is not None:
+            self._load.stop()
+            self._load = None
+
+    def start_controller(self, plan: RolloutPlan) -> ControllerProcess:
+        """Start a controller that rolls out a version."""
+        folder = self.folder / plan.name
+        agents = [self.links.open_link(CONTROLLER, name) for name in self.machines]
+        arguments = [
+            *("rollout", "start"),
+            *("--config", str(self.config)),
+            *("--name", f"rollout-{plan.name}"),
+            *("--state", str(folder)),
+            *("--machines", ",".join(agents)),
+            *("--from", plan.old_version or self.old_version),
+            *("--from-program", str(plan.old_program or self.old_program)),
+            *("--from-settings", str(plan.old_settings or self.config)),
+            *("--to", plan.new_version),
+            *("--program", str(plan.program or self.old_program)),
+            *("--settings", str(plan.settings or self.config)),
+            *("--stages", plan.stages),
+            *("--bake", plan.min_stage_duration),
+            *("--most", plan.max_stage_duration),
+            *("--prove", plan.proof_stage),
+            *ROLLOUT_ANALYSIS,
+            *self._coordinator_arguments(),
+            *plan.extra_arguments,
+        ]
+        return ControllerProcess(folder, arguments)
+
+    def broker_statuses(self) -> dict[str, frames.BrokerStatus]:
+        """Return what each broker runs, by its name, as its agent reports it."""
+        statuses = [status for machine in self.machines.values() for status in machine.broker_statuses()]
+        return {status.broker: status for status in statuses}
+
+    def wait_for_version(self, version: str, timeout_seconds: float = VERSION_TIMEOUT_SECONDS) -> bool:
+        """Return whether all brokers come to run a version in time."""
+        until_seconds = time.monotonic() + timeout_seconds
+        while time.monotonic() < until_seconds:
+            if all(_runs_version(status, version) for status in self.broker_statuses().values()):
                 return True
-            time.sleep(0.2)
+            time.sleep(VERSION_POLL_INTERVAL_SECONDS)
         return False
+
+
+def _runs_version(status: frames.BrokerStatus, version: str) -> bool:
+    return base_version(status.version) == version and status.state == SupervisorState.RUNNING
