--- a/benchmarks/rollingload.py
+++ b/benchmarks/rollingload.py
@@ -38,12 +38,14 @@
         time.sleep(AFTER)
         fleet.end_load()
         assert fleet.clients is not None
-        zero, outcomes = fleet.clients._started, fleet.clients.outcomes
+        zero, outcomes = fleet.clients.started_at_seconds, fleet.clients.outcomes
     spans = {"before": (began, rolled), "during": (rolled, ended), "after": (ended, ended + AFTER)}
     p99: dict[str, float] = {}
     for name, (first, last) in spans.items():
-        some = [outcome for outcome in outcomes if first <= zero + outcome.at < last]
-        took = sorted(outcome.took for outcome in some if outcome.kind in ("on time", "late", "partial"))
+        some = [outcome for outcome in outcomes if first <= zero + outcome.scheduled_at_seconds < last]
+        took = sorted(
+            outcome.duration_seconds for outcome in some if outcome.kind in ("on time", "late", "partial")
+        )
         p99[name] = took[int(len(took) * 0.99)]
         kinds = Counter(outcome.kind for outcome in some)
         print(
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -28,9 +28,11 @@
 from heathwell.codec import frames
 from heathwell.service.merging import Row, TopKMerge
 from heathwell.settings import ServiceSettings, loads
-from heathwell.testing.simulation.client_population import Clients, arrivals
+from heathwell.testing.simulation.client_attempt import BrokerAddress
+from heathwell.testing.simulation.client_population import ClientPopulation
 from heathwell.testing.simulation.fault_script import Load, Mix
 from heathwell.testing.simulation.process_fleet import ProcessFleet
+from heathwell.testing.simulation.scheduled_requests import poisson_requests
 from heathwell.testing.standins.vectors import shard_of
 
 SHARDS = 24
@@ -241,8 +243,8 @@
                 service_settings,
             ):
                 brokers = fleet.brokers
-                where = [(m.name, m.address, "") for m in brokers]
-                crowd = Clients(
+                where = [BrokerAddress(m.name, m.address) for m in brokers]
+                crowd = ClientPopulation(
                     Load(40.0, clients=60, retries=0, mix=[Mix("price", 0.5), Mix("sale", 0.5)]),
                     service_settings,
                     partial(list, where),
@@ -256,20 +258,20 @@
                 zero = crowd.start()
                 for thread in threads:
                     thread.start()
-                for arrival in arrivals(crowd.load, service_settings, 3, 0.0, 10.0, lambda _at: 1.0):
-                    time.sleep(max(0.0, zero + arrival.at - time.monotonic()))
+                for arrival in poisson_requests(crowd.load, service_settings, 3, 0.0, 10.0, lambda _at: 1.0):
+                    time.sleep(max(0.0, zero + arrival.at_seconds - time.monotonic()))
                     crowd.offer(arrival)
                 crowd.finish()
                 for thread in threads:
                     thread.join()
-                rows = [one for one in crowd.outcomes if one.at > 2.0]
+                rows = [one for one in crowd.outcomes if one.scheduled_at_seconds > 2.0]
                 ended: dict[str, float] = {}
                 for one in rows:
                     ended[one.kind] = ended.get(one.kind, 0.0) + 1 / len(rows)
                 told = ", ".join(
                     f"{kind} {share:.1%}" for kind, share in sorted(ended.items(), key=lambda e: -e[1])
                 )
-                print(f"  {label:<16} {times}x: {told}; {shares([one.took for one in rows])}")
+                print(f"  {label:<16} {times}x: {told}; {shares([one.duration_seconds for one in rows])}")
 
 
 def core() -> None:
--- a/benchmarks/worthsockets.py
+++ b/benchmarks/worthsockets.py
@@ -48,7 +48,7 @@
         assert day.clients is not None
         for outcome in day.clients.outcomes:
             for span, (begin, end) in SPANS.items():
-                if begin <= outcome.at < end:
+                if begin <= outcome.scheduled_at_seconds < end:
                     rows.setdefault((span, outcome.query_class), Counter())[outcome.kind] += 1
         found = judge_budgets(day.logged) if variant == "lent" else None
         wrong = [*map(str, verdict.breaches), *(found.breaches if found is not None else []), *day.faults]
--- a/heathwell/cli/badday.py
+++ b/heathwell/cli/badday.py
@@ -85,7 +85,7 @@
     click.echo(", ".join(f"{count} {name}" for name, count in verdict.counts.items()))
     click.echo(
         f"nearest to pushing a cold host over: {verdict.coldest:.2f} of what it bears; "
-        f"{day.clients.off_schedule} of {day.clients.asked} requests started off their schedule"
+        f"{day.clients.late_start_count} of {day.clients.request_count} requests started off their schedule"
     )
     for line in judge_optional_rules(verdict, day.logged):
         click.echo(line)
--- a/heathwell/testing/simulation/fault_scenario.py
+++ b/heathwell/testing/simulation/fault_scenario.py
@@ -16,12 +16,14 @@
 from heathwell.codec import frames
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Event, Verdict, judge, read_logs
-from heathwell.testing.simulation.client_population import Arrival, Clients, Outcome, arrivals
+from heathwell.testing.simulation.client_attempt import BrokerAddress
+from heathwell.testing.simulation.client_population import ClientPopulation, Outcome
 from heathwell.testing.simulation.errors import FleetError
 from heathwell.testing.simulation.fault_links import FaultLinkError, FaultLinks
 from heathwell.testing.simulation.fault_script import HOST_FAULTS, LINK_FAULTS, Script, Step, named
 from heathwell.testing.simulation.process_fleet import ProcessFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
+from heathwell.testing.simulation.scheduled_requests import ScheduledRequest, poisson_requests
 
 KINDS = ("on time", "late", "partial", "refused", "failed", "lost", "broken", "no broker")
 WINDOW = 5.0
@@ -58,7 +60,7 @@
             links=FaultLinks(script.seed) if script.wires else None,
             clock_rates={clock.process: clock.rate for clock in script.clocks},
         )
-        self.clients: Clients | None = None
+        self.clients: ClientPopulation | None = None
         self.exits: dict[str, int] = {}
         self.faults: list[str] = []  # of the harness itself
         self._over = False
@@ -89,14 +91,16 @@
 
     def _run(self) -> None:
         script = self.script
-        clients = self.clients = Clients(
+        clients = self.clients = ClientPopulation(
             script.load, self.service_settings, self._brokers, self.events / "clients.jsonl"
         )
-        due: list[tuple[float, int, Step | Arrival]] = []
+        due: list[tuple[float, int, Step | ScheduledRequest]] = []
         for number, arrival in enumerate(
-            arrivals(script.load, self.service_settings, script.seed, 0.0, script.seconds, self._factor)
+            poisson_requests(
+                script.load, self.service_settings, script.seed, 0.0, script.seconds, self._factor
+            )
         ):
-            due.append((arrival.at, number, arrival))
+            due.append((arrival.at_seconds, number, arrival))
         for number, step in enumerate(script.steps):
             due.append((step.at / 1e6, -1 - number, step))
             if step.kind == "poison":
@@ -110,7 +114,7 @@
         while due:
             at, _, what = heapq.heappop(due)
             self._wait(zero + at)
-            if isinstance(what, Arrival):
+            if isinstance(what, ScheduledRequest):
                 clients.offer(what)
             else:
                 self._do(what, at)
@@ -124,10 +128,10 @@
             for name in self.fleet.restart_ended_members():
                 self.say(f"  {name} died; back, cold, in {self.fleet.restart_delay_seconds:g} s")
 
-    def _brokers(self) -> list[tuple[str, str, str]]:
+    def _brokers(self) -> list[BrokerAddress]:
         asked = self.script.load.ask
         return [
-            (m.name, m.address, m.vector_address)
+            BrokerAddress(m.name, m.address, m.vector_address)
             for m in self.fleet.brokers
             if m.address and (not asked or m.name in asked)
         ]
@@ -139,7 +143,7 @@
                 found *= step.value
         return found
 
-    def _poison(self, step: Step, number: int, at: float) -> Arrival:
+    def _poison(self, step: Step, number: int, at: float) -> ScheduledRequest:
         """A query that kills each host that begins it."""
         space = next(s for s in self.service_settings.keys if s.shape in ("search", "record"))
         for other in self.service_settings.keys:
@@ -147,7 +151,7 @@
                 space = other
         name = f"poison{step.at // 1000}x{number}"
         key = f"{space.prefix}:{name}:1" if space.shape == "record" else f"{space.prefix}:{name}"
-        return Arrival(at, (key,), space.query_class)
+        return ScheduledRequest(at, (key,), space.query_class)
 
     def _do(self, step: Step, at: float) -> None:
         self.say(
@@ -254,7 +258,7 @@
     """Lines of a table, a window of five seconds a row and the whole run last."""
     by: dict[tuple[str, int], dict[str, int]] = defaultdict(lambda: defaultdict(int))
     for outcome in outcomes:
-        by[outcome.query_class, int(outcome.at // WINDOW)][outcome.kind] += 1
+        by[outcome.query_class, int(outcome.scheduled_at_seconds // WINDOW)][outcome.kind] += 1
         by[outcome.query_class, -1][outcome.kind] += 1
     lines = []
     for query_class in sorted({name for name, _ in by}):
@@ -281,8 +285,8 @@
         counts[outcome.query_class][outcome.kind] += 1
     return {
         "service": counts,
-        "off_schedule": day.clients.off_schedule,
-        "asked": day.clients.asked,
+        "off_schedule": day.clients.late_start_count,
+        "asked": day.clients.request_count,
         "judged": verdict.counts,
         "coldest": verdict.coldest,
         "breaches": [str(b) for b in verdict.breaches],
--- a/heathwell/testing/simulation/load_thread.py
+++ b/heathwell/testing/simulation/load_thread.py
@@ -7,7 +7,8 @@
 from collections.abc import Iterable
 from typing import Final
 
-from heathwell.testing.simulation.client_population import Arrival, Clients
+from heathwell.testing.simulation.client_population import ClientPopulation
+from heathwell.testing.simulation.scheduled_requests import ScheduledRequest
 
 STOP_TIMEOUT_SECONDS: Final = 10
 
@@ -15,16 +16,16 @@
 class LoadThread:
     """Starts the clients, and offers them requests until :meth:`stop`."""
 
-    def __init__(self, clients: Clients, requests: Iterable[Arrival]) -> None:
+    def __init__(self, clients: ClientPopulation, requests: Iterable[ScheduledRequest]) -> None:
         self.clients = clients
         self._stop = threading.Event()
         self._started_at_seconds = clients.start()
         self._thread = threading.Thread(target=self._offer, args=(requests,), daemon=True)
         self._thread.start()
 
-    def _offer(self, requests: Iterable[Arrival]) -> None:
+    def _offer(self, requests: Iterable[ScheduledRequest]) -> None:
         for request in requests:
-            if self._stop.wait(max(0.0, self._started_at_seconds + request.at - time.monotonic())):
+            if self._stop.wait(max(0.0, self._started_at_seconds + request.at_seconds - time.monotonic())):
                 return
             self.clients.offer(request)
 
--- a/heathwell/testing/simulation/region_process_experiment.py
+++ b/heathwell/testing/simulation/region_process_experiment.py
@@ -121,11 +121,11 @@
             # The last seconds before are the recovered ones; the first minute of all is the start's.
             span = (
                 "before"
-                if begin - 4 <= outcome.at < begin
+                if begin - 4 <= outcome.scheduled_at_seconds < begin
                 else "during"
-                if begin <= outcome.at < end
+                if begin <= outcome.scheduled_at_seconds < end
                 else "after"
-                if end <= outcome.at < end + BETWEEN
+                if end <= outcome.scheduled_at_seconds < end + BETWEEN
                 else ""
             )
             if not span:
@@ -135,8 +135,10 @@
                 counts = service.counts.setdefault((outcome.query_class, span, mine), {})
                 counts[outcome.kind] = counts.get(outcome.kind, 0) + 1
             if span == "during" and outcome.kind == "refused":
-                service.refused_after.append(outcome.took / aims[outcome.query_class])
-            second = per_second.setdefault(int(outcome.at - end) if outcome.at >= end else -1, [0, 0])
+                service.refused_after.append(outcome.duration_seconds / aims[outcome.query_class])
+            second = per_second.setdefault(
+                int(outcome.scheduled_at_seconds - end) if outcome.scheduled_at_seconds >= end else -1, [0, 0]
+            )
             second[0] += 1
             second[1] += outcome.kind == "on time"
         service.steady_after = _steady(per_second, service)
@@ -173,7 +175,7 @@
         "variant": variant,
         "services": services(day.clients.outcomes, service_settings, troubles),
         "verdict": verdict,
-        "off_schedule": day.clients.off_schedule,
-        "asked": day.clients.asked,
+        "off_schedule": day.clients.late_start_count,
+        "asked": day.clients.request_count,
         "folder": str(folder),
     }
--- a/heathwell/testing/simulation/rollout_fleet.py
+++ b/heathwell/testing/simulation/rollout_fleet.py
@@ -15,7 +15,8 @@
 from heathwell.fleet.rollout.broker_supervisor import SupervisorState
 from heathwell.settings import ServiceSettings, load
 from heathwell.testing.simulation.agent_process import AgentProcess
-from heathwell.testing.simulation.client_population import Clients, arrivals
+from heathwell.testing.simulation.client_attempt import BrokerAddress
+from heathwell.testing.simulation.client_population import ClientPopulation
 from heathwell.testing.simulation.controller_process import ControllerProcess, RolloutPlan
 from heathwell.testing.simulation.fault_links import FaultLinks
 from heathwell.testing.simulation.fault_script import Load, Mix
@@ -23,6 +24,7 @@
 from heathwell.testing.simulation.planted_versions import EditError, plant_version
 from heathwell.testing.simulation.process_fleet import ProcessFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
+from heathwell.testing.simulation.scheduled_requests import poisson_requests
 
 BROKERS_PER_MACHINE: Final = 2
 BROKER_SEED: Final = 100
@@ -98,7 +100,7 @@
             str(config), self.service_settings, str(self.events), seed, links=self.links
         )
         self.machines: dict[str, AgentProcess] = {}
-        self.clients: Clients | None = None
+        self.clients: ClientPopulation | None = None
         self._load: LoadThread | None = None
         self.old_program = plant_version(folder, OLD_VERSION)
         self.old_version = OLD_VERSION
@@ -176,10 +178,10 @@
             machine.kill_orphaned_brokers()
         self.processes.stop()
 
-    def broker_addresses(self) -> list[tuple[str, str, str]]:
-        """Return name, memcached address and (empty) vector search address of each broker."""
+    def broker_addresses(self) -> list[BrokerAddress]:
+        """Return the brokers as clients find them."""
         return [
-            (name, address, "")
+            BrokerAddress(name, address)
             for machine in self.machines.values()
             for name, address in machine.brokers.items()
         ]
@@ -191,10 +193,12 @@
             for space in self.service_settings.keys
         ]
         load_spec = Load(rate=self.arrival_rate, clients=LOAD_CLIENTS, mix=mix)
-        self.clients = Clients(
+        self.clients = ClientPopulation(
             load_spec, self.service_settings, self.broker_addresses, self.events / "clients.jsonl"
         )
-        requests = arrivals(load_spec, self.service_settings, self.seed, 0.0, seconds, lambda _at: 1.0)
+        requests = poisson_requests(
+            load_spec, self.service_settings, self.seed, 0.0, seconds, lambda _at: 1.0
+        )
         self._load = LoadThread(self.clients, requests)
 
     def end_load(self) -> None:
