--- a/heathwell/testing/simulation/client_attempt.py
+++ b/heathwell/testing/simulation/client_attempt.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Final
+from typing import Final, NamedTuple
 
 LATE_REPLY_SECONDS: Final = (
     0.5  # a client waits so much longer than its timeout, so that late replies are logged
@@ -60,7 +60,14 @@
         yield brokers[(first + step) % len(brokers)]
 
 
-def host_and_port(address: str) -> tuple[str, int]:
+class HostAndPort(NamedTuple):
+    """An address as sockets take it."""
+
+    host: str
+    port: int
+
+
+def host_and_port(address: str) -> HostAndPort:
     """Return host and port of an address."""
     host, _, port = address.rpartition(":")
-    return host, int(port)
+    return HostAndPort(host, int(port))
--- a/heathwell/testing/simulation/loop_thread.py
+++ b/heathwell/testing/simulation/loop_thread.py
@@ -5,6 +5,7 @@
 import threading
 from collections.abc import Callable
 from concurrent.futures import Future, wait
+from functools import partial
 from typing import Final, TypeVar
 
 from heathwell.eventloop import Loop, Net, socket_loop
@@ -40,14 +41,7 @@
         Raise :class:`LoopThreadError` after :data:`CALL_TIMEOUT_SECONDS`.
         """
         future: Future[Result] = Future()
-
-        def execute() -> None:
-            try:
-                future.set_result(function())
-            except Exception as error:
-                future.set_exception(error)
-
-        self.loop.call_threadsafe(execute)
+        self.loop.call_threadsafe(partial(_execute, function, future))
         if not wait([future], CALL_TIMEOUT_SECONDS).done:
             raise LoopThreadError(self._thread.name, CALL_TIMEOUT_SECONDS)
         return future.result()
@@ -59,3 +53,10 @@
         if not self._thread.is_alive():
             # Not in the thread: `call_threadsafe` may still be waking the loop when the loop has stopped.
             self.loop.shutdown()
+
+
+def _execute(function: Callable[[], Result], future: Future[Result]) -> None:
+    try:
+        future.set_result(function())
+    except Exception as error:  # noqa: BLE001  # raised in the thread that waits for the future
+        future.set_exception(error)
