--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -215,12 +215,12 @@
     def run(self) -> SocketRunResult:
         """Run to the end and return the result."""
         try:
-            self.fleet.up()
+            self.fleet.start()
             time.sleep(SOCKET_START_SECONDS)
             self.loop.run(self.loop.spawn(self._main(), "run"))
             self.loop.shutdown()
         finally:
-            self.fleet.down()
+            self.fleet.stop()
         return SocketRunResult(judge(read_logs([self.events])), self.record)
 
     def _write_run_parameters(self) -> None:
@@ -233,7 +233,7 @@
         (self.events / "run.jsonl").write_text(json.dumps(event) + "\n")
 
     def _broker_addresses(self) -> list[str]:
-        return [broker.address for broker in self.fleet.of("broker")]
+        return [broker.address for broker in self.fleet.brokers]
 
     def _main(self) -> Coro[None]:
         record = self.record
@@ -244,7 +244,7 @@
         self._open_idle_connections()
         self.population.start(until_us)
         yield from sleep(self.loop, record.outage_started_at_us - self.loop.now())
-        for member in [*self.fleet.of("broker"), *self.fleet.of("leaf")]:
+        for member in [*self.fleet.brokers, *self.fleet.leaves]:
             self.fleet.kill(member.name, SOCKET_OUTAGE_SECONDS)
         yield from sleep(self.loop, until_us - self.loop.now() + SOCKET_LAST_ANSWER_US)
 
--- a/heathwell/cli/badday.py
+++ b/heathwell/cli/badday.py
@@ -14,9 +14,9 @@
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Verdict
 from heathwell.testing.simulation.bench_day_replay import BenchDayError, fault_script_from_bench_day
+from heathwell.testing.simulation.errors import FleetError
 from heathwell.testing.simulation.fault_scenario import Day, summary
 from heathwell.testing.simulation.fault_script import Script, load_script
-from heathwell.testing.simulation.process_fleet import FleetError
 
 PRINTED_BREACHES = 20
 
@@ -85,7 +85,7 @@
     click.echo(", ".join(f"{count} {name}" for name, count in verdict.counts.items()))
     click.echo(
         f"nearest to pushing a cold host over: {verdict.coldest:.2f} of what it bears; "
-        f"{day.clients.off_schedule} of {day.clients.asked} requests started off their schedule"
+        f"{day.clients.late_start_count} of {day.clients.request_count} requests started off their schedule"
     )
     for line in judge_optional_rules(verdict, day.logged):
         click.echo(line)
--- a/heathwell/testing/simulation/fault_scenario.py
+++ b/heathwell/testing/simulation/fault_scenario.py
@@ -16,11 +16,14 @@
 from heathwell.codec import frames
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Event, Verdict, judge, read_logs
-from heathwell.testing.simulation.client_population import Arrival, Clients, Outcome, arrivals
+from heathwell.testing.simulation.client_attempt import BrokerAddress
+from heathwell.testing.simulation.client_population import ClientPopulation, Outcome
+from heathwell.testing.simulation.errors import FleetError
 from heathwell.testing.simulation.fault_links import FaultLinkError, FaultLinks
 from heathwell.testing.simulation.fault_script import HOST_FAULTS, LINK_FAULTS, Script, Step, named
-from heathwell.testing.simulation.process_fleet import FleetError, ProcessFleet
+from heathwell.testing.simulation.process_fleet import ProcessFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
+from heathwell.testing.simulation.scheduled_requests import ScheduledRequest, poisson_requests
 
 KINDS = ("on time", "late", "partial", "refused", "failed", "lost", "broken", "no broker")
 WINDOW = 5.0
@@ -54,10 +57,10 @@
             service_settings,
             str(self.events),
             script.seed,
-            wires=FaultLinks(script.seed) if script.wires else None,
-            clocks={clock.process: clock.rate for clock in script.clocks},
+            links=FaultLinks(script.seed) if script.wires else None,
+            clock_rates={clock.process: clock.rate for clock in script.clocks},
         )
-        self.clients: Clients | None = None
+        self.clients: ClientPopulation | None = None
         self.exits: dict[str, int] = {}
         self.faults: list[str] = []  # of the harness itself
         self._over = False
@@ -72,7 +75,7 @@
         self._note("run", figures=run_parameters_record(self.service_settings))
         began = time.monotonic()
         try:
-            self.fleet.up()
+            self.fleet.start()
             self.say(
                 f"{self.service_settings.fleet.leaves} hosts and "
                 f"{self.service_settings.fleet.brokers} brokers up after "
@@ -82,20 +85,22 @@
             self._run()
         finally:
             self._over = True
-            self.exits = self.fleet.down()
+            self.exits = self.fleet.stop()
         self.logged = read_logs([self.events])
         return judge(self.logged)
 
     def _run(self) -> None:
         script = self.script
-        clients = self.clients = Clients(
+        clients = self.clients = ClientPopulation(
             script.load, self.service_settings, self._brokers, self.events / "clients.jsonl"
         )
-        due: list[tuple[float, int, Step | Arrival]] = []
+        due: list[tuple[float, int, Step | ScheduledRequest]] = []
         for number, arrival in enumerate(
-            arrivals(script.load, self.service_settings, script.seed, 0.0, script.seconds, self._factor)
+            poisson_requests(
+                script.load, self.service_settings, script.seed, 0.0, script.seconds, self._factor
+            )
         ):
-            due.append((arrival.at, number, arrival))
+            due.append((arrival.at_seconds, number, arrival))
         for number, step in enumerate(script.steps):
             due.append((step.at / 1e6, -1 - number, step))
             if step.kind == "poison":
@@ -109,7 +114,7 @@
         while due:
             at, _, what = heapq.heappop(due)
             self._wait(zero + at)
-            if isinstance(what, Arrival):
+            if isinstance(what, ScheduledRequest):
                 clients.offer(what)
             else:
                 self._do(what, at)
@@ -120,14 +125,14 @@
     def _wait(self, until: float) -> None:
         while (left := until - time.monotonic()) > 0:
             time.sleep(min(left, 0.2))
-            for name in self.fleet.watch():
-                self.say(f"  {name} died; back, cold, in {self.fleet.restart_after:g} s")
+            for name in self.fleet.restart_ended_members():
+                self.say(f"  {name} died; back, cold, in {self.fleet.restart_delay_seconds:g} s")
 
-    def _brokers(self) -> list[tuple[str, str, str]]:
+    def _brokers(self) -> list[BrokerAddress]:
         asked = self.script.load.ask
         return [
-            (m.name, m.address, str(m.ready.get("vector", "")))
-            for m in self.fleet.of("broker")
+            BrokerAddress(m.name, m.address, m.vector_address)
+            for m in self.fleet.brokers
             if m.address and (not asked or m.name in asked)
         ]
 
@@ -138,7 +143,7 @@
                 found *= step.value
         return found
 
-    def _poison(self, step: Step, number: int, at: float) -> Arrival:
+    def _poison(self, step: Step, number: int, at: float) -> ScheduledRequest:
         """A query that kills each host that begins it."""
         space = next(s for s in self.service_settings.keys if s.shape in ("search", "record"))
         for other in self.service_settings.keys:
@@ -146,7 +151,7 @@
                 space = other
         name = f"poison{step.at // 1000}x{number}"
         key = f"{space.prefix}:{name}:1" if space.shape == "record" else f"{space.prefix}:{name}"
-        return Arrival(at, (key,), space.query_class)
+        return ScheduledRequest(at, (key,), space.query_class)
 
     def _do(self, step: Step, at: float) -> None:
         self.say(
@@ -157,17 +162,19 @@
         try:
             if step.kind in HOST_FAULTS:
                 for name in step.to:
-                    self.fleet.order(
+                    self.fleet.inject_fault(
                         name, frames.FaultCommand(step.kind, step.value, step.span, step.query_class)
                     )
             elif step.kind in ("discovery-down", "discovery-late"):
-                self.fleet.order(
+                self.fleet.inject_fault(
                     "discovery", frames.FaultCommand(step.kind.partition("-")[2], step.value, step.span)
                 )
             elif step.kind.startswith("link-"):
-                for link in self.fleet.of("relay"):
+                for link in self.fleet.relays:
                     if not step.to or link.name.removeprefix("link-") in step.to:
-                        self.fleet.order(link.name, frames.FaultCommand(step.kind[5:], step.value, step.span))
+                        self.fleet.inject_fault(
+                            link.name, frames.FaultCommand(step.kind[5:], step.value, step.span)
+                        )
             elif step.kind in ("crash", "kill-broker", "kill", "pause"):
                 act = self._pause if step.kind == "pause" else self.fleet.kill
                 for name in self._named(step.to):
@@ -175,8 +182,8 @@
             elif step.kind == "restart-all":  # within the span, one after another
                 for number, name in enumerate(names := self._named(["b*"])):
                     self.fleet.kill(name, step.span / 1e6 * (number + 1) / len(names))
-            elif step.kind in LINK_FAULTS and self.fleet.wires is not None:
-                self.fleet.wires.order(
+            elif step.kind in LINK_FAULTS and self.fleet.links is not None:
+                self.fleet.links.inject_fault(
                     self._named(step.source),
                     self._named(step.to),
                     step.kind.removeprefix("way-"),
@@ -215,12 +222,12 @@
 
     def _join(self, step: Step) -> None:
         """A broker more each so many seconds, until the span is over; each is asked to end after a while."""
-        first, count = len(self.fleet.of("broker")), int(step.span / 1e6 / step.value)
+        first, count = len(self.fleet.brokers), int(step.span / 1e6 / step.value)
 
         def one(number: int) -> None:
             if not self._over:
                 try:
-                    self.fleet.join(number, JOINED_SECONDS)
+                    self.fleet.add_broker(number, JOINED_SECONDS)
                 except (OSError, FleetError) as problem:
                     self.faults.append(f"join of b{number}: {problem}")
 
@@ -238,8 +245,8 @@
         aside = float(found[1]) * float(found[2]) / step.value  # brokers' own minima stay as they are
         said = f"(budget {step.budget} (whole {step.value:g}) (aside {aside:g}%)"
         Path(self.config).write_text(text[: found.start()] + said + text[found.end() :], encoding="utf-8")
-        for keeper in self.fleet.of("keeper"):
-            self.fleet.signal(keeper.name, signal.SIGHUP)
+        for keeper in self.fleet.coordinators:
+            self.fleet.send_signal(keeper.name, signal.SIGHUP)
 
     def service(self) -> list[str]:
         """Per class and window: how requests ended, in shares of those that arrived."""
@@ -251,7 +258,7 @@
     """Lines of a table, a window of five seconds a row and the whole run last."""
     by: dict[tuple[str, int], dict[str, int]] = defaultdict(lambda: defaultdict(int))
     for outcome in outcomes:
-        by[outcome.query_class, int(outcome.at // WINDOW)][outcome.kind] += 1
+        by[outcome.query_class, int(outcome.scheduled_at_seconds // WINDOW)][outcome.kind] += 1
         by[outcome.query_class, -1][outcome.kind] += 1
     lines = []
     for query_class in sorted({name for name, _ in by}):
@@ -278,8 +285,8 @@
         counts[outcome.query_class][outcome.kind] += 1
     return {
         "service": counts,
-        "off_schedule": day.clients.off_schedule,
-        "asked": day.clients.asked,
+        "off_schedule": day.clients.late_start_count,
+        "asked": day.clients.request_count,
         "judged": verdict.counts,
         "coldest": verdict.coldest,
         "breaches": [str(b) for b in verdict.breaches],
--- a/heathwell/testing/simulation/region_process_experiment.py
+++ b/heathwell/testing/simulation/region_process_experiment.py
@@ -16,7 +16,7 @@
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.audit import Verdict
-from heathwell.testing.simulation.client_population import Outcome
+from heathwell.testing.simulation.client_population import Outcome, OutcomeKind
 from heathwell.testing.simulation.demo_settings import (
     PRICE_KEYS,
     RULES,
@@ -41,7 +41,7 @@
     across_section,
     region_of_number,
 )
-from heathwell.testing.simulation.simulated_scenario import US_PER_SECOND, QueryOutcome
+from heathwell.testing.simulation.simulated_scenario import US_PER_SECOND
 
 FIRST_FAULT_AT_SECONDS: Final = 8.0
 FAULT_SECONDS: Final = 8.0
@@ -214,19 +214,19 @@
     fault_ended_at_seconds = fault_at_seconds + FAULT_SECONDS
     counts_by_second: dict[int, SecondCounts] = defaultdict(SecondCounts)
     for outcome in outcomes:
-        phase = _phase(outcome.at - fault_at_seconds)
+        phase = _phase(outcome.scheduled_at_seconds - fault_at_seconds)
         if phase is None:
             continue
         service.counts[ServiceKey(outcome.query_class, phase)][outcome.kind] += 1
         if regions.is_local(outcome):
             service.counts[ServiceKey(outcome.query_class, phase, is_local=True)][outcome.kind] += 1
-        if phase is Phase.DURING and outcome.kind == QueryOutcome.REFUSED:
+        if phase is Phase.DURING and outcome.kind == OutcomeKind.REFUSED:
             objective_seconds = objectives_us[outcome.query_class] / US_PER_SECOND
-            service.refused_after_objectives.append(outcome.took / objective_seconds)
+            service.refused_after_objectives.append(outcome.duration_seconds / objective_seconds)
         if phase is Phase.AFTER:
-            second = counts_by_second[int(outcome.at - fault_ended_at_seconds)]
+            second = counts_by_second[int(outcome.scheduled_at_seconds - fault_ended_at_seconds)]
             second.queries += 1
-            second.on_time += outcome.kind == QueryOutcome.ON_TIME
+            second.on_time += outcome.kind == OutcomeKind.ON_TIME
     service.recovery_seconds = _recovery_seconds(service, counts_by_second)
     return service
 
@@ -248,7 +248,7 @@
         counts for key, counts in service.counts.items() if key.phase is Phase.BEFORE and not key.is_local
     ]
     query_count = sum(counts.total() for counts in before)
-    fraction_before = sum(counts[QueryOutcome.ON_TIME] for counts in before) / max(1, query_count)
+    fraction_before = sum(counts[OutcomeKind.ON_TIME] for counts in before) / max(1, query_count)
     for start in range(int(AFTER_SECONDS) - RECOVERY_WINDOW_SECONDS + 1):
         window = [
             counts_by_second.get(second, SecondCounts())
@@ -279,7 +279,7 @@
         variant=Variant(variant),
         services=services_by_fault(scenario.clients.outcomes, service_settings, faults),
         verdict=verdict,
-        off_schedule_count=scenario.clients.off_schedule,
-        request_count=scenario.clients.asked,
+        off_schedule_count=scenario.clients.late_start_count,
+        request_count=scenario.clients.request_count,
         folder=folder,
     )
--- a/heathwell/testing/simulation/search_scenario.py
+++ b/heathwell/testing/simulation/search_scenario.py
@@ -113,7 +113,7 @@
 
     def _timeout_us(self, request: SearchRequest) -> int:
         """Return the timeout of the request's query class."""
-        vector_server = self.fleet.brokers[request.broker].vector
+        vector_server = self.fleet.brokers[request.broker].vector_server
         query_class = 0
         if vector_server is not None:
             query_class = vector_server.query_class(request.collection, is_batch=request.is_batch)
--- a/heathwell/testing/simulation/simulated_scenario.py
+++ b/heathwell/testing/simulation/simulated_scenario.py
@@ -187,10 +187,10 @@
             self._host_net,
             self.service_settings,
             self.seed,
-            into=self.events,
+            event_records=self.events,
             host_of=lambda name: name,
-            keep=run_coordinators,
-            desk=make_evacuation_coordinator,
+            run_coordinators=run_coordinators,
+            make_evacuation_coordinator=make_evacuation_coordinator,
         )
         for leaf in fleet.leaves:
             leaf.on_die = partial(self._restart_after, leaf, TERMINATED_RESTART_DELAY_US)
