--- a/heathwell/testing/simulation/fault_links.py
+++ b/heathwell/testing/simulation/fault_links.py
@@ -14,6 +14,7 @@
 
 from heathwell.codec import frames
 from heathwell.eventloop import Loop, SocketNet, socket_loop
+from heathwell.testing.standins.errors import FaultInjectionError
 from heathwell.testing.standins.relay import Relay
 
 WAIT_SECONDS = 10.0
@@ -80,7 +81,7 @@
                     self.seed * 10_007 + len(self._relays),
                     lambda name: self._where.get(name, ""),
                 )
-                made.open_doors()
+                made.open_listeners()
                 return made
 
             relay = self._relays[source, target] = self._call(opened)
@@ -118,9 +119,10 @@
                 # Of a way that the second group opened, what the first sends is what comes back.
                 out = (kind == "cut-out") == (source in ones)
                 control = frames.FaultCommand("oneway", value, span_us, "out" if out else "back")
-            wrong = self._call(partial(self._relays[source, target].order, control))
-            if wrong:
-                raise FaultLinkError(wrong)
+            try:
+                self._call(partial(self._relays[source, target].order, control))
+            except FaultInjectionError as error:
+                raise FaultLinkError(str(error)) from error
         return len(ways)
 
     def close(self) -> None:
--- a/heathwell/testing/simulation/region_experiment.py
+++ b/heathwell/testing/simulation/region_experiment.py
@@ -13,7 +13,7 @@
 from heathwell.eventloop import Coro, sleep
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.simulation.simulated_scenario import SimulatedScenario
-from heathwell.testing.standins.relay import lost_wait
+from heathwell.testing.standins.link_condition import retransmission_delay_us
 
 BEFORE, TROUBLE, AFTER = 10.0, 15.0, 20.0
 LOSS = 0.05  # share of packets
@@ -118,7 +118,8 @@
         elif self.trouble_name == "loss":
             draws = random.Random(self.seed)
             self.ways = lambda a, b: (
-                (way := self._plain_way(a, b)) + (lost_wait(1, LOSS, draws) if way == FAR_WAY_US else 0)
+                (way := self._plain_way(a, b))
+                + (retransmission_delay_us(1, LOSS, draws) if way == FAR_WAY_US else 0)
             )
             yield from sleep(self.loop, span)
             self.ways = self._plain_way
--- a/heathwell/testing/standins/__init__.py
+++ b/heathwell/testing/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins that this repository writes itself: hosts, discovery, and the trouble they are told to make."""
+"""Stand-ins for the outside systems: leaves, discovery, links and the platform, with faults to inject."""
--- a/heathwell/testing/standins/leaf.py
+++ b/heathwell/testing/standins/leaf.py
@@ -16,16 +16,15 @@
 from heathwell.observability.event_log import EventLog, NoEvents
 from heathwell.service.vectors.search_messages import SEARCH_OPERATION, SearchRequest, decode_request
 from heathwell.settings import ServiceSettings
+from heathwell.testing.standins.fault_commands import parse_fault_kind, reply_to_fault_command
 from heathwell.testing.standins.leaf_capacity import LeafCapacity
 from heathwell.testing.standins.leaf_data import LeafData, ReceivedAttempt
 from heathwell.testing.standins.leaf_faults import (
     DATA_AGE_FAULTS,
     OUTPUT_FAULTS,
     ActiveFaults,
-    FaultInjectionError,
     FreshnessDisabledError,
     LeafFault,
-    parse_leaf_fault,
 )
 from heathwell.testing.standins.leaf_output import LeafOutput
 from heathwell.testing.standins.leaf_registration import LeafRegistration
@@ -169,7 +168,7 @@
 
     def order(self, control: frames.FaultCommand) -> None:
         """Inject a fault. Raise :class:`FaultInjectionError`."""
-        fault = parse_leaf_fault(control.kind)
+        fault = parse_fault_kind(LeafFault, control.kind)
         self.events(
             "trouble", node=self.address, kind=control.kind, value=control.value, span=control.span_us
         )
@@ -197,13 +196,6 @@
         self.feed.advance(now_us)
         self.feed.trouble(fault, now_us, int(control.value * 1e6), control.span_us)
 
-    def _fault_reply(self, control: frames.FaultCommand) -> frames.FaultCommandReply:
-        try:
-            self.order(control)
-        except FaultInjectionError as error:
-            return frames.FaultCommandReply(str(error))
-        return frames.FaultCommandReply("")
-
     # Connections
 
     def _is_from_broker(self, stream: Stream) -> bool:
@@ -241,7 +233,7 @@
                 if not self.capacity.is_overloaded and not self.faults.is_active(LeafFault.SILENT):
                     self.output.send(stream, frames.encode(frames.Pong(number, self._reported_load())))
             case frames.FaultCommand():
-                stream.write(frames.encode(self._fault_reply(message)))
+                stream.write(frames.encode(reply_to_fault_command(self.order, message)))
 
     def _on_hello(self, stream: Stream, hello: frames.Hello) -> None:
         self.peers[stream] = hello
--- a/heathwell/testing/standins/leaf_faults.py
+++ b/heathwell/testing/standins/leaf_faults.py
@@ -1,4 +1,4 @@
-"""Faults that are injected into a leaf, and the errors for commands that can't be carried out."""
+"""Faults that are injected into a leaf."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from enum import StrEnum
 
 from heathwell.eventloop import Loop
+from heathwell.testing.standins.errors import FaultInjectionError
 
 
 class LeafFault(StrEnum):
@@ -35,19 +36,6 @@
 OUTPUT_FAULTS = frozenset({LeafFault.STALL, LeafFault.PARTIAL_REPLY})
 
 
-class FaultInjectionError(Exception):
-    """A fault command can't be carried out; its text is the reply on the wire."""
-
-
-class UnknownFaultError(FaultInjectionError):
-    """The stand-in has no fault of this kind."""
-
-    def __init__(self, kind: str, known_kinds: tuple[str, ...]) -> None:
-        super().__init__(f"unknown trouble '{kind}'; known: {', '.join(known_kinds)}")
-        self.kind = kind
-        self.known_kinds = known_kinds
-
-
 class FreshnessDisabledError(FaultInjectionError):
     """A fault of the data's age needs a leaf that follows a source."""
 
@@ -56,14 +44,6 @@
         self.fault = fault
 
 
-def parse_leaf_fault(kind: str) -> LeafFault:
-    """Return the fault of this kind. Raise :class:`UnknownFaultError`."""
-    try:
-        return LeafFault(kind)
-    except ValueError:
-        raise UnknownFaultError(kind, tuple(LeafFault)) from None
-
-
 @dataclass(frozen=True, slots=True)
 class ActiveFault:
     """A fault's parameters and when it ends; the meaning of ``value`` and ``text`` depends on the fault."""
--- a/heathwell/testing/standins/relay.py
+++ b/heathwell/testing/standins/relay.py
@@ -1,258 +1,213 @@
-"""A stand-in for the link between regions, on sockets: a relay that delays, limits, cuts, resets and flaps.
+"""A stand-in for the link between regions: a relay on sockets that delays, limits, cuts, resets and flaps.
 
-One listener a host behind the link. Each direction has conditions of its own; bytes keep their order, and
-what a cut holds goes on after it, as TCP's own retransmission would have it.
+It has one listener per target behind the link. Each direction has a condition of its own.
 """
 
 from __future__ import annotations
 
 import random
-from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Final
 
 from heathwell.codec import frames, inner_protocol
-from heathwell.eventloop import (
-    ConnectError,
-    Coro,
-    Event,
-    Listener,
-    Loop,
-    Net,
-    Stream,
-    StreamBrokenError,
-    sleep,
+from heathwell.eventloop import ConnectError, Coro, Listener, Loop, Net, Stream, sleep
+from heathwell.testing.standins.fault_commands import reply_to_fault_command
+from heathwell.testing.standins.link_condition import (
+    CONNECT_RETRANSMISSION_TIMEOUT_US,
+    Direction,
+    LinkCondition,
+    LinkFault,
+    LinkFaultCommand,
+    retransmission_delay_us,
 )
+from heathwell.testing.standins.link_forwarding import LinkForwarder
 
-TROUBLES = ("delay", "rate", "loss", "cut", "oneway", "refuse", "reset", "flap", "heal")
-CHUNK = 16_384
-HELD_MOST = 1 << 20  # bytes on their way in one direction, then reading waits
-LOOK_US = 5_000
-SEGMENT = 1_448  # bytes a packet carries
-RESEND_US, RESEND_MOST_US = (
-    200_000,
-    60_000_000,
-)  # Linux' least time to a resend, doubled for each loss in a row
-CONNECT_RESEND_US = 1_000_000  # a lost SYN or its answer (RFC 6298)
+CONNECT_TIMEOUT_US: Final = 1_000_000
+BLOCKED_CONNECT_CHECK_INTERVAL_US: Final = 5_000
 
 
-def lost_wait(size: int, loss: float, draws: random.Random, first: int = RESEND_US) -> int:
-    """What losses add to the way of so many bytes (us): TCP hides a lost packet behind the time to its
-    resend.
+@dataclass(frozen=True, slots=True)
+class RelayedConnection:
+    """The two streams of a connection through the relay."""
 
-    The worse of TCP's two ways: short messages have no packets behind them whose acknowledgements would call
-    for the lost one sooner. One wait for all packets of a write, as they are resent together.
-    """
-    waited, wait = 0, first
-    while any(draws.random() < loss for _ in range(-(-size // SEGMENT))) and waited < RESEND_MOST_US:
-        waited, wait, size = waited + wait, wait * 2, 1
-    return waited
-
-
-@dataclass(slots=True)
-class Condition:
-    """One direction of the link."""
-
-    delay_us: int = 0
-    jitter: float = 0.1
-    rate: float = 0.0  # bytes a second; 0: no limit
-    loss: float = 0.0  # share of packets
-    cut_until: int = 0
+    client: Stream
+    target: Stream
 
 
 class Relay:
-    """Relays to hosts; ``out`` is towards them, ``back`` from them. ``where`` tells a target's address at the
-    moment of a connect, empty while it has none.
+    """Relays connections to targets.
+
+    ``current_address`` returns a target's address at the time of a connect, empty while it has none.
     """
 
     def __init__(
-        self, loop: Loop, net: Net, targets: list[str], seed: int = 1, where: Callable[[str], str] = str
+        self,
+        loop: Loop,
+        net: Net,
+        targets: list[str],
+        seed: int = 1,
+        current_address: Callable[[str], str] = str,
     ) -> None:
-        self.loop, self.net, self.targets, self.where = loop, net, targets, where
-        self.random = random.Random(seed)
-        self.out, self.back = Condition(), Condition()
-        self.refuse_until = self.flap_until = 0
+        self._loop = loop
+        self._net = net
+        self._targets = targets
+        self._current_address = current_address
+        self._random = random.Random(seed)
+        self._conditions = {direction: LinkCondition() for direction in Direction}
+        self._connects_blocked_until_us = 0
+        self._flaps_until_us = 0
+        self._connections: dict[RelayedConnection, None] = {}
+        self._control: Listener | None = None
         self.routes: dict[str, str] = {}
-        self.pairs: dict[tuple[Stream, Stream], None] = {}
-        self.carried = self.connects = 0
-        self.control: Listener | None = None
+        """The relay's address for each target."""
 
     def start(self, control: str = "127.0.0.1:0") -> str:
-        """Open the doors; returns the address that takes orders. ``routes`` maps hosts to doors."""
-        self.open_doors()
-        self.control = self.net.listen(control, self._orders, "relay control")
-        return self.control.address
-
-    def open_doors(self) -> dict[str, str]:
-        """Open a door a target, without taking orders on a socket."""
-        for target in self.targets:
-            door = self.net.listen("127.0.0.1:0", self._serving(target), f"relay to {target}")
-            self.routes[target] = door.address
+        """Listen for connections to the targets and for fault commands; return the address for commands."""
+        self.open_listeners()
+        self._control = self._net.listen(control, self._serve_commands, "relay control")
+        return self._control.address
+
+    def open_listeners(self) -> dict[str, str]:
+        """Listen for connections to the targets only; return :attr:`routes`."""
+        for target in self._targets:
+            listener = self._net.listen("127.0.0.1:0", self._handler(target), f"relay to {target}")
+            self.routes[target] = listener.address
         return self.routes
 
-    def order(self, control: frames.FaultCommand) -> str:
-        """Make trouble as told; returns an error's text, or nothing."""
-        kind, now = control.kind, self.loop.now()
-        until = now + control.span_us
-        if kind not in TROUBLES:
-            return f"unknown trouble '{kind}'; known: {', '.join(TROUBLES)}"
-        if kind == "heal":
-            self.out, self.back = Condition(), Condition()
-            self.refuse_until = self.flap_until = 0
-        elif kind in ("delay", "rate", "loss"):
-            for way in (self.out, self.back):
-                if kind == "delay":
-                    way.delay_us = int(control.value * 1e6)
-                else:
-                    setattr(way, kind, control.value)
-            self.loop.call_at(until, self._plain, kind)
-        elif kind == "cut":
-            self.out.cut_until = self.back.cut_until = self.refuse_until = until
-        elif kind == "oneway":
-            (self.out if control.text == "out" else self.back).cut_until = until
-        elif kind == "refuse":
-            self.refuse_until = until
-        elif kind == "reset":
-            for pair in list(self.pairs):
-                for stream in pair:
-                    stream.abort()
-        else:
-            self.flap_until = until
-            self._flap(max(int(control.value * 1e6), 100_000), True)
-        return ""
-
-    def _plain(self, kind: str) -> None:
-        for way in (self.out, self.back):
-            if kind == "delay":
-                way.delay_us = 0
-            else:
-                setattr(way, kind, 0.0)
-
-    def _flap(self, period: int, cut: bool) -> None:
-        now = self.loop.now()
-        if now >= self.flap_until:
+    # Fault injection
+
+    def order(self, frame: frames.FaultCommand) -> None:
+        """Inject a fault. Raise :class:`FaultInjectionError`."""
+        command = LinkFaultCommand.from_frame(frame, self._loop.now())
+        match command.fault:
+            case LinkFault.CLEAR:
+                self._clear()
+            case LinkFault.DELAY | LinkFault.LIMIT_RATE | LinkFault.LOSE_PACKETS:
+                self._degrade(command)
+            case LinkFault.CUT:
+                self._cut(command.ends_at_us)
+                self._connects_blocked_until_us = command.ends_at_us
+            case LinkFault.CUT_ONE_DIRECTION:
+                self._conditions[command.direction].cut_until_us = command.ends_at_us
+            case LinkFault.BLOCK_CONNECTS:
+                self._connects_blocked_until_us = command.ends_at_us
+            case LinkFault.RESET_CONNECTIONS:
+                self._reset_connections()
+            case LinkFault.FLAP:
+                self._flaps_until_us = command.ends_at_us
+                self._begin_flap(command.flap_interval_us)
+
+    def _clear(self) -> None:
+        self._conditions = {direction: LinkCondition() for direction in Direction}
+        self._connects_blocked_until_us = 0
+        self._flaps_until_us = 0
+
+    def _degrade(self, command: LinkFaultCommand) -> None:
+        for condition in self._conditions.values():
+            condition.apply(command)
+        self._loop.call_at(command.ends_at_us, self._restore, command.fault)
+
+    def _restore(self, fault: LinkFault) -> None:
+        for condition in self._conditions.values():
+            condition.reset(fault)
+
+    def _cut(self, until_us: int) -> None:
+        for condition in self._conditions.values():
+            condition.cut_until_us = until_us
+
+    def _reset_connections(self) -> None:
+        for connection in list(self._connections):
+            connection.client.abort()
+            connection.target.abort()
+
+    def _begin_flap(self, interval_us: int) -> None:
+        """Cut the link for an interval, unless the fault has ended."""
+        now_us = self._loop.now()
+        if now_us >= self._flaps_until_us:
             return
-        if cut:
-            self.out.cut_until = self.back.cut_until = now + period
-        self.loop.call_at(now + period, self._flap, period, not cut)
+        self._cut(now_us + interval_us)
+        self._loop.call_at(now_us + interval_us, self._end_flap, interval_us)
+
+    def _end_flap(self, interval_us: int) -> None:
+        """Leave the link up for an interval, unless the fault has ended."""
+        now_us = self._loop.now()
+        if now_us < self._flaps_until_us:
+            self._loop.call_at(now_us + interval_us, self._begin_flap, interval_us)
 
-    def _orders(self, stream: Stream) -> Coro[None]:
-        def heard(message: frames.AnyMessage) -> None:
+    def _serve_commands(self, stream: Stream) -> Coro[None]:
+        def on_message(message: frames.AnyMessage) -> None:
             if isinstance(message, frames.FaultCommand):
-                stream.write(frames.encode(frames.FaultCommandReply(self.order(message))))
-
-        return inner_protocol.serve(stream, "relay", "relay", heard)
-
-    def _serving(self, target: str) -> Callable[[Stream], Coro[None]]:
-        def serve(stream: Stream) -> Coro[None]:
-            return self._carry(stream, target)
-
-        return serve
-
-    def _carry(self, near: Stream, target: str) -> Coro[None]:
-        """One connection, both ways, until either side ends it."""
-        self.connects += 1
-        while self.loop.now() < max(self.refuse_until, self.out.cut_until):
-            # Behind a cut nothing is known of a connect: no answer comes, and the caller gives up by itself.
-            yield from sleep(self.loop, LOOK_US)
-            if near.closed:
-                return
-        lost = lost_wait(1, self.out.loss, self.random, CONNECT_RESEND_US)
-        if lost:
-            yield from sleep(self.loop, lost)
-            if near.closed:
-                return
-        address = self.where(target)
+                stream.write(frames.encode(reply_to_fault_command(self.order, message)))
+
+        return inner_protocol.serve(stream, "relay", "relay", on_message)
+
+    # Connections
+
+    def _handler(self, target: str) -> Callable[[Stream], Coro[None]]:
+        return lambda stream: self._relay(stream, target)
+
+    def _relay(self, client: Stream, target: str) -> Coro[None]:
+        """Relay one connection until either side ends it."""
+        if not (yield from self._wait_for_connect(client)):
+            return
+        address = self._current_address(target)
         if not address:
-            near.abort()
+            client.abort()
             return
         try:
-            far = yield from self.net.connect(address, 1_000_000)
+            stream = yield from self._net.connect(address, CONNECT_TIMEOUT_US)
         except ConnectError:
-            near.abort()
+            client.abort()
             return
-        pair = (near, far)
-        self.pairs[pair] = None
-        other = self.loop.spawn(self._pump(far, near, lambda: self.back), f"relay from {target}")
-        try:
-            yield from self._pump(near, far, lambda: self.out)
-        finally:
-            self.pairs.pop(pair, None)
-            near.close()
-            far.close()
-            other.cancel()
-
-    def _pump(self, source: Stream, sink: Stream, way: Callable[[], Condition]) -> Coro[None]:
-        """Bytes of one direction, in order, each as late as the link was when it came."""
-        queue: deque[tuple[int, bytes]] = deque()
-        filled, room = Event(), Event()
-        sender = self.loop.spawn(self._send(queue, filled, room, sink, way), f"link to {sink.peer}")
-        last = 0
+        yield from self._forward(RelayedConnection(client, stream), target)
+
+    def _wait_for_connect(self, client: Stream) -> Coro[bool]:
+        """Wait while the link blocks or loses the packets of a connect; return False if the client closed.
+
+        The client receives no reply meanwhile and times out by itself.
+        """
+        to_target = Direction.TO_TARGET
+        while self._loop.now() < max(
+            self._connects_blocked_until_us, self._conditions[to_target].cut_until_us
+        ):
+            yield from sleep(self._loop, BLOCKED_CONNECT_CHECK_INTERVAL_US)
+            if client.closed:
+                return False
+        delay_us = retransmission_delay_us(
+            1, self._conditions[to_target].loss_ratio, self._random, CONNECT_RETRANSMISSION_TIMEOUT_US
+        )
+        if not delay_us:
+            return True
+        yield from sleep(self._loop, delay_us)
+        return not client.closed
+
+    def _forward(self, connection: RelayedConnection, target: str) -> Coro[None]:
+        """Forward both directions."""
+        self._connections[connection] = None
+        from_target = self._forwarder(connection.target, connection.client, Direction.FROM_TARGET)
+        to_target = self._forwarder(connection.client, connection.target, Direction.TO_TARGET)
+        replies = self._loop.spawn(from_target.run(), f"relay from {target}")
         try:
-            while data := (yield from source.read(CHUNK)):
-                condition, now = way(), self.loop.now()
-                wait = condition.delay_us * (1 + self.random.uniform(-condition.jitter, condition.jitter))
-                if condition.loss:
-                    wait += lost_wait(len(data), condition.loss, self.random)
-                if condition.rate:
-                    wait += len(data) / condition.rate * 1e6
-                    last += int(len(data) / condition.rate * 1e6)
-                last = max(last, now + int(wait))
-                queue.append((last, data))
-                filled.set()
-                while sum(len(chunk) for _, chunk in queue) > HELD_MOST and not sender.done:
-                    room.clear()
-                    yield from room.wait()
-            while queue and not sender.done:
-                room.clear()
-                yield from room.wait()
-            yield from self._while_cut(way)
-            sink.end()
-        except StreamBrokenError:
-            yield from self._while_cut(way)
-            sink.abort()
+            yield from to_target.run()
         finally:
-            sender.cancel()
+            self._connections.pop(connection, None)
+            connection.client.close()
+            connection.target.close()
+            replies.cancel()
 
-    def _while_cut(self, way: Callable[[], Condition]) -> Coro[None]:
-        """Behind a cut nobody sees that a connection has ended."""
-        while (left := way().cut_until - self.loop.now()) > 0:
-            yield from sleep(self.loop, min(left, LOOK_US * 20))
-
-    def _send(
-        self,
-        queue: deque[tuple[int, bytes]],
-        filled: Event,
-        room: Event,
-        sink: Stream,
-        way: Callable[[], Condition],
-    ) -> Coro[None]:
-        try:
-            while True:
-                while not queue:
-                    filled.clear()
-                    yield from filled.wait()
-                due, data = queue[0]
-                while (until := max(due, way().cut_until)) > self.loop.now():
-                    yield from sleep(self.loop, min(until - self.loop.now(), LOOK_US * 20))
-                sink.write(data)
-                self.carried += len(data)
-                yield from sink.drain()
-                queue.popleft()
-                room.set()
-        except StreamBrokenError:
-            room.set()
+    def _forwarder(self, source: Stream, sink: Stream, direction: Direction) -> LinkForwarder:
+        return LinkForwarder(self._loop, self._random, source, sink, lambda: self._conditions[direction])
 
 
 class RoutedNet:
-    """A net that reaches some addresses by a relay's doors; the addresses themselves stay what they are
-    called by.
-    """
+    """A net that connects to some addresses by way of a relay; ``routes`` maps them to its addresses."""
 
     def __init__(self, net: Net, routes: dict[str, str]) -> None:
-        self.net, self.routes = net, routes
+        self._net = net
+        self._routes = routes
         self.listen = net.listen
 
     def connect(self, address: str, timeout_us: int) -> Coro[Stream]:
-        """As the net's, by way of the relay where there is one."""
-        return self.net.connect(self.routes.get(address, address), timeout_us)
+        """Connect as the net does, by way of the relay where there is a route."""
+        return self._net.connect(self._routes.get(address, address), timeout_us)
--- a/tests/test_region_reachability.py
+++ b/tests/test_region_reachability.py
@@ -15,7 +15,10 @@
 from heathwell.settings import loads
 from heathwell.testing.simulation.client_population import Outcome
 from heathwell.testing.simulation.region_process_experiment import services, settings
-from heathwell.testing.standins.relay import RESEND_US, lost_wait
+from heathwell.testing.standins.link_condition import (
+    RETRANSMISSION_TIMEOUT_US,
+    retransmission_delay_us,
+)
 
 from .fleet import MARKET, World
 from .test_regions import FAR, Bench
@@ -154,11 +157,13 @@
 
 def test_losses_show_as_resends_in_steps_that_double():
     draws = random.Random(3)
-    waits = [lost_wait(100, 0.3, draws) for _ in range(4000)]
-    assert set(waits) <= {RESEND_US * (2**n - 1) for n in range(12)}
+    waits = [retransmission_delay_us(100, 0.3, draws) for _ in range(4000)]
+    assert set(waits) <= {RETRANSMISSION_TIMEOUT_US * (2**n - 1) for n in range(12)}
     assert 0.27 < sum(wait > 0 for wait in waits) / 4000 < 0.33
-    assert sum(lost_wait(14_480, 0.05, draws) > 0 for _ in range(2000)) > 600  # ten packets: any of them
-    assert lost_wait(100, 0.0, draws) == 0
+    assert (
+        sum(retransmission_delay_us(14_480, 0.05, draws) > 0 for _ in range(2000)) > 600
+    )  # ten packets: any of them
+    assert retransmission_delay_us(100, 0.0, draws) == 0
 
 
 def test_the_service_around_a_trouble_is_counted_by_class_span_and_home():
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -6,6 +6,7 @@
 
 from heathwell.codec import frames
 from heathwell.eventloop import ConnectError, StreamBrokenError, sleep, socket_loop, virtual_loop
+from heathwell.testing.standins.errors import UnknownFaultError
 from heathwell.testing.standins.relay import Relay, RoutedNet
 
 
@@ -26,7 +27,7 @@
 
 
 def order(relay, kind, value=0.0, seconds=0.0):
-    assert relay.order(frames.FaultCommand(kind, value, int(seconds * 1e6))) == ""
+    assert relay.order(frames.FaultCommand(kind, value, int(seconds * 1e6))) is None
 
 
 def ask(loop, stream, data=b"hi"):
@@ -103,7 +104,8 @@
         assert (yield from ask(loop, again)) < 5_000
 
     run(loop, main(), errors)
-    assert "unknown trouble" in relay.order(frames.FaultCommand("nonsense"))
+    with pytest.raises(UnknownFaultError, match="unknown trouble"):
+        relay.order(frames.FaultCommand("nonsense"))
 
 
 def test_over_real_sockets():
