--- a/heathwell/cli/platform.py
+++ b/heathwell/cli/platform.py
@@ -51,7 +51,7 @@
     """Send the demo queries, wait for a signal or the deadline, and return the broker's exit code."""
     click.echo(f"{len(fleet.nodes)} nodes, discovery and one broker are up. A query of each class:")
     for number, (query_class, shards, key) in enumerate(QUERIES):
-        response = yield from fleet.client().ask(f"demo{number}", query_class, shards, key=key)
+        response = yield from fleet.client().send_query(f"demo{number}", query_class, shards, key=key)
         click.echo(f"  {query_class}: {response.status} {response.body.decode()[:150]}")
     click.echo(f"""
 Try next (the broker listens on {fleet.address}, its log is {fleet.lines}):
--- a/heathwell/testing/simulation/multi_broker_scenario.py
+++ b/heathwell/testing/simulation/multi_broker_scenario.py
@@ -15,7 +15,9 @@
 from heathwell.gateway.config import Config, read
 from heathwell.gateway.front import Front
 from heathwell.testing.simulation.platform_fleet import config_of, setup_of
-from heathwell.testing.standins.platform import Client, Node, Registry
+from heathwell.testing.standins.platform_client import PlatformClient
+from heathwell.testing.standins.platform_discovery import PlatformDiscovery
+from heathwell.testing.standins.platform_node import PlatformNode
 
 UNIX_US = 1_700_000_000_000_000
 
@@ -32,8 +34,8 @@
         self.loop.on_error = lambda name, error: self.errors.append((name, error))
         self.cells = nodes
         self.nodes = [self._node(cell, cell) for cell in range(nodes)]
-        self.registry = Registry(
-            self.loop, self.net.at("registry"), "registry:8500", self.nodes, line_us=line_us
+        self.registry = PlatformDiscovery(
+            self.loop, self.net.at("registry"), "registry:8500", self.nodes, entry_work_us=line_us
         )
         self.known = {"rev": 1, "all": True, "targets": [node.entry for node in self.nodes]}
         self.brokers: list[PlatformBroker] = []
@@ -43,9 +45,9 @@
         for number in range(brokers):
             self._start(number, brokers)
 
-    def _node(self, number: int, cell: int) -> Node:
+    def _node(self, number: int, cell: int) -> PlatformNode:
         uid = f"s{number}"
-        return Node(self.loop, self.net.at(uid), f"{uid}:7070", uid, cell)
+        return PlatformNode(self.loop, self.net.at(uid), f"{uid}:7070", uid, cell)
 
     def _config(self, number: int, brokers: int) -> Config:
         return read(
@@ -80,8 +82,8 @@
         old = self.nodes[cell]
         self._made += 1
         self.nodes[cell] = self._node(self.cells + self._made, cell)
-        self.registry.put({**old.entry, "state": "removed"})
-        self.registry.put(self.nodes[cell].entry)
+        self.registry.publish({**old.entry, "state": "removed"})
+        self.registry.publish(self.nodes[cell].entry)
         old.kill()
 
     def unaware(self) -> int:
@@ -100,10 +102,10 @@
             yield from sleep(self.loop, int(self.draw.expovariate(rate) * 1e6))
 
     def _query(self, number: int, broker: int) -> Coro[None]:
-        client = Client(self.loop, self.net.at(f"c{number}"), f"b{broker}:7070")
+        client = PlatformClient(self.loop, self.net.at(f"c{number}"), f"b{broker}:7070")
         first = self.draw.randrange(2 * self.cells)
         try:
-            response = yield from client.ask(
+            response = yield from client.send_query(
                 f"q{number}", "price-search", [(first + step) % (2 * self.cells) for step in range(4)]
             )
         except (StreamBrokenError, ConnectError):
--- a/heathwell/testing/simulation/platform_fleet.py
+++ b/heathwell/testing/simulation/platform_fleet.py
@@ -12,7 +12,9 @@
 from typing import Any
 
 from heathwell.eventloop import Coro, Loop, sleep, socket_loop
-from heathwell.testing.standins.platform import Client, Node, Registry
+from heathwell.testing.standins.platform_client import PlatformClient
+from heathwell.testing.standins.platform_discovery import PlatformDiscovery
+from heathwell.testing.standins.platform_node import PlatformNode
 
 CELLS = 6
 LOOKS_MOST = 3_000  # at the log, fifty a second, for a word or the end
@@ -131,8 +133,10 @@
     ) -> None:
         self.loop: Loop
         self.loop, self.net, _ = socket_loop()
-        self.nodes = [Node(self.loop, self.net, "127.0.0.1:0", f"s{n}", n) for n in range(CELLS)]
-        self.registries = [Registry(self.loop, self.net, "127.0.0.1:0", self.nodes) for _ in range(2)]
+        self.nodes = [PlatformNode(self.loop, self.net, "127.0.0.1:0", f"s{n}", n) for n in range(CELLS)]
+        self.registries = [
+            PlatformDiscovery(self.loop, self.net, "127.0.0.1:0", self.nodes) for _ in range(2)
+        ]
         self.settings = settings or SETUP
         self.path, self.lines = folder / "config.json", folder / "log"
         self.write(self.registries[0].address if registry else "127.0.0.1:1")
@@ -183,9 +187,9 @@
             yield from sleep(self.loop, 20_000)
         raise PlatformError(f"it does not end: {self.lines.read_text()}")
 
-    def client(self) -> Client:
+    def client(self) -> PlatformClient:
         """A client of the broker."""
-        return Client(self.loop, self.net, self.address)
+        return PlatformClient(self.loop, self.net, self.address)
 
     def run(self, gen: Coro[Any]) -> Any:
         """Run a coroutine to its end."""
--- /dev/null
+++ b/heathwell/testing/standins/platform_discovery.py
@@ -0,0 +1,158 @@
+"""A stand-in for the platform's discovery: one list of nodes over HTTP, with watches for its changes."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Final
+from urllib.parse import parse_qsl
+
+import msgspec
+
+from heathwell.codec.http import Request, Response, ServerSide
+from heathwell.eventloop import Coro, Event, Loop, Net, Stream, sleep
+from heathwell.testing.standins.platform_node import NodeEntry, NodeState, PlatformNode
+
+NO_REVISION: Final = -1
+"""Of a watch that has no list yet."""
+MAX_QUEUEING_US: Final = 1_000_000
+"""Time in the queue beyond which a request is rejected."""
+MUTE_CHECK_INTERVAL_US: Final = 10_000
+HTTP_OK: Final = 200
+HTTP_UNAVAILABLE: Final = 503
+
+
+@dataclass(frozen=True, slots=True)
+class PublishedEntry:
+    """A node's entry and the list's revision that it came with."""
+
+    revision: int
+    entry: NodeEntry
+
+
+class EntryList(
+    msgspec.Struct,
+    frozen=True,
+    rename={"revision": "rev", "is_complete": "all", "entries": "targets"},
+):
+    """The list, or its entries that changed since an earlier revision."""
+
+    revision: int
+    is_complete: bool
+    entries: list[NodeEntry]
+
+
+@dataclass(frozen=True, slots=True)
+class WatchRequest:
+    """A request for the list after a revision, and until when it waits for one."""
+
+    known_revision: int
+    waits_until_us: int
+
+    @classmethod
+    def from_query(cls, query: str, now_us: int) -> WatchRequest:
+        """Return the request of a query string. Raise :class:`ValueError`."""
+        parameters = dict(parse_qsl(query))
+        known_revision = int(parameters.get("from", NO_REVISION))
+        return cls(known_revision, now_us + int(parameters.get("hold_ms", 0)) * 1000)
+
+    @property
+    def is_complete(self) -> bool:
+        """Whether the complete list is requested."""
+        return self.known_revision < 0
+
+
+class PlatformDiscovery:
+    """Discovery, which listens from its construction on.
+
+    A request and each entry of its response take ``entry_work_us`` of one worker, which serves them in turn.
+    """
+
+    def __init__(
+        self, loop: Loop, net: Net, address: str, nodes: list[PlatformNode], *, entry_work_us: int = 0
+    ) -> None:
+        self.loop = loop
+        self.entry_work_us = entry_work_us
+        self.revision = 1
+        self.down = False
+        """Whether requests are answered 503."""
+        self.silent = False
+        """Whether responses are held back."""
+        self.rejected_requests = 0
+        self.queries: list[str] = []
+        """The query strings of all requests."""
+        self.last_request_at_us = 0
+        self.entries = {node.uid: PublishedEntry(1, node.entry) for node in nodes}
+        self.streams: set[Stream] = set()
+        self._worker_free_at_us = 0
+        self._waiting: dict[Event, None] = {}
+        self._muted: set[Stream] = set()
+        self.listener = net.listen(address, self._serve, "registry")
+        self.address = self.listener.address
+
+    def publish(self, entry: NodeEntry) -> None:
+        """Publish a changed entry as a new revision."""
+        self.revision += 1
+        self.entries[entry["uid"]] = PublishedEntry(self.revision, entry)
+        self.notify_watches()
+
+    def mute_connections(self) -> None:
+        """Send nothing over the present connections from now on, and leave them open."""
+        self._muted |= self.streams
+
+    def notify_watches(self) -> None:
+        """Let the waiting watches check the list and the flags."""
+        for waiting in self._waiting:
+            waiting.set()
+
+    def _serve(self, stream: Stream) -> Coro[None]:
+        side = ServerSide()
+        self.streams.add(stream)
+        try:
+            while data := (yield from stream.read()):
+                for request in side.feed(data):
+                    if isinstance(request, Request):
+                        response = yield from self._respond(request)
+                        while self.silent or stream in self._muted:
+                            yield from sleep(self.loop, MUTE_CHECK_INTERVAL_US)
+                        stream.write(side.respond(response))
+        finally:
+            self.streams.discard(stream)
+            self._muted.discard(stream)
+
+    def _respond(self, request: Request) -> Coro[Response]:
+        self.queries.append(request.query)
+        self.last_request_at_us = self.loop.now()
+        watch = WatchRequest.from_query(request.query, self.loop.now())
+        yield from self._wait_for_change(watch)
+        if self.down:
+            return Response(HTTP_UNAVAILABLE, b"down\n")
+        entry_list = self._list_for(watch)
+        if self.entry_work_us:
+            begins_at_us = max(self._worker_free_at_us, self.loop.now())
+            if begins_at_us - self.loop.now() > MAX_QUEUEING_US:
+                self.rejected_requests += 1
+                return Response(HTTP_UNAVAILABLE, b"busy\n")
+            self._worker_free_at_us = begins_at_us + self.entry_work_us * (1 + len(entry_list.entries))
+            yield from sleep(self.loop, self._worker_free_at_us - self.loop.now())
+        return Response(HTTP_OK, msgspec.json.encode(entry_list), "application/json")
+
+    def _wait_for_change(self, watch: WatchRequest) -> Coro[None]:
+        """Wait for a later revision, the end of the wait, or an outage."""
+        while (
+            watch.known_revision >= self.revision and not self.down and self.loop.now() < watch.waits_until_us
+        ):
+            changed = Event()
+            self._waiting[changed] = None
+            timer = self.loop.call_at(watch.waits_until_us, changed.set)
+            yield from changed.wait()
+            timer.cancel()
+            self._waiting.pop(changed, None)
+
+    def _list_for(self, watch: WatchRequest) -> EntryList:
+        entries = [
+            published.entry
+            for published in self.entries.values()
+            if published.revision > watch.known_revision
+            and (not watch.is_complete or published.entry["state"] != NodeState.REMOVED)
+        ]
+        return EntryList(self.revision, watch.is_complete, entries)
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -20,7 +20,9 @@
 from heathwell.gateway.config import read
 from heathwell.gateway.front import Front
 from heathwell.testing.simulation.platform_fleet import CELLS, SETUP, config_of
-from heathwell.testing.standins.platform import Client, Node, Registry
+from heathwell.testing.standins.platform_client import PlatformClient
+from heathwell.testing.standins.platform_discovery import PlatformDiscovery
+from heathwell.testing.standins.platform_node import PlatformNode
 
 TURNS_MOST = 20_000  # of the loop, for a point that never comes: some seconds
 CUSTOMERS: dict[str, dict[str, Any]] = {
@@ -154,8 +156,10 @@
         self.errors: list[tuple[str, BaseException]] = []
         self.loop.on_error = lambda task, error: self.errors.append((task, error))
         self.gate = Gate(self.net)
-        self.nodes = [Node(self.loop, self.net, "127.0.0.1:0", f"s{n}", n, work_us=1) for n in range(CELLS)]
-        self.registry = Registry(self.loop, self.net, "127.0.0.1:0", self.nodes)
+        self.nodes = [
+            PlatformNode(self.loop, self.net, "127.0.0.1:0", f"s{n}", n, work_us=1) for n in range(CELLS)
+        ]
+        self.registry = PlatformDiscovery(self.loop, self.net, "127.0.0.1:0", self.nodes)
         self.setup = customer(name, width=width)
         self.config = read(
             config_of(
@@ -177,18 +181,24 @@
     def log(self, level: str, event: str, **fields: Any) -> None:
         self.lines.append(f"{level} {event} {fields}")
 
-    def client(self) -> Client:
-        return Client(self.loop, self.net, self.listener.address)
+    def client(self) -> PlatformClient:
+        return PlatformClient(self.loop, self.net, self.listener.address)
 
-    def ask(self, name: str, shard: int, kind: int = 0, client: Client | None = None, **more: Any) -> Any:
+    def ask(
+        self, name: str, shard: int, kind: int = 0, client: PlatformClient | None = None, **more: Any
+    ) -> Any:
         """A query of one part on its way, as a task. Its deadline is a minute: the class's own
         limit holds.
         """
         return self.loop.spawn(self._asked(name, shard, kind, client or self.client(), more), name)
 
-    def _asked(self, name: str, shard: int, kind: int, client: Client, more: dict[str, Any]) -> Coro[Any]:
+    def _asked(
+        self, name: str, shard: int, kind: int, client: PlatformClient, more: dict[str, Any]
+    ) -> Coro[Any]:
         key = "5c0f6e1a2b3d4c59" if self.setup["classes"][kind]["idempotency"] == "idempotency_key" else ""
-        return (yield from client.ask(name, self.kinds[kind], [shard], wait_ms=60_000, key=key, **more))
+        return (
+            yield from client.send_query(name, self.kinds[kind], [shard], timeout_ms=60_000, key=key, **more)
+        )
 
     def request(self, name: str, shard: int, kind: int = 0) -> bytes:
         """A request's bytes."""
@@ -227,19 +237,19 @@
         """The loop's next turn is at that time (its clock's), or now where that is past."""
         self.clock.by_us += max(at_us - self.loop.now(), 0)
 
-    def put(self, node: Node, how: str) -> None:
+    def put(self, node: PlatformNode, how: str) -> None:
         """The list's word on a node."""
         if how == "restarted":
-            node.boot_ms = int(time.time() * 1000)
-            self.registry.put(node.entry)
+            node.booted_at_ms = int(time.time() * 1000)
+            self.registry.publish(node.entry)
         elif how == "draining":
-            self.registry.put({**node.entry, "state": "draining"})
+            self.registry.publish({**node.entry, "state": "draining"})
         elif how == "gone":
-            self.registry.put({**node.entry, "state": "removed"})
+            self.registry.publish({**node.entry, "state": "removed"})
         else:
-            self.registry.put({**node.entry, "endpoint": how})
+            self.registry.publish({**node.entry, "endpoint": how})
 
-    def knows(self, node: Node, how: str) -> Callable[[], bool]:
+    def knows(self, node: PlatformNode, how: str) -> Callable[[], bool]:
         """Whether the broker has that word."""
         servers = self.broker.aggregator.endpoints
         if how == "restarted":
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -18,7 +18,9 @@
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
 from heathwell.testing.simulation.platform_fleet import CELLS, SETUP, config_of
-from heathwell.testing.standins.platform import Client, Node, Registry
+from heathwell.testing.standins.platform_client import PlatformClient
+from heathwell.testing.standins.platform_discovery import PlatformDiscovery
+from heathwell.testing.standins.platform_node import PlatformNode
 
 UNIX_US = 1_700_000_000_000_000
 LONG_US = 1 << 50
@@ -49,7 +51,9 @@
         self.events: list[dict[str, Any]] = []
         self.nodes = [self.node(n) for n in range(CELLS)]
         self.registry = (
-            Registry(self.loop, self.net.at("registry"), "registry:8500", self.nodes) if registry else None
+            PlatformDiscovery(self.loop, self.net.at("registry"), "registry:8500", self.nodes)
+            if registry
+            else None
         )
         changes: dict[str, Any] = {"limits": limits} if limits else {}
         if setup:
@@ -68,10 +72,10 @@
         self.front = Front(self.broker, self.config.client_sockets, self.config.kept_clients, self.log)
         self.listener = self.net.at("broker").listen("broker:7070", self.front.serve, "client")
 
-    def node(self, number: int, cell: int | None = None) -> Node:
+    def node(self, number: int, cell: int | None = None) -> PlatformNode:
         """A node of its own address."""
         uid = f"s{number}"
-        return Node(
+        return PlatformNode(
             self.loop,
             self.net.at(uid),
             f"{uid}:7070",
@@ -83,8 +87,8 @@
     def log(self, level: str, event: str, **fields: Any) -> None:
         self.lines.append(f"{level} {event} {fields}")
 
-    def client(self, name: str = "client") -> Client:
-        return Client(self.loop, self.net.at(name), "broker:7070")
+    def client(self, name: str = "client") -> PlatformClient:
+        return PlatformClient(self.loop, self.net.at(name), "broker:7070")
 
     def run(self, gen: Any, errors: bool = False) -> Any:
         result = self.loop.run(self.loop.spawn(gen, "main"))
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -57,7 +57,7 @@
         def main():
             for n in range(12):
                 kind, shards = [("price-search", [0, 1, 2, 3]), ("day-report", [4, 5, 6])][n % 2]
-                response = yield from fleet.client().ask(f"q{n}", kind, shards)
+                response = yield from fleet.client().send_query(f"q{n}", kind, shards)
                 assert response.status == 200
             fleet.process.send_signal(signal.SIGHUP)
             yield from sleep(fleet.loop, 100_000)
--- a/tests/test_event_orderings.py
+++ b/tests/test_event_orderings.py
@@ -14,7 +14,9 @@
 from heathwell.eventloop import Event, StreamBrokenError, sleep
 from heathwell.gateway import node_pool
 from heathwell.gateway.discovery import longest_wait
-from heathwell.testing.standins.platform import Node, answer, read_call
+from heathwell.testing.standins.platform_discovery import PublishedEntry
+from heathwell.testing.standins.platform_frames import decode_call, encode_answer
+from heathwell.testing.standins.platform_node import PlatformNode
 
 from .crossings import CUSTOMERS, LEAVES, World, customer
 from .platform import Platform, node_ask
@@ -42,7 +44,7 @@
         self.listener._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         self.address = self.listener.address
         world.gate.small.add(self.address)
-        world.registry.put({**world.nodes[number].entry, "endpoint": self.address})
+        world.registry.publish({**world.nodes[number].entry, "endpoint": self.address})
 
     def _serve(self, stream):
         yield from self.hears.wait()
@@ -56,7 +58,7 @@
         finally:
             while len(data) >= 5 and len(data) >= 4 + (size := int.from_bytes(data[:4], "big")):
                 if data[4:5] == nf.CALL:
-                    self.ids += [part.id for part in read_call(data[5 : 4 + size])]
+                    self.ids += [part.id for part in decode_call(data[5 : 4 + size])]
                 data = data[4 + size :]
 
 
@@ -92,7 +94,7 @@
         yield from world.until(world.out("q1"))
         if wait == "second connect":
             yield from world.until(lambda: world.gate.asked.count(node.address) == 2)
-        other = Node(world.loop, world.net, "127.0.0.1:0", node.uid, node.cell, work_us=1)
+        other = PlatformNode(world.loop, world.net, "127.0.0.1:0", node.uid, node.replica_group, work_us=1)
         word = other.address if how == "moved" else how
         world.put(where, word)
         yield from world.until(world.knows(node, word))
@@ -202,7 +204,7 @@
 
     def main():
         for node in world.nodes:
-            node.behave = lambda node, stream, part: held.append((node, stream, part))
+            node.responder = lambda node, stream, part: held.append((node, stream, part))
         sock = world.raw()
         sock.send(world.request("q1", SHARD, kind))
         yield from world.until(lambda: held)
@@ -210,9 +212,9 @@
         yield from world.until(lambda: world.broker.counters["left", world.kinds[kind]])
         ((node, stream, part),) = held
         for each in world.nodes:
-            each.behave = None
+            each.responder = None
         if not stream.closed:
-            stream.write(answer(part, 200 if between == "steps" else 500))
+            stream.write(encode_answer(part, 200 if between == "steps" else 500))
         return (yield from world.ask("q2", SHARD).join()).status
 
     assert world.run(main()) == 200
@@ -271,32 +273,34 @@
     def main():
         held = []
         for node in world.nodes:
-            node.behave = lambda node, stream, part: held.append((stream, node, part))
+            node.responder = lambda node, stream, part: held.append((stream, node, part))
         entry = world.setup["classes"][kind]
         key = "k1" if entry["idempotency"] == "idempotency_key" else ""
         asked = world.loop.spawn(
-            world.client().ask("q1", entry["name"], [SHARD, 0], wait_ms=60_000, key=key), "q1"
+            world.client().send_query("q1", entry["name"], [SHARD, 0], timeout_ms=60_000, key=key), "q1"
         )
         yield from world.until(lambda: len(held) == 2)
         held.sort(key=lambda one: one[2].shard != SHARD)
         first = held[0][1].uid
         for node in world.nodes:
-            if node.cell in (3, 4, 5) and node.uid != first:
+            if node.replica_group in (3, 4, 5) and node.uid != first:
                 world.gate.hold(node.address)
         query = next(iter(world.broker.queries.values()))
         part = query.parts["q1.3"]
         if world.setup["ceilings"]["second-copies"]:  # late: a copy is decided, and waits for its connection
             yield from world.until(lambda: part.attempt_count == 2)
         else:  # no copy may be out beside it: driven by the driver's own door
-            other = next(node for node in world.nodes if node.uid != first and node.cell in (3, 4, 5))
+            other = next(
+                node for node in world.nodes if node.uid != first and node.replica_group in (3, 4, 5)
+            )
             key = (part.id, 1)
             part.attempt_count = 2
             query.in_flight[key] = other.uid
             world.broker._link(other.uid).send([world.broker.attempt_request(query, part, 1, 100_000)])
         for node in world.nodes:
-            node.behave = None
+            node.responder = None
         stream, node, called = held[0]
-        node._done(stream, called)
+        node.finish_work(stream, called)
         yield from world.until(lambda: part.data is not None)  # its query goes on: another part is out
         yield from sleep(world.loop, 0)
         for address in list(world.gate.shut):
@@ -313,7 +317,7 @@
             lambda: any(part.id == "after.3" for node in world.nodes for part in node.parts)
         )
         stream, node, called = held[1]
-        node._done(stream, called)
+        node.finish_work(stream, called)
         return (yield from asked.join()).status
 
     assert world.run(main()) == 200
@@ -464,7 +468,7 @@
     def main():
         world.put(world.nodes[0], "draining")
         yield from world.until(world.knows(world.nodes[0], "draining"))
-        for stream in list(world.registry._streams):
+        for stream in list(world.registry.streams):
             stream.abort()
         world.put(world.nodes[1], "gone")
         yield from world.until(world.knows(world.nodes[1], "gone"))
@@ -484,7 +488,7 @@
     world = Platform(setup={"registry-mode": "push", "invariants": {"drain-grace-us": 0}})
     world.registry.down = True
     world.wait(1.0)
-    assert 3 <= len(world.registry.calls) <= 500
+    assert 3 <= len(world.registry.queries) <= 500
 
 
 @pytest.mark.parametrize("grace_us", [0, 250_000, 400_000, 999_999, 1_000_000, 3_000_000])
@@ -508,12 +512,12 @@
     registry = world.registry
     grace = setup["invariants"]["drain-grace-us"]
     world.wait(0.01)
-    wait_us = int(registry.calls[-1].partition("hold_ms=")[2]) * 1000
+    wait_us = int(registry.queries[-1].partition("hold_ms=")[2]) * 1000
     silent_at = world.loop.now()
-    registry.fall_silent()
-    registry.line_us = 700_000  # a call and its line
-    registry.put({**world.nodes[4].entry, "state": "draining"})
-    told = max(silent_at + 6_000_000, registry.called_us + wait_us + 2_000_000)
+    registry.mute_connections()
+    registry.entry_work_us = 700_000  # a call and its line
+    registry.publish({**world.nodes[4].entry, "state": "draining"})
+    told = max(silent_at + 6_000_000, registry.last_request_at_us + wait_us + 2_000_000)
     world.wait((told + grace - world.loop.now()) / 1e6)
     assert not world.broker.aggregator.endpoints["s4"].live
 
@@ -528,10 +532,10 @@
     world.broker.aggregator.random.uniform = lambda low, high: low + draw * (high - low)
     registry = world.registry
     world.wait(0.01)
-    wait_us = int(registry.calls[-1].partition("hold_ms=")[2]) * 1000
-    silent_at, called = world.loop.now(), registry.called_us
-    registry.fall_silent()
-    registry.put({**world.nodes[4].entry, "state": "draining"})
+    wait_us = int(registry.queries[-1].partition("hold_ms=")[2]) * 1000
+    silent_at, called = world.loop.now(), registry.last_request_at_us
+    registry.mute_connections()
+    registry.publish({**world.nodes[4].entry, "state": "draining"})
     if failing == "503":
         registry.down = True
     else:
@@ -553,11 +557,11 @@
     registry = world.registry
     registry.down = True
     world.wait(30.0)
-    calls = len(registry.calls)
+    calls = len(registry.queries)
     world.broker.watch.move("registry:8500")
     world.wait(2.0)
-    assert len(registry.calls) >= calls + 3
-    registry.put({**world.nodes[4].entry, "state": "draining"})
+    assert len(registry.queries) >= calls + 3
+    registry.publish({**world.nodes[4].entry, "state": "draining"})
     registry.down = False
     world.wait(1.0)
     assert not world.broker.aggregator.endpoints["s4"].live
@@ -571,16 +575,19 @@
     world = Platform(known=False)
     registry = world.registry
     world.wait(0.1)
-    registry.put({**world.nodes[5].entry, "state": "draining"})
-    registry.put({**world.nodes[5].entry, "state": "up"})
+    registry.publish({**world.nodes[5].entry, "state": "draining"})
+    registry.publish({**world.nodes[5].entry, "state": "up"})
     world.wait(0.1)
     registry.down = True
-    registry.wake()
+    registry.notify_watches()
     world.wait(0.5)
-    registry.rev = rev
-    registry.entries["s2"] = (rev, {**world.nodes[2].entry, "state": "draining"})
+    registry.revision = rev
+    registry.entries["s2"] = PublishedEntry(rev, {**world.nodes[2].entry, "state": "draining"})
     if rev == 2:  # ours was 3: the whole list comes once more
-        registry.entries = {uid: (min(at, rev), entry) for uid, (at, entry) in registry.entries.items()}
+        registry.entries = {
+            uid: PublishedEntry(min(published.revision, rev), published.entry)
+            for uid, published in registry.entries.items()
+        }
     registry.down = False
     world.wait(12.0)
     assert not world.broker.aggregator.endpoints["s2"].live and world.broker.aggregator.endpoints["s5"].live
@@ -638,7 +645,7 @@
         return len(asked)
 
     assert world.run(main()) == (0 if point == "connecting" else 1)
-    assert world.broker.watch.rev == world.registry.rev
+    assert world.broker.watch.rev == world.registry.revision
 
 
 # The end.
@@ -657,7 +664,7 @@
 
     def one(kind, n):
         key = "k1" if kinds[kind]["idempotency"] == "idempotency_key" else ""
-        response = yield from world.client(f"c{n}").ask(f"q{n}", kind, [3], wait_ms=60_000, key=key)
+        response = yield from world.client(f"c{n}").send_query(f"q{n}", kind, [3], timeout_ms=60_000, key=key)
         answered[n] = (world.loop.now(), response.status, kind)
 
     def main():
--- a/tests/test_event_orderings_processes.py
+++ b/tests/test_event_orderings_processes.py
@@ -13,7 +13,7 @@
 from heathwell.gateway.config import read
 from heathwell.gateway.process import Process
 from heathwell.testing.simulation.platform_fleet import PlatformFleet, config_of
-from heathwell.testing.standins.platform import Node
+from heathwell.testing.standins.platform_node import PlatformNode
 
 from .crossings import CUSTOMERS, customer
 
@@ -51,7 +51,7 @@
 
 def one_part(world, name, kind, client=None):
     key = "k1" if kind["idempotency"] == "idempotency_key" else ""
-    return (client or world.client()).ask(name, kind["name"], [3], wait_ms=60_000, key=key)
+    return (client or world.client()).send_query(name, kind["name"], [3], timeout_ms=60_000, key=key)
 
 
 def until(world, point):
@@ -83,7 +83,7 @@
 
     def main():
         yield from world.says("configuration read")
-        return (yield from world.client().ask("q1", "price-search", [0, 1, 2, 3])).status
+        return (yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])).status
 
     assert world.run(main()) == 200
 
@@ -131,7 +131,7 @@
         stream = yield from world.net.connect(world.address, 1_000_000)
         stream.write(request[:50])
         assert (
-            yield from world.client().ask("q0", "price-search", [3])
+            yield from world.client().send_query("q0", "price-search", [3])
         ).status == 200  # the half is read by now
         world.process.send_signal(signal.SIGTERM)
         while True:
@@ -217,8 +217,8 @@
         world.process.send_signal(signal.SIGHUP)
         if point == "twice":
             world.process.send_signal(signal.SIGHUP)
-        yield from until(world, lambda: world.registries[1].calls)
-        status = (yield from world.client().ask("q1", "price-search", [0, 1, 2, 3])).status
+        yield from until(world, lambda: world.registries[1].queries)
+        status = (yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])).status
         if point != "while it ends":
             assert world.process.poll() is None
             world.process.send_signal(signal.SIGTERM)
@@ -250,10 +250,10 @@
             )
         )
         world.process.send_signal(signal.SIGHUP)
-        yield from until(world, lambda: world.registries[1].calls)
+        yield from until(world, lambda: world.registries[1].queries)
         yield from world.says("from_the_next_start='settings'")
-        one = yield from world.client().ask("q1", "price-search", [0, 1, 2, 3])
-        other = yield from world.client().ask("q2", "other", [0])
+        one = yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])
+        other = yield from world.client().send_query("q2", "other", [0])
         return one.status, other.status
 
     assert world.run(main()) == (200, 404)
@@ -264,7 +264,7 @@
     has accepted nothing of it yet. Its end was looked for in the same turn, before their tasks had begun.
     """
     loop, net, _ = socket_loop()
-    node = Node(loop, net, "127.0.0.1:0", "s3", 3, work_us=1)
+    node = PlatformNode(loop, net, "127.0.0.1:0", "s3", 3, work_us=1)
     config = read(
         config_of(
             listen="127.0.0.1:0",
--- a/tests/test_event_orderings_random.py
+++ b/tests/test_event_orderings_random.py
@@ -55,7 +55,7 @@
 
 
 def noise(node, stream, part):
-    node.behave = None
+    node.responder = None
     stream.write(b"\x00noise" * 9)
 
 
@@ -77,7 +77,9 @@
         key = "k1" if kind["idempotency"] == "idempotency_key" else ""
         query, client = f"q{n}", world.client(f"c{n}")
         leaves = draw.random() < 0.3
-        asks = client.ask(query, kind["name"], shards, wait_ms=draw.choice([80, 300, 60_000]), key=key)
+        asks = client.send_query(
+            query, kind["name"], shards, timeout_ms=draw.choice([80, 300, 60_000]), key=key
+        )
         task = world.loop.spawn(asks, query)
         if leaves:
             yield from sleep(world.loop, draw.choice([1, 300, 20_000, 120_000, 350_000]))
@@ -92,11 +94,11 @@
 
     def crosses(what, node):
         if what == "drain":
-            registry.put({**node.entry, "state": "draining"})
+            registry.publish({**node.entry, "state": "draining"})
         elif what == "remove":
-            registry.put({**node.entry, "state": "removed"})
+            registry.publish({**node.entry, "state": "removed"})
         elif what == "return":
-            registry.put(node.entry)
+            registry.publish(node.entry)
         elif what == "reset":
             for stream in list(node.streams):
                 stream.abort()
@@ -112,17 +114,17 @@
                 node,
             )
         elif what == "watch silent":
-            registry.fall_silent()
+            registry.mute_connections()
         elif what == "watch reset":
-            for stream in list(registry._streams):
+            for stream in list(registry.streams):
                 stream.abort()
         elif what == "discovery down":
             registry.down = not registry.down
-            registry.wake()
+            registry.notify_watches()
         elif what == "older list":
-            registry.rev = max(1, registry.rev - 2)
+            registry.revision = max(1, registry.revision - 2)
         elif what == "spoil":
-            node.behave = noise
+            node.responder = noise
         elif what == "end" and not ends and draw.random() < 0.3:
             ends.append(world.loop.now() + 2_000_000)
             world.broker.start_shutdown(ends[0])
--- a/tests/test_event_orderings_timeouts.py
+++ b/tests/test_event_orderings_timeouts.py
@@ -9,7 +9,7 @@
 import pytest
 
 from heathwell.eventloop import Event, sleep
-from heathwell.testing.standins.platform import answer
+from heathwell.testing.standins.platform_frames import encode_answer
 
 from .crossings import CUSTOMERS, World, customer
 
@@ -63,7 +63,7 @@
 
     def main():
         for node in world.nodes:
-            node.behave = lambda node, stream, part: held.append((node, stream, part))
+            node.responder = lambda node, stream, part: held.append((node, stream, part))
         asked = world.ask("q1", SHARD, kind)
         yield from world.until(lambda: held)
         node, stream, part = held[0]
@@ -71,7 +71,7 @@
             if other is not node:
                 world.gate.hold(other.address)
         sent_at = world.loop.now()  # of the first attempt's arrival: it left before
-        stream.write(answer(part, 500))
+        stream.write(encode_answer(part, 500))
         waits = {other.address for other in world.nodes if other is not node}
         yield from world.until(
             lambda: any(a in waits for a in world.gate.asked), "the repeat waits for its connect"
@@ -94,16 +94,16 @@
 
     def main():
         for node in world.nodes:
-            node.behave = lambda node, stream, part: held.append((node, stream, part))
+            node.responder = lambda node, stream, part: held.append((node, stream, part))
         asked = world.ask("q1", SHARD, kind)
         yield from world.until(lambda: held)
         node, stream, part = held[0]
         for other in world.nodes:
-            other.behave = None
+            other.responder = None
             if other is not node:
                 world.gate.hold(other.address)
         asked_before = len(world.gate.asked)
-        stream.write(answer(part, 500))
+        stream.write(encode_answer(part, 500))
         yield from world.until(lambda: len(world.gate.asked) > asked_before)
         for other in world.nodes:
             if other is not node:
@@ -133,7 +133,7 @@
 
     parts, left = world.run(main())
     assert [part.id for part in parts] == ["q1.3"]
-    assert 0 < int(parts[0].items["d"]) * 1000 <= left
+    assert 0 < int(parts[0].fields["d"]) * 1000 <= left
 
 
 # Answers.
@@ -150,18 +150,18 @@
 
     def main():
         node = world.nodes[SHARD]
-        node.behave = lambda node, stream, part: held.append((stream, part))
+        node.responder = lambda node, stream, part: held.append((stream, part))
         sock = world.raw()
         sock.send(world.request("q1", SHARD, kind))
         yield from world.until(lambda: held)
-        node.behave = None
+        node.responder = None
         stream, part = held[0]
         if first == "answer":
-            stream.write(answer(part))
+            stream.write(encode_answer(part))
         world.stalls_until(world.broker.queries["q1"].deadline_us + 1_000)
         data = yield from told(world, sock, b"")
         if first == "deadline" and not stream.closed:
-            stream.write(answer(part))
+            stream.write(encode_answer(part))
             yield from world.until(lambda: world.broker.links["s3"].late_answers)
         sock.send(b"GET /-/ready HTTP/1.1\r\nHost: b\r\n\r\n")  # the connection is as good as before
         return (yield from told(world, sock, data, 2))
@@ -186,24 +186,24 @@
 
     def main():
         for node in world.nodes:
-            node.behave = lambda node, stream, part: held.append((node, stream, part))
+            node.responder = lambda node, stream, part: held.append((node, stream, part))
         sock = world.raw()
         sock.send(world.request("q1", SHARD, kind))
         yield from world.until(lambda: held)
         node, stream, part = held[0]
         if first == "answer":
-            stream.write(answer(part))
+            stream.write(encode_answer(part))
         # Half of the aim: the part is late, and its query has time.
         world.stalls_until(world.loop.now() + world.setup["classes"][kind]["objective-us"] * 11 // 20)
         if first == "cancel":
             yield from world.until(lambda: len(held) == 2, "a further attempt")
             if cancels and not copies:
-                yield from world.until(lambda: node.given_up)
-            stream.write(answer(part))
+                yield from world.until(lambda: node.cancelled_ids)
+            stream.write(encode_answer(part))
             if not copies:
                 yield from world.until(lambda: world.broker.links[node.uid].late_answers)
                 other, stream, part = held[1]
-                stream.write(answer(part))
+                stream.write(encode_answer(part))
         return (yield from told(world, sock, b""))
 
     assert statuses(world.run(main())) == [200]
@@ -221,14 +221,14 @@
     effect = world.setup["classes"][kind]["idempotency"]
 
     def ends(node, stream, part):
-        node.behave = None
-        whole = answer(part)
+        node.responder = None
+        whole = encode_answer(part)
         stream.write(whole if first == "answer" else whole[:-3])
         stream.close()
 
     def main():
         node = world.nodes[SHARD]
-        node.behave = ends
+        node.responder = ends
         return (yield from world.ask("q1", SHARD, kind).join()).status
 
     repeated = first == "end" and effect != "non_idempotent"
@@ -314,7 +314,7 @@
 
     def main():
         if discovery == "answers late":
-            yield from world.until(lambda: world.registry.calls)
+            yield from world.until(lambda: world.registry.queries)
         waits = pushed and discovery == "answers late"
         if discovery == "is down":
             yield from world.until(lambda: world.broker.counters["news", "failed"] or not pushed)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,7 +11,7 @@
 from heathwell.eventloop import StreamBrokenError, sleep
 from heathwell.gateway.node_pool import SINGLE_PART_AFTER_CLOSES
 from heathwell.gateway.trace import Trace
-from heathwell.testing.standins.platform import answer, value_of
+from heathwell.testing.standins.platform_frames import encode_answer, generate_result
 
 from .conftest import Driver, make_settings, of
 from .platform import UNIX_US, Platform, node_ask
@@ -19,7 +19,7 @@
 
 def ask(world, *args, **more):
     def main():
-        response = yield from world.client().ask(*args, **more)
+        response = yield from world.client().send_query(*args, **more)
         return response
 
     response = world.run(main())
@@ -31,12 +31,14 @@
     status, body = ask(world, "q1", "price-search", [0, 1, 2, 3])
     assert status == 200 and body["exact"] and len(body["rows"]) == 3  # any three of four make it whole
     assert {row["id"]: row["data"] for row in body["rows"]} == {
-        row["id"]: value_of(row["id"], b"c41e77d0").decode() for row in body["rows"]
+        row["id"]: generate_result(row["id"], b"c41e77d0").decode() for row in body["rows"]
     }
     parts = [part for node in world.nodes for part in node.parts]
-    assert len(parts) == 3 and all(part.text == b"c41e77d0" and int(part.items["d"]) <= 600 for part in parts)
+    assert len(parts) == 3 and all(
+        part.text == b"c41e77d0" and int(part.fields["d"]) <= 600 for part in parts
+    )
     assert all(
-        part.shard % 6 in {(node.cell - n) % 6 for n in range(3)}
+        part.shard % 6 in {(node.replica_group - n) % 6 for n in range(3)}
         for node in world.nodes
         for part in node.parts
     )
@@ -46,13 +48,15 @@
 def test_a_second_step_goes_to_the_highest_scores_and_names_what_was_in():
     world = Platform()
     status, body = ask(world, "q2", "day-report", [4, 5, 6, 7])
-    scores = {shard: int(value_of(shard, b"c41e77d0"), 16) % 1000 for shard in (4, 5, 6, 7)}
+    scores = {shard: int(generate_result(shard, b"c41e77d0"), 16) % 1000 for shard in (4, 5, 6, 7)}
     best = sorted(scores, key=lambda shard: -scores[shard])[:2]
     assert status == 200 and body["exact"] and sorted(row["id"] for row in body["rows"]) == sorted(best)
-    assert all(row["data"].encode() == value_of(row["id"], b"c41e77d0", ".fetch") for row in body["rows"])
+    assert all(
+        row["data"].encode() == generate_result(row["id"], b"c41e77d0", ".fetch") for row in body["rows"]
+    )
     seconds = [part for node in world.nodes for part in node.parts if part.id.endswith(".fetch")]
-    assert [part.items["from"] for part in seconds] == ["4+5+6+7"] * 2
-    assert {part.items["whole"] for part in seconds} == {"1"}
+    assert [part.fields["from"] for part in seconds] == ["4+5+6+7"] * 2
+    assert {part.fields["whole"] for part in seconds} == {"1"}
     assert world.verdict().kept
 
 
@@ -61,18 +65,18 @@
     status, _ = ask(world, "q3", "sale-record", [3], key="5c0f6e1a2b3d4c59")
     assert status == 200
     (part,) = [part for node in world.nodes for part in node.parts]
-    assert part.items["k"] == "5c0f6e1a2b3d4c59" and part.id == "q3.3"
+    assert part.fields["k"] == "5c0f6e1a2b3d4c59" and part.id == "q3.3"
 
 
 def test_a_connection_that_breaks_does_not_eject_its_node():
     world = Platform()
 
     def breaks(node, stream, part):
-        node.behave = None
+        node.responder = None
         stream.abort()
 
     for node in world.nodes:
-        node.behave = breaks
+        node.responder = breaks
     status, _ = ask(world, "q1", "price-search", [0, 1, 2, 3])
     assert status == 200
     assert (
@@ -94,10 +98,10 @@
         victims.append(node.uid)
         node.kill()
         for other in world.nodes:
-            other.behave = None
+            other.responder = None
 
     for node in world.nodes:
-        node.behave = dies
+        node.responder = dies
     status, _ = ask(world, "q1", "price-search", [0, 1, 2, 3])
     assert status == 200 and world.broker.counters["attempt", "price-search", policy.Outcome.BROKEN] >= 1
     assert world.broker.aggregator.endpoints[victims[0]].ejections
@@ -117,18 +121,18 @@
     world = Platform()
 
     def closes(node, stream, part):
-        node.served(part)
-        stream.write(answer(part))
+        node.log_end(part)
+        stream.write(encode_answer(part))
         stream.close()
 
     for node in world.nodes:
-        node.behave = closes
+        node.responder = closes
 
     def main():
         for n in range(30):
             client = world.client()
-            first = world.loop.spawn(client.ask(f"a{n}", "price-search", [0, 1, 2, 3]), "a")
-            second = world.loop.spawn(world.client().ask(f"b{n}", "price-search", [0, 1, 2, 3]), "b")
+            first = world.loop.spawn(client.send_query(f"a{n}", "price-search", [0, 1, 2, 3]), "a")
+            second = world.loop.spawn(world.client().send_query(f"b{n}", "price-search", [0, 1, 2, 3]), "b")
             yield from first.join()
             yield from second.join()
 
@@ -139,7 +143,7 @@
 
     def more():
         tasks = [
-            world.loop.spawn(world.client().ask(f"c{n}", "price-search", [0, 1, 2, 3]), "c")
+            world.loop.spawn(world.client().send_query(f"c{n}", "price-search", [0, 1, 2, 3]), "c")
             for n in range(12)
         ]
         for task in tasks:
@@ -150,9 +154,9 @@
 
     def keeps():
         for node in world.nodes:
-            node.behave = None
+            node.responder = None
         for n in range(8):
-            yield from world.client().ask(f"d{n}", "price-search", [0, 1, 2, 3])
+            yield from world.client().send_query(f"d{n}", "price-search", [0, 1, 2, 3])
             yield from sleep(world.loop, 100_000)
 
     world.run(keeps())
@@ -168,7 +172,7 @@
     link = link_of("s3")
     world.broker.on_attempt_result = lambda node, key, outcome, result: ended.append((key, outcome))
     late = []
-    node.behave = lambda node, stream, part: late.append((stream, part))
+    node.responder = lambda node, stream, part: late.append((stream, part))
     link.send([node_ask("q1.3", 0, 3, b"x")])
     world.wait(0.05)
     assert link.abandon(("q1.3", 0))
@@ -176,14 +180,14 @@
     world.wait(0.05)
     assert len(late) == 2 and late[0][0] is not late[1][0]  # another connection: an id goes over one once
     stream, part = late[0]
-    stream.write(answer(part, 503))  # of the first, which was given up
+    stream.write(encode_answer(part, 503))  # of the first, which was given up
     world.wait(0.01)
     assert not ended and link.late_answers == 1
     stream, part = late[1]
-    stream.write(answer(part))
+    stream.write(encode_answer(part))
     world.wait(0.01)
     assert ended == [(("q1.3", 1), policy.Outcome.OK)]
-    assert node.given_up == ["q1.3"]
+    assert node.cancelled_ids == ["q1.3"]
 
 
 def test_a_silent_connection_is_not_trusted_with_a_probe():
@@ -211,16 +215,16 @@
 
     def mute(node, stream, part):
         if stream not in dead:
-            node.served(part)
-            stream.write(answer(part))
+            node.log_end(part)
+            stream.write(encode_answer(part))
 
     for node in world.nodes:
-        node.behave = mute
+        node.responder = mute
 
     def main():
         statuses = []
         for n in range(60):
-            response = yield from world.client().ask(f"q{n + 1}", "price-search", [0, 1, 2, 3])
+            response = yield from world.client().send_query(f"q{n + 1}", "price-search", [0, 1, 2, 3])
             statuses.append(response.status)
             yield from sleep(world.loop, 20_000)
         return statuses
@@ -242,7 +246,7 @@
     world.net.delay = lambda a, b: 60_000 if "broker" in (a, b) and "s" in (a[0], b[0]) else slow(a, b)
 
     def main():
-        response = yield from world.client().ask("q1", "price-search", [0, 1, 2, 3], wait_ms=120)
+        response = yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3], timeout_ms=120)
         yield from sleep(world.loop, 1_000_000)
         return response.status
 
@@ -260,7 +264,9 @@
         node.silent = True
 
     def main():
-        task = world.loop.spawn(world.client().ask("q1", "price-search", [0, 1, 2, 3], wait_ms=300), "q")
+        task = world.loop.spawn(
+            world.client().send_query("q1", "price-search", [0, 1, 2, 3], timeout_ms=300), "q"
+        )
         yield from sleep(world.loop, 200_000)
         world.loop.clock.advance(world.loop.now() + 300_000)  # nothing ran for so long
         return (yield from task.join())
@@ -274,7 +280,7 @@
     world = Platform()
     assert world.registry is not None
     began = world.loop.now()
-    world.registry.put({**world.nodes[2].entry, "boot_ms": UNIX_US // 1000 + 5000})
+    world.registry.publish({**world.nodes[2].entry, "boot_ms": UNIX_US // 1000 + 5000})
     world.wait(0.5)
     assert world.broker.aggregator.endpoints["s2"].started_at_us == began + 5_000_000
     assert world.broker.aggregator.endpoints["s1"].started_at_us is None
@@ -299,7 +305,7 @@
 
     def main():
         client = world.client()
-        task = world.loop.spawn(client.ask("q1", "price-search", [0, 1, 2, 3]), "q")
+        task = world.loop.spawn(client.send_query("q1", "price-search", [0, 1, 2, 3]), "q")
         yield from sleep(world.loop, 10_000)
         client.stream.close()
         with contextlib.suppress(StreamBrokenError):
@@ -319,13 +325,13 @@
         nodes = list(world.nodes)
         for n in range(2000):
             old, cell = nodes[n % 6], n % 6
-            world.registry.put({**old.entry, "state": "removed"})
+            world.registry.publish({**old.entry, "state": "removed"})
             nodes[cell] = world.node(1000 + n, cell)
-            world.registry.put({**nodes[cell].entry, "boot_ms": 1 + n})
+            world.registry.publish({**nodes[cell].entry, "boot_ms": 1 + n})
             yield from sleep(world.loop, 100_000)
             old.kill()
             client = world.client(f"c{n}")
-            response = yield from client.ask(f"q{n}", "price-search", [(n + k) % 12 for k in range(4)])
+            response = yield from client.send_query(f"q{n}", "price-search", [(n + k) % 12 for k in range(4)])
             assert response.status in (200, 503)
             client.stream.close()
             world.events.clear()
@@ -413,7 +419,7 @@
     def main():
         for n in range(20):
             client = world.client(f"c{n}")
-            yield from client.ask(f"q{n}", "price-search", [0, 1, 2, 3])
+            yield from client.send_query(f"q{n}", "price-search", [0, 1, 2, 3])
             connections = [c for link in world.broker.links.values() for c in link.connections]
             seen.extend(weakref.ref(thing) for thing in (*connections, *world.front.clients))
             client.stream.close()
--- a/tests/test_gateway_faults.py
+++ b/tests/test_gateway_faults.py
@@ -16,7 +16,9 @@
 from heathwell.codec import nodeframes as nf
 from heathwell.codec.http import Request, ServerSide
 from heathwell.eventloop import StreamBrokenError, sleep
-from heathwell.testing.standins.platform import answer, value_of
+from heathwell.testing.standins.platform_discovery import PublishedEntry
+from heathwell.testing.standins.platform_frames import encode_answer, generate_result
+from heathwell.testing.standins.platform_node import PartOutcome
 
 from .platform import Platform, node_ask
 
@@ -25,14 +27,14 @@
     """A node that answers like this once, and well from then on."""
 
     def behave(node, stream, part):
-        node.behave = None
+        node.responder = None
         stream.write(data(part) if callable(data) else data)
 
     return behave
 
 
 def sound(part, **more):
-    return answer(part, **more)
+    return encode_answer(part, **more)
 
 
 @pytest.mark.parametrize(
@@ -51,15 +53,15 @@
 def test_a_spoilt_answer_is_a_failed_attempt_and_the_client_is_served_elsewhere(data):
     world = Platform()
     for node in world.nodes:
-        node.behave = spoils(data)
+        node.responder = spoils(data)
 
     def main():
-        return (yield from world.client().ask("q1", "price-search", [0, 1, 2, 3]))
+        return (yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3]))
 
     response = world.run(main())
     rows = json.loads(response.body)["rows"]
     assert response.status == 200
-    assert all(row["data"].encode() == value_of(row["id"], b"c41e77d0") for row in rows)
+    assert all(row["data"].encode() == generate_result(row["id"], b"c41e77d0") for row in rows)
     ended = {key[2] for key in world.broker.counters if key[0] == "attempt"}
     assert policy.Outcome.ERROR in ended and policy.Outcome.BROKEN not in ended
     assert sum(link.invalid_answers for link in world.broker.links.values()) >= 3
@@ -70,14 +72,14 @@
     world = Platform()
 
     def rides(node, stream, part):
-        stream.write(answer(part) + (answer(part) if behind is None else behind))
+        stream.write(encode_answer(part) + (encode_answer(part) if behind is None else behind))
 
     for node in world.nodes:
-        node.behave = rides
+        node.responder = rides
 
     def main():
         for n in range(6):
-            response = yield from world.client().ask(f"q{n}", "price-search", [0, 1, 2, 3])
+            response = yield from world.client().send_query(f"q{n}", "price-search", [0, 1, 2, 3])
             assert response.status == 200
             yield from sleep(world.loop, 50_000)
 
@@ -91,22 +93,22 @@
 
     def drips(node, stream, part):
         def run():
-            for byte in answer(part):
+            for byte in encode_answer(part):
                 stream.write(bytes([byte]))
                 yield from sleep(world.loop, 500)
 
         world.loop.spawn(run(), "drips")
 
     for node in world.nodes:
-        node.behave = drips
+        node.responder = drips
 
     def main(name):
-        return (yield from world.client().ask(name, "price-search", [0, 1, 2, 3]))
+        return (yield from world.client().send_query(name, "price-search", [0, 1, 2, 3]))
 
     assert world.run(main("q1")).status == 200
     for node in world.nodes:
-        node.behave = lambda node, stream, part: stream.write(answer(part)[:9])
-    world.nodes[1].behave = world.nodes[3].behave = world.nodes[5].behave = None
+        node.responder = lambda node, stream, part: stream.write(encode_answer(part)[:9])
+    world.nodes[1].responder = world.nodes[3].responder = world.nodes[5].responder = None
     assert world.run(main("q2")).status == 200
 
 
@@ -142,16 +144,18 @@
     assert world.registry is not None
 
     def main():
-        task = world.loop.spawn(world.client().ask("q1", "day-report", [0, 1, 2, 3], wait_ms=900), "q")
+        task = world.loop.spawn(
+            world.client().send_query("q1", "day-report", [0, 1, 2, 3], timeout_ms=900), "q"
+        )
         yield from sleep(world.loop, 30_000)
         for node in world.nodes[:3]:
             node.draining = True
-            world.registry.put(node.entry)
+            world.registry.publish(node.entry)
         yield from task.join()
         yield from sleep(world.loop, 2_000_000)
         told = {node.uid: len(node.parts) for node in world.nodes[:3]}
         for n in range(6):
-            yield from world.client().ask(f"r{n}", "price-search", [0, 1, 2, 3])
+            yield from world.client().send_query(f"r{n}", "price-search", [0, 1, 2, 3])
         return told
 
     told = world.run(main())
@@ -163,7 +167,7 @@
     world = Platform()
     assert world.registry is not None
     world.wait(0.2)
-    world.registry.put({**world.nodes[0].entry, "boot_ms": 1_700_000_000_000 + 100})
+    world.registry.publish({**world.nodes[0].entry, "boot_ms": 1_700_000_000_000 + 100})
     world.wait(0.2)
 
     def main():
@@ -171,7 +175,9 @@
         for n in range(120):
             shards = [(n + k) % 12 for k in range(4)]
             tasks.append(
-                world.loop.spawn(world.client().ask(f"q{n}", "price-search", shards, hint=40_000), "q")
+                world.loop.spawn(
+                    world.client().send_query(f"q{n}", "price-search", shards, work_hint_us=40_000), "q"
+                )
             )
             yield from sleep(world.loop, 10_000)
         for task in tasks:
@@ -189,16 +195,16 @@
     registry.down = True
 
     def main():
-        response = yield from world.client().ask("q1", "price-search", [0, 1, 2, 3])
+        response = yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])
         assert response.status == 200  # from the list as it was last known
         yield from sleep(world.loop, 1_000_000)
         assert world.broker.counters["news", policy.UpdateKind.FAILED] >= 1
         registry.down = False
         yield from sleep(world.loop, 5_000_000)
-        calls = len(registry.calls)
-        registry.put({**world.nodes[5].entry, "state": "draining"})
+        calls = len(registry.queries)
+        registry.publish({**world.nodes[5].entry, "state": "draining"})
         yield from sleep(world.loop, 100_000)
-        assert len(registry.calls) == calls + 1 and not world.broker.aggregator.endpoints["s5"].live
+        assert len(registry.queries) == calls + 1 and not world.broker.aggregator.endpoints["s5"].live
         failures = world.broker.watch.failures
         registry.silent = True
         yield from sleep(world.loop, world.config.hold_us + 3_500_000)
@@ -207,7 +213,7 @@
         )  # within a hold and a call's time, and that of one opened anew
         registry.silent = False
         world.nodes[2].draining = True
-        registry.put(world.nodes[2].entry)
+        registry.publish(world.nodes[2].entry)
         yield from sleep(world.loop, 6_000_000)
 
     world.run(main())
@@ -219,9 +225,9 @@
     registry = world.registry
     assert registry is not None
     world.wait(0.5)
-    registry.put({**world.nodes[4].entry, "state": "draining"})
+    registry.publish({**world.nodes[4].entry, "state": "draining"})
     world.wait(2.0)
-    holds = [call.partition("&hold_ms=") for call in registry.calls]
+    holds = [call.partition("&hold_ms=") for call in registry.queries]
     assert [start for start, _, _ in holds] == ["from=1", "from=2"]
     # Held as long as an ask may be late, less a draw that keeps brokers apart.
     assert all(7_500 <= int(hold) <= 10_000 for _, _, hold in holds) and holds[0] != holds[1]
@@ -240,10 +246,10 @@
     registry = world.registry
     assert registry is not None
     world.wait(after)
-    wait_us = int(registry.calls[-1].partition("hold_ms=")[2]) * 1_000
-    told_us = max(world.loop.now() + 6_000_000, registry.called_us + wait_us + 2_000_000)
-    registry.fall_silent()
-    registry.put({**world.nodes[4].entry, "state": "draining"})
+    wait_us = int(registry.queries[-1].partition("hold_ms=")[2]) * 1_000
+    told_us = max(world.loop.now() + 6_000_000, registry.last_request_at_us + wait_us + 2_000_000)
+    registry.mute_connections()
+    registry.publish({**world.nodes[4].entry, "state": "draining"})
     world.wait(
         (told_us - world.loop.now()) / 1e6 - 0.5
     )  # half a second is left to a busy discovery, and the grace
@@ -262,36 +268,38 @@
     assert registry is not None
     world.wait(0.5)
     registry.down = True
-    registry.wake()
+    registry.notify_watches()
     world.wait(0.1)
     assert world.broker.watch.failures == 1
-    registry.put({**world.nodes[4].entry, "state": "draining"})
+    registry.publish({**world.nodes[4].entry, "state": "draining"})
     registry.down = False
     world.wait(5.0)
-    assert "" not in registry.calls and not world.broker.aggregator.endpoints["s4"].live
+    assert "" not in registry.queries and not world.broker.aggregator.endpoints["s4"].live
 
 
 def test_where_no_list_is_held_or_discovery_has_moved_the_whole_one_is_asked_for():
     world = Platform(known=False)
     assert world.registry is not None
     world.wait(0.5)
-    assert world.registry.calls[0] == "" and "from=1" in world.registry.calls[1]
+    assert world.registry.queries[0] == "" and "from=1" in world.registry.queries[1]
     world.broker.watch.move("registry:8500")
     world.wait(0.5)
-    assert world.registry.calls.count("") == 2
+    assert world.registry.queries.count("") == 2
 
 
 def test_changes_of_an_older_list_lead_to_a_whole_one():
     world = Platform()
     registry = world.registry
     assert registry is not None
-    registry.rev = 50
+    registry.revision = 50
     world.wait(0.5)
-    registry.rev = 7  # discovery came back with what it had before
-    registry.entries = {uid: (7, entry) for uid, (_, entry) in registry.entries.items()}
-    registry.wake()
+    registry.revision = 7  # discovery came back with what it had before
+    registry.entries = {
+        uid: PublishedEntry(7, published.entry) for uid, published in registry.entries.items()
+    }
+    registry.notify_watches()
     world.wait(12.0)
-    assert registry.calls.count("") == 1 and world.broker.watch.rev == 7
+    assert registry.queries.count("") == 1 and world.broker.watch.rev == 7
 
 
 def test_a_node_that_moves_is_met_at_its_new_address():
@@ -299,12 +307,12 @@
     assert world.registry is not None
 
     def main(name):
-        return (yield from world.client().ask(name, "sale-record", [3], key="k"))
+        return (yield from world.client().send_query(name, "sale-record", [3], key="k"))
 
     assert world.run(main("q1")).status == 200
     for number, old in enumerate(list(world.nodes)):
         moved = world.nodes[number] = world.node(100 + number, number)
-        world.registry.put({**moved.entry, "uid": old.uid})
+        world.registry.publish({**moved.entry, "uid": old.uid})
         old.kill()
     world.wait(0.3)
     assert world.run(main("q2")).status == 200
@@ -356,19 +364,19 @@
         elif fate < 0.07:
             stream.write(b"\x00\x00\x00\x09Ogarbage!")
         elif fate < 0.10:
-            node.served(part, "error")
-            stream.write(answer(part, 500))
+            node.log_end(part, PartOutcome.ERROR)
+            stream.write(encode_answer(part, 500))
         elif fate < 0.13:
-            node.served(part, "full")
-            stream.write(answer(part, 503))
+            node.log_end(part, PartOutcome.REJECTED)
+            stream.write(encode_answer(part, 503))
         elif stream not in dead:
-            node.served(part)
-            stream.write(answer(part))
+            node.log_end(part)
+            stream.write(encode_answer(part))
             if fate > 0.95:
                 stream.close()
 
     for node in world.nodes:
-        node.behave = behave
+        node.responder = behave
     told = []
 
     def one(n):
@@ -379,13 +387,13 @@
         ][n % 3]
         client = world.client(f"c{n}")
         if n % 17 == 0:
-            task = world.loop.spawn(client.ask(f"q{n}", kind, shards, key=key), "leaves")
+            task = world.loop.spawn(client.send_query(f"q{n}", kind, shards, key=key), "leaves")
             yield from sleep(world.loop, 15_000)
             client.stream.abort()
             with contextlib.suppress(StreamBrokenError):  # it may have been refused before
                 yield from task.join()
             return
-        response = yield from client.ask(f"q{n}", kind, shards, key=key)
+        response = yield from client.send_query(f"q{n}", kind, shards, key=key)
         told.append(response.status)
         client.stream.close()
 
@@ -396,7 +404,7 @@
             yield from sleep(world.loop, draw.randrange(10_000, 40_000))
             if n == 100:
                 world.nodes[1].draining = True
-                registry.put(world.nodes[1].entry)
+                registry.publish(world.nodes[1].entry)
             if n == 150:
                 world.nodes[4].kill()
             if n == 200:
--- a/tests/test_gateway_front.py
+++ b/tests/test_gateway_front.py
@@ -13,7 +13,7 @@
 from heathwell.codec.http import Request
 from heathwell.eventloop import StreamBrokenError, sleep
 from heathwell.gateway.requests import BadRequestError, RequestChecker
-from heathwell.testing.standins.platform import value_of
+from heathwell.testing.standins.platform_frames import generate_result
 
 from .platform import Platform, settings_of
 
@@ -197,9 +197,9 @@
     world = Platform()
 
     def main():
-        first = world.loop.spawn(world.client().ask("q1", "price-search", [0, 1, 2, 3]), "first")
+        first = world.loop.spawn(world.client().send_query("q1", "price-search", [0, 1, 2, 3]), "first")
         yield from sleep(world.loop, 10_000)
-        second = yield from world.client("other").ask("q1", "price-search", [0, 1, 2, 3])
+        second = yield from world.client("other").send_query("q1", "price-search", [0, 1, 2, 3])
         return (yield from first.join()), second
 
     first, second = world.run(main())
@@ -215,7 +215,7 @@
         for n in range(400):
             yield from world.net.connect("broker:7070", 1_000_000, f"silent{n}")
             if n % 40 == 0:
-                response = yield from world.client().ask(f"q{n}", "price-search", [0, 1, 2, 3])
+                response = yield from world.client().send_query(f"q{n}", "price-search", [0, 1, 2, 3])
                 assert response.status == 200
             assert len(world.front.clients) <= most
 
@@ -227,7 +227,7 @@
     world = Platform()
     got, _ = told(world, [whole(b"q1") + whole(b"q2") + whole(b"q3", more=b"Connection: close\r\n")])
     assert got.count(b"HTTP/1.1 200") == 3
-    value = value_of(1, b"c41e77d0")
+    value = generate_result(1, b"c41e77d0")
     assert got.count(value) <= 3 and world.front.counts["requests"] == 3
 
 
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -141,7 +141,7 @@
     world = running(registry=False)
 
     def main():
-        response = yield from world.client().ask("q1", "price-search", [0, 1, 2, 3])
+        response = yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])
         return response.status
 
     assert world.run(main()) == 200
@@ -158,13 +158,13 @@
     def main():
         yield from world.says("ready")
         client, late = world.client(), world.client()
-        first = world.loop.spawn(client.ask("q1", "day-report", [0, 1, 2, 3]), "first")
+        first = world.loop.spawn(client.send_query("q1", "day-report", [0, 1, 2, 3]), "first")
         while not any(part.id.endswith(".fetch") for node in world.nodes for part in node.parts):
             yield from sleep(world.loop, 5_000)
         world.process.send_signal(signal.SIGTERM)
         world.process.send_signal(signal.SIGTERM)
         yield from world.says("terminating")
-        second = yield from late.ask("q2", "price-search", [0, 1, 2, 3])
+        second = yield from late.send_query("q2", "price-search", [0, 1, 2, 3])
         one = yield from first.join()
         code = yield from world.ended()
         return one.status, second.status, code
@@ -177,18 +177,18 @@
 
     def main():
         client = world.client()
-        while not world.registries[0].calls:
+        while not world.registries[0].queries:
             yield from sleep(world.loop, 5_000)
         world.path.write_bytes(b'{"name": "n1"')
         world.process.send_signal(signal.SIGHUP)
         yield from world.says("refused")
-        one = yield from client.ask("q1", "price-search", [0, 1, 2, 3])
-        assert not world.registries[1].calls
+        one = yield from client.send_query("q1", "price-search", [0, 1, 2, 3])
+        assert not world.registries[1].queries
         world.write(world.registries[1].address)
         world.process.send_signal(signal.SIGHUP)
-        while not world.registries[1].calls:
+        while not world.registries[1].queries:
             yield from sleep(world.loop, 5_000)
-        two = yield from client.ask("q2", "price-search", [0, 1, 2, 3])
+        two = yield from client.send_query("q2", "price-search", [0, 1, 2, 3])
         return one.status, two.status
 
     assert world.run(main()) == (200, 200)
--- a/tests/test_many_brokers.py
+++ b/tests/test_many_brokers.py
@@ -24,6 +24,6 @@
     unaware = world.run(main())
     assert not world.errors, world.errors[:3]
     assert unaware == 0, (
-        f"{unaware} of 100 brokers send by an old list; {world.registry.turned_away} calls turned away"
+        f"{unaware} of 100 brokers send by an old list; {world.registry.rejected_requests} calls turned away"
     )
     assert world.told[200] > 0.9 * world.told.total(), world.told
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -11,7 +11,7 @@
 
 def usual(loop, client, count, statuses):
     for n in range(count):
-        response = yield from client().ask(f"u{n}", "price-search", [0, 1, 2, 3])
+        response = yield from client().send_query(f"u{n}", "price-search", [0, 1, 2, 3])
         statuses.append(response.status)
         yield from sleep(loop, 20_000)
 
--- a/tests/test_nodeframes.py
+++ b/tests/test_nodeframes.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from heathwell.codec import nodeframes as nf
-from heathwell.testing.standins.platform import read_call
+from heathwell.testing.standins.platform_frames import decode_call
 
 ID = st.from_regex(r"[0-9a-f]{16}\.[0-9]{1,2}(\.fetch)?", fullmatch=True)
 VALUE = st.from_regex(r"[0-9a-f]{16}", fullmatch=True)
@@ -39,15 +39,15 @@
 )
 def test_a_call_is_read_as_it_was_made(part, shard, text, answered, whole):
     line = nf.encode_part(part, shard, 240, text, key="5c0f", answered=tuple(answered), complete=whole)
-    (first, second) = read_call(line + nf.encode_part("b.1", 1, 5, b""))
+    (first, second) = decode_call(line + nf.encode_part("b.1", 1, 5, b""))
     assert (first.id, first.shard, first.text) == (part, shard, text)
-    assert first.items == {
+    assert first.fields == {
         "d": "240",
         "k": "5c0f",
         "from": "+".join(map(str, answered)),
         "whole": str(int(whole)),
     }
-    assert (second.id, second.items, second.text) == ("b.1", {"d": "5"}, b"")
+    assert (second.id, second.fields, second.text) == ("b.1", {"d": "5"}, b"")
 
 
 @pytest.mark.parametrize(
