--- a/heathwell/testing/simulation/run_parameters.py
+++ b/heathwell/testing/simulation/run_parameters.py
@@ -12,7 +12,7 @@
 
 from heathwell.fleet.control.parameters import budgets_from_settings
 from heathwell.settings import ServiceSettings
-from heathwell.testing.standins.source import OFFSET_US
+from heathwell.testing.standins.source import SOURCE_CLOCK_OFFSET_US
 
 
 class ClassParameters(
@@ -148,7 +148,7 @@
         start_capacity=rules.start_capacity,
         clock_drift=service_settings.fleet.drift,
         max_in_flight=limits.open_cap,
-        source_offset_us=OFFSET_US if service_settings.freshness.enabled else None,
+        source_offset_us=SOURCE_CLOCK_OFFSET_US if service_settings.freshness.enabled else None,
     )
 
 
--- a/heathwell/testing/standins/data.py
+++ b/heathwell/testing/standins/data.py
@@ -1,72 +1,147 @@
-"""Generated sale and price data: every host, checker and test works out the same rows from the same names."""
+"""Generated sale and price data: leaves, auditors and tests derive the same records from the same names."""
 
 from __future__ import annotations
 
 import zlib
-from typing import Any
+from enum import StrEnum
+from typing import Final, TypeAlias
 
-RECORDS_A_TRADER = 10_000
-GOODS = ("apple", "bread", "candle", "dill", "eel", "fennel", "goose", "honey")
+import msgspec
 
+from heathwell.testing.standins.errors import StandInError
 
-def draw(*names: object) -> int:
-    """A number that depends on nothing but its names."""
+RECORDS_PER_TRADER: Final = 10_000
+ITEMS_PER_BATCH: Final = 3
+GOODS: Final = ("apple", "bread", "candle", "dill", "eel", "fennel", "goose", "honey")
+
+
+class Operation(StrEnum):
+    """What a part requests, as the inner protocol names it."""
+
+    RECORD = "record"
+    SEARCH = "search"
+    TOTALS = "totals"
+    ITEMS = "items"
+
+
+class UnknownOperationError(StandInError):
+    """A part requests an operation that no leaf has."""
+
+    def __init__(self, operation: str) -> None:
+        super().__init__(f"unknown operation {operation!r}")
+        self.operation = operation
+
+
+class SaleRecord(msgspec.Struct, frozen=True, kw_only=True):
+    """A sale."""
+
+    found: bool = True
+    trader: str
+    id: str
+    cents: int
+    goods: str
+
+
+class MissingRecord(msgspec.Struct, frozen=True):
+    """The result for the id of no sale."""
+
+    found: bool = False
+
+
+class Product(msgspec.Struct, frozen=True):
+    """A product that a search found."""
+
+    id: str
+    price: int
+
+
+class SearchResult(msgspec.Struct, frozen=True, rename={"products": "rows"}):
+    """The products of one shard, the cheapest first."""
+
+    products: list[Product]
+
+
+class DayTotals(msgspec.Struct, frozen=True):
+    """A day's number of sales and their sum."""
+
+    count: int
+    cents: int
+
+
+class ReportItem(msgspec.Struct, frozen=True):
+    """One sale in a report."""
+
+    id: str
+    trader: str
+    cents: int
+
+
+class ReportItems(msgspec.Struct, frozen=True):
+    """One batch of a report's sales."""
+
+    items: list[ReportItem]
+
+
+Result: TypeAlias = SaleRecord | MissingRecord | SearchResult | DayTotals | ReportItems
+
+
+def hash_names(*names: object) -> int:
+    """Return a number that depends on nothing but the names."""
     return zlib.crc32("\x1f".join(map(str, names)).encode())
 
 
-def record(trader: str, number: str) -> dict[str, Any]:
-    """A sale record; numbers that are none, or too high, were never sold."""
-    if not number.isdigit() or int(number) >= RECORDS_A_TRADER:
-        return {"found": False}
-    code = draw("sale", trader, number)
-    return {
-        "found": True,
-        "trader": trader,
-        "id": number,
-        "cents": 100 + code % 9900,
-        "goods": GOODS[code % len(GOODS)],
-    }
-
-
-def search(shard: int, term: str, rows: int) -> dict[str, Any]:
-    """A shard's products for a term, the cheapest first."""
-    made = [
-        {"id": f"{term}-{shard}-{n}", "price": 50 + draw("price", shard, term, n) % 5000} for n in range(rows)
-    ]
-    made.sort(key=lambda row: (row["price"], row["id"]))
-    return {"rows": made}
-
-
-def totals(shard: int, traders: list[str], day: str) -> dict[str, int]:
-    """A shard's day totals for some traders."""
-    counts = [draw("count", shard, trader, day) % 50 for trader in traders]
-    cents = [draw("cents", shard, trader, day) % 100_000 for trader in traders]
-    return {"count": sum(counts), "cents": sum(cents)}
-
-
-def items(shard: int, traders: list[str], day: str, number: int) -> dict[str, Any]:
-    """One batch of a report's item detail."""
-    made = [
-        {
-            "id": f"{day}-{shard}-{number}-{n}",
-            "trader": traders[n % len(traders)],
-            "cents": draw("item", shard, day, number, n) % 5000,
-        }
-        for n in range(3)
+def generate_record(trader: str, sale_id: str) -> SaleRecord | MissingRecord:
+    """Return a sale; ids run from 0 to ``RECORDS_PER_TRADER`` less 1."""
+    if not sale_id.isdigit() or int(sale_id) >= RECORDS_PER_TRADER:
+        return MissingRecord()
+    code = hash_names("sale", trader, sale_id)
+    return SaleRecord(trader=trader, id=sale_id, cents=100 + code % 9900, goods=GOODS[code % len(GOODS)])
+
+
+def generate_search(shard: int, term: str, count: int) -> SearchResult:
+    """Return the products of a shard for a term."""
+    products = [
+        Product(f"{term}-{shard}-{number}", 50 + hash_names("price", shard, term, number) % 5000)
+        for number in range(count)
     ]
-    return {"items": made}
-
-
-def answer(op: str, shard: int, key: str, item: int, rows: int) -> dict[str, Any]:
-    """What a part is answered with; raises :class:`ValueError` for what no host knows."""
-    head, _, tail = key.rpartition(":")
-    if op == "record":
-        trader, _, number = key.partition(":")
-        return record(trader, number)
-    if op == "search":
-        return search(shard, key, rows)
-    if op == "totals":
-        return totals(shard, head.split(","), tail)
-    if op == "items":
-        return items(shard, head.split(","), tail, item)
-    raise ValueError(f"unknown operation {op!r}")
+    products.sort(key=lambda product: (product.price, product.id))
+    return SearchResult(products)
+
+
+def generate_totals(shard: int, traders: list[str], day: str) -> DayTotals:
+    """Return the totals of some traders in a shard."""
+    counts = [hash_names("count", shard, trader, day) % 50 for trader in traders]
+    cents = [hash_names("cents", shard, trader, day) % 100_000 for trader in traders]
+    return DayTotals(sum(counts), sum(cents))
+
+
+def generate_items(shard: int, traders: list[str], day: str, batch: int) -> ReportItems:
+    """Return one batch of a report's sales."""
+    return ReportItems(
+        [
+            ReportItem(
+                id=f"{day}-{shard}-{batch}-{number}",
+                trader=traders[number % len(traders)],
+                cents=hash_names("item", shard, day, batch, number) % 5000,
+            )
+            for number in range(ITEMS_PER_BATCH)
+        ]
+    )
+
+
+def generate_result(operation: str, shard: int, key: str, batch: int, max_products: int) -> Result:
+    """Return the result of a part. Raise :class:`UnknownOperationError`.
+
+    A record's key is ``trader:id``, a search's its term, a report's ``trader,...:day``.
+    """
+    if operation == Operation.RECORD:
+        trader, _, sale_id = key.partition(":")
+        return generate_record(trader, sale_id)
+    if operation == Operation.SEARCH:
+        return generate_search(shard, key, max_products)
+    traders, _, day = key.rpartition(":")
+    if operation == Operation.TOTALS:
+        return generate_totals(shard, traders.split(","), day)
+    if operation == Operation.ITEMS:
+        return generate_items(shard, traders.split(","), day, batch)
+    raise UnknownOperationError(operation)
--- a/heathwell/testing/standins/discovery.py
+++ b/heathwell/testing/standins/discovery.py
@@ -1,19 +1,36 @@
-"""A stand-in host list: knows whether processes run, tells it late, and is down on order."""
+"""A stand-in for discovery: hosts register, brokers watch the list, which follows the hosts with a delay."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from enum import StrEnum
+from typing import Final
+
+import msgspec
 
 from heathwell.codec import frames, inner_protocol
 from heathwell.eventloop import Coro, Listener, Loop, Net, Stream, StreamBrokenError
 from heathwell.observability.event_log import EventLog, NoEvents
 from heathwell.settings import ServiceSettings
+from heathwell.testing.standins.endpoint_states import EndpointState, ListKind
+from heathwell.testing.standins.fault_commands import parse_fault_kind, reply_to_fault_command
+
+UNKNOWN_AGE_US: Final = -1
+"""As on the wire: the host started at full capacity."""
+BROKER_ROLES: Final = frozenset({"", "broker"})
+US_PER_SECOND: Final = 1e6
+
+
+class DiscoveryFault(StrEnum):
+    """Kinds of faults, as fault commands name them on the wire."""
 
-TROUBLES = ("down", "late", "heal")
+    OUTAGE = "down"
+    DELAY = "late"
+    CLEAR = "heal"
 
 
 class Discovery:
-    """The service: hosts register, brokers watch."""
+    """The service: a host is listed as long as its connection stands."""
 
     def __init__(
         self,
@@ -25,116 +42,133 @@
         events: EventLog | None = None,
         log: Callable[..., None] | None = None,
     ) -> None:
-        self.loop, self.net, self.service_settings = loop, net, service_settings
+        self._loop = loop
+        self._net = net
+        self._settings = service_settings.discovery
         self.address = address or service_settings.discovery.address
-        self.events: EventLog = events or NoEvents()
-        self.log = log or (lambda *_args, **_fields: None)
-        self.public: dict[str, frames.EndpointListEntry] = {}
-        self.seen: dict[str, int] = {}
-        self.alive: dict[str, Stream] = {}
-        self.registered: dict[Stream, str] = {}
-        self.watchers: dict[Stream, None] = {}
-        self.index = 0
-        self.down_until = self.late_until = self.late_by = 0
-        self.listener: Listener | None = None
+        self._events: EventLog = events or NoEvents()
+        self._log = log or (lambda *_args, **_fields: None)
+        self._published: dict[str, frames.EndpointListEntry] = {}
+        self._index = 0
+        self._started_at_us: dict[str, int] = {}
+        """Start of each host's process where it reported its age."""
+        self._connections: dict[str, Stream] = {}
+        self._registered_nodes: dict[Stream, str] = {}
+        self._watchers: dict[Stream, None] = {}
+        self._outage_until_us = 0
+        self._delayed_until_us = 0
+        self._extra_delay_us = 0
+        self._listener: Listener | None = None
 
     def start(self) -> str:
-        """Open the door; returns the address."""
-        self.listener = self.net.listen(self.address, self._serve, "discovery")
-        self.address = self.listener.address
+        """Listen and return the address."""
+        self._listener = self._net.listen(self.address, self._serve, "discovery")
+        self.address = self._listener.address
         return self.address
 
-    def order(self, control: frames.FaultCommand) -> str:
-        """Make trouble as told."""
-        now = self.loop.now()
-        if control.kind not in TROUBLES:
-            return f"unknown trouble '{control.kind}'; known: {', '.join(TROUBLES)}"
-        self.events("trouble", kind=control.kind, value=control.value, span=control.span_us)
-        if control.kind == "down":
-            self.down_until = now + control.span_us
-            for stream in list(self.watchers):
-                stream.abort()
-        elif control.kind == "late":
-            self.late_until, self.late_by = now + control.span_us, int(control.value * 1e6)
-        else:
-            self.down_until = self.late_until = 0
-        return ""
+    def order(self, command: frames.FaultCommand) -> None:
+        """Inject a fault. Raise :class:`FaultInjectionError`."""
+        fault = parse_fault_kind(DiscoveryFault, command.kind)
+        ends_at_us = self._loop.now() + command.span_us
+        self._events("trouble", kind=command.kind, value=command.value, span=command.span_us)
+        match fault:
+            case DiscoveryFault.OUTAGE:
+                self._outage_until_us = ends_at_us
+                for stream in list(self._watchers):
+                    stream.abort()
+            case DiscoveryFault.DELAY:
+                self._delayed_until_us = ends_at_us
+                self._extra_delay_us = int(command.value * US_PER_SECOND)
+            case DiscoveryFault.CLEAR:
+                self._outage_until_us = 0
+                self._delayed_until_us = 0
+
+    # Connections
 
     def _serve(self, stream: Stream) -> Coro[None]:
         try:
             yield from inner_protocol.serve(
-                stream, "discovery", "discovery", lambda message: self._heard(stream, message)
+                stream, "discovery", "discovery", lambda message: self._on_message(stream, message)
             )
-        except (frames.FrameError, StreamBrokenError) as problem:
-            self.log("debug", "peer lost", peer=stream.peer, why=str(problem))
+        except (frames.FrameError, StreamBrokenError) as error:
+            self._log("debug", "peer lost", peer=stream.peer, why=str(error))
         finally:
-            self.watchers.pop(stream, None)
-            node = self.registered.pop(stream, "")
-            if node and self.alive.get(node) is stream:
-                del self.alive[node]
-                self.loop.call_at(
-                    self.loop.now() + self.service_settings.discovery.silent_notice, self._missed, node
-                )
-
-    def _heard(self, stream: Stream, message: frames.AnyMessage) -> None:
+            self._watchers.pop(stream, None)
+            self._on_host_disconnected(stream)
+
+    def _on_host_disconnected(self, stream: Stream) -> None:
+        node = self._registered_nodes.pop(stream, "")
+        if node and self._connections.get(node) is stream:
+            del self._connections[node]
+            self._loop.call_at(
+                self._loop.now() + self._settings.silent_notice, self._on_silence_timeout, node
+            )
+
+    def _on_silence_timeout(self, node: str) -> None:
+        if node not in self._connections:
+            self._change_state(node, EndpointState.GONE)
+
+    def _on_message(self, stream: Stream, message: frames.AnyMessage) -> None:
         match message:
             case frames.Hello(role=role):
-                if role in ("", "broker") and self.loop.now() < self.down_until:
-                    raise StreamBrokenError("down by order")
+                if role in BROKER_ROLES and self._loop.now() < self._outage_until_us:
+                    raise StreamBrokenError("an outage is injected")
             case frames.Registration(entry=entry):
-                self.registered[stream] = entry.node
-                self._registered(entry, stream)
+                self._on_registration(stream, entry)
             case frames.DrainNotice():
-                self._change(self.registered.get(stream, ""), "draining")
+                self._change_state(self._registered_nodes.get(stream, ""), EndpointState.DRAINING)
             case frames.WatchRequest():
-                self._watch(stream)
+                self._on_watch_request(stream)
             case frames.FaultCommand():
-                stream.write(frames.encode(frames.FaultCommandReply(self.order(message))))
-
-    def _registered(self, entry: frames.EndpointListEntry, stream: Stream) -> None:
-        self.alive[entry.node] = stream
-        self.seen[entry.node] = self.loop.now() - entry.age_us if entry.age_us >= 0 else -1
-        self._tell(entry)
-
-    def _missed(self, node: str) -> None:
-        if node not in self.alive:
-            self._change(node, "gone")
-
-    def _change(self, node: str, state: str) -> None:
-        known = self.public.get(node)
-        if known is not None:
-            self._tell(
-                frames.EndpointListEntry(node, known.cell, known.zone, state, known.birth, known.age_us)
-            )
+                stream.write(frames.encode(reply_to_fault_command(self.order, message)))
+
+    # The list
+
+    def _on_registration(self, stream: Stream, entry: frames.EndpointListEntry) -> None:
+        self._registered_nodes[stream] = entry.node
+        self._connections[entry.node] = stream
+        if entry.age_us >= 0:
+            self._started_at_us[entry.node] = self._loop.now() - entry.age_us
+        else:
+            self._started_at_us.pop(entry.node, None)
+        self._schedule_publication(entry)
+
+    def _change_state(self, node: str, state: EndpointState) -> None:
+        published = self._published.get(node)
+        if published is not None:
+            self._schedule_publication(msgspec.structs.replace(published, state=state.value))
 
-    def _tell(self, entry: frames.EndpointListEntry) -> None:
-        """What is known now becomes public later, in order."""
-        extra = self.late_by if self.loop.now() < self.late_until else 0
-        self.loop.call_at(
-            self.loop.now() + self.service_settings.discovery.notice + extra, self._publish, entry
-        )
+    def _schedule_publication(self, entry: frames.EndpointListEntry) -> None:
+        is_delayed = self._loop.now() < self._delayed_until_us
+        delay_us = self._settings.notice + (self._extra_delay_us if is_delayed else 0)
+        self._loop.call_at(self._loop.now() + delay_us, self._publish, entry)
 
     def _publish(self, entry: frames.EndpointListEntry) -> None:
-        self.index += 1
-        self.public[entry.node] = entry
-        self.events("published", node=entry.node, state=entry.state)
-        for stream in list(self.watchers):
-            self._send(stream, "update", [self._aged(entry)])
-
-    def _watch(self, stream: Stream) -> None:
-        known = stream in self.watchers
-        self.watchers[stream] = None
-        entries = [] if known else [self._aged(e) for e in self.public.values() if e.state != "gone"]
-        self._send(stream, "update" if known else "full", entries)
-
-    def _aged(self, entry: frames.EndpointListEntry) -> frames.EndpointListEntry:
-        """The entry with its process's age as of now."""
-        since = self.seen.get(entry.node, -1)
-        age = self.loop.now() - since if since >= 0 else -1
-        return frames.EndpointListEntry(entry.node, entry.cell, entry.zone, entry.state, entry.birth, age)
-
-    def _send(self, stream: Stream, kind: str, entries: list[frames.EndpointListEntry]) -> None:
+        self._index += 1
+        self._published[entry.node] = entry
+        self._events("published", node=entry.node, state=entry.state)
+        for stream in list(self._watchers):
+            self._send(stream, ListKind.INCREMENTAL, [self._with_age(entry)])
+
+    def _on_watch_request(self, stream: Stream) -> None:
+        """Send the full list to a new watcher, and an empty update to one that watches already."""
+        if stream in self._watchers:
+            self._send(stream, ListKind.INCREMENTAL, [])
+            return
+        self._watchers[stream] = None
+        entries = [
+            self._with_age(entry) for entry in self._published.values() if entry.state != EndpointState.GONE
+        ]
+        self._send(stream, ListKind.FULL, entries)
+
+    def _with_age(self, entry: frames.EndpointListEntry) -> frames.EndpointListEntry:
+        """Return the entry with the present age of the host's process."""
+        started_at_us = self._started_at_us.get(entry.node)
+        age_us = UNKNOWN_AGE_US if started_at_us is None else self._loop.now() - started_at_us
+        return msgspec.structs.replace(entry, age_us=age_us)
+
+    def _send(self, stream: Stream, kind: ListKind, entries: list[frames.EndpointListEntry]) -> None:
         try:
-            stream.write(frames.encode(frames.EndpointList(kind, self.index, entries)))
+            stream.write(frames.encode(frames.EndpointList(kind.value, self._index, entries)))
         except StreamBrokenError:
-            self.watchers.pop(stream, None)
+            self._watchers.pop(stream, None)
--- a/heathwell/testing/standins/leaf.py
+++ b/heathwell/testing/standins/leaf.py
@@ -16,6 +16,7 @@
 from heathwell.observability.event_log import EventLog, NoEvents
 from heathwell.service.vectors.search_messages import SEARCH_OPERATION, SearchRequest, decode_request
 from heathwell.settings import ServiceSettings
+from heathwell.testing.standins.data import UnknownOperationError
 from heathwell.testing.standins.fault_commands import parse_fault_kind, reply_to_fault_command
 from heathwell.testing.standins.leaf_capacity import LeafCapacity
 from heathwell.testing.standins.leaf_data import LeafData, ReceivedAttempt
@@ -28,7 +29,8 @@
 )
 from heathwell.testing.standins.leaf_output import LeafOutput
 from heathwell.testing.standins.leaf_registration import LeafRegistration
-from heathwell.testing.standins.source import Feed, Truth
+from heathwell.testing.standins.log_follower import LogFollower
+from heathwell.testing.standins.source import SourceLog
 
 IDLE_CHECK_INTERVAL_US = 50_000
 RESULT_CACHE_SIZE = 10_000
@@ -73,7 +75,7 @@
         self.registration = LeafRegistration(
             loop, net, discovery=discovery, name=name, current_entry=self._list_entry
         )
-        self.feed = self._create_feed(seed + 1)
+        self.log_follower = self._create_log_follower(seed + 1)
         self._reset_serving_state()
 
     def _reset_serving_state(self) -> None:
@@ -88,11 +90,11 @@
         self._cached_results: dict[str, tuple[int, bytes]] = {}
         self._load_report = (0, 0)
 
-    def _create_feed(self, seed: int) -> Feed | None:
+    def _create_log_follower(self, seed: int) -> LogFollower | None:
         freshness = self.service_settings.freshness
         if not freshness.enabled:
             return None
-        return Feed(Truth(freshness.rate), freshness.lag, random.Random(seed))
+        return LogFollower(SourceLog(freshness.rate), freshness.lag, random.Random(seed))
 
     # Lifecycle
 
@@ -190,11 +192,11 @@
                 self.loop.call_at(self.loop.now() + control.span_us, self.output.release)
 
     def _inject_data_age_fault(self, fault: LeafFault, control: frames.FaultCommand) -> None:
-        if self.feed is None:
+        if self.log_follower is None:
             raise FreshnessDisabledError(fault)
         now_us = self.loop.now()
-        self.feed.advance(now_us)
-        self.feed.trouble(fault, now_us, int(control.value * 1e6), control.span_us)
+        self.log_follower.advance(now_us)
+        self.log_follower.inject_fault(fault, now_us, int(control.value * 1e6), control.span_us)
 
     # Connections
 
@@ -366,7 +368,7 @@
             return
         try:
             result = self._compute_result(attempt)
-        except ValueError:
+        except (UnknownOperationError, ValueError):
             self._reply(attempt, "error")
         else:
             if self.classes[request.query_class].idempotency != "safe":
@@ -428,10 +430,10 @@
         result = frames.Result(
             request.id, request.seq, outcome, payload, self._reported_load(), work_us=attempt.work_us
         )
-        if self.feed is not None and outcome == "ok":
-            true_us = self.feed.advance(self.loop.now())
-            result.source_us = self.feed.claimed(self.loop.now())
-            result.position = self.feed.truth.position(result.source_us)
+        if self.log_follower is not None and outcome == "ok":
+            true_us = self.log_follower.advance(self.loop.now())
+            result.source_us = self.log_follower.reported_us(self.loop.now())
+            result.position = self.log_follower.source_log.position(result.source_us)
             self.events(
                 "done", p=request.id, seq=request.seq, outcome=outcome, node=self.address, true=true_us
             )
--- a/heathwell/testing/standins/leaf_data.py
+++ b/heathwell/testing/standins/leaf_data.py
@@ -10,7 +10,7 @@
 from heathwell.eventloop import Stream, Timer
 from heathwell.service.vectors.search_messages import SearchRequest, encode_search
 from heathwell.settings import ServiceSettings
-from heathwell.testing.standins import data
+from heathwell.testing.standins.data import generate_result
 from heathwell.testing.standins.leaf_faults import ActiveFault
 
 
@@ -74,8 +74,10 @@
         return shard.score_bounds(shard.read_queries(search.vectors, len(search.searches)))
 
     def record_result(self, request: frames.PartRequest) -> bytes:
-        """Return an encoded result of generated records. Raise :class:`ValueError`."""
-        result = data.answer(request.op, request.shard, request.key, request.item, self._settings.leaf.rows)
+        """Return an encoded result of generated records. Raise :class:`UnknownOperationError`."""
+        result = generate_result(
+            request.op, request.shard, request.key, request.item, self._settings.leaf.rows
+        )
         return msgspec.json.encode(result)
 
     def search_result(
--- a/heathwell/testing/standins/relay.py
+++ b/heathwell/testing/standins/relay.py
@@ -136,11 +136,13 @@
             self._loop.call_at(now_us + interval_us, self._begin_flap, interval_us)
 
     def _serve_commands(self, stream: Stream) -> Coro[None]:
-        def on_message(message: frames.AnyMessage) -> None:
-            if isinstance(message, frames.FaultCommand):
-                stream.write(frames.encode(reply_to_fault_command(self.order, message)))
+        return inner_protocol.serve(
+            stream, "relay", "relay", lambda message: self._on_message(stream, message)
+        )
 
-        return inner_protocol.serve(stream, "relay", "relay", on_message)
+    def _on_message(self, stream: Stream, message: frames.AnyMessage) -> None:
+        if isinstance(message, frames.FaultCommand):
+            stream.write(frames.encode(reply_to_fault_command(self.order, message)))
 
     # Connections
 
--- a/heathwell/testing/standins/vectors.py
+++ b/heathwell/testing/standins/vectors.py
@@ -1,71 +1,112 @@
-"""Generated vectors: every host, checker and test makes the same points of a shard from the collection's
-name.
-"""
+"""Generated vectors: leaves, auditors and tests derive the same points from the collection's name."""
 
 from __future__ import annotations
 
 import functools
-from typing import Any
+from dataclasses import dataclass
+from typing import Final
 
 import numpy as np
 
+from heathwell.service.vectors.hnsw_index import Floats
+from heathwell.service.vectors.search_messages import JsonObject
 from heathwell.service.vectors.vector_shard import DISTANCE_BY_SETTING, VectorShard
 from heathwell.settings.schema import Collection
-from heathwell.testing.standins.data import GOODS, draw
+from heathwell.testing.standins.data import GOODS, hash_names
 
-ID_STEP = 10_000_000  # ids of a shard's own points begin at its number times this
+IDS_PER_SHARD: Final = 10_000_000
+"""The ids of a shard's own points begin at its number times this."""
+CACHED_SHARDS: Final = 256
 
 
-@functools.lru_cache(maxsize=256)
-def own_points(name: str, size: int, shard: int, points: int, spread: float) -> tuple[Any, list[int]]:
-    """Vectors and ids that are a shard's own: points about a centre of its own."""
-    draws = np.random.default_rng(draw("vectors", name, shard))
-    centre = draws.normal(0, 1, size)
-    return (centre + draws.normal(0, spread, (points, size))).astype(np.float32), [
-        shard * ID_STEP + n for n in range(points)
-    ]
+@dataclass(frozen=True, slots=True)
+class GeneratedCollection:
+    """What a collection's points depend on; ``overlap`` is the fraction that the next shard holds as well."""
 
+    name: str
+    vector_size: int
+    distance: str
+    index: str
+    shards: int
+    points_per_shard: int
+    overlap: float
+    spread: float
+    """Standard deviation of a shard's points about its centre; that of the centres is 1."""
 
-def payload(point: int) -> dict[str, Any]:
-    """A point's payload."""
-    code = draw("payload", point)
-    out: dict[str, Any] = {
+    @classmethod
+    def from_settings(cls, settings: Collection, shards: int) -> GeneratedCollection:
+        """Return the collection of the settings in a fleet of so many shards."""
+        return cls(
+            name=settings.name,
+            vector_size=settings.size,
+            distance=settings.distance,
+            index=settings.index,
+            shards=shards,
+            points_per_shard=settings.points,
+            overlap=settings.overlap,
+            spread=settings.spread,
+        )
+
+    def own_points(self, shard: int) -> GeneratedPoints:
+        """Return the points that a shard does not share with the shard before it."""
+        return _generate_points(self.name, self.vector_size, shard, self.points_per_shard, self.spread)
+
+
+@dataclass(frozen=True, slots=True)
+class GeneratedPoints:
+    """Points by row: ``vectors`` has the shape (points, vector size)."""
+
+    vectors: Floats
+    ids: list[int]
+
+    def extended(self, other: GeneratedPoints, count: int) -> GeneratedPoints:
+        """Return these points and the first ``count`` of another shard's."""
+        vectors = np.concatenate([self.vectors, other.vectors[:count]])
+        return GeneratedPoints(vectors, [*self.ids, *other.ids[:count]])
+
+
+@functools.lru_cache(maxsize=CACHED_SHARDS)
+def _generate_points(name: str, vector_size: int, shard: int, count: int, spread: float) -> GeneratedPoints:
+    """Return points about a centre that depends on the collection's name and the shard."""
+    draws = np.random.default_rng(hash_names("vectors", name, shard))
+    centre = draws.normal(0, 1, vector_size)
+    offsets = draws.normal(0, spread, (count, vector_size))
+    first_id = shard * IDS_PER_SHARD
+    return GeneratedPoints((centre + offsets).astype(np.float32), list(range(first_id, first_id + count)))
+
+
+def generate_payload(point_id: int) -> JsonObject:
+    """Return a point's payload; some points lack some of its fields."""
+    code = hash_names("payload", point_id)
+    payload: JsonObject = {
         "goods": GOODS[code % len(GOODS)],
         "cents": 100 + code % 9900,
         "stall": {"row": code % 40, "covered": code % 3 == 0},
     }
     if code % 4:
-        out["tags"] = [GOODS[(code >> n) % len(GOODS)] for n in range(3, 3 + code % 3)]
+        payload["tags"] = [GOODS[(code >> shift) % len(GOODS)] for shift in range(3, 3 + code % 3)]
     if code % 11 == 0:
-        out["note"] = None
-    return out
-
-
-@functools.lru_cache(maxsize=256)
-def made(
-    name: str,
-    size: int,
-    distance: str,
-    index: str,
-    shard: int,
-    shards: int,
-    points: int,
-    overlap: float,
-    spread: float,
-) -> VectorShard:
-    """A shard, with the share of the one before it that it holds too. Fleets in one process share it."""
-    vectors, ids = own_points(name, size, shard, points, spread)
-    more = int(points * overlap)
-    if more and shards > 1:
-        others, other_ids = own_points(name, size, (shard - 1) % shards, points, spread)
-        vectors, ids = np.concatenate([vectors, others[:more]]), [*ids, *other_ids[:more]]
+        payload["note"] = None
+    return payload
+
+
+@functools.lru_cache(maxsize=CACHED_SHARDS)
+def generate_shard(collection: GeneratedCollection, shard: int) -> VectorShard:
+    """Return a shard. Fleets in one process share it."""
+    points = collection.own_points(shard)
+    shared_points = int(collection.points_per_shard * collection.overlap)
+    if shared_points and collection.shards > 1:
+        points = points.extended(collection.own_points((shard - 1) % collection.shards), shared_points)
     return VectorShard(
-        ids, vectors, [payload(one) for one in ids], DISTANCE_BY_SETTING[distance], index, seed=1 + shard
+        points.ids,
+        points.vectors,
+        [generate_payload(point_id) for point_id in points.ids],
+        DISTANCE_BY_SETTING[collection.distance],
+        collection.index,
+        seed=1 + shard,
     )
 
 
-def shard_of(spec: Collection, shard: int, shards: int) -> VectorShard:
-    """A collection's shard."""
-    return made(
-        spec.name, spec.size, spec.distance, spec.index, shard, shards, spec.points, spec.overlap, spec.spread
-    )
+def shard_of(settings: Collection, shard: int, shards: int) -> VectorShard:
+    """Return a shard of the settings' collection in a fleet of so many shards."""
+    return generate_shard(GeneratedCollection.from_settings(settings, shards), shard)
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -4,7 +4,7 @@
 
 import json
 
-from heathwell.testing.standins import data
+from heathwell.testing.standins.data import generate_record
 
 from .fleet import World
 
@@ -18,7 +18,7 @@
         values, end = yield from client.get(*keys)
         assert end == "END" and list(values) == [keys[0], keys[1], keys[3]]
         sale = json.loads(values["sale:anna:17"][1])
-        assert sale["cents"] == data.record("anna", "17")["cents"] and sale["whole"] is True
+        assert sale["cents"] == generate_record("anna", "17").cents and sale["whole"] is True
         price = json.loads(values["price:tea"][1])
         assert price["coverage"]["parts"] == [6, 8] and price["whole"] and values["price:tea"][0] == 0
         report = json.loads(values["report:anna,bo:2026-11-28"][1])
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -33,7 +33,7 @@
 from heathwell.testing.audit import judge, judge_ages
 from heathwell.testing.audit.reader import from_lines
 from heathwell.testing.simulation.simulated_scenario import HOST_FAULTS, LAG_FAULTS, SimulatedScenario
-from heathwell.testing.standins.source import OFFSET_US
+from heathwell.testing.standins.source import SOURCE_CLOCK_OFFSET_US
 
 from .fleet import MARKET, World
 
@@ -238,7 +238,7 @@
         assert [told.count().answered, told.count().requested] == cover["parts"] and told.missing() == cover[
             "missing"
         ]
-        assert told.oldest_source_us > OFFSET_US
+        assert told.oldest_source_us > SOURCE_CLOCK_OFFSET_US
 
     world.run(main())
 
@@ -426,7 +426,7 @@
 
 def test_hosts_clocks_do_not_matter():
     """No host's own clock is in a watermark: the source's offset of 90 days cancels."""
-    assert OFFSET_US > 90 * 86_400_000_000
+    assert SOURCE_CLOCK_OFFSET_US > 90 * 86_400_000_000
     world = World(9, ON)
 
     def main():
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -30,7 +30,7 @@
 from heathwell.testing.audit.reader import from_lines
 from heathwell.testing.simulation.local_fleet import LocalFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
-from heathwell.testing.standins.vectors import made, shard_of
+from heathwell.testing.standins.vectors import GeneratedCollection, generate_shard, shard_of
 
 from .fleet import World
 
@@ -609,7 +609,7 @@
 @hypothesis_settings(max_examples=40, deadline=None)
 @given(st.sampled_from(["cosine", "dot", "euclid"]), st.integers(0, 10_000), st.integers(1, 30))
 def test_no_row_is_better_than_its_shards_bound(distance, seed, limit):
-    shard = made("bounded", 6, distance, "exact", seed % 4, 4, 50, 0.0, 0.3)
+    shard = generate_shard(GeneratedCollection("bounded", 6, distance, "exact", 4, 50, 0.0, 0.3), seed % 4)
     draws = np.random.default_rng(seed)
     raw = draws.normal(0, draws.uniform(0.1, 4), (2, 6)).astype("<f4")
     best = shard.score_bounds(shard.read_queries(raw.tobytes(), 2))
