--- a/heathwell/cli/standins.py
+++ b/heathwell/cli/standins.py
@@ -42,13 +42,13 @@
             process.net,
             process.service_settings,
             name=process.name,
-            cell=cell,
+            replica_group=cell,
             zone=zone,
             discovery=discovery,
             seed=seed,
             address=listen,
             events=process.events,
-            on_die=process.stop.set,
+            on_terminated=process.stop.set,
             speed=speed,
         )
         process.ready(address=host.start(warm=warm), cell=cell, zone=zone)
--- a/heathwell/testing/simulation/evacuation_experiment.py
+++ b/heathwell/testing/simulation/evacuation_experiment.py
@@ -172,7 +172,7 @@
 
     def _killed(self, leaves: list[Leaf], span: int) -> Coro[None]:
         for leaf in leaves:
-            leaf.on_die = None
+            leaf.on_terminated = None
             leaf.crash()
         yield from sleep(self.loop, span)
         for leaf in leaves:
--- a/heathwell/testing/simulation/local_fleet.py
+++ b/heathwell/testing/simulation/local_fleet.py
@@ -219,7 +219,7 @@
                 net_of(f"leaf{n}"),
                 service_settings,
                 name=f"leaf{n}",
-                cell=n % service_settings.fleet.cells,
+                replica_group=n % service_settings.fleet.cells,
                 zone=n % zones,
                 discovery=self.discovery.address,
                 seed=seed * 100 + n,
--- a/heathwell/testing/simulation/quota_experiment.py
+++ b/heathwell/testing/simulation/quota_experiment.py
@@ -229,7 +229,7 @@
     def _replace(self, leaves: list[Leaf]) -> Coro[None]:
         """Drain some leaves and start them again with cold caches: one step of a release."""
         for leaf in leaves:
-            leaf.on_die = None
+            leaf.on_terminated = None
             leaf.drain()
         yield from sleep(self.loop, self.service_settings.leaf.drain_for + RESTART_DELAY_US)
         for leaf in leaves:
--- a/heathwell/testing/simulation/simulated_scenario.py
+++ b/heathwell/testing/simulation/simulated_scenario.py
@@ -83,7 +83,7 @@
         self.known_tokens: dict[str, str] = {}
         self.outcomes: dict[str, dict[str, int]] = {}
         for leaf in self.fleet.leaves:
-            leaf.on_die = lambda leaf=leaf: self._back_after(leaf, 4_000_000)
+            leaf.on_terminated = lambda leaf=leaf: self._back_after(leaf, 4_000_000)
 
     def _net_of(self, name: str) -> HostNet:
         return self.net.at(name.partition("r")[0] if name[0] in "bk" else name)
--- a/heathwell/testing/standins/leaf_data.py
+++ b/heathwell/testing/standins/leaf_data.py
@@ -3,17 +3,33 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import msgspec
 
 from heathwell.codec import frames
 from heathwell.eventloop import Stream, Timer
-from heathwell.service.vectors.search_messages import SearchRequest, encode_search
+from heathwell.service.vectors.search_messages import PointId, SearchRequest, encode_search
 from heathwell.settings import ServiceSettings
 from heathwell.testing.standins.data import generate_result
 from heathwell.testing.standins.leaf_faults import ActiveFault
 
 
+class LoggedHit(NamedTuple):
+    """A hit of a search, logged as a list."""
+
+    id: PointId
+    score: float
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptKey:
+    """The part's id and the attempt's number."""
+
+    part_id: str
+    number: int
+
+
 @dataclass(slots=True)
 class ReceivedAttempt:
     """An attempt that has arrived at the leaf."""
@@ -25,20 +41,21 @@
     timer: Timer | None = None
     search: SearchRequest | None = None
     work_us: int = 0
-    rows: list[list[tuple[int | str, float]]] | None = None
+    logged_hits: list[list[LoggedHit]] | None = None
+    """The ids and scores that a search found, by query, for the event log."""
 
     @property
-    def key(self) -> tuple[str, int]:
-        """The part's id and the attempt's number."""
-        return self.request.id, self.request.seq
+    def key(self) -> AttemptKey:
+        """The attempt's key."""
+        return AttemptKey(self.request.id, self.request.seq)
 
 
 class LeafData:
     """Generated records, and the vector shards that the leaf's replica group holds."""
 
-    def __init__(self, service_settings: ServiceSettings, cell: int) -> None:
+    def __init__(self, service_settings: ServiceSettings, replica_group: int) -> None:
         self._settings = service_settings
-        self._cell = cell
+        self._replica_group = replica_group
         self._collections = {spec.name: spec for spec in service_settings.collections}
         if not self._collections:
             return
@@ -55,17 +72,17 @@
     def holds(self, shard: int) -> bool:
         """Return whether the leaf is a replica of the shard."""
         fleet = self._settings.fleet
-        return (self._cell - shard) % fleet.cells < fleet.width
+        return (self._replica_group - shard) % fleet.cells < fleet.width
 
     def search_work_us(self, search: SearchRequest) -> float:
         """Return a search's usual work. Raise :class:`KeyError` for an unknown collection.
 
-        It grows with the vectors, which share one matrix product, the rows to rank and the filters to apply.
+        It grows with the vectors, which share one matrix product, the hits to rank and the filters to apply.
         """
         spec = self._collections[search.collection]
-        rows = sum(one.limit for one in search.searches)
+        max_hits = sum(one.limit for one in search.searches)
         filtered = sum(one.filter is not None for one in search.searches)
-        return spec.work * (0.6 + 0.4 * len(search.searches) + 0.1 * rows / 100 + 0.2 * filtered)
+        return spec.work * (0.6 + 0.4 * len(search.searches) + 0.1 * max_hits / 100 + 0.2 * filtered)
 
     def score_bounds(self, search: SearchRequest, shard_number: int) -> list[float]:
         """Return, for each query of a search, the best score that a row of the shard can have."""
@@ -86,18 +103,18 @@
         search: SearchRequest,
         malformed: ActiveFault | None,
         *,
-        log_rows: bool,
+        log_hits: bool,
     ) -> bytes:
         """Return an encoded search result, out of order where ``malformed``. Raise :class:`ValueError`.
 
-        Where ``log_rows``, the attempt keeps its rows for the event log.
+        Where ``log_hits``, the attempt keeps its hits for the event log.
         """
         collection = self._collections[search.collection]
         shard = self._shard_of(collection, attempt.request.shard, self._settings.fleet.shards)
         result = shard.search(search)
         if malformed is not None:
             repeat = 2 if malformed.text == "many" else 1
-            result.lists = [(rows * repeat)[::-1] for rows in result.lists]
-        if log_rows:
-            attempt.rows = [[(hit.id, hit.score) for hit in rows] for rows in result.lists]
+            result.lists = [(hits * repeat)[::-1] for hits in result.lists]
+        if log_hits:
+            attempt.logged_hits = [[LoggedHit(hit.id, hit.score) for hit in hits] for hits in result.lists]
         return encode_search(result)
--- a/heathwell/testing/standins/leaf_output.py
+++ b/heathwell/testing/standins/leaf_output.py
@@ -1,4 +1,4 @@
-"""A leaf's output: frames are held back, whole or by half, while a stall or a partial reply is injected."""
+"""A leaf's output: frames, or halves of them, are delayed while a stall or a partial reply is injected."""
 
 from __future__ import annotations
 
@@ -15,40 +15,40 @@
     def __init__(self, faults: ActiveFaults, is_from_broker: Callable[[Stream], bool]) -> None:
         self._faults = faults
         self._is_from_broker = is_from_broker
-        self._held_back: dict[Stream, list[bytes]] = {}
+        self._delayed: dict[Stream, list[bytes]] = {}
 
     def send(self, stream: Stream, frame: bytes) -> None:
-        """Write a frame, or hold back the frame or its second half."""
+        """Write a frame, or delay the frame or its second half."""
         if stream.closed:
             return
-        if stream in self._held_back:
-            self._held_back[stream].append(frame)
+        if stream in self._delayed:
+            self._delayed[stream].append(frame)
             return
         if self._faults.is_active(LeafFault.STALL):
-            self._held_back[stream] = [frame]
+            self._delayed[stream] = [frame]
             return
         to_write = frame
         if self._faults.is_active(LeafFault.PARTIAL_REPLY) and self._is_from_broker(stream):
             half = len(frame) // 2
             to_write = frame[:half]
-            self._held_back[stream] = [frame[half:]]
+            self._delayed[stream] = [frame[half:]]
         with contextlib.suppress(StreamBrokenError):
             stream.write(to_write)
 
     def release(self) -> None:
-        """Write what was held back, unless a fault still applies."""
+        """Write what was delayed, unless a fault still applies."""
         if any(self._faults.is_active(fault) for fault in OUTPUT_FAULTS):
             return
-        held_back = self._held_back
-        self._held_back = {}
-        for stream, frames_of_stream in held_back.items():
+        delayed = self._delayed
+        self._delayed = {}
+        for stream, frames_of_stream in delayed.items():
             for frame in frames_of_stream:
                 self.send(stream, frame)
 
     def discard(self, stream: Stream) -> None:
-        """Drop what is held back for a stream that has ended."""
-        self._held_back.pop(stream, None)
+        """Drop what is delayed for a stream that has ended."""
+        self._delayed.pop(stream, None)
 
     def clear(self) -> None:
-        """Drop all that is held back."""
-        self._held_back.clear()
+        """Drop all that is delayed."""
+        self._delayed.clear()
--- a/heathwell/testing/standins/platform_node.py
+++ b/heathwell/testing/standins/platform_node.py
@@ -10,6 +10,7 @@
 from heathwell.codec import nodeframes as nf
 from heathwell.eventloop import Coro, Listener, Loop, Net, Stream
 from heathwell.observability.event_log import EventLog, NoEvents
+from heathwell.testing.standins.part_outcomes import PartOutcome
 from heathwell.testing.standins.platform_frames import (
     ReceivedFrame,
     ReceivedPart,
@@ -43,14 +44,6 @@
     boot_ms: int
 
 
-class PartOutcome(StrEnum):
-    """How a node ended a part, as event logs name it."""
-
-    OK = "ok"
-    ERROR = "error"
-    REJECTED = "full"
-
-
 class PlatformNode:
     """One node, which listens from its construction on.
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -34,7 +34,7 @@
     loop, net, _ = socket_loop()
     made = LocalFleet(loop, lambda _name: net, loads(TEXT))
     for leaf in made.leaves:
-        if leaf.cell in (0, 1, 2, 3):
+        if leaf.replica_group in (0, 1, 2, 3):
             leaf.order(frames.FaultCommand("failclass", 0, 3_600_000_000, "price-search"))
     thread = threading.Thread(target=loop.run, daemon=True)
     thread.start()
--- a/tests/test_gateway_faults.py
+++ b/tests/test_gateway_faults.py
@@ -16,9 +16,9 @@
 from heathwell.codec import nodeframes as nf
 from heathwell.codec.http import Request, ServerSide
 from heathwell.eventloop import StreamBrokenError, sleep
+from heathwell.testing.standins.part_outcomes import PartOutcome
 from heathwell.testing.standins.platform_discovery import PublishedEntry
 from heathwell.testing.standins.platform_frames import encode_answer, generate_result
-from heathwell.testing.standins.platform_node import PartOutcome
 
 from .platform import Platform, node_ask
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -17,7 +17,7 @@
 
 
 def holders(world, shard):
-    return [leaf for leaf in world.fleet.leaves if (leaf.cell - shard) % 6 < 3]
+    return [leaf for leaf in world.fleet.leaves if (leaf.replica_group - shard) % 6 < 3]
 
 
 def finish(world):
@@ -99,7 +99,7 @@
         client = yield from world.client()
         # Shards 0, 1, 6 and 7 lose all holders' price searches, the others answer.
         for leaf in world.fleet.leaves:
-            if leaf.cell in (0, 1, 2, 3):
+            if leaf.replica_group in (0, 1, 2, 3):
                 leaf.order(frames.FaultCommand("failclass", 0, 60_000_000, "price-search"))
         for word in "abcdefghijkl":
             values, end = yield from client.get(f"price:{word}")
