--- a/heathwell/cli/platform.py
+++ b/heathwell/cli/platform.py
@@ -11,7 +11,7 @@
 import click
 
 from heathwell.eventloop import Coro, sleep
-from heathwell.testing.simulation.platform_fleet import PlatformError, PlatformFleet
+from heathwell.testing.simulation.platform_fleet import PlatformFleet, PlatformFleetError
 
 # Query class, shards, and key (empty where the class has none).
 QUERIES = (
@@ -32,7 +32,7 @@
     with tempfile.TemporaryDirectory() as folder:
         try:
             fleet = PlatformFleet(Path(folder))
-        except PlatformError as error:
+        except PlatformFleetError as error:
             click.echo(f"the broker did not start: {error}", err=True)
             sys.exit(3)
         stop_signals: list[int] = []
@@ -54,7 +54,7 @@
         response = yield from fleet.client().send_query(f"demo{number}", query_class, shards, key=key)
         click.echo(f"  {query_class}: {response.status} {response.body.decode()[:150]}")
     click.echo(f"""
-Try next (the broker listens on {fleet.address}, its log is {fleet.lines}):
+Try next (the broker listens on {fleet.address}, its log is {fleet.log_path}):
   curl http://{fleet.address}/-/ready
   curl -H 'Req-Id: q1' -H 'Req-Kind: price-search' -H 'Req-Deadline: 400m' \\
     -d '{{"parts":[{{"id":1,"w":0.5}},{{"id":2,"w":0.5}}],"expr":"c41e77d0"}}' http://{fleet.address}/price-search
@@ -68,4 +68,4 @@
         yield from sleep(fleet.loop, POLL_INTERVAL_US)
     if fleet.process.poll() is None:
         fleet.process.terminate()
-    return (yield from fleet.ended())
+    return (yield from fleet.wait_for_exit())
--- a/heathwell/testing/simulation/multi_broker_scenario.py
+++ b/heathwell/testing/simulation/multi_broker_scenario.py
@@ -14,7 +14,7 @@
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import Config, read
 from heathwell.gateway.front import Front
-from heathwell.testing.simulation.platform_fleet import config_of, setup_of
+from heathwell.testing.simulation.platform_config import encode_config, platform_settings
 from heathwell.testing.standins.platform_client import PlatformClient
 from heathwell.testing.standins.platform_discovery import PlatformDiscovery
 from heathwell.testing.standins.platform_node import PlatformNode
@@ -51,12 +51,12 @@
 
     def _config(self, number: int, brokers: int) -> Config:
         return read(
-            config_of(
+            encode_config(
                 name=f"n{number}",
                 listen=f"b{number}:7070",
                 seed=f"{self.draw.getrandbits(64):016x}",
                 known=self.known,
-                settings=setup_of(replica_groups=self.cells, shards=2 * self.cells, brokers=brokers),
+                settings=platform_settings(replica_groups=self.cells, shards=2 * self.cells, brokers=brokers),
             )
         )
 
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-import copy
 import json
 import socket
 import struct
@@ -19,7 +18,7 @@
 from heathwell.gateway.broker import PlatformBroker
 from heathwell.gateway.config import read
 from heathwell.gateway.front import Front
-from heathwell.testing.simulation.platform_fleet import CELLS, SETUP, config_of
+from heathwell.testing.simulation.platform_config import REPLICA_GROUPS, encode_config, platform_settings
 from heathwell.testing.standins.platform_client import PlatformClient
 from heathwell.testing.standins.platform_discovery import PlatformDiscovery
 from heathwell.testing.standins.platform_node import PlatformNode
@@ -98,7 +97,7 @@
 
 def customer(name: str, **specifics: Any) -> dict[str, Any]:
     """A customer's settings object; keys of a table that it does not name are the common ones."""
-    setup: dict[str, Any] = copy.deepcopy(SETUP)
+    setup: dict[str, Any] = platform_settings()
     for key, value in CUSTOMERS[name].items():
         setup[key] = {**setup[key], **value} if isinstance(value, dict) else value
     setup["specifics"].update(specifics)
@@ -157,12 +156,13 @@
         self.loop.on_error = lambda task, error: self.errors.append((task, error))
         self.gate = Gate(self.net)
         self.nodes = [
-            PlatformNode(self.loop, self.net, "127.0.0.1:0", f"s{n}", n, work_us=1) for n in range(CELLS)
+            PlatformNode(self.loop, self.net, "127.0.0.1:0", f"s{n}", n, work_us=1)
+            for n in range(REPLICA_GROUPS)
         ]
         self.registry = PlatformDiscovery(self.loop, self.net, "127.0.0.1:0", self.nodes)
         self.setup = customer(name, width=width)
         self.config = read(
-            config_of(
+            encode_config(
                 **{
                     "listen": "127.0.0.1:0",
                     "discovery": self.registry.address if registry else "127.0.0.1:1",
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -4,7 +4,6 @@
 
 from __future__ import annotations
 
-import copy
 from functools import partial
 from typing import Any
 
@@ -17,7 +16,7 @@
 from heathwell.observability.event_log import ListEvents
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.platform_fleet import CELLS, SETUP, config_of
+from heathwell.testing.simulation.platform_config import REPLICA_GROUPS, encode_config, platform_settings
 from heathwell.testing.standins.platform_client import PlatformClient
 from heathwell.testing.standins.platform_discovery import PlatformDiscovery
 from heathwell.testing.standins.platform_node import PlatformNode
@@ -49,7 +48,7 @@
         self.way_us = 100  # the least that bytes take from broker to node
         self.lines: list[str] = []
         self.events: list[dict[str, Any]] = []
-        self.nodes = [self.node(n) for n in range(CELLS)]
+        self.nodes = [self.node(n) for n in range(REPLICA_GROUPS)]
         self.registry = (
             PlatformDiscovery(self.loop, self.net.at("registry"), "registry:8500", self.nodes)
             if registry
@@ -57,10 +56,10 @@
         )
         changes: dict[str, Any] = {"limits": limits} if limits else {}
         if setup:
-            changes["settings"] = {**copy.deepcopy(SETUP), **setup}
+            changes["settings"] = {**platform_settings(), **setup}
         if known:
             changes["known"] = {"rev": 1, "all": True, "targets": [node.entry for node in self.nodes]}
-        self.config = read(config_of(**changes))
+        self.config = read(encode_config(**changes))
         self.broker = PlatformBroker(
             self.loop,
             self.net.at("broker"),
@@ -174,4 +173,4 @@
 
 def settings_of() -> Any:
     """The start settings that the tests use."""
-    return read(config_of()).settings
+    return read(encode_config()).settings
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -71,8 +71,8 @@
         time.sleep(1.0)
         assert _cpu(pid) - spent <= 20  # of 100 ticks: nothing spins where nothing is asked
         fleet.process.send_signal(signal.SIGTERM)
-        assert fleet.run(fleet.ended()) == 0
-        assert "refused call" not in fleet.lines.read_text()
+        assert fleet.run(fleet.wait_for_exit()) == 0
+        assert "refused call" not in fleet.log_path.read_text()
     finally:
         fleet.close()
 
@@ -89,6 +89,6 @@
     )
     fleet = PlatformFleet(tmp_path, program=("-c", planted))
     try:
-        assert "refused call" in fleet.lines.read_text()
+        assert "refused call" in fleet.log_path.read_text()
     finally:
         fleet.close()
--- a/tests/test_event_orderings_processes.py
+++ b/tests/test_event_orderings_processes.py
@@ -12,7 +12,8 @@
 from heathwell.eventloop import ConnectError, StreamBrokenError, sleep, socket_loop
 from heathwell.gateway.config import read
 from heathwell.gateway.process import Process
-from heathwell.testing.simulation.platform_fleet import PlatformFleet, config_of
+from heathwell.testing.simulation.platform_config import encode_config
+from heathwell.testing.simulation.platform_fleet import PlatformFleet
 from heathwell.testing.standins.platform_node import PlatformNode
 
 from .crossings import CUSTOMERS, customer
@@ -59,7 +60,7 @@
         if point():
             return
         yield from sleep(world.loop, 2_000)
-    raise AssertionError(f"never reached: {world.lines.read_text()}")
+    raise AssertionError(f"never reached: {world.log_path.read_text()}")
 
 
 @pytest.mark.parametrize(
@@ -73,16 +74,16 @@
 )
 def test_signals_between_the_configuration_and_the_listener_are_carried_out(running, numbers):
     code = BEFORE_THE_LOOP.format(numbers=[int(number) for number in numbers])
-    world = running(program=("-c", code), ready=False)
-    assert world.run(world.ended()) == 0
-    assert "ended" in world.lines.read_text() and "Traceback" not in world.lines.read_text()
+    world = running(program=("-c", code), wait_until_ready=False)
+    assert world.run(world.wait_for_exit()) == 0
+    assert "ended" in world.log_path.read_text() and "Traceback" not in world.log_path.read_text()
 
 
 def test_a_hangup_before_the_listener_is_carried_out_and_it_serves(running):
     world = running(program=("-c", BEFORE_THE_LOOP.format(numbers=[int(signal.SIGHUP)])))
 
     def main():
-        yield from world.says("configuration read")
+        yield from world.wait_for_log("configuration read")
         return (yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])).status
 
     assert world.run(main()) == 200
@@ -104,19 +105,19 @@
         ]
         yield from until(world, lambda: sum(len(node.parts) for node in world.nodes) >= len(tasks))
         world.process.send_signal(signal.SIGTERM)
-        yield from world.says("terminating")
+        yield from world.wait_for_log("terminating")
         tasks += [
             world.loop.spawn(one_part(world, f"r{n}", kind), "r") for n, kind in enumerate(setup["classes"])
         ]
         statuses = []
         for task in tasks:
             statuses.append((yield from task.join()).status)
-        return statuses, (yield from world.ended())
+        return statuses, (yield from world.wait_for_exit())
 
     statuses, code = world.run(main())
     wanted = [500 if kind["idempotency"] == "non_idempotent" else 503 for kind in setup["classes"]]
     assert (statuses, code) == (wanted * 2, 0)
-    assert "open='0'" in world.lines.read_text() and "overdue" not in world.lines.read_text()
+    assert "open='0'" in world.log_path.read_text() and "overdue" not in world.log_path.read_text()
 
 
 def test_a_request_half_read_when_the_listener_closes_is_finished_and_answered(running):
@@ -145,7 +146,7 @@
         data = b""
         while more := (yield from stream.read()):
             data += more
-        return data, (yield from world.ended())
+        return data, (yield from world.wait_for_exit())
 
     data, code = world.run(main())
     assert data.startswith(b"HTTP/1.1 200") and code == 0
@@ -186,7 +187,7 @@
         world.process.send_signal(signal.SIGTERM)
         for task in tasks:
             yield from task.join()
-        return (yield from world.ended())
+        return (yield from world.wait_for_exit())
 
     assert world.run(main()) == 0
     seen = {part.id.partition(".")[0] for node in world.nodes for part in node.parts}
@@ -195,7 +196,7 @@
 
 @pytest.mark.parametrize("point", ["connecting", "half an answer", "twice", "while it ends"])
 def test_sighup_at_any_point_of_the_watch_moves_it_and_ends_nothing(running, point):
-    world = running(registry=False)
+    world = running(has_discovery=False)
     heard = []
 
     def serve(stream):
@@ -206,23 +207,23 @@
 
     def main():
         old = world.net.listen("127.0.0.1:0", serve, "old")
-        world.write(old.address)
+        world.write_config(old.address)
         world.process.send_signal(signal.SIGHUP)
         if point != "connecting":
             yield from until(world, lambda: heard)
-        world.write(world.registries[1].address)
+        world.write_config(world.discoveries[1].address)
         if point == "while it ends":
             world.process.send_signal(signal.SIGTERM)
-            yield from world.says("terminating")
+            yield from world.wait_for_log("terminating")
         world.process.send_signal(signal.SIGHUP)
         if point == "twice":
             world.process.send_signal(signal.SIGHUP)
-        yield from until(world, lambda: world.registries[1].queries)
+        yield from until(world, lambda: world.discoveries[1].queries)
         status = (yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])).status
         if point != "while it ends":
             assert world.process.poll() is None
             world.process.send_signal(signal.SIGTERM)
-        return status, (yield from world.ended())
+        return status, (yield from world.wait_for_exit())
 
     assert world.run(main()) == (200, 0)
 
@@ -233,10 +234,10 @@
     setup = {**world.settings, "classes": [other]}
 
     def main():
-        world.path.write_bytes(
-            config_of(
+        world.config_path.write_bytes(
+            encode_config(
                 listen="127.0.0.1:0",
-                discovery=world.registries[1].address,
+                discovery=world.discoveries[1].address,
                 settings={
                     **setup,
                     "specifics": {
@@ -250,8 +251,8 @@
             )
         )
         world.process.send_signal(signal.SIGHUP)
-        yield from until(world, lambda: world.registries[1].queries)
-        yield from world.says("from_the_next_start='settings'")
+        yield from until(world, lambda: world.discoveries[1].queries)
+        yield from world.wait_for_log("from_the_next_start='settings'")
         one = yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])
         other = yield from world.client().send_query("q2", "other", [0])
         return one.status, other.status
@@ -266,7 +267,7 @@
     loop, net, _ = socket_loop()
     node = PlatformNode(loop, net, "127.0.0.1:0", "s3", 3, work_us=1)
     config = read(
-        config_of(
+        encode_config(
             listen="127.0.0.1:0",
             discovery="127.0.0.1:1",
             known={"rev": 1, "all": True, "targets": [node.entry]},
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -16,7 +16,8 @@
 
 from heathwell.eventloop import sleep
 from heathwell.gateway.config import ConfigError, read
-from heathwell.testing.simulation.platform_fleet import PlatformFleet, config_of
+from heathwell.testing.simulation.platform_config import encode_config
+from heathwell.testing.simulation.platform_fleet import PlatformFleet
 
 from .loaded_modules import among, loaded_modules, missing_modules
 
@@ -49,13 +50,13 @@
 
 
 def without(field):
-    table = json.loads(config_of())
+    table = json.loads(encode_config())
     del table[field]
     return json.dumps(table).encode()
 
 
 def settings(**changes):
-    table = json.loads(config_of())
+    table = json.loads(encode_config())
     table["settings"].update(changes)
     return json.dumps(table).encode()
 
@@ -71,12 +72,12 @@
         (without("seed"), "seed"),
         (without("limits"), "limits"),
         (without("settings"), "settings"),
-        (config_of(listen="nowhere"), "listen"),
-        (config_of(seed="xyz"), "seed"),
-        (config_of(discovery="a:99999"), "discovery"),
-        (config_of(limits={"sockets": 5}), "limits.sockets"),
-        (config_of(limits={"sockets": "many"}), "limits.sockets"),
-        (config_of(known={"rev": 1}), "known"),
+        (encode_config(listen="nowhere"), "listen"),
+        (encode_config(seed="xyz"), "seed"),
+        (encode_config(discovery="a:99999"), "discovery"),
+        (encode_config(limits={"sockets": 5}), "limits.sockets"),
+        (encode_config(limits={"sockets": "many"}), "limits.sockets"),
+        (encode_config(known={"rev": 1}), "known"),
         (settings(classes=[]), "classes"),
         (settings(zones="a"), "zones"),
         (settings(specifics=None), "specifics"),
@@ -111,7 +112,7 @@
     ):
         done = start(environment)
         assert done.returncode == 2 and word in done.stderr and done.stderr.count("\n") == 1
-    path.write_bytes(config_of())
+    path.write_bytes(encode_config())
     for variable, value in (("GW_NAME", "other"), ("GW_LISTEN", "a:1"), ("GW_DISCOVERY", "nowhere")):
         done = start({**base, "GW_CONFIG": str(path), variable: value})
         assert done.returncode == 2 and variable in done.stderr
@@ -138,7 +139,7 @@
 
 
 def test_it_serves_with_discovery_down_in_one_thread_and_few_descriptors(running):
-    world = running(registry=False)
+    world = running(has_discovery=False)
 
     def main():
         response = yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])
@@ -156,17 +157,17 @@
         node.work_us = 200_000
 
     def main():
-        yield from world.says("ready")
+        yield from world.wait_for_log("ready")
         client, late = world.client(), world.client()
         first = world.loop.spawn(client.send_query("q1", "day-report", [0, 1, 2, 3]), "first")
         while not any(part.id.endswith(".fetch") for node in world.nodes for part in node.parts):
             yield from sleep(world.loop, 5_000)
         world.process.send_signal(signal.SIGTERM)
         world.process.send_signal(signal.SIGTERM)
-        yield from world.says("terminating")
+        yield from world.wait_for_log("terminating")
         second = yield from late.send_query("q2", "price-search", [0, 1, 2, 3])
         one = yield from first.join()
-        code = yield from world.ended()
+        code = yield from world.wait_for_exit()
         return one.status, second.status, code
 
     assert world.run(main()) == (200, 200, 0)
@@ -177,16 +178,16 @@
 
     def main():
         client = world.client()
-        while not world.registries[0].queries:
+        while not world.discoveries[0].queries:
             yield from sleep(world.loop, 5_000)
-        world.path.write_bytes(b'{"name": "n1"')
+        world.config_path.write_bytes(b'{"name": "n1"')
         world.process.send_signal(signal.SIGHUP)
-        yield from world.says("refused")
+        yield from world.wait_for_log("refused")
         one = yield from client.send_query("q1", "price-search", [0, 1, 2, 3])
-        assert not world.registries[1].queries
-        world.write(world.registries[1].address)
+        assert not world.discoveries[1].queries
+        world.write_config(world.discoveries[1].address)
         world.process.send_signal(signal.SIGHUP)
-        while not world.registries[1].queries:
+        while not world.discoveries[1].queries:
             yield from sleep(world.loop, 5_000)
         two = yield from client.send_query("q2", "price-search", [0, 1, 2, 3])
         return one.status, two.status
--- a/tests/test_wire_words.py
+++ b/tests/test_wire_words.py
@@ -22,7 +22,7 @@
         "heathwell/codec/nodeframes.py",
         "heathwell/gateway/settings_from_platform.py",
         # Writes the platform's configuration, as the stand-in of the platform.
-        "heathwell/testing/simulation/platform_fleet.py",
+        "heathwell/testing/simulation/platform_config.py",
     }
 )
 # Neither in an identifier, between underscores, nor in a string.
