--- a/benchmarks/fleetruns.py
+++ b/benchmarks/fleetruns.py
@@ -17,7 +17,7 @@
 
 from heathwell.settings import load
 from heathwell.testing.audit import judge_budgets
-from heathwell.testing.simulation.fault_scenario import Day
+from heathwell.testing.simulation.fault_scenario import FaultScenario
 from heathwell.testing.simulation.fault_script import load_script
 from heathwell.testing.simulation.random_fault_scripts import generate_fault_script
 
@@ -32,16 +32,16 @@
     (Path(folder) / "market.sx").write_text(MARKET.read_text().replace("(level info)", "(level error)"))
     script = Path(folder) / "day.sx"
     script.write_text(generate_fault_script(seed, load(MARKET)))
-    day = Day(*load_script(str(script)), folder=Path(folder) / "out", say=lambda _text: None)
+    day = FaultScenario(*load_script(str(script)), folder=Path(folder) / "out", report=lambda _text: None)
     try:
-        verdict = day.play()
+        verdict = day.run()
         found = judge_budgets(day.logged)
     except Exception as problem:  # a run that could not be judged has shown nothing
         return seed, [f"not judged: {problem!r}"], 0, 0, {}, folder
     wrong = [
         *(f"budget: {text}" for text in found.breaches),
         *map(str, verdict.breaches),
-        *(f"not made: {text}" for text in day.faults),
+        *(f"not made: {text}" for text in day.injection_errors),
     ]
     if not found.uses:
         wrong.append("nothing was used")
--- a/benchmarks/worthsockets.py
+++ b/benchmarks/worthsockets.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from heathwell.testing.audit import judge_budgets
-from heathwell.testing.simulation.fault_scenario import Day
+from heathwell.testing.simulation.fault_scenario import FaultScenario
 from heathwell.testing.simulation.fault_script import load_script
 
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples"
@@ -42,16 +42,19 @@
             (EXAMPLES / "worthday.sx").read_text() + ("(wires yes)\n" if budgets else "")
         )
         script, settings, config = load_script(str(folder / "day.sx"))
-        day = Day(script, settings, config, folder / "out", lambda _text: None)
-        verdict = day.play()
+        day = FaultScenario(script, settings, config, folder / "out", lambda _text: None)
+        verdict = day.run()
         rows = table[variant] = {}
-        assert day.clients is not None
         for outcome in day.clients.outcomes:
             for span, (begin, end) in SPANS.items():
                 if begin <= outcome.at < end:
                     rows.setdefault((span, outcome.query_class), Counter())[outcome.kind] += 1
         found = judge_budgets(day.logged) if variant == "lent" else None
-        wrong = [*map(str, verdict.breaches), *(found.breaches if found is not None else []), *day.faults]
+        wrong = [
+            *map(str, verdict.breaches),
+            *(found.breaches if found is not None else []),
+            *day.injection_errors,
+        ]
         bad += len(wrong)
         sends = [event for event in day.logged if event.ev == "send" and event.fields.get("further")]
         seconds = Counter(event.t // 1_000_000 for event in sends)
--- a/heathwell/cli/badday.py
+++ b/heathwell/cli/badday.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import json
 import sys
 import tempfile
 from pathlib import Path
@@ -13,8 +12,9 @@
 from heathwell.cli.process import exit_codes, settings_of
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Verdict
-from heathwell.testing.simulation.bench_day_replay import BenchDayError, fault_script_from_bench_day
-from heathwell.testing.simulation.fault_scenario import Day, summary
+from heathwell.testing.simulation.bench_day import BenchDayError
+from heathwell.testing.simulation.bench_day_replay import fault_script_from_bench_day
+from heathwell.testing.simulation.fault_scenario import FaultScenario
 from heathwell.testing.simulation.fault_script import Script, load_script
 from heathwell.testing.simulation.process_fleet import FleetError
 
@@ -35,7 +35,7 @@
     with exit_codes():
         loaded_script, service_settings, config = load_script(script)
     if seconds is not None:
-        loaded_script.steps = [step for step in loaded_script.steps if step.at < seconds * 1e6]
+        loaded_script.steps = [step for step in loaded_script.steps if step.at_us < seconds * 1e6]
         loaded_script.seconds = min(loaded_script.seconds, seconds)
     sys.exit(_play(loaded_script, service_settings, config, out))
 
@@ -61,9 +61,9 @@
 def _play(script: Script, service_settings: ServiceSettings, config: str, out: str | None) -> int:
     """Play the script, print its results, write the summary, and return the exit code."""
     folder = out or tempfile.mkdtemp(prefix="heathwell-")
-    day = Day(script, service_settings, config, folder, click.echo)
+    day = FaultScenario(script, service_settings, config, folder, click.echo)
     try:
-        verdict = day.play()
+        verdict = day.run()
     except FleetError as error:
         click.echo(str(error), err=True)
         return 3
@@ -71,16 +71,15 @@
     click.echo(
         f"{'all rules kept' if verdict.kept else f'{len(verdict.breaches)} breaches'}; logs in {folder}"
     )
-    (Path(folder) / "summary.json").write_text(json.dumps(summary(day, verdict), indent=1) + "\n")
-    for fault in day.faults:
+    (Path(folder) / "summary.json").write_text(day.summarize(verdict).to_json())
+    for fault in day.injection_errors:
         click.echo(f"could not be made: {fault}", err=True)
-    return 0 if verdict.kept and not (day.faults and script.wires) else 1
+    return 0 if verdict.kept and not (day.injection_errors and script.has_process_links) else 1
 
 
-def _print_results(day: Day, verdict: Verdict) -> None:
+def _print_results(day: FaultScenario, verdict: Verdict) -> None:
     """Print service by query class, the auditor's counts and the first breaches."""
-    assert day.clients is not None
-    for line in day.service():
+    for line in day.service_table():
         click.echo(line)
     click.echo(", ".join(f"{count} {name}" for name, count in verdict.counts.items()))
     click.echo(
--- a/heathwell/settings/field_types.py
+++ b/heathwell/settings/field_types.py
@@ -41,13 +41,20 @@
     return next(member for member in info.types if not isinstance(member, inspect.NoneType))
 
 
+def _choices(info: inspect.LiteralType | inspect.EnumType) -> tuple[object, ...]:
+    """Return the values of a type in alphabetical order."""
+    if isinstance(info, inspect.EnumType):
+        return tuple(sorted(member.value for member in info.cls))
+    return info.values
+
+
 def convert(atom: Atom, info: inspect.Type) -> Scalar | None:
     """Return the value of an atom in the record's unit; None if the atom is not of the type."""
     inner = unwrap(info)
     if isinstance(inner, inspect.StrType):
         return atom.text
-    if isinstance(inner, inspect.LiteralType):
-        return atom.text if atom.text in inner.values else None
+    if isinstance(inner, inspect.LiteralType | inspect.EnumType):
+        return atom.text if atom.text in _choices(inner) else None
     if atom.quoted:
         return None
     if isinstance(inner, inspect.BoolType):
@@ -99,8 +106,8 @@
     """Return what values a type accepts, for users."""
     inner = unwrap(info)
     unit = annotations_of(info).get("unit")
-    if isinstance(inner, inspect.LiteralType):
-        return "one of " + ", ".join(map(str, inner.values))
+    if isinstance(inner, inspect.LiteralType | inspect.EnumType):
+        return "one of " + ", ".join(map(str, _choices(inner)))
     if isinstance(inner, inspect.BoolType):
         return "yes or no"
     if unit == "time":
--- a/heathwell/testing/simulation/fault_scenario.py
+++ b/heathwell/testing/simulation/fault_scenario.py
@@ -1,287 +1,219 @@
-"""Plays a script against a fleet of processes, under load, and has the rules judged from the logs."""
+"""Runs a fault script against a fleet of processes under load; the auditor judges the rules from the logs."""
 
 from __future__ import annotations
 
-import heapq
-import json
-import re
-import signal
-import threading
 import time
-from collections import defaultdict
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import Final
 
-from heathwell.codec import frames
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Event, Verdict, judge, read_logs
-from heathwell.testing.simulation.client_population import Arrival, Clients, Outcome, arrivals
-from heathwell.testing.simulation.fault_links import FaultLinkError, FaultLinks
-from heathwell.testing.simulation.fault_script import HOST_FAULTS, LINK_FAULTS, Script, Step, named
-from heathwell.testing.simulation.process_fleet import FleetError, ProcessFleet
+from heathwell.testing.simulation.client_population import Arrival, Clients, arrivals
+from heathwell.testing.simulation.errors import SimulationError
+from heathwell.testing.simulation.fault_injector import FaultInjector
+from heathwell.testing.simulation.fault_links import FaultLinks
+from heathwell.testing.simulation.fault_script import Script, Step
+from heathwell.testing.simulation.process_fleet import ProcessFleet
+from heathwell.testing.simulation.run_log import RunLog
 from heathwell.testing.simulation.run_parameters import run_parameters_record
+from heathwell.testing.simulation.scenario_report import ScenarioSummary, count_outcomes, service_table
+from heathwell.testing.simulation.scripted_faults import ScriptedFault
 
-KINDS = ("on time", "late", "partial", "refused", "failed", "lost", "broken", "no broker")
-WINDOW = 5.0
-WARM_UP = 2.0  # seconds before the load: the brokers learn the host list
-ENDING = 4.0
-JOINED_SECONDS = 4.0  # that a broker which joins by a script stays
+WARM_UP_SECONDS: Final = 2.0
+"""Before the load, for the brokers to receive the endpoint list."""
+SETTLE_SECONDS: Final = 2.0
+"""After the load, for the last events to be logged."""
+CHECK_INTERVAL_SECONDS: Final = 0.2
+# The order of actions at the same time: steps, the last one first, then arrivals, then queries of death.
+FIRST_STEP_ORDER: Final = -1
+FIRST_POISON_ORDER: Final = 10**9
+POISON_ORDERS_PER_STEP: Final = 1000
 
 
-class Day:
-    """One run of a script."""
+class NoPoisonedSpaceError(SimulationError):
+    """The settings have no key space for queries of death."""
+
+    def __init__(self) -> None:
+        super().__init__("queries of death need a key space of searches or records")
+
+
+class NotRunError(SimulationError):
+    """The scenario has not run yet."""
+
+    def __init__(self) -> None:
+        super().__init__("the scenario has not run")
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class ScheduledAction:
+    """A step or a request, and when it is due after the load's start; ``order`` breaks ties."""
+
+    at_seconds: float
+    order: int
+    action: Step | Arrival = field(compare=False)
+
+
+class FaultScenario:
+    """One run of a script. Logs are written to ``folder``, the progress to ``report``."""
 
     def __init__(
         self,
         script: Script,
         service_settings: ServiceSettings,
-        config: str,
+        settings_path: str,
         folder: str | Path,
-        say: Callable[[str], None],
+        report: Callable[[str], None],
     ) -> None:
-        self.script, self.service_settings, self.folder, self.say = (
-            script,
-            service_settings,
-            Path(folder),
-            say,
-        )
-        self.folder.mkdir(parents=True, exist_ok=True)
-        self.events = self.folder / "events"
-        self.config = config
+        self.script = script
+        self.service_settings = service_settings
+        self._report = report
+        self._events_folder = Path(folder) / "events"
+        self._events_folder.mkdir(parents=True, exist_ok=True)
+        self._run_log = RunLog(self._events_folder)
         self.fleet = ProcessFleet(
-            config,
+            settings_path,
             service_settings,
-            str(self.events),
+            str(self._events_folder),
             script.seed,
-            wires=FaultLinks(script.seed) if script.wires else None,
+            wires=FaultLinks(script.seed) if script.has_process_links else None,
             clocks={clock.process: clock.rate for clock in script.clocks},
         )
-        self.clients: Clients | None = None
-        self.exits: dict[str, int] = {}
-        self.faults: list[str] = []  # of the harness itself
-        self._over = False
+        self._injector = FaultInjector(self.fleet, service_settings, settings_path, self._run_log, report)
+        self._clients: Clients | None = None
         self.logged: list[Event] = []
-
-    def play(self) -> Verdict:
-        """Run it all; raises :class:`FleetError` when the fleet can't be had."""
-        self.events.mkdir(exist_ok=True)
-        stale = list(self.events.glob("*.jsonl"))
-        for path in stale:
+        """All events, after the run."""
+
+    @property
+    def clients(self) -> Clients:
+        """The clients of the run. Raise :class:`NotRunError` before it."""
+        if self._clients is None:
+            raise NotRunError
+        return self._clients
+
+    @property
+    def injection_errors(self) -> list[str]:
+        """The faults that could not be injected, by which the run proves nothing."""
+        return self._injector.errors
+
+    def run(self) -> Verdict:
+        """Run the scenario and return the auditor's verdict. Raise :class:`FleetError`."""
+        for path in list(self._events_folder.glob("*.jsonl")):
             path.unlink()
-        self._note("run", figures=run_parameters_record(self.service_settings))
-        began = time.monotonic()
+        self._run_log.write("run", figures=run_parameters_record(self.service_settings))
         try:
-            self.fleet.up()
-            self.say(
-                f"{self.service_settings.fleet.leaves} hosts and "
-                f"{self.service_settings.fleet.brokers} brokers up after "
-                f"{time.monotonic() - began:.1f} s"
-            )
-            time.sleep(WARM_UP)
-            self._run()
+            self._start_fleet()
+            time.sleep(WARM_UP_SECONDS)
+            self._run_load()
         finally:
-            self._over = True
-            self.exits = self.fleet.down()
-        self.logged = read_logs([self.events])
+            self._injector.stop()
+            self.fleet.down()
+        self.logged = read_logs([self._events_folder])
         return judge(self.logged)
 
-    def _run(self) -> None:
-        script = self.script
-        clients = self.clients = Clients(
-            script.load, self.service_settings, self._brokers, self.events / "clients.jsonl"
+    def service_table(self) -> list[str]:
+        """Return the lines of a table of how requests ended. Raise :class:`NotRunError`."""
+        return service_table(self.clients.outcomes, self.script.seconds)
+
+    def summarize(self, verdict: Verdict) -> ScenarioSummary:
+        """Return the summary of the run. Raise :class:`NotRunError`."""
+        return ScenarioSummary(
+            outcomes_by_class=count_outcomes(self.clients.outcomes),
+            late_starts=self.clients.off_schedule,
+            requests=self.clients.asked,
+            audited=verdict.counts,
+            max_slow_start_load=verdict.coldest,
+            breaches=[str(breach) for breach in verdict.breaches],
+            restarts=len(self.fleet.deaths),
         )
-        due: list[tuple[float, int, Step | Arrival]] = []
-        for number, arrival in enumerate(
-            arrivals(script.load, self.service_settings, script.seed, 0.0, script.seconds, self._factor)
-        ):
-            due.append((arrival.at, number, arrival))
-        for number, step in enumerate(script.steps):
-            due.append((step.at / 1e6, -1 - number, step))
-            if step.kind == "poison":
-                due += [
-                    (at, 10**9 + number * 1000 + n, self._poison(step, n, at))
-                    for n in range(int(step.value))
-                    for at in [step.at / 1e6 + n * step.span / 1e6 / step.value]
-                ]
-        heapq.heapify(due)
-        zero = clients.start()
-        while due:
-            at, _, what = heapq.heappop(due)
-            self._wait(zero + at)
-            if isinstance(what, Arrival):
-                clients.offer(what)
-            else:
-                self._do(what, at)
-        self._wait(zero + script.seconds)
-        clients.finish()
-        time.sleep(ENDING / 2)
 
-    def _wait(self, until: float) -> None:
-        while (left := until - time.monotonic()) > 0:
-            time.sleep(min(left, 0.2))
+    def wait_until(self, at_seconds: float) -> None:
+        """Wait until a time of the monotonic clock; restart the processes that end by themselves."""
+        while (remaining_seconds := at_seconds - time.monotonic()) > 0:
+            time.sleep(min(remaining_seconds, CHECK_INTERVAL_SECONDS))
             for name in self.fleet.watch():
-                self.say(f"  {name} died; back, cold, in {self.fleet.restart_after:g} s")
+                self._report(f"  {name} died; back, cold, in {self.fleet.restart_after:g} s")
+
+    def _start_fleet(self) -> None:
+        started_at_seconds = time.monotonic()
+        self.fleet.up()
+        fleet = self.service_settings.fleet
+        duration_seconds = time.monotonic() - started_at_seconds
+        self._report(f"{fleet.leaves} hosts and {fleet.brokers} brokers up after {duration_seconds:.1f} s")
+
+    def _run_load(self) -> None:
+        """Send the requests and inject the faults, each at its time."""
+        clients = Clients(
+            self.script.load,
+            self.service_settings,
+            self._broker_addresses,
+            self._events_folder / "clients.jsonl",
+        )
+        self._clients = clients
+        actions = sorted(self._schedule())
+        started_at_seconds = clients.start()
+        for scheduled in actions:
+            self.wait_until(started_at_seconds + scheduled.at_seconds)
+            if isinstance(scheduled.action, Arrival):
+                clients.offer(scheduled.action)
+            else:
+                self._injector.inject(scheduled.action)
+        self.wait_until(started_at_seconds + self.script.seconds)
+        clients.finish()
+        time.sleep(SETTLE_SECONDS)
 
-    def _brokers(self) -> list[tuple[str, str, str]]:
-        asked = self.script.load.ask
+    def _broker_addresses(self) -> list[tuple[str, str, str]]:
+        """Return the name, the memcached and the search address of each broker that is requested."""
+        requested = self.script.load.brokers
         return [
-            (m.name, m.address, str(m.ready.get("vector", "")))
-            for m in self.fleet.of("broker")
-            if m.address and (not asked or m.name in asked)
+            (broker.name, broker.address, str(broker.ready.get("vector", "")))
+            for broker in self.fleet.of("broker")
+            if broker.address and (not requested or broker.name in requested)
         ]
 
-    def _factor(self, at: float) -> float:
-        found = 1.0
-        for step in self.script.steps:
-            if step.kind == "burst" and step.at / 1e6 <= at < (step.at + step.span) / 1e6:
-                found *= step.value
-        return found
-
-    def _poison(self, step: Step, number: int, at: float) -> Arrival:
-        """A query that kills each host that begins it."""
-        space = next(s for s in self.service_settings.keys if s.shape in ("search", "record"))
-        for other in self.service_settings.keys:
-            if other.shape == "search":
-                space = other
-        name = f"poison{step.at // 1000}x{number}"
-        key = f"{space.prefix}:{name}:1" if space.shape == "record" else f"{space.prefix}:{name}"
-        return Arrival(at, (key,), space.query_class)
+    # The schedule
 
-    def _do(self, step: Step, at: float) -> None:
-        self.say(
-            f"  {at:5.1f} s {step.kind} {' '.join(step.to)}"
-            + (f" x{step.value:g}" if step.value else "")
-            + (f" for {step.span / 1e6:g} s" if step.span else "")
+    def _schedule(self) -> Iterator[ScheduledAction]:
+        script = self.script
+        requests = arrivals(
+            script.load, self.service_settings, script.seed, 0.0, script.seconds, self._load_factor
         )
-        try:
-            if step.kind in HOST_FAULTS:
-                for name in step.to:
-                    self.fleet.order(
-                        name, frames.FaultCommand(step.kind, step.value, step.span, step.query_class)
-                    )
-            elif step.kind in ("discovery-down", "discovery-late"):
-                self.fleet.order(
-                    "discovery", frames.FaultCommand(step.kind.partition("-")[2], step.value, step.span)
-                )
-            elif step.kind.startswith("link-"):
-                for link in self.fleet.of("relay"):
-                    if not step.to or link.name.removeprefix("link-") in step.to:
-                        self.fleet.order(link.name, frames.FaultCommand(step.kind[5:], step.value, step.span))
-            elif step.kind in ("crash", "kill-broker", "kill", "pause"):
-                act = self._pause if step.kind == "pause" else self.fleet.kill
-                for name in self._named(step.to):
-                    act(name, step.span / 1e6)
-            elif step.kind == "restart-all":  # within the span, one after another
-                for number, name in enumerate(names := self._named(["b*"])):
-                    self.fleet.kill(name, step.span / 1e6 * (number + 1) / len(names))
-            elif step.kind in LINK_FAULTS and self.fleet.wires is not None:
-                self.fleet.wires.order(
-                    self._named(step.source),
-                    self._named(step.to),
-                    step.kind.removeprefix("way-"),
-                    step.span,
-                    step.value,
-                )
-            elif step.kind == "resize":
-                self._resize(step)
-            elif step.kind == "join":
-                self._join(step)
-            elif step.kind == "zone-loss":
-                zones = {self.service_settings.fleet.zones.index(name) for name in step.to}
-                for member in list(self.fleet.members.values()):
-                    if member.role in ("leaf", "broker") and member.zone in zones:
-                        self.fleet.kill(member.name, step.span / 1e6)
-        except (OSError, FleetError, FaultLinkError) as problem:
-            # A trouble that was not made must not pass for one that was borne; but who is down can't be
-            # slowed.
-            if step.kind not in HOST_FAULTS:
-                self.faults.append(f"{at:.1f} s {step.kind}: {problem}")
-            self.say(f"  {step.kind} could not be carried out: {problem}")
-
-    def _pause(self, name: str, seconds: float) -> None:
-        """Stop a process, and say so to the auditor: what it holds meanwhile can't be answered."""
-        self._note("paused", name=name, span=int(seconds * 1e6))
-        self.fleet.pause(name, seconds)
-
-    def _note(self, event: str, **fields: Any) -> None:
-        with (self.events / "run.jsonl").open("a", encoding="utf-8") as log:
-            log.write(
-                json.dumps({"t": time.monotonic_ns() // 1000, "who": "run", "ev": event, **fields}) + "\n"
-            )
-
-    def _named(self, patterns: list[str]) -> list[str]:
-        return [name for pattern in patterns for name in named(pattern, self.fleet.members)]
-
-    def _join(self, step: Step) -> None:
-        """A broker more each so many seconds, until the span is over; each is asked to end after a while."""
-        first, count = len(self.fleet.of("broker")), int(step.span / 1e6 / step.value)
-
-        def one(number: int) -> None:
-            if not self._over:
-                try:
-                    self.fleet.join(number, JOINED_SECONDS)
-                except (OSError, FleetError) as problem:
-                    self.faults.append(f"join of b{number}: {problem}")
-
-        for n in range(count):
-            timer = threading.Timer(n * step.value, one, (first + n,))
-            timer.daemon = True
-            timer.start()
-
-    def _resize(self, step: Step) -> None:
-        """Another whole in the settings' file, and SIGHUP to the keepers that read it anew."""
-        text = Path(self.config).read_text(encoding="utf-8")
-        found = re.search(rf"\(budget {step.budget}\s+\(whole ([0-9.]+)\) \(aside ([0-9.]+)%\)", text)
-        if found is None:
-            raise FleetError(f"{self.config}: no (budget {step.budget} (whole ...) (aside ...%)")
-        aside = float(found[1]) * float(found[2]) / step.value  # brokers' own minima stay as they are
-        said = f"(budget {step.budget} (whole {step.value:g}) (aside {aside:g}%)"
-        Path(self.config).write_text(text[: found.start()] + said + text[found.end() :], encoding="utf-8")
-        for keeper in self.fleet.of("keeper"):
-            self.fleet.signal(keeper.name, signal.SIGHUP)
-
-    def service(self) -> list[str]:
-        """Per class and window: how requests ended, in shares of those that arrived."""
-        assert self.clients is not None
-        return service_table(self.clients.outcomes, self.script.seconds)
-
-
-def service_table(outcomes: list[Outcome], seconds: float) -> list[str]:
-    """Lines of a table, a window of five seconds a row and the whole run last."""
-    by: dict[tuple[str, int], dict[str, int]] = defaultdict(lambda: defaultdict(int))
-    for outcome in outcomes:
-        by[outcome.query_class, int(outcome.at // WINDOW)][outcome.kind] += 1
-        by[outcome.query_class, -1][outcome.kind] += 1
-    lines = []
-    for query_class in sorted({name for name, _ in by}):
-        lines.append(f"{query_class:<14} {'asked':>6} " + " ".join(f"{kind:>9}" for kind in KINDS))
-        windows = [*range(int(seconds // WINDOW) + 1), -1]
-        for window in windows:
-            counts = by.get((query_class, window))
-            if counts is None:
-                continue
-            asked = sum(counts.values())
-            label = "whole run" if window < 0 else f"{window * WINDOW:3.0f}-{(window + 1) * WINDOW:.0f} s"
-            shares = " ".join(
-                f"{counts.get(kind, 0) / asked:>9.1%}" if counts.get(kind) else f"{'-':>9}" for kind in KINDS
-            )
-            lines.append(f"  {label:<12} {asked:>6} {shares}")
-    return lines
-
+        for number, arrival in enumerate(requests):
+            yield ScheduledAction(arrival.at, number, arrival)
+        for number, step in enumerate(script.steps):
+            yield ScheduledAction(step.at_seconds, FIRST_STEP_ORDER - number, step)
+            if step.kind is ScriptedFault.QUERIES_OF_DEATH:
+                yield from self._schedule_queries_of_death(step, number)
 
-def summary(day: Day, verdict: Verdict) -> dict[str, Any]:
-    """Figures of a run, for a file."""
-    assert day.clients is not None
-    counts: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
-    for outcome in day.clients.outcomes:
-        counts[outcome.query_class][outcome.kind] += 1
-    return {
-        "service": counts,
-        "off_schedule": day.clients.off_schedule,
-        "asked": day.clients.asked,
-        "judged": verdict.counts,
-        "coldest": verdict.coldest,
-        "breaches": [str(b) for b in verdict.breaches],
-        "deaths": len(day.fleet.deaths),
-    }
+    def _load_factor(self, at_seconds: float) -> float:
+        """Return by what the load's rate is multiplied at a time."""
+        factor = 1.0
+        for step in self.script.steps:
+            is_burst = step.kind is ScriptedFault.LOAD_BURST
+            if is_burst and step.at_seconds <= at_seconds < step.ends_at_seconds:
+                factor *= step.value
+        return factor
+
+    def _schedule_queries_of_death(self, step: Step, step_number: int) -> Iterator[ScheduledAction]:
+        """Yield queries, evenly over the step, each of which terminates all hosts that begin it."""
+        first_order = FIRST_POISON_ORDER + step_number * POISON_ORDERS_PER_STEP
+        for number in range(int(step.value)):
+            at_seconds = step.at_seconds + number * step.duration_seconds / step.value
+            arrival = self._query_of_death(step, number, at_seconds)
+            yield ScheduledAction(at_seconds, first_order + number, arrival)
+
+    def _query_of_death(self, step: Step, number: int, at_seconds: float) -> Arrival:
+        key_spaces = self.service_settings.keys
+        searches = [space for space in key_spaces if space.shape == "search"]
+        records = [space for space in key_spaces if space.shape == "record"]
+        name = f"poison{step.at_us // 1000}x{number}"
+        if searches:
+            space = searches[-1]
+            key = f"{space.prefix}:{name}"
+        elif records:
+            space = records[0]
+            key = f"{space.prefix}:{name}:1"
+        else:
+            raise NoPoisonedSpaceError
+        return Arrival(at_seconds, (key,), space.query_class)
--- a/heathwell/testing/simulation/platform_fleet.py
+++ b/heathwell/testing/simulation/platform_fleet.py
@@ -10,6 +10,7 @@
 from typing import Final, TypeVar
 
 from heathwell.eventloop import Coro, sleep, socket_loop
+from heathwell.testing.simulation.errors import SimulationError
 from heathwell.testing.simulation.platform_config import (
     REPLICA_GROUPS,
     JsonObject,
@@ -32,7 +33,7 @@
 Result = TypeVar("Result")
 
 
-class PlatformFleetError(Exception):
+class PlatformFleetError(SimulationError):
     """The broker did not do in time what was awaited; ``log`` is its log until then."""
 
     def __init__(self, awaited: str, log: str) -> None:
--- a/heathwell/testing/simulation/region_process_experiment.py
+++ b/heathwell/testing/simulation/region_process_experiment.py
@@ -16,8 +16,9 @@
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.simulation.client_population import Outcome
-from heathwell.testing.simulation.fault_scenario import Day
+from heathwell.testing.simulation.fault_scenario import FaultScenario
 from heathwell.testing.simulation.fault_script import Load, Mix, Script, Step
+from heathwell.testing.simulation.scripted_faults import ScriptedFault
 
 VARIANTS = {"decider": "(let-go 2s)", "off": "(decide no)", "nearest first": "(decide no) (prefer-home yes)"}
 FIRST, TROUBLE, BETWEEN = 8.0, 8.0, 12.0  # seconds: before the first, of each, and from one's end to the next
@@ -74,7 +75,13 @@
 ) -> Script:
     """Every trouble after another."""
     steps = [
-        Step(int((FIRST + n * (TROUBLE + BETWEEN)) * 1e6), kind, list(to), int(TROUBLE * 1e6), value)  # type: ignore[arg-type]
+        Step(
+            int((FIRST + n * (TROUBLE + BETWEEN)) * 1e6),
+            ScriptedFault(kind),
+            list(to),
+            int(TROUBLE * 1e6),
+            value,
+        )
         for n, (_, kind, value, to) in enumerate(troubles)
     ]
     load = Load(
@@ -166,9 +173,8 @@
     config = folder / "market.sx"
     config.write_text(settings(variant))
     service_settings = loads(settings(variant))
-    day = Day(script_of(rate, troubles), service_settings, str(config), folder, say)
-    verdict = day.play()
-    assert day.clients is not None
+    day = FaultScenario(script_of(rate, troubles), service_settings, str(config), folder, say)
+    verdict = day.run()
     return {
         "variant": variant,
         "services": services(day.clients.outcomes, service_settings, troubles),
--- a/tests/test_command_processes.py
+++ b/tests/test_command_processes.py
@@ -17,7 +17,8 @@
 from heathwell.cli import main
 from heathwell.settings import SettingsError, load, loads
 from heathwell.testing.audit import judge, read_logs
-from heathwell.testing.simulation.bench_day_replay import BenchDayError, fault_script_from_bench_day
+from heathwell.testing.simulation.bench_day import BenchDayError
+from heathwell.testing.simulation.bench_day_replay import fault_script_from_bench_day
 from heathwell.testing.simulation.fault_script import Script, load_script
 from heathwell.testing.simulation.process_fleet import ProcessFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
@@ -293,7 +294,7 @@
         "kill-broker",
         "drain",
     }
-    assert all(step.at <= 20_000_000 for step in script.steps)
+    assert all(step.at_us <= 20_000_000 for step in script.steps)
     day.write_text("{}")
     with pytest.raises(BenchDayError, match="'troubles' is missing"):
         fault_script_from_bench_day(str(day), loads(MARKET), "m.sx", 20.0, 10.0)
--- a/tests/test_evacuation_processes.py
+++ b/tests/test_evacuation_processes.py
@@ -23,7 +23,7 @@
 from heathwell.fleet.membership import LocalMember
 from heathwell.settings import load
 from heathwell.testing.audit import judge_budgets
-from heathwell.testing.simulation.fault_scenario import Day
+from heathwell.testing.simulation.fault_scenario import FaultScenario
 from heathwell.testing.simulation.fault_script import load_script
 from heathwell.testing.simulation.process_fleet import ProcessFleet
 
@@ -216,9 +216,11 @@
         f'(market "market.sx") (seconds {seconds}) (seed 3) (wires yes)\n'
         f"(load (rate 36) (clients 64) (mix price (share 3)) (mix report) (mix sale (share 2)))\n{steps}\n"
     )
-    day = Day(*load_script(str(tmp_path / "day.sx")), folder=tmp_path / "out", say=lambda _text: None)
-    verdict = day.play()
-    assert not day.faults and verdict.kept, (day.faults, verdict.breaches[:5])
+    day = FaultScenario(
+        *load_script(str(tmp_path / "day.sx")), folder=tmp_path / "out", report=lambda _text: None
+    )
+    verdict = day.run()
+    assert not day.injection_errors and verdict.kept, (day.injection_errors, verdict.breaches[:5])
     assert judge_budgets(day.logged).kept
     no_number_goes_back(day.logged)
     for show in shows:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -21,7 +21,7 @@
 from heathwell.fleet.quotas import QuotaCoordinator, QuotaTimings
 from heathwell.testing.audit import judge_budgets
 from heathwell.testing.audit.reader import Event
-from heathwell.testing.simulation.fault_scenario import Day
+from heathwell.testing.simulation.fault_scenario import FaultScenario
 from heathwell.testing.simulation.fault_script import load_script
 
 from .loaded_modules import among, loaded_modules, missing_modules
@@ -225,10 +225,12 @@
     )
     script, service_settings, config = load_script(str(tmp_path / "day.sx"))
     told: list[str] = []
-    day = Day(script, service_settings, config, tmp_path / "out", told.append)
-    verdict = day.play()
+    day = FaultScenario(script, service_settings, config, tmp_path / "out", told.append)
+    verdict = day.run()
     found = judge_budgets(day.logged)
-    assert not day.faults, day.faults  # a fault that was not made must not pass for one that was borne
+    assert not day.injection_errors, (
+        day.injection_errors
+    )  # a fault that was not made must not pass for one that was borne
     assert found.kept, found.breaches[:5]
     assert verdict.kept, verdict.breaches[:5]
     assert found.uses > 20 and found.nearest["further"] > 0.5
@@ -244,9 +246,9 @@
         f"{SLOW} (at 3s kill (to k2) (span 60s))"
     )
     read, service_settings, config = load_script(str(script))
-    day = Day(read, service_settings, config, tmp_path / "out", lambda _text: None)
+    day = FaultScenario(read, service_settings, config, tmp_path / "out", lambda _text: None)
     seen: dict[str, subprocess.CompletedProcess[str]] = {}
-    plain = day._wait
+    plain = day.wait_until
 
     def wait(until: float) -> None:
         plain(until)
@@ -277,8 +279,8 @@
                     check=False,
                 )
 
-    day._wait = wait  # type: ignore[method-assign]
-    day.play()
+    day.wait_until = wait  # type: ignore[method-assign]
+    day.run()
     assert {run.returncode for run in seen.values()} == {0}, seen
     table = seen["members"].stdout.splitlines()
     assert table[0].split()[:3] == ["name", "state", "zone"] and len(table) == 7
