--- a/heathwell/testing/simulation/fault_links.py
+++ b/heathwell/testing/simulation/fault_links.py
@@ -16,6 +16,7 @@
 from heathwell.codec import frames
 from heathwell.testing.simulation.errors import SimulationError
 from heathwell.testing.simulation.loop_thread import LoopThread
+from heathwell.testing.standins.errors import FaultInjectionError
 from heathwell.testing.standins.relay import Relay
 
 THREAD_NAME: Final = "fault links"
@@ -96,7 +97,7 @@
             self.seed * SEED_FACTOR + len(self._relays),
             self._target_address,
         )
-        relay.open_doors()
+        relay.open_listeners()
         return relay
 
     def _target_address(self, target: str) -> str:
@@ -128,9 +129,10 @@
             raise NoLinkError(kind, source_set, target_set)
         for link in links:
             command = _fault_command(link, source_set, kind, duration_us, value)
-            error = self._thread.call(partial(self._relays[link].order, command))
-            if error:
-                raise FaultLinkError(kind, error)
+            try:
+                self._thread.call(partial(self._relays[link].order, command))
+            except FaultInjectionError as error:
+                raise FaultLinkError(kind, str(error)) from error
         return len(links)
 
     def close(self) -> None:
--- a/heathwell/testing/simulation/local_fleet.py
+++ b/heathwell/testing/simulation/local_fleet.py
@@ -109,7 +109,7 @@
             surroundings.net_of(name),
             self.service_settings,
             name=name,
-            cell=number % fleet.cells,
+            replica_group=number % fleet.cells,
             zone=number % len(fleet.zones),
             discovery=self.discovery.address,
             seed=surroundings.seed * LEAF_SEED_FACTOR + number,
--- a/heathwell/testing/simulation/multi_broker_scenario.py
+++ b/heathwell/testing/simulation/multi_broker_scenario.py
@@ -17,8 +17,10 @@
 from heathwell.gateway.config import Config, read
 from heathwell.gateway.front import Front
 from heathwell.testing.simulation.errors import SimulationError
-from heathwell.testing.simulation.platform_fleet import config_of, setup_of
-from heathwell.testing.standins.platform import Client, Node, Registry
+from heathwell.testing.simulation.platform_config import encode_config, platform_settings
+from heathwell.testing.standins.platform_client import PlatformClient
+from heathwell.testing.standins.platform_discovery import PlatformDiscovery
+from heathwell.testing.standins.platform_node import PlatformNode
 
 T = TypeVar("T")
 
@@ -70,8 +72,8 @@
         self.errors: list[tuple[str, BaseException]] = []
         self.loop.on_error = lambda name, error: self.errors.append((name, error))
         self.nodes = [self._make_node(group, group) for group in range(nodes)]
-        self.registry = Registry(
-            self.loop, self.net.at("registry"), "registry:8500", self.nodes, line_us=entry_work_us
+        self.registry = PlatformDiscovery(
+            self.loop, self.net.at("registry"), "registry:8500", self.nodes, entry_work_us=entry_work_us
         )
         self.status_counts: Counter[int] = Counter()
         self._draws = random.Random(seed)
@@ -88,18 +90,18 @@
         """Return the brokers that run now, by number."""
         return [process.broker for process in self._processes]
 
-    def _make_node(self, number: int, replica_group: int) -> Node:
+    def _make_node(self, number: int, replica_group: int) -> PlatformNode:
         uid = f"s{number}"
-        return Node(self.loop, self.net.at(uid), f"{uid}:7070", uid, replica_group)
+        return PlatformNode(self.loop, self.net.at(uid), f"{uid}:7070", uid, replica_group)
 
     def _config(self, number: int) -> Config:
         return read(
-            config_of(
+            encode_config(
                 name=f"n{number}",
                 listen=f"b{number}:7070",
                 seed=f"{self._draws.getrandbits(64):016x}",
                 known=self._initial_endpoints,
-                settings=setup_of(
+                settings=platform_settings(
                     replica_groups=self._replica_groups, shards=self._shards, brokers=self._broker_count
                 ),
             )
@@ -124,8 +126,8 @@
         self._replacement_count += 1
         new = self._make_node(self._replica_groups + self._replacement_count, replica_group)
         self.nodes[replica_group] = new
-        self.registry.put({**old.entry, "state": "removed"})
-        self.registry.put(new.entry)
+        self.registry.publish({**old.entry, "state": "removed"})
+        self.registry.publish(new.entry)
         old.kill()
 
     def outdated_broker_count(self) -> int:
@@ -143,11 +145,11 @@
 
     def _query(self, query: str, client_number: int, broker: int) -> Coro[None]:
         """Send a query on a connection of its own and count its response."""
-        client = Client(self.loop, self.net.at(f"c{client_number}"), f"b{broker}:7070")
+        client = PlatformClient(self.loop, self.net.at(f"c{client_number}"), f"b{broker}:7070")
         first_shard = self._draws.randrange(self._shards)
         shards = [(first_shard + step) % self._shards for step in range(QUERY_PARTS)]
         try:
-            response = yield from client.ask(query, QUERY_CLASS, shards)
+            response = yield from client.send_query(query, QUERY_CLASS, shards)
         except (StreamBrokenError, ConnectError):
             self.status_counts[NO_RESPONSE] += 1
             return
--- a/heathwell/testing/simulation/region_experiment.py
+++ b/heathwell/testing/simulation/region_experiment.py
@@ -46,7 +46,7 @@
     QueryOutcome,
     SimulatedScenario,
 )
-from heathwell.testing.standins.relay import lost_wait
+from heathwell.testing.standins.link_condition import retransmission_delay_us
 
 BEFORE_SECONDS: Final = 10.0
 FAULT_SECONDS: Final = 15.0
@@ -253,7 +253,7 @@
             case RegionFault.PACKET_LOSS:
                 draws = random.Random(self.seed)
                 yield from self._delay_links(
-                    lambda: lost_wait(SMALL_MESSAGE_BYTES, PACKET_LOSS_FRACTION, draws)
+                    lambda: retransmission_delay_us(SMALL_MESSAGE_BYTES, PACKET_LOSS_FRACTION, draws)
                 )
             case RegionFault.ONE_WAY:
                 yield from self._cut_links(self._links(both_ways=False))
--- a/heathwell/testing/simulation/region_process_experiment.py
+++ b/heathwell/testing/simulation/region_process_experiment.py
@@ -31,8 +31,8 @@
     settings_text,
 )
 from heathwell.testing.simulation.experiment_phases import Phase
-from heathwell.testing.simulation.fault_scenario import Day
-from heathwell.testing.simulation.fault_script import Kind, Load, Mix, Script, Step
+from heathwell.testing.simulation.fault_scenario import FaultScenario
+from heathwell.testing.simulation.fault_script import Load, Mix, Script, Step
 from heathwell.testing.simulation.region_experiment import SecondCounts, ServiceKey
 from heathwell.testing.simulation.region_settings import (
     ZONE_NAMES,
@@ -41,6 +41,7 @@
     across_section,
     region_of_number,
 )
+from heathwell.testing.simulation.scripted_faults import ScriptedFault
 from heathwell.testing.simulation.simulated_scenario import US_PER_SECOND
 
 FIRST_FAULT_AT_SECONDS: Final = 8.0
@@ -76,19 +77,19 @@
     """A fault by the name that reports use, with its kind, value and targets in a fault script."""
 
     name: str
-    kind: Kind
+    kind: ScriptedFault
     value: float = 0.0
     targets: tuple[str, ...] = ()
 
 
 PROCESS_FAULTS: Final = (
-    ProcessFault("100 ms", "link-delay", value=0.1),
-    ProcessFault("400 ms", "link-delay", value=0.4),
-    ProcessFault("loss 5 %", "link-loss", value=0.05),
-    ProcessFault("one way", "link-oneway", targets=("hki",)),
-    ProcessFault("cut", "link-cut"),
-    ProcessFault("flap 2 s", "link-flap", value=2.0),
-    ProcessFault("region lost", "zone-loss", targets=("espoo-1", "espoo-2")),
+    ProcessFault("100 ms", ScriptedFault.REGION_LINK_DELAY, value=0.1),
+    ProcessFault("400 ms", ScriptedFault.REGION_LINK_DELAY, value=0.4),
+    ProcessFault("loss 5 %", ScriptedFault.REGION_LINK_LOSS, value=0.05),
+    ProcessFault("one way", ScriptedFault.REGION_LINK_CUT_ONE_DIRECTION, targets=("hki",)),
+    ProcessFault("cut", ScriptedFault.REGION_LINK_CUT),
+    ProcessFault("flap 2 s", ScriptedFault.REGION_LINK_FLAP, value=2.0),
+    ProcessFault("region lost", ScriptedFault.ZONE_LOSS, targets=("espoo-1", "espoo-2")),
 )
 
 
@@ -139,10 +140,10 @@
     """Return the script of all faults in turn, under a load of ``rate`` requests a second."""
     steps = [
         Step(
-            at=int(_fault_at_seconds(number) * US_PER_SECOND),
+            at_us=int(_fault_at_seconds(number) * US_PER_SECOND),
             kind=fault.kind,
-            to=list(fault.targets),
-            span=int(FAULT_SECONDS * US_PER_SECOND),
+            targets=list(fault.targets),
+            duration_us=int(FAULT_SECONDS * US_PER_SECOND),
             value=fault.value,
         )
         for number, fault in enumerate(faults)
@@ -272,9 +273,8 @@
     config = folder / SETTINGS_FILE_NAME
     config.write_text(text)
     service_settings = loads(text)
-    scenario = Day(fault_script(rate, faults), service_settings, str(config), folder, log)
-    verdict = scenario.play()
-    assert scenario.clients is not None
+    scenario = FaultScenario(fault_script(rate, faults), service_settings, str(config), folder, log)
+    verdict = scenario.run()
     return RegionProcessResult(
         variant=Variant(variant),
         services=services_by_fault(scenario.clients.outcomes, service_settings, faults),
--- a/heathwell/testing/simulation/simulated_scenario.py
+++ b/heathwell/testing/simulation/simulated_scenario.py
@@ -193,7 +193,7 @@
             make_evacuation_coordinator=make_evacuation_coordinator,
         )
         for leaf in fleet.leaves:
-            leaf.on_die = partial(self._restart_after, leaf, TERMINATED_RESTART_DELAY_US)
+            leaf.on_terminated = partial(self._restart_after, leaf, TERMINATED_RESTART_DELAY_US)
         return fleet
 
     def _host_net(self, name: str) -> HostNet:
--- a/heathwell/testing/simulation/zone_faults.py
+++ b/heathwell/testing/simulation/zone_faults.py
@@ -91,7 +91,7 @@
     def _kill(self, leaves: list[Leaf], duration_us: int) -> Coro[None]:
         """Kill leaves, and start them again at the same time."""
         for leaf in leaves:
-            leaf.on_die = None
+            leaf.on_terminated = None
             leaf.crash()
         yield from sleep(self._loop, duration_us)
         for leaf in leaves:
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -4,7 +4,6 @@
 
 from __future__ import annotations
 
-import copy
 from functools import partial
 from typing import Any
 
@@ -17,8 +16,10 @@
 from heathwell.observability.event_log import ListEvents
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.simulation.platform_fleet import CELLS, SETUP, config_of
-from heathwell.testing.standins.platform import Client, Node, Registry
+from heathwell.testing.simulation.platform_config import REPLICA_GROUPS, encode_config, platform_settings
+from heathwell.testing.standins.platform_client import PlatformClient
+from heathwell.testing.standins.platform_discovery import PlatformDiscovery
+from heathwell.testing.standins.platform_node import PlatformNode
 
 UNIX_US = 1_700_000_000_000_000
 LONG_US = 1 << 50
@@ -47,16 +48,18 @@
         self.way_us = 100  # the least that bytes take from broker to node
         self.lines: list[str] = []
         self.events: list[dict[str, Any]] = []
-        self.nodes = [self.node(n) for n in range(CELLS)]
+        self.nodes = [self.node(n) for n in range(REPLICA_GROUPS)]
         self.registry = (
-            Registry(self.loop, self.net.at("registry"), "registry:8500", self.nodes) if registry else None
+            PlatformDiscovery(self.loop, self.net.at("registry"), "registry:8500", self.nodes)
+            if registry
+            else None
         )
         changes: dict[str, Any] = {"limits": limits} if limits else {}
         if setup:
-            changes["settings"] = {**copy.deepcopy(SETUP), **setup}
+            changes["settings"] = {**platform_settings(), **setup}
         if known:
             changes["known"] = {"rev": 1, "all": True, "targets": [node.entry for node in self.nodes]}
-        self.config = read(config_of(**changes))
+        self.config = read(encode_config(**changes))
         self.broker = PlatformBroker(
             self.loop,
             self.net.at("broker"),
@@ -68,10 +71,10 @@
         self.front = Front(self.broker, self.config.client_sockets, self.config.kept_clients, self.log)
         self.listener = self.net.at("broker").listen("broker:7070", self.front.serve, "client")
 
-    def node(self, number: int, cell: int | None = None) -> Node:
+    def node(self, number: int, cell: int | None = None) -> PlatformNode:
         """A node of its own address."""
         uid = f"s{number}"
-        return Node(
+        return PlatformNode(
             self.loop,
             self.net.at(uid),
             f"{uid}:7070",
@@ -83,8 +86,8 @@
     def log(self, level: str, event: str, **fields: Any) -> None:
         self.lines.append(f"{level} {event} {fields}")
 
-    def client(self, name: str = "client") -> Client:
-        return Client(self.loop, self.net.at(name), "broker:7070")
+    def client(self, name: str = "client") -> PlatformClient:
+        return PlatformClient(self.loop, self.net.at(name), "broker:7070")
 
     def run(self, gen: Any, errors: bool = False) -> Any:
         result = self.loop.run(self.loop.spawn(gen, "main"))
@@ -170,4 +173,4 @@
 
 def settings_of() -> Any:
     """The start settings that the tests use."""
-    return read(config_of()).settings
+    return read(encode_config()).settings
--- a/tests/test_region_reachability.py
+++ b/tests/test_region_reachability.py
@@ -21,7 +21,11 @@
     region_process_settings,
     services_by_fault,
 )
-from heathwell.testing.standins.relay import RESEND_US, lost_wait
+from heathwell.testing.simulation.scripted_faults import ScriptedFault
+from heathwell.testing.standins.link_condition import (
+    RETRANSMISSION_TIMEOUT_US,
+    retransmission_delay_us,
+)
 
 from .fleet import MARKET, World
 from .test_regions import FAR, Bench
@@ -160,16 +164,18 @@
 
 def test_losses_show_as_resends_in_steps_that_double():
     draws = random.Random(3)
-    waits = [lost_wait(100, 0.3, draws) for _ in range(4000)]
-    assert set(waits) <= {RESEND_US * (2**n - 1) for n in range(12)}
+    waits = [retransmission_delay_us(100, 0.3, draws) for _ in range(4000)]
+    assert set(waits) <= {RETRANSMISSION_TIMEOUT_US * (2**n - 1) for n in range(12)}
     assert 0.27 < sum(wait > 0 for wait in waits) / 4000 < 0.33
-    assert sum(lost_wait(14_480, 0.05, draws) > 0 for _ in range(2000)) > 600  # ten packets: any of them
-    assert lost_wait(100, 0.0, draws) == 0
+    assert (
+        sum(retransmission_delay_us(14_480, 0.05, draws) > 0 for _ in range(2000)) > 600
+    )  # ten packets: any of them
+    assert retransmission_delay_us(100, 0.0, draws) == 0
 
 
 def test_the_service_around_a_trouble_is_counted_by_class_span_and_home():
     service_settings = loads(region_process_settings("decider"))
-    faults = (ProcessFault("cut", "link-cut"),)
+    faults = (ProcessFault("cut", ScriptedFault.REGION_LINK_CUT),)
     rows = [
         Outcome(
             at / 10,
