--- a/heathwell/cli/__init__.py
+++ b/heathwell/cli/__init__.py
@@ -11,7 +11,7 @@
 from heathwell import __version__
 from heathwell.cli.agent import agent
 from heathwell.cli.badday import badday, replay
-from heathwell.cli.coordinator import keeper
+from heathwell.cli.coordinator import coordinator
 from heathwell.cli.fleet import fleet
 from heathwell.cli.fleet_status import budgets, members
 from heathwell.cli.inspect import audit, check, schema
@@ -38,7 +38,7 @@
 fleet.add_command(budgets)
 for command in (
     broker,
-    keeper,
+    coordinator,
     zone,
     agent,
     rollout,
--- a/heathwell/cli/badday.py
+++ b/heathwell/cli/badday.py
@@ -6,11 +6,12 @@
 import sys
 import tempfile
 from pathlib import Path
+from typing import Final
 
 import click
 
 from heathwell.cli.inspect import judge_optional_rules
-from heathwell.cli.process import exit_codes, settings_of
+from heathwell.cli.process import MICROSECONDS_PER_SECOND, exit_codes, settings_of
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Verdict
 from heathwell.testing.simulation.bench_day_replay import BenchDayError, fault_script_from_bench_day
@@ -18,7 +19,7 @@
 from heathwell.testing.simulation.fault_script import Script, load_script
 from heathwell.testing.simulation.process_fleet import FleetError
 
-PRINTED_BREACHES = 20
+PRINTED_BREACHES: Final = 20
 
 
 @click.command()
@@ -35,7 +36,9 @@
     with exit_codes():
         loaded_script, service_settings, config = load_script(script)
     if seconds is not None:
-        loaded_script.steps = [step for step in loaded_script.steps if step.at < seconds * 1e6]
+        loaded_script.steps = [
+            step for step in loaded_script.steps if step.at < seconds * MICROSECONDS_PER_SECOND
+        ]
         loaded_script.seconds = min(loaded_script.seconds, seconds)
     sys.exit(_play(loaded_script, service_settings, config, out))
 
--- a/heathwell/cli/coordinator.py
+++ b/heathwell/cli/coordinator.py
@@ -1,4 +1,4 @@
-"""`heathwell keeper`: one quota coordinator of the fleet's quorum."""
+"""`heathwell keeper`: one quota coordinator of the fleet's quorum, as a process."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 import signal
 import sys
 import time
+from typing import Final
 
 import click
 
-from heathwell.cli.process import Process, serving
+from heathwell.cli.process import Process, coordinator_addresses, serving
 from heathwell.eventloop import Coro
 from heathwell.fleet.control.coordinator_metrics import CoordinatorAdminPages
 from heathwell.fleet.control.evacuation_coordinator import evacuation_coordinator_from_settings
@@ -22,27 +23,32 @@
 from heathwell.fleet.quotas import QuotaCoordinator
 from heathwell.settings import SettingsError, load
 
-ADMIN_CONNECTIONS = 100
+ADMIN_CONNECTIONS: Final = 100
 
 
-@click.command()
+@click.command("keeper")
 @serving("keeper")
 @click.option("--number", required=True, type=int, help="Which of the keepers it is, from 0.")
-@click.option("--keepers", default="", help="All keepers' addresses with commas between (settings' without).")
+@click.option(
+    "--keepers",
+    "coordinators",
+    default="",
+    help="All keepers' addresses with commas between (settings' without).",
+)
 @click.option("--listen", help="Address (that of its number in the settings without).")
 @click.option("--admin", default="127.0.0.1:0", show_default=True, help="Address of /healthz and /metrics.")
-def keeper(process: Process, *, number: int, keepers: str, listen: str | None, admin: str) -> None:
+def coordinator(process: Process, *, number: int, coordinators: str, listen: str | None, admin: str) -> None:
     """Run a keeper: the roll of brokers, and a part of the fleet's budgets to lend.
 
     SIGHUP reads the settings anew: the wholes of budgets may change while all run. It keeps nothing on disk.
     """
-    addresses = keepers.split(",") if keepers else list(process.service_settings.fleet.coordinators)
+    addresses = coordinator_addresses(process.service_settings, coordinators)
     if not 0 <= number < len(addresses):
         click.echo(f"--number {number}: settings name {len(addresses)} keepers", err=True)
         sys.exit(2)
     run = f"k{number}.{time.time_ns() // 1000:x}.{random.SystemRandom().randrange(1 << 32):x}"
 
-    def main() -> Coro[None]:
+    def _run_coordinator() -> Coro[None]:
         server = _coordinator_server(process, number, run, addresses)
         process.poller.on_signal(signal.SIGHUP, lambda: _reload_budgets(process, server))
         address = server.start(listen or addresses[number])
@@ -53,7 +59,7 @@
         server.close()
         pages.close()
 
-    process.run(main)
+    process.run(_run_coordinator)
 
 
 def _coordinator_server(
@@ -61,7 +67,7 @@
 ) -> QuotaCoordinatorServer:
     """Return the server of coordinator ``number`` of ``addresses``; ``run`` names this incarnation."""
     fleet = process.service_settings.fleet
-    coordinator = QuotaCoordinator(
+    quota_coordinator = QuotaCoordinator(
         number,
         run,
         len(addresses),
@@ -72,7 +78,7 @@
     return QuotaCoordinatorServer(
         process.loop,
         process.net,
-        coordinator,
+        quota_coordinator,
         {other: address for other, address in enumerate(addresses) if other != number},
         seed=number + 1,
         log=process.log,
--- a/heathwell/cli/fleet_status.py
+++ b/heathwell/cli/fleet_status.py
@@ -4,54 +4,110 @@
 
 from collections import defaultdict
 from dataclasses import dataclass
-from typing import Any
+from typing import Final
 
 import click
 import msgspec
 
 from heathwell.cli.operator_requests import (
-    coordinator_addresses,
     format_table,
     operator_options,
     print_and_exit,
     request_views,
+    required_coordinator_addresses,
 )
+from heathwell.cli.process import MICROSECONDS_PER_SECOND
 from heathwell.codec import frames
 
-MILLIUNITS_PER_UNIT = 1_000
+MILLIUNITS_PER_UNIT: Final = 1_000
 
 
-def member_rows(views: list[frames.FleetView]) -> list[dict[str, Any]]:
-    """Return one row a member name: its latest incarnation, from the view with the most recent contact.
+class MemberSummary(
+    msgspec.Struct, rename={"state_age_seconds": "since_s", "last_contact_age_seconds": "heard_s"}
+):
+    """One member in the output of the command; the JSON names are those of its output."""
 
-    Ages are in seconds; ``views`` in a row is the number of views with the member in that state, and of all.
+    name: str
+    state: str
+    zone: str
+    incarnation: int
+    state_age_seconds: float
+    last_contact_age_seconds: float
+    program: str
+    settings: str  # digest
+    views: str  # number of views with the member in that state / number of all views
+
+
+class HolderSummary(msgspec.Struct, rename={"remaining_seconds": "until_s"}):
+    """What one member holds of a budget; the JSON names are those of the command's output."""
+
+    member: str
+    amount: float
+    demand: float
+    remaining_seconds: float
+
+
+class BudgetSummary(msgspec.Struct, rename={"total": "whole", "set_aside": "aside", "granted": "given"}):
+    """One budget and scope; the JSON names are those of the command's output.
+
+    Amounts of a rate are in units per second.
     """
+
+    budget: str
+    kind: str
+    total: float
+    set_aside: float
+    granted: float
+    holders: list[HolderSummary]
+
+    def lines(self) -> list[str]:
+        """Return the printed lines: the budget, then each holder."""
+        return [
+            f"{self.budget} ({self.kind}): whole {self.total:g}, set aside {self.set_aside:g}, "
+            f"given {self.granted:g}",
+            *(
+                f"  {holder.member}: {holder.amount:g} (could use {holder.demand:g}) for "
+                f"{holder.remaining_seconds:g} s yet"
+                for holder in self.holders
+            ),
+        ]
+
+
+def summarize_members(views: list[frames.FleetView]) -> list[MemberSummary]:
+    """Return each member's latest incarnation, from the view with the most recent contact."""
     latest: dict[str, frames.MemberStatus] = {}
     states: dict[tuple[str, int], list[str]] = defaultdict(list)
     for view in views:
         for member in view.members:
             states[member.name, member.incarnation].append(member.state)
-            known = latest.get(member.name)
-            if known is None or _recency(member) > _recency(known):
+            present = latest.get(member.name)
+            if present is None or _is_newer(member, present):
                 latest[member.name] = member
     return [
-        {
-            "name": member.name,
-            "state": member.state,
-            "zone": member.zone,
-            "incarnation": member.incarnation,
-            "since_s": round(member.since_us / 1e6, 1),
-            "heard_s": round(member.last_contact_age_us / 1e6, 2),
-            "program": member.program,
-            "settings": member.digest,
-            "views": f"{states[member.name, member.incarnation].count(member.state)}/{len(views)}",
-        }
-        for member in sorted(latest.values(), key=lambda member: member.name)
+        _summarize_member(member, states[member.name, member.incarnation], len(views))
+        for _, member in sorted(latest.items())
     ]
 
 
-def _recency(member: frames.MemberStatus) -> tuple[int, int]:
-    return member.incarnation, -member.last_contact_age_us
+def _summarize_member(member: frames.MemberStatus, states: list[str], view_count: int) -> MemberSummary:
+    """Summarize a member; ``states`` are those of this incarnation, one from each view that has it."""
+    return MemberSummary(
+        name=member.name,
+        state=member.state,
+        zone=member.zone,
+        incarnation=member.incarnation,
+        state_age_seconds=round(member.since_us / MICROSECONDS_PER_SECOND, 1),
+        last_contact_age_seconds=round(member.last_contact_age_us / MICROSECONDS_PER_SECOND, 2),
+        program=member.program,
+        settings=member.digest,
+        views=f"{states.count(member.state)}/{view_count}",
+    )
+
+
+def _is_newer(member: frames.MemberStatus, other: frames.MemberStatus) -> bool:
+    if member.incarnation != other.incarnation:
+        return member.incarnation > other.incarnation
+    return member.last_contact_age_us < other.last_contact_age_us
 
 
 @dataclass(slots=True)
@@ -63,22 +119,20 @@
     demand: int = 0
 
     def add(self, share: frames.MemberShare) -> None:
+        """Add the member's share of one fraction."""
         self.amount += share.amount
         self.left_us = max(self.left_us, share.left_us)
         self.demand = max(self.demand, share.demand)
 
 
-def budget_rows(views: list[frames.FleetView]) -> list[dict[str, Any]]:
-    """Return one row a budget and scope: total, set aside, granted, and the members that hold grants.
-
-    Amounts of a rate are in units per second.
-    """
-    rows = []
+def summarize_budgets(views: list[frames.FleetView]) -> list[BudgetSummary]:
+    """Return a summary of each budget and scope: total, set aside, granted, and the members with grants."""
+    summaries = []
     for budget in views[0].wholes if views else []:
         holdings = _holdings_by_scope(budget.name, views)
         for scope, members in sorted(holdings.items()) or [("", {})]:
-            rows.append(_budget_row(budget, scope, members))
-    return rows
+            summaries.append(_summarize_budget(budget, scope, members))
+    return summaries
 
 
 def _holdings_by_scope(budget: str, views: list[frames.FleetView]) -> dict[str, dict[str, _Holding]]:
@@ -92,60 +146,52 @@
     return holdings
 
 
-def _budget_row(budget: frames.QuotaStatus, scope: str, members: dict[str, _Holding]) -> dict[str, Any]:
+def _summarize_budget(budget: frames.QuotaStatus, scope: str, members: dict[str, _Holding]) -> BudgetSummary:
     unit = MILLIUNITS_PER_UNIT if budget.kind == "rate" else 1
-    return {
-        "budget": budget.name + (f"@{scope}" if scope else ""),
-        "kind": budget.kind,
-        "whole": (budget.whole + budget.apart) / unit,
-        "aside": (budget.aside + budget.apart) / unit,
-        "given": sum(holding.amount for holding in members.values()) / unit,
-        "holders": [
-            {
-                "member": member,
-                "amount": holding.amount / unit,
-                "demand": holding.demand / unit,
-                "until_s": round(holding.left_us / 1e6, 2),
-            }
+    return BudgetSummary(
+        budget=budget.name + (f"@{scope}" if scope else ""),
+        kind=budget.kind,
+        total=(budget.whole + budget.apart) / unit,
+        set_aside=(budget.aside + budget.apart) / unit,
+        granted=sum(holding.amount for holding in members.values()) / unit,
+        holders=[
+            HolderSummary(
+                member=member,
+                amount=holding.amount / unit,
+                demand=holding.demand / unit,
+                remaining_seconds=round(holding.left_us / MICROSECONDS_PER_SECOND, 2),
+            )
             for member, holding in sorted(members.items(), key=lambda item: item[0])
         ],
-    }
+    )
 
 
 @click.command()
 @operator_options
-def members(*, config: str, keepers: str, as_json: bool) -> None:
+def members(*, config: str, coordinators: str, as_json: bool) -> None:
     """Who is a member of the fleet, by what the keepers have heard."""
-    result = request_views(coordinator_addresses(config, keepers))
-    rows = member_rows(result.views)
-    print_and_exit(result, {"members": rows}, format_table(rows), as_json=as_json)
+    result = request_views(required_coordinator_addresses(config, coordinators))
+    summaries = msgspec.to_builtins(summarize_members(result.views))
+    print_and_exit(result, {"members": summaries}, format_table(summaries), as_json=as_json)
 
 
 @click.command()
 @operator_options
-def budgets(*, config: str, keepers: str, as_json: bool) -> None:
+def budgets(*, config: str, coordinators: str, as_json: bool) -> None:
     """What of each budget is given out, to whom, until when."""
-    result = request_views(coordinator_addresses(config, keepers))
-    rows = budget_rows(result.views)
-    owners = {view.coordinator: view.owned for view in result.views}
-    lines = [line for row in rows for line in _budget_lines(row)]
-    lines += [_owner_line(name, owned) for name, owned in owners.items()]
-    body = {"budgets": rows, "owners": msgspec.to_builtins(owners, str_keys=True)}
-    print_and_exit(result, body, "\n".join(lines), as_json=as_json)
-
-
-def _budget_lines(row: dict[str, Any]) -> list[str]:
-    return [
-        f"{row['budget']} ({row['kind']}): whole {row['whole']:g}, set aside {row['aside']:g}, "
-        f"given {row['given']:g}",
-        *(
-            f"  {holder['member']}: {holder['amount']:g} (could use {holder['demand']:g}) for "
-            f"{holder['until_s']:g} s yet"
-            for holder in row["holders"]
-        ),
-    ]
+    result = request_views(required_coordinator_addresses(config, coordinators))
+    summaries = summarize_budgets(result.views)
+    owned_by_coordinator = {view.coordinator: view.owned for view in result.views}
+    lines = [line for summary in summaries for line in summary.lines()]
+    lines += [_owner_line(name, owned) for name, owned in owned_by_coordinator.items()]
+    body = {"budgets": summaries, "owners": owned_by_coordinator}
+    print_and_exit(result, msgspec.to_builtins(body, str_keys=True), "\n".join(lines), as_json=as_json)
 
 
 def _owner_line(coordinator: str, owned: dict[int, int]) -> str:
-    fractions = ", ".join(f"fraction {number} for {left / 1e6:.1f} s" for number, left in owned.items())
+    """Return the printed line of the fractions that a coordinator leases, with the remaining times (us)."""
+    fractions = ", ".join(
+        f"fraction {number} for {remaining_us / MICROSECONDS_PER_SECOND:.1f} s"
+        for number, remaining_us in owned.items()
+    )
     return f"keeper {coordinator} owns {fractions or 'no fraction'}"
--- a/heathwell/cli/operator_requests.py
+++ b/heathwell/cli/operator_requests.py
@@ -7,15 +7,15 @@
 import sys
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
-from typing import TypeVar
+from typing import Final, TypeVar
 
 import click
 
-from heathwell.cli.process import settings_of
+from heathwell.cli.process import coordinator_addresses, settings_of
 from heathwell.codec import frames, inner_protocol
 
-REPLY_TIMEOUT_SECONDS = 3.0
-A = TypeVar("A")
+REPLY_TIMEOUT_SECONDS: Final = 3.0
+Reply = TypeVar("Reply")
 
 
 @dataclass(slots=True)
@@ -27,8 +27,8 @@
 
 
 def request_reply(
-    address: str, message: frames.Message, kind: type[A], timeout_seconds: float = REPLY_TIMEOUT_SECONDS
-) -> A:
+    address: str, message: frames.Message, kind: type[Reply], timeout_seconds: float = REPLY_TIMEOUT_SECONDS
+) -> Reply:
     """Send an operator's request and return the reply of type ``kind``.
 
     Raises as :func:`heathwell.codec.inner_protocol.request`.
@@ -47,10 +47,9 @@
     return result
 
 
-def coordinator_addresses(config: str, keepers: str) -> list[str]:
+def required_coordinator_addresses(config: str, coordinators: str) -> list[str]:
     """Return the addresses of ``--keepers`` or of the settings; exit with code 2 where there are none."""
-    service_settings = settings_of(config)
-    addresses = keepers.split(",") if keepers else list(service_settings.fleet.coordinators)
+    addresses = coordinator_addresses(settings_of(config), coordinators)
     if not addresses:
         click.echo(f"{config}: fleet.keepers: none are named, so there is no roll and no budget", err=True)
         sys.exit(2)
@@ -61,7 +60,12 @@
     """Add ``--config``, ``--keepers`` and ``--json`` to a command."""
     for option in (
         click.option("--config", required=True, type=click.Path(dir_okay=False), help="Settings file."),
-        click.option("--keepers", default="", help="Their addresses, commas between (settings' without)."),
+        click.option(
+            "--keepers",
+            "coordinators",
+            default="",
+            help="Their addresses, commas between (settings' without).",
+        ),
         click.option("--json", "as_json", is_flag=True, help="As JSON."),
     ):
         command = option(command)
@@ -72,9 +76,9 @@
     """Return rows with the same keys as left-aligned columns under a line of the keys."""
     if not rows:
         return "none"
-    heads = list(rows[0])
-    lines = [heads, *([str(row[head]) for head in heads] for row in rows)]
-    widths = [max(len(line[column]) for line in lines) for column in range(len(heads))]
+    keys = list(rows[0])
+    lines = [keys, *([str(row[key]) for key in keys] for row in rows)]
+    widths = [max(len(line[column]) for line in lines) for column in range(len(keys))]
     return "\n".join(
         "  ".join(text.ljust(width) for text, width in zip(line, widths, strict=True)).rstrip()
         for line in lines
--- a/heathwell/cli/process.py
+++ b/heathwell/cli/process.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager
 from functools import wraps
 from pathlib import Path
-from typing import Any
+from typing import Final
 
 import click
 
@@ -27,6 +27,8 @@
 from heathwell.observability.event_log import EventLog, FileEvents, NoEvents
 from heathwell.settings import ServiceSettings, SettingsError, load
 
+MICROSECONDS_PER_SECOND: Final = 1e6
+
 
 @contextmanager
 def exit_codes(*invalid_input: type[Exception]) -> Iterator[None]:
@@ -48,6 +50,11 @@
         return load(path)
 
 
+def coordinator_addresses(service_settings: ServiceSettings, addresses: str) -> list[str]:
+    """Return the addresses of ``addresses``, with commas between, or those of the settings if it is empty."""
+    return addresses.split(",") if addresses else list(service_settings.fleet.coordinators)
+
+
 class Process:
     """One serving process: event loop, logs, event log, signals and ready line.
 
@@ -108,7 +115,7 @@
         unfinished.write_text(line + "\n")
         unfinished.rename(self.ready_file)
 
-    def run(self, main: Callable[[], Coro[Any]]) -> None:
+    def run(self, main: Callable[[], Coro[object]]) -> None:
         """Run until the main coroutine ends; exit with code 3 where an address cannot be bound."""
         configure_garbage_collector()
         try:
@@ -121,47 +128,50 @@
             self.events.close()
 
 
+# Applied in this order; `--help` lists them from the last to the first.
+SERVING_OPTIONS: Final = (
+    click.option("--config", required=True, type=click.Path(dir_okay=False), help="Settings file."),
+    click.option("--name", required=True, help="Name in logs; one of a kind among all runs."),
+    click.option(
+        "--events", type=click.Path(file_okay=False), help="Folder for the event log (off without)."
+    ),
+    click.option(
+        "--clock-rate",
+        type=click.FloatRange(0.5, 2.0),
+        default=1.0,
+        hidden=True,
+        help="For tests: how fast its clock runs against the machine's.",
+    ),
+    click.option(
+        "--ready-file",
+        type=click.Path(dir_okay=False),
+        help="Write {name, pid, address ...} here, as JSON, once it serves (standard output without).",
+    ),
+)
+
+
 def serving(role: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
-    """Add the options of every serving command, and pass it the :class:`Process` with_process of them.
+    """Add :data:`SERVING_OPTIONS` to a command, and pass it the :class:`Process` made of them.
 
     ``role`` names the process in its logs and event log.
     """
 
-    def add_options(command: Callable[..., None]) -> Callable[..., None]:
+    def _add_options(command: Callable[..., None]) -> Callable[..., None]:
         @wraps(command)
-        def with_process(
+        def _with_process(
             *,
             config: str,
             name: str,
             events: str | None,
             ready_file: str | None,
             clock_rate: float,
-            **more: object,
+            **command_options: object,
         ) -> None:
             process = Process(config, name, role, events=events, ready_file=ready_file, clock_rate=clock_rate)
-            command(process, **more)
-
-        for option in (
-            click.option("--config", required=True, type=click.Path(dir_okay=False), help="Settings file."),
-            click.option("--name", required=True, help="Name in logs; one of a kind among all runs."),
-            click.option(
-                "--events", type=click.Path(file_okay=False), help="Folder for the event log (off without)."
-            ),
-            click.option(
-                "--clock-rate",
-                type=click.FloatRange(0.5, 2.0),
-                default=1.0,
-                hidden=True,
-                help="For tests: how fast its clock runs against the machine's.",
-            ),
-            click.option(
-                "--ready-file",
-                type=click.Path(dir_okay=False),
-                help="Write {name, pid, address ...} here, as JSON, once it serves (standard output "
-                "without).",
-            ),
-        ):
-            with_process = option(with_process)
-        return with_process
-
-    return add_options
+            command(process, **command_options)
+
+        for option in SERVING_OPTIONS:
+            _with_process = option(_with_process)
+        return _with_process
+
+    return _add_options
--- a/heathwell/cli/rollout.py
+++ b/heathwell/cli/rollout.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from heathwell import __version__
-from heathwell.cli.process import Process, serving, settings_of
+from heathwell.cli.process import Process, coordinator_addresses, serving, settings_of
 from heathwell.cli.rollout_operator import ADDRESS_FILE_NAME, OPERATOR_COMMANDS
 from heathwell.eventloop import Coro, sleep
 from heathwell.fleet.control.fleet_agent import FleetAgent
@@ -306,7 +306,7 @@
         process.net,
         member,
         (budget,),
-        tuple(coordinators.split(",")) if coordinators else tuple(fleet.coordinators),
+        coordinator_addresses(service_settings, coordinators),
         renewal_interval_us=fleet.renew,
         timings=timings,
         seed=os.getpid(),
--- a/heathwell/cli/zone.py
+++ b/heathwell/cli/zone.py
@@ -7,26 +7,29 @@
 import signal
 import sys
 import time
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from functools import partial
+from typing import Final
 
 import click
 import msgspec
 
 from heathwell.cli.operator_requests import (
-    coordinator_addresses,
     format_table,
     operator_options,
     request_reply,
+    required_coordinator_addresses,
 )
+from heathwell.cli.process import MICROSECONDS_PER_SECOND
 from heathwell.codec import frames
 from heathwell.fleet.control.messages import attempt_counts_from_frames
 from heathwell.fleet.evacuation import Drill, DrillStage, DrillStageReport, OperatorAction, ZoneState
 
-DRILL_TICK_SECONDS = 2.0  # the span of which brokers report their attempts
-NO_DECIDER = "no keeper decides at this moment: the last decision stands"
-STATUS = "status"  # the operator command that changes nothing
-TERMINATED_EXIT_CODE = 128 + signal.SIGTERM
+DRILL_TICK_SECONDS: Final = 2.0  # the interval over which brokers report their attempts
+NO_DECIDER: Final = "no keeper decides at this moment: the last decision stands"
+STATUS: Final = "status"  # the operator command that changes nothing
+TERMINATED_EXIT_CODE: Final = 128 + signal.SIGTERM
 
 
 @click.group()
@@ -60,30 +63,38 @@
     return ZoneReplies(replies)
 
 
-def _action_command(action: str, help_text: str) -> click.Command:
-    """Return the click command of an operator action."""
+def _run_action(
+    action: str, *, config: str, coordinators: str, as_json: bool, zone: str = "", why: str = ""
+) -> None:
+    """Send an operator action and print the replies.
 
-    def command(*, config: str, keepers: str, as_json: bool, zone: str = "", why: str = "") -> None:
-        replies = _send_command(coordinator_addresses(config, keepers), action, why, zone)
-        if as_json:
-            body = {address: msgspec.to_builtins(reply) for address, reply in replies.by_address.items()}
-            click.echo(json.dumps(body, indent=1))
-        deciding = replies.from_deciders()
-        for reply in deciding:
-            if not as_json:
-                _print_states(reply)
-            if reply.text:
-                click.echo(reply.text, err=True)
-                sys.exit(1)
-        if not deciding:
-            click.echo(NO_DECIDER, err=True)
-            sys.exit(3)
+    Exit with code 1 where it is rejected, 3 where no coordinator decides.
+    """
+    addresses = required_coordinator_addresses(config, coordinators)
+    replies = _send_command(addresses, action, why, zone)
+    if as_json:
+        body = {address: msgspec.to_builtins(reply) for address, reply in replies.by_address.items()}
+        click.echo(json.dumps(body, indent=1))
+    deciding = replies.from_deciders()
+    for reply in deciding:
+        if not as_json:
+            _print_states(reply)
+        if reply.text:
+            click.echo(reply.text, err=True)
+            sys.exit(1)
+    if not deciding:
+        click.echo(NO_DECIDER, err=True)
+        sys.exit(3)
 
-    command.__doc__ = help_text
-    decorated = operator_options(command)
+
+def _action_command(action: str, help_text: str) -> click.Command:
+    """Return the click command of an operator action."""
+    callback: Callable[..., None] = partial(_run_action, action)
+    callback = operator_options(callback)
     if action != STATUS:
-        decorated = click.argument("zone")(click.option("--why", default="", help="For the log.")(decorated))
-    return click.command(action)(decorated)
+        callback = click.option("--why", default="", help="For the log.")(callback)
+        callback = click.argument("zone")(callback)
+    return click.command(action, help=help_text)(callback)
 
 
 def _print_states(reply: frames.ZonesStatus) -> None:
@@ -107,26 +118,48 @@
     zone.add_command(_action_command(_action, _help_text))
 
 
-def _drill_row(report: DrillStageReport) -> dict[str, Any]:
-    """A stage of a drill under the keys of the command's output."""
-    return {
-        "stage": report.stage.value,
-        "seconds": round(report.duration_seconds, 1),
-        "there_a_second": round(report.zone_attempts_per_second, 1),
-        "elsewhere_a_second": round(report.elsewhere_attempts_per_second, 1),
-        "lost_elsewhere": round(report.elsewhere_loss, 4),
-        "worst_look": round(report.worst_tick_loss, 4),
-        "lost_by_class": {
+class DrillStageSummary(
+    msgspec.Struct,
+    rename={
+        "duration_seconds": "seconds",
+        "zone_attempts_per_second": "there_a_second",
+        "elsewhere_attempts_per_second": "elsewhere_a_second",
+        "elsewhere_loss": "lost_elsewhere",
+        "worst_tick_loss": "worst_look",
+        "elsewhere_loss_by_class": "lost_by_class",
+    },
+):
+    """A stage of a drill, rounded; the JSON names are those of the command's output."""
+
+    stage: str
+    duration_seconds: float
+    zone_attempts_per_second: float
+    elsewhere_attempts_per_second: float
+    elsewhere_loss: float
+    worst_tick_loss: float
+    elsewhere_loss_by_class: dict[str, float]
+
+
+def _summarize_stage(report: DrillStageReport) -> DrillStageSummary:
+    return DrillStageSummary(
+        stage=report.stage.value,
+        duration_seconds=round(report.duration_seconds, 1),
+        zone_attempts_per_second=round(report.zone_attempts_per_second, 1),
+        elsewhere_attempts_per_second=round(report.elsewhere_attempts_per_second, 1),
+        elsewhere_loss=round(report.elsewhere_loss, 4),
+        worst_tick_loss=round(report.worst_tick_loss, 4),
+        elsewhere_loss_by_class={
             query_class: round(loss, 4) for query_class, loss in report.elsewhere_loss_by_class.items()
         },
-    }
+    )
 
 
 @zone.command()
 @click.argument("zone")
-@click.option("--seconds", default=20.0, show_default=True, help="How long to stay away.")
+@click.option("--seconds", "duration_seconds", default=20.0, show_default=True, help="How long to stay away.")
 @click.option(
     "--most",
+    "loss_limit",
     default=0.05,
     show_default=True,
     help="Share lost elsewhere beyond the usual, from which the drill is called off.",
@@ -134,30 +167,41 @@
 @click.option("--why", default="a drill", show_default=True, help="For the log.")
 @operator_options
 def drill(
-    *, config: str, keepers: str, as_json: bool, zone: str, seconds: float, most: float, why: str
+    *,
+    config: str,
+    coordinators: str,
+    as_json: bool,
+    zone: str,
+    duration_seconds: float,
+    loss_limit: float,
+    why: str,
 ) -> None:
     """Leave a healthy ZONE and come back to it, and report what that cost. Exit 1 where it was called off.
 
     Ended half way by a signal, it says return before it goes.
     """
-    runner = _DrillRunner(coordinator_addresses(config, keepers), zone, why, prints_stages=not as_json)
+    addresses = required_coordinator_addresses(config, coordinators)
+    runner = _DrillRunner(addresses, zone, why, prints_stages=not as_json)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(TERMINATED_EXIT_CODE))
-    result = runner.run(int(seconds * 1e6), most)
-    rows = [_drill_row(stage) for stage in result.report()]
-    if as_json:
-        body = {"zone": zone, "called_off": result.cancel_reason or "", "stages": rows}
-        click.echo(json.dumps(body, indent=1))
-    else:
-        click.echo(
-            format_table(
-                [{key: value for key, value in row.items() if key != "lost_by_class"} for row in rows]
-            )
-        )
+    result = runner.run(int(duration_seconds * MICROSECONDS_PER_SECOND), loss_limit)
+    _print_drill(result, as_json=as_json)
     if result.cancel_reason is not None:
         click.echo(f"called off: {result.cancel_reason}", err=True)
         sys.exit(1)
 
 
+def _print_drill(result: Drill, *, as_json: bool) -> None:
+    """Print the stages as JSON, or as a table without the losses of each query class."""
+    stages = msgspec.to_builtins([_summarize_stage(report) for report in result.report()])
+    if as_json:
+        body = {"zone": result.zone, "called_off": result.cancel_reason or "", "stages": stages}
+        click.echo(json.dumps(body, indent=1))
+        return
+    for stage in stages:
+        del stage["lost_by_class"]
+    click.echo(format_table(stages))
+
+
 def _now_us() -> int:
     return time.monotonic_ns() // 1000
 
@@ -171,14 +215,14 @@
         self._reason = reason
         self._prints_stages = prints_stages
 
-    def run(self, duration_us: int, most: float) -> Drill:
+    def run(self, duration_us: int, loss_limit: float) -> Drill:
         """Run the drill and return it; raise `click.ClickException` where it cannot run.
 
-        ``most`` is the loss elsewhere, beyond the usual, from which it is cancelled.
+        ``loss_limit`` is the loss elsewhere, beyond the usual, from which it is cancelled.
         """
         view = self._command(STATUS)
         self._check_serving(view)
-        drill_steps = Drill(self._zone, _now_us(), duration_us, most)
+        drill_steps = Drill(self._zone, _now_us(), duration_us, loss_limit)
         began_at_us = _now_us()
         printed_stage = ""
         is_evacuated = False
@@ -190,7 +234,9 @@
                     self._command(action.value)
                     is_evacuated = action == OperatorAction.EVACUATE
                 if drill_steps.stage != printed_stage and self._prints_stages:
-                    click.echo(f"{(_now_us() - began_at_us) / 1e6:6.1f} s  {drill_steps.stage}")
+                    click.echo(
+                        f"{(_now_us() - began_at_us) / MICROSECONDS_PER_SECOND:6.1f} s  {drill_steps.stage}"
+                    )
                 printed_stage = drill_steps.stage
                 time.sleep(DRILL_TICK_SECONDS)
                 view = self._command(STATUS)
