--- a/heathwell/cli/fleet.py
+++ b/heathwell/cli/fleet.py
@@ -7,7 +7,7 @@
 import sys
 import time
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Final
 
 import click
 
@@ -17,9 +17,9 @@
 if TYPE_CHECKING:
     from pymemcache.client.base import Client
 
-POLL_INTERVAL_SECONDS = 0.1
-DEMO_TIMEOUT_SECONDS = 10
-DEMO_RETRY_INTERVAL_SECONDS = 0.3
+POLL_INTERVAL_SECONDS: Final = 0.1
+DEMO_TIMEOUT_SECONDS: Final = 10
+DEMO_RETRY_INTERVAL_SECONDS: Final = 0.3
 
 
 @click.group()
@@ -37,7 +37,7 @@
 @click.option("--events", type=click.Path(file_okay=False), help="Folder for event logs (off without).")
 @click.option("--seconds", type=float, help="Stop by itself after so long.")
 @click.option("--demo", is_flag=True, help="Ask a multi-get of every class and say what to try next.")
-def up(config: str, ready_file: str | None, events: str | None, seconds: float | None, demo: bool) -> None:
+def up(*, config: str, ready_file: str | None, events: str | None, seconds: float | None, demo: bool) -> None:
     """Start discovery, hosts and brokers; stop them all on SIGTERM, SIGINT or after --seconds."""
     service_settings = settings_of(config)
     if not service_settings.fleet.leaves or not service_settings.fleet.brokers:
@@ -81,11 +81,13 @@
 
 def _get_values(client: Client, keys: list[str]) -> dict[str, bytes]:
     """Return the answers to a multi-get; it is repeated while the broker has no endpoint list yet."""
+    from pymemcache.exceptions import MemcacheError  # noqa: PLC0415  # a client library, for the demo alone
+
     deadline_seconds = time.monotonic() + DEMO_TIMEOUT_SECONDS
     while True:
         try:
             return dict(client.get_many(keys))
-        except Exception as error:
+        except (OSError, MemcacheError) as error:
             if time.monotonic() > deadline_seconds:
                 raise FleetError(f"the demo fleet does not answer: {error}") from None
             time.sleep(DEMO_RETRY_INTERVAL_SECONDS)
--- a/heathwell/cli/inspect.py
+++ b/heathwell/cli/inspect.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import sys
+from typing import Final
 
 import click
 
@@ -11,7 +12,7 @@
 from heathwell.testing.audit import Breach, Event, Verdict, judge, judge_ages, judge_budgets, read_logs
 from heathwell.testing.audit.reader import LogError
 
-LOGGED_WITHIN_US = 200  # between the two clock readings that place an answer's age in its log line
+LOGGED_WITHIN_US: Final = 200  # between the two clock readings that place an answer's age in its log line
 
 
 @click.command()
@@ -36,11 +37,11 @@
 
     Return the lines that summarize what was judged.
     """
-    run_figures = next(event for event in events if event.ev == "run").fields["figures"]
+    run_parameters = next(event for event in events if event.ev == "run").fields["figures"]
     lines = []
-    if run_figures.get("budgets"):
+    if run_parameters.get("budgets"):
         lines.append(_judge_budgets(verdict, events))
-    if run_figures.get("source_offset") is not None:
+    if run_parameters.get("source_offset") is not None:
         lines.append(_judge_ages(verdict, events))
     return lines
 
@@ -66,8 +67,8 @@
 
 @click.command()
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True))
-@click.option("--most", default=20, show_default=True, help="Breaches to print.")
-def audit(logs: tuple[str, ...], most: int) -> None:
+@click.option("--most", "printed_breaches", default=20, show_default=True, help="Breaches to print.")
+def audit(logs: tuple[str, ...], printed_breaches: int) -> None:
     """Judge the six rules from event LOGS: files, or folders of .jsonl files."""
     try:
         events = read_logs(logs)
@@ -79,9 +80,9 @@
     click.echo(f"nearest to pushing a cold host over: {verdict.coldest:.2f} of what it bears")
     for line in judge_optional_rules(verdict, events):
         click.echo(line)
-    for breach in verdict.breaches[:most]:
+    for breach in verdict.breaches[:printed_breaches]:
         click.echo(str(breach))
-    if len(verdict.breaches) > most:
-        click.echo(f"... and {len(verdict.breaches) - most} more")
+    if len(verdict.breaches) > printed_breaches:
+        click.echo(f"... and {len(verdict.breaches) - printed_breaches} more")
     click.echo("all rules kept" if verdict.kept else f"{len(verdict.breaches)} breaches")
     sys.exit(0 if verdict.kept else 1)
--- a/heathwell/cli/logs.py
+++ b/heathwell/cli/logs.py
@@ -5,20 +5,26 @@
 import logging
 import sys
 from collections.abc import Callable
-from typing import Any
+from typing import Final
 
 import structlog
+from structlog.typing import Processor
 
 from heathwell.settings.schema import Log
 
-LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
+LEVELS: Final = {
+    "debug": logging.DEBUG,
+    "info": logging.INFO,
+    "warning": logging.WARNING,
+    "error": logging.ERROR,
+}
 # Settings may name a package by its former name.
-FORMER_PACKAGES = {"heathwell.kernel": "heathwell.eventloop"}
+FORMER_PACKAGES: Final = {"heathwell.kernel": "heathwell.eventloop"}
 Logger = Callable[..., None]
-Maker = Callable[..., Logger]
+LoggerFactory = Callable[..., Logger]
 
 
-def set_up(log: Log) -> Maker:
+def set_up(log: Log) -> LoggerFactory:
     """Configure structlog and return a factory of loggers, each called as ``log(level, text, **fields)``.
 
     The factory takes the logger's package, whose level comes from ``log``, and the fields of every line.
@@ -28,21 +34,21 @@
         FORMER_PACKAGES.get(entry.name, entry.name): LEVELS[entry.level] for entry in log.modules
     }
 
-    def make_logger(package: str, **bound_fields: object) -> Logger:
+    def _make_logger(package: str, **bound_fields: object) -> Logger:
         logger = structlog.get_logger().bind(module=package, **bound_fields)
         threshold = _package_level(package, package_levels, LEVELS[log.level])
 
-        def write(level: str, text: str, **fields: object) -> None:
+        def _write(level: str, text: str, **fields: object) -> None:
             if LEVELS[level] >= threshold:
                 getattr(logger, level)(text, **fields)
 
-        return write
+        return _write
 
-    return make_logger
+    return _make_logger
 
 
 def _configure_structlog(log_format: str) -> None:
-    renderer: Any = (
+    renderer: Processor = (
         structlog.processors.JSONRenderer()
         if log_format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
--- a/heathwell/cli/platform.py
+++ b/heathwell/cli/platform.py
@@ -7,6 +7,7 @@
 import tempfile
 import time
 from pathlib import Path
+from typing import Final
 
 import click
 
@@ -14,12 +15,12 @@
 from heathwell.testing.simulation.platform_fleet import PlatformError, PlatformFleet
 
 # Query class, shards, and key (empty where the class has none).
-QUERIES = (
+QUERIES: Final = (
     ("price-search", [0, 1, 2, 3], ""),
     ("day-report", [4, 5, 6, 7], ""),
     ("sale-record", [3], "5c0f6e1a"),
 )
-POLL_INTERVAL_US = 100_000
+POLL_INTERVAL_US: Final = 100_000
 
 
 @click.command()
--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from functools import partial
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Final
 
 import click
 
 from heathwell import __version__
-from heathwell.cli.process import Process, serving
+from heathwell.cli.process import Process, coordinator_addresses, serving
 from heathwell.eventloop import Coro, Listener, Net, sleep
 from heathwell.observability.digests import program_digest, settings_digest
 from heathwell.servers.admin import AdminServer
@@ -33,12 +33,12 @@
     from heathwell.fleet.control.fleet_agent import FleetAgent
     from heathwell.service.zone_observer import ZoneBroker, ZoneObserver
 
-PACKAGE = Path(__file__).resolve().parent.parent
-ADMIN_CONNECTIONS = 100
-HAND_OVER_TIMEOUT_US = 2_000_000  # for clients to reach a moment without a request in flight
-LEAVE_DURATION_US = 50_000  # for the last frame to the coordinators to be sent
-POLL_INTERVAL_US = 10_000
-FLUSH_ATTEMPTS = 20
+PACKAGE: Final = Path(__file__).resolve().parent.parent
+ADMIN_CONNECTIONS: Final = 100
+HAND_OVER_TIMEOUT_US: Final = 2_000_000  # for clients to reach a moment without a request in flight
+LEAVE_DURATION_US: Final = 50_000  # for the last frame to the coordinators to be sent
+POLL_INTERVAL_US: Final = 10_000
+FLUSH_ATTEMPTS: Final = 20
 
 
 @click.command()
@@ -51,7 +51,12 @@
 )
 @click.option("--source", default="", help="host:port of the source's clock (settings' without).")
 @click.option("--listen", help="memcached address (settings' without).")
-@click.option("--keepers", default="", help="Keepers' addresses with commas between (settings' without).")
+@click.option(
+    "--keepers",
+    "coordinators",
+    default="",
+    help="Keepers' addresses with commas between (settings' without).",
+)
 @click.option(
     "--report", is_flag=True, help="Keep sums of service for the machine's agent, and say what it runs."
 )
@@ -64,7 +69,7 @@
     source: str,
     routes: str,
     listen: str | None,
-    keepers: str,
+    coordinators: str,
     report: bool,
 ) -> None:
     """Run a broker: memcached in, answers from the hosts out.
@@ -73,9 +78,9 @@
     """
     service_settings = process.service_settings
     net = _routed_net(process.net, routes)
-    agent = _fleet_agent(process, zone, seed, keepers)
+    agent = _fleet_agent(process, zone, seed, coordinators)
 
-    def main() -> Coro[None]:
+    def _run_broker() -> Coro[None]:
         options = BrokerOptions(
             name=process.name,
             zone=zone,
@@ -89,7 +94,7 @@
         )
         yield from BrokerServer(process, net, options, agent, listen).run()
 
-    process.run(main)
+    process.run(_run_broker)
 
 
 class BrokerServer:
@@ -233,7 +238,7 @@
         sys.exit(2)
 
 
-def _fleet_agent(process: Process, zone: int, seed: int, keepers: str) -> FleetAgent | None:
+def _fleet_agent(process: Process, zone: int, seed: int, coordinators: str) -> FleetAgent | None:
     """Return the fleet agent of a broker, or None where the settings name no coordinators.
 
     Without coordinators nothing of the fleet's control is imported.
@@ -255,13 +260,12 @@
         digest=process.digest,
         timeouts=timings.membership,
     )
-    addresses = tuple(keepers.split(",")) if keepers else tuple(fleet.coordinators)
     return FleetAgent(
         process.loop,
         process.net,
         member,
         budgets_from_settings(fleet),
-        addresses,
+        coordinator_addresses(process.service_settings, coordinators),
         renewal_interval_us=fleet.renew,
         timings=timings,
         seed=seed,
--- a/heathwell/cli/standins.py
+++ b/heathwell/cli/standins.py
@@ -36,7 +36,7 @@
 ) -> None:
     """Run a stand-in shard host with generated sale and price data."""
 
-    def main() -> Coro[None]:
+    def _run_leaf() -> Coro[None]:
         host = Leaf(
             process.loop,
             process.net,
@@ -54,7 +54,7 @@
         process.ready(address=host.start(warm=warm), cell=cell, zone=zone)
         yield from process.stop.wait()
 
-    process.run(main)
+    process.run(_run_leaf)
 
 
 @click.command()
@@ -65,12 +65,12 @@
 def relay(process: Process, *, targets: str, seed: int, listen: str) -> None:
     """Run a stand-in for the link between two regions."""
 
-    def main() -> Coro[None]:
+    def _run_relay() -> Coro[None]:
         link = Relay(process.loop, process.net, targets.split(","), seed)
         process.ready(address=link.start(listen), routes=link.routes)
         yield from process.stop.wait()
 
-    process.run(main)
+    process.run(_run_relay)
 
 
 @click.command()
@@ -79,11 +79,11 @@
 def source(process: Process, *, listen: str | None) -> None:
     """Run the stand-in source of all data: its clock."""
 
-    def main() -> Coro[None]:
+    def _run_source() -> Coro[None]:
         process.ready(address=Source(process.loop, process.net, process.service_settings, listen).start())
         yield from process.stop.wait()
 
-    process.run(main)
+    process.run(_run_source)
 
 
 @click.command()
@@ -92,7 +92,7 @@
 def discovery(process: Process, *, listen: str | None) -> None:
     """Run the stand-in host list."""
 
-    def main() -> Coro[None]:
+    def _run_discovery() -> Coro[None]:
         service = Discovery(
             process.loop,
             process.net,
@@ -104,4 +104,4 @@
         process.ready(address=service.start())
         yield from process.stop.wait()
 
-    process.run(main)
+    process.run(_run_discovery)
--- a/heathwell/testing/simulation/rollout_fleet.py
+++ b/heathwell/testing/simulation/rollout_fleet.py
@@ -39,7 +39,7 @@
     ("(aside 40%) (burst 2s)", "(aside 40%) (burst 5s)"),
     ("(level info)", "(level error)"),
 )
-BROKER_MAIN = "    def main() -> Coro[None]:\n        options = BrokerOptions("
+BROKER_MAIN = "    def _run_broker() -> Coro[None]:\n        options = BrokerOptions("
 FINAL = "    def on_reply_made(self, query: ServiceQuery, reply: Reply, took_us: int) -> None:\n"
 ADMISSION = "        self._check_storm(plan, client)\n"
 # By name: file, what stands there, what stands there instead.
