--- a/benchmarks/rollingload.py
+++ b/benchmarks/rollingload.py
@@ -1,8 +1,7 @@
-"""A good rollout under load, as clients see it before, during and after: `.venv/bin/python
-benchmarks/rollingload.py`.
+"""A sound rollout under load, as clients observe it before, during and after it.
 
-Six brokers in three machines, 40 queries a second. Exit 1 when a connect was refused, a query lost or a rule
-broken.
+`.venv/bin/python benchmarks/rollingload.py`: six brokers on three machines, 40 queries a second. Exit code 1
+where a connection was refused, a query was lost or a rule was broken.
 """
 
 from __future__ import annotations
@@ -11,53 +10,104 @@
 import tempfile
 import time
 from collections import Counter
+from dataclasses import dataclass
 from pathlib import Path
+from typing import Final
 
 from heathwell.testing.audit import judge, read_logs
-from heathwell.testing.simulation.rollout_fleet import RolloutFleet, plant, write_service_settings
+from heathwell.testing.simulation.client_population import Outcome
+from heathwell.testing.simulation.rollout_fleet import Change, RolloutFleet, plant, write_service_settings
 
-MARKET = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
-BEFORE, AFTER = 25.0, 20.0  # seconds
-HURT = ("lost", "broken", "no broker", "failed")
+SETTINGS: Final = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
+WARM_UP_SECONDS: Final = 5.0
+BEFORE_SECONDS: Final = 25.0
+AFTER_SECONDS: Final = 20.0
+MACHINES: Final = 3
+FAILED_KINDS: Final = ("lost", "broken", "no broker", "failed")
+ANSWERED_KINDS: Final = ("on time", "late", "partial")
 
 
-def main() -> int:
-    """One rollout, and a table by span."""
-    folder = Path(tempfile.mkdtemp(prefix="heathwell-"))
-    write_service_settings(MARKET, folder / "market.sx")
-    with RolloutFleet(folder / "run", folder / "market.sx", machines=3).up() as fleet:
+@dataclass(frozen=True, slots=True)
+class Phase:
+    """A time span of the run, by the monotonic clock."""
+
+    name: str
+    began_at_seconds: float
+    ended_at_seconds: float
+
+
+@dataclass(frozen=True, slots=True)
+class RolloutRun:
+    """What a run left: the rollout, the phases around it, and each request's outcome."""
+
+    change: Change
+    phases: tuple[Phase, ...]
+    outcomes: list[Outcome]
+    load_began_at_seconds: float  # to which the times of outcomes are relative
+    events: Path
+
+    def outcomes_in(self, phase: Phase) -> list[Outcome]:
+        """Return the outcomes of requests that were due in a phase."""
+        return [
+            outcome
+            for outcome in self.outcomes
+            if phase.began_at_seconds <= self.load_began_at_seconds + outcome.at < phase.ended_at_seconds
+        ]
+
+
+def _run_rollout(folder: Path) -> RolloutRun:
+    write_service_settings(SETTINGS, folder / "market.sx")
+    with RolloutFleet(folder / "run", folder / "market.sx", machines=MACHINES).up() as fleet:
         fleet.begin_load()
-        time.sleep(5.0)
-        began = time.monotonic()
-        time.sleep(BEFORE)
-        rolled = time.monotonic()
+        time.sleep(WARM_UP_SECONDS)
+        began_at_seconds = time.monotonic()
+        time.sleep(BEFORE_SECONDS)
+        rollout_at_seconds = time.monotonic()
         change = fleet.change("v2", program=plant(fleet.folder, "v2"))
-        ended = time.monotonic()
-        time.sleep(AFTER)
+        ended_at_seconds = time.monotonic()
+        time.sleep(AFTER_SECONDS)
         fleet.end_load()
         assert fleet.clients is not None
-        zero, outcomes = fleet.clients._started, fleet.clients.outcomes
-    spans = {"before": (began, rolled), "during": (rolled, ended), "after": (ended, ended + AFTER)}
-    p99: dict[str, float] = {}
-    for name, (first, last) in spans.items():
-        some = [outcome for outcome in outcomes if first <= zero + outcome.at < last]
-        took = sorted(outcome.took for outcome in some if outcome.kind in ("on time", "late", "partial"))
-        p99[name] = took[int(len(took) * 0.99)]
-        kinds = Counter(outcome.kind for outcome in some)
-        print(
-            f"{name}: {len(some)} requests in {last - first:.0f} s, p50 "
-            f"{took[len(took) // 2] * 1e3:.0f} ms, p99 "
-            f"{p99[name] * 1e3:.0f} ms, " + ", ".join(f"{kind} {count}" for kind, count in kinds.items())
+        return RolloutRun(
+            change=change,
+            phases=(
+                Phase("before", began_at_seconds, rollout_at_seconds),
+                Phase("during", rollout_at_seconds, ended_at_seconds),
+                Phase("after", ended_at_seconds, ended_at_seconds + AFTER_SECONDS),
+            ),
+            outcomes=fleet.clients.outcomes,
+            load_began_at_seconds=fleet.clients._started,  # noqa: SLF001  # has no public property yet
+            events=fleet.events,
         )
-    verdict = judge(read_logs([fleet.events]))
-    hurt = sum(outcome.kind in HURT for outcome in outcomes)
+
+
+def _print_phase(phase: Phase, outcomes: list[Outcome]) -> float:
+    """Print the row of a phase and return its 99th percentile of latency (seconds)."""
+    latencies_seconds = sorted(outcome.took for outcome in outcomes if outcome.kind in ANSWERED_KINDS)
+    p50_seconds = latencies_seconds[len(latencies_seconds) // 2]
+    p99_seconds = latencies_seconds[int(len(latencies_seconds) * 0.99)]
+    kinds = Counter(outcome.kind for outcome in outcomes)
+    print(
+        f"{phase.name}: {len(outcomes)} requests in "
+        f"{phase.ended_at_seconds - phase.began_at_seconds:.0f} s, p50 {p50_seconds * 1e3:.0f} ms, "
+        f"p99 {p99_seconds * 1e3:.0f} ms, " + ", ".join(f"{kind} {count}" for kind, count in kinds.items())
+    )
+    return p99_seconds
+
+
+def main() -> int:
+    """Run one rollout and print a table by phase."""
+    run = _run_rollout(Path(tempfile.mkdtemp(prefix="heathwell-")))
+    p99_seconds = {phase.name: _print_phase(phase, run.outcomes_in(phase)) for phase in run.phases}
+    verdict = judge(read_logs([run.events]))
+    failed_count = sum(outcome.kind in FAILED_KINDS for outcome in run.outcomes)
     print(
-        f"the change is {change.record.get('state')} after {change.seconds:.0f} s; p99 during over before "
-        f"{p99['during'] / p99['before']:.2f}, after over before "
-        f"{p99['after'] / p99['before']:.2f}; {hurt} lost or "
-        f"refused a connect; {len(verdict.breaches)} rules broken"
+        f"the change is {run.change.record.get('state')} after {run.change.seconds:.0f} s; "
+        f"p99 during over before {p99_seconds['during'] / p99_seconds['before']:.2f}, "
+        f"after over before {p99_seconds['after'] / p99_seconds['before']:.2f}; "
+        f"{failed_count} lost or refused a connect; {len(verdict.breaches)} rules broken"
     )
-    return 1 if hurt or verdict.breaches else 0
+    return 1 if failed_count or verdict.breaches else 0
 
 
 if __name__ == "__main__":
