--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -1,8 +1,8 @@
-"""Releases good and planted bad over fleets of processes: `.venv/bin/python benchmarks/rollouts.py [EACH]
-[AT_ONCE]`.
+"""Releases with and without planted defects, over fleets of processes.
 
-EACH good and EACH bad ones, defects in turn, a fleet of four brokers a row of releases. Exit 1 when a bad one
-got through or a good one was stopped or held.
+`.venv/bin/python benchmarks/rollouts.py [EACH] [AT_ONCE]`: EACH sound and EACH defective releases, defects in
+turn, on fleets of four brokers, AT_ONCE fleets in parallel. Exit code 1 where a defective release was
+completed, or a sound one was stopped or held.
 """
 
 from __future__ import annotations
@@ -13,90 +13,181 @@
 import time
 from collections import defaultdict
 from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass
 from pathlib import Path
+from typing import Any, Final, NamedTuple
 
 from heathwell.testing.simulation.rollout_fleet import DEFECTS, RolloutFleet, plant, write_service_settings
 
-SETTINGS = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
-RELEASES_PER_FLEET = 6  # releases of one fleet, after which it is put up anew
-Row = tuple[str, str, int, float, str]
+SETTINGS: Final = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
+RELEASES_PER_FLEET: Final = 6  # after which a new fleet is started
+DEFAULT_ARGUMENTS: Final = (60, 4)  # releases of each kind, fleets at once
+WARM_UP_SECONDS: Final = 6
+LOAD_DURATION_SECONDS: Final = 3_600.0
+RELEASE_TIMEOUT_SECONDS: Final = 240.0
+QUERIES_PER_SECOND: Final = 40.0
+SOUND: Final = "good"  # the printed name of a release without a defect
+HARNESS: Final = "harness"  # the printed name of a fault of the benchmark itself
+PRINTED_REASON_LENGTH: Final = 140
+KEPT_ERROR_LENGTH: Final = 300
 
 
-def row(defects: list[str]) -> list[Row]:
-    """Releases of one fleet, one after another: what each was, how it ended, at which stage, after how long,
-    why.
+class HistoryRow(NamedTuple):
+    """A change of state in the stored record of a rollout."""
+
+    before: str
+    after: str
+    reason: str
+    stage: int
+    number: int
+
+
+@dataclass(frozen=True, slots=True)
+class Release:
+    """How one release ended, and the last stage that it reached."""
+
+    name: str  # of the defect, SOUND or HARNESS
+    state: str
+    stage: int
+    duration_seconds: float
+    reason: str
+
+    @property
+    def is_as_expected(self) -> bool:
+        """Whether a sound release was completed, or a defective one rolled back."""
+        return self.state == ("done" if self.name == SOUND else "undone")
+
+
+class UnexpectedEndError(Exception):
+    """A release, or the return to the old version after it, did not end in a final state."""
+
+
+class ReleaseFleet:
+    """A fleet of processes under load, to which releases are made one after another."""
+
+    def __init__(self, fleet: RolloutFleet) -> None:
+        self._fleet = fleet
+
+    def release(self, number: int, defect: str) -> Release:
+        """Make one release; a completed one is reverted, so that the next starts from the old version.
+
+        Raise :class:`UnexpectedEndError` where it ends neither completed nor rolled back.
+        """
+        version = f"v{number + 2}"
+        program = plant(self._fleet.folder, version, defect)
+        change = self._fleet.change(
+            version, program=program, state=f"change{number}", seconds=RELEASE_TIMEOUT_SECONDS
+        )
+        history = _history(change.record)
+        return Release(
+            name=defect or SOUND,
+            state=change.record.get("state", "?"),
+            stage=max((row.stage for row in history), default=0),
+            duration_seconds=change.seconds,
+            reason="; ".join(row.reason for row in history if row.after in ("undoing", "held")),
+        )
+
+    def restore(self, number: int, release: Release) -> None:
+        """Return to the old version; raise :class:`UnexpectedEndError` where that is not possible."""
+        if release.state == "done":
+            self._revert(number)
+        elif release.state != "undone":
+            raise UnexpectedEndError(f"neither done nor undone: {release.state} {release.reason}")
+
+    def _revert(self, number: int) -> None:
+        version = f"v{number + 2}"
+        change = self._fleet.change(
+            f"back{number}",
+            program=self._fleet.old,
+            state=f"back{number}",
+            old=version,
+            old_program=self._fleet.folder / version,
+            stages="100%",
+            bake="1s",
+            most="2s",
+            prove="none",
+        )
+        if change.code:
+            raise UnexpectedEndError(f"the way back failed: {change.output[-KEPT_ERROR_LENGTH:]}")
+        self._fleet.began = f"back{number}"
+
+
+def _history(record: dict[str, Any]) -> list[HistoryRow]:
+    return [HistoryRow(*row) for row in record.get("history", [])]
+
+
+def run_releases(defects: list[str]) -> list[Release]:
+    """Return the releases of one fleet, one after another; an empty defect is a sound release.
+
+    An error of the benchmark itself is returned as a last release of that name.
     """
     folder = Path(tempfile.mkdtemp(prefix="heathwell-"))
     write_service_settings(SETTINGS, folder / "market.sx")
-    out: list[Row] = []
+    releases: list[Release] = []
     try:
-        with RolloutFleet(folder / "run", folder / "market.sx", machines=2, rate=40.0).up() as fleet:
-            fleet.begin_load(3600.0)
-            time.sleep(6)
+        with RolloutFleet(
+            folder / "run", folder / "market.sx", machines=2, rate=QUERIES_PER_SECOND
+        ).up() as running:
+            running.begin_load(LOAD_DURATION_SECONDS)
+            time.sleep(WARM_UP_SECONDS)
+            fleet = ReleaseFleet(running)
             for number, defect in enumerate(defects):
-                tree = plant(fleet.folder, f"v{number + 2}", defect)
-                state = f"change{number}"
-                change = fleet.change(f"v{number + 2}", program=tree, state=state, seconds=240.0)
-                record = change.record
-                stage = max((row[3] for row in record.get("history", [])), default=0)
-                why = [row[2] for row in record.get("history", []) if row[1] in ("undoing", "held")]
-                out.append((defect, record.get("state", "?"), stage, change.seconds, "; ".join(why)))
-                if record.get("state") == "done":  # the next one begins from the old version again
-                    back = fleet.change(
-                        f"back{number}",
-                        program=fleet.old,
-                        state=f"back{number}",
-                        old=f"v{number + 2}",
-                        old_program=tree,
-                        stages="100%",
-                        bake="1s",
-                        most="2s",
-                        prove="none",
-                    )
-                    if back.code:
-                        raise RuntimeError(f"the way back failed: {back.output[-300:]}")
-                    fleet.began = f"back{number}"
-                elif record.get("state") != "undone":
-                    raise RuntimeError(f"neither done nor undone: {record.get('state')} {why}")
-    except Exception as problem:
-        out.append(("harness", "?", 0, 0.0, repr(problem)[:300]))
+                releases.append(fleet.release(number, defect))
+                fleet.restore(number, releases[-1])
+    except Exception as error:  # noqa: BLE001  # whatever it is: it is counted as a wrong end
+        releases.append(Release(HARNESS, "?", 0, 0.0, repr(error)[:KEPT_ERROR_LENGTH]))
     shutil.rmtree(folder, ignore_errors=True)
-    return out
+    return releases
 
 
-def main(each: int, at_once: int) -> int:
-    """Play them, and print a table by defect."""
+def _run_all(each: int, max_parallel: int) -> list[Release]:
+    """Run all fleets, and print a line for each release."""
     names = list(DEFECTS)
-    defects = ["" if n % 2 else names[n // 2 % len(names)] for n in range(2 * each)]
-    fleets = [defects[n : n + RELEASES_PER_FLEET] for n in range(0, len(defects), RELEASES_PER_FLEET)]
-    started_at = time.monotonic()
-    seen: list[Row] = []
-    with ProcessPoolExecutor(at_once, max_tasks_per_child=1) as pool:
-        for part in pool.map(row, fleets):
-            seen += part
-            for defect, state, stage, seconds, why in part:
+    defects = ["" if number % 2 else names[number // 2 % len(names)] for number in range(2 * each)]
+    batches = [
+        defects[first : first + RELEASES_PER_FLEET] for first in range(0, len(defects), RELEASES_PER_FLEET)
+    ]
+    releases = []
+    with ProcessPoolExecutor(max_parallel, max_tasks_per_child=1) as pool:
+        for batch in pool.map(run_releases, batches):
+            for release in batch:
+                releases.append(release)
                 print(
-                    f"{defect or 'good'}: {state} at stage {stage} after {seconds:.0f} s: {why[:140]}",
+                    f"{release.name}: {release.state} at stage {release.stage} after "
+                    f"{release.duration_seconds:.0f} s: {release.reason[:PRINTED_REASON_LENGTH]}",
                     flush=True,
                 )
-    by: dict[str, list[Row]] = defaultdict(list)
-    for one in seen:
-        by[one[0] or "good"].append(one)
-    bad = 0
-    for name, some in by.items():
-        ended = [one[1] for one in some]
-        wrong = sum(state != ("done" if name == "good" else "undone") for state in ended)
-        bad += wrong
-        stages = sorted({one[2] for one in some})
-        print(
-            f"{name}: {len(some)}, {ended.count('done')} done, {ended.count('undone')} undone; "
-            f"stages {stages}; "
-            f"{sum(one[3] for one in some) / len(some):.0f} s each; {wrong} wrong"
-        )
-    print(f"{len(seen)} releases in {time.monotonic() - started_at:.0f} s, {bad} not as they should")
-    return 1 if bad else 0
+    return releases
+
+
+def _print_row(name: str, releases: list[Release]) -> None:
+    states = [release.state for release in releases]
+    stages = sorted({release.stage for release in releases})
+    mean_seconds = sum(release.duration_seconds for release in releases) / len(releases)
+    wrong_count = sum(not release.is_as_expected for release in releases)
+    print(
+        f"{name}: {len(releases)}, {states.count('done')} done, {states.count('undone')} undone; "
+        f"stages {stages}; {mean_seconds:.0f} s each; {wrong_count} wrong"
+    )
+
+
+def main(each: int, max_parallel: int) -> int:
+    """Make all releases and print a table by defect."""
+    started_at_seconds = time.monotonic()
+    releases = _run_all(each, max_parallel)
+    releases_by_name: dict[str, list[Release]] = defaultdict(list)
+    for release in releases:
+        releases_by_name[release.name].append(release)
+    for name, some_releases in releases_by_name.items():
+        _print_row(name, some_releases)
+    wrong_count = sum(not release.is_as_expected for release in releases)
+    print(
+        f"{len(releases)} releases in {time.monotonic() - started_at_seconds:.0f} s, "
+        f"{wrong_count} not as they should"
+    )
+    return 1 if wrong_count else 0
 
 
 if __name__ == "__main__":
-    numbers = [int(word) for word in sys.argv[1:]]
-    sys.exit(main(*(numbers + [60, 4][len(numbers) :])))
+    arguments = [int(word) for word in sys.argv[1:]]
+    sys.exit(main(*(*arguments, *DEFAULT_ARGUMENTS[len(arguments) :])))
