--- a/benchmarks/settingschanges.py
+++ b/benchmarks/settingschanges.py
@@ -1,8 +1,8 @@
-"""Random changes of settings under load, a third faulty: `.venv/bin/python benchmarks/settingschanges.py
-[COUNT]`.
+"""Random changes of settings under load, one in three with a fault.
 
-One fleet of four brokers. Exit 1 when a faulty one got through, a good one did not, a rule was broken, or a
-query was not decided under one version from its start to its answer.
+`.venv/bin/python benchmarks/settingschanges.py [COUNT [SEED]]`: one fleet of four brokers. Exit code 1 where
+a faulty change was completed, a sound one was not, a rule was broken, or a query was not decided under one
+version from its start to its answer.
 """
 
 from __future__ import annotations
@@ -13,108 +13,196 @@
 import tempfile
 import time
 from collections import Counter
+from dataclasses import dataclass, field
 from pathlib import Path
+from typing import Final
 
 from heathwell.testing.audit import Event, judge, read_logs
-from heathwell.testing.simulation.rollout_fleet import RolloutFleet, write_service_settings
-
-MARKET = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
-# Faults of settings: what is replaced by what. Those that are well formed and harmful are judged by what they
-# do.
-FAULTS = {
-    "not closed": (r"\(limits", "(limits ("),
-    "unknown key": (r"\(attempts ", "(attemps "),
-    "no host holds it": (r"\(shards 24\)", "(shards 48)"),
-    "dropped keys": (r"\(keys sale .*\)", ""),
-    "other nature": (r"\(repeat keyed\) \(dedup 750ms\)", "(repeat unsafe)"),
-    "far": (r"\(limit 2s\)", "(limit 30s)"),
-    "a cap for nobody": (r"\(open-cap \d+\)", "(open-cap 4)"),
-    "harmful": (r"\(open-cap \d+\)", "(open-cap 10)"),
+from heathwell.testing.simulation.rollout_fleet import Change, RolloutFleet, write_service_settings
+
+SETTINGS: Final = Path(__file__).resolve().parent.parent / "examples/market-fleet.sx"
+DEFAULT_ARGUMENTS: Final = (100, 1)  # changes, seed
+LOAD_DURATION_SECONDS: Final = 3_600.0
+WARM_UP_SECONDS: Final = 5
+FLUSH_SECONDS: Final = 1  # for the brokers to write their logs
+QUERIES_PER_SECOND: Final = 30.0
+CHANGES_PER_FAULT: Final = 3  # the last of so many is faulty
+SOUND: Final = "good"  # the printed name of a change without a fault
+PRINTED_VIOLATIONS: Final = 3
+PRINTED_OUTPUT_LENGTH: Final = 200
+
+
+@dataclass(frozen=True, slots=True)
+class Replacement:
+    """A replacement in the text of a settings file."""
+
+    pattern: str
+    text: str
+
+    def apply(self, settings: str) -> str:
+        """Return the settings with all matches replaced."""
+        return re.sub(self.pattern, self.text, settings)
+
+
+@dataclass(frozen=True, slots=True)
+class NumberRange:
+    """A key whose number may change under load, the range it is drawn from, and its unit."""
+
+    key: str
+    lowest: int
+    highest: int
+    unit: str = ""
+
+    def draw(self, settings: str, draws: random.Random) -> str:
+        """Return the settings with a drawn number for the key."""
+        number = draws.randint(self.lowest, self.highest)
+        return re.sub(rf"\({self.key} \d+{self.unit}\)", f"({self.key} {number}{self.unit})", settings)
+
+
+# Those that are well formed but harmful are detected by their effect.
+FAULTS: Final = {
+    "not closed": Replacement(r"\(limits", "(limits ("),
+    "unknown key": Replacement(r"\(attempts ", "(attemps "),
+    "no host holds it": Replacement(r"\(shards 24\)", "(shards 48)"),
+    "dropped keys": Replacement(r"\(keys sale .*\)", ""),
+    "other nature": Replacement(r"\(repeat keyed\) \(dedup 750ms\)", "(repeat unsafe)"),
+    "far": Replacement(r"\(limit 2s\)", "(limit 30s)"),
+    "a cap for nobody": Replacement(r"\(open-cap \d+\)", "(open-cap 4)"),
+    "harmful": Replacement(r"\(open-cap \d+\)", "(open-cap 10)"),
 }
+SOUND_CHANGES: Final = (
+    NumberRange("open-cap", 500, 900),
+    NumberRange("attempts", 3, 5),
+    NumberRange("max-advice", 300, 700, "ms"),
+    NumberRange("worth", 1, 4),
+)
 
 
-def good(text: str, draws: random.Random) -> str:
-    """Another sound file: figures that may change under load."""
-    for pattern, low, high, unit in (
-        (r"\(open-cap \d+\)", 500, 900, ""),
-        (r"\(attempts \d+\)", 3, 5, ""),
-        (r"\(max-advice \d+ms\)", 300, 700, "ms"),
-        (r"\(worth \d+\)", 1, 4, ""),
-    ):
-        key = pattern[2 : pattern.index(" ")]
-        text = re.sub(pattern, f"({key} {draws.randint(low, high)}{unit})", text)
-    return text
+def draw_sound_settings(settings: str, draws: random.Random) -> str:
+    """Return another sound settings file: numbers that may change under load."""
+    for number_range in SOUND_CHANGES:
+        settings = number_range.draw(settings, draws)
+    return settings
 
 
-def mixed(events: list[Event]) -> list[str]:
-    """Queries that were not decided under one version."""
-    taken = {event["q"]: event["ver"] for event in events if event.ev == "take"}
+def version_conflicts(events: list[Event]) -> list[str]:
+    """Return a line for each query that was not decided under one version."""
+    admitted = {event["q"]: event["ver"] for event in events if event.ev == "take"}
     return [
-        f"{event['q']}: taken under {taken[event['q']]}, answered under {event['ver']}"
+        f"{event['q']}: taken under {admitted[event['q']]}, answered under {event['ver']}"
         for event in events
-        if event.ev == "final" and event["q"] in taken and taken[event["q"]] != event["ver"]
+        if event.ev == "final" and event["q"] in admitted and admitted[event["q"]] != event["ver"]
     ]
 
 
-def main(count: int, seed: int) -> int:
-    """Make them one after another, and judge the whole run."""
-    draws, folder = random.Random(seed), Path(tempfile.mkdtemp(prefix="heathwell-"))
-    write_service_settings(MARKET, folder / "market.sx")
-    began, wrong, ends = time.monotonic(), 0, Counter[str]()
-    with RolloutFleet(folder / "run", folder / "market.sx", machines=2, rate=30.0).up() as fleet:
-        fleet.begin_load(3600.0)
-        time.sleep(5)
-        last, current = fleet.began, (folder / "market.sx").read_text()
-        for number in range(count):
-            faulty = number % 3 == 2
-            kind = draws.choice(sorted(FAULTS)) if faulty else "good"
-            wanted = re.sub(*FAULTS[kind], current) if faulty else good(current, draws)
-            if wanted == current:
-                raise ValueError(f"change {number}, {kind}: nothing was changed")
-            path = fleet.folder / f"s{number}.sx"
-            path.write_text(wanted)
-            change = fleet.change(
-                f"s{number}",
-                settings=path,
-                state=f"change{number}",
-                old=last,
-                old_settings=fleet.config,
-                stages="50%,100%",
-                bake="5s",
-                most="20s",
-                prove="50%",
-                undo_held=True,
+@dataclass(slots=True)
+class SettingsChanges:
+    """Makes changes to a running fleet one after another and counts how they end."""
+
+    fleet: RolloutFleet
+    draws: random.Random
+    settings: str
+    version: str
+    ends: Counter[str] = field(default_factory=Counter)  # by kind and final state, as printed
+    unexpected_count: int = 0
+
+    def make(self, number: int) -> None:
+        """Make one change; raise :class:`ValueError` where it would alter nothing."""
+        is_faulty = number % CHANGES_PER_FAULT == CHANGES_PER_FAULT - 1
+        kind = self.draws.choice(sorted(FAULTS)) if is_faulty else SOUND
+        changed_settings = (
+            FAULTS[kind].apply(self.settings) if is_faulty else draw_sound_settings(self.settings, self.draws)
+        )
+        if changed_settings == self.settings:
+            raise ValueError(f"change {number}, {kind}: nothing was changed")
+        path = self.fleet.folder / f"s{number}.sx"
+        path.write_text(changed_settings)
+        change = self._roll_out(number, path)
+        state = change.record.get("state", "refused")
+        self.ends[f"{kind}: {state}"] += 1
+        if state == "done":
+            self.version = f"s{number}"
+            self.settings = changed_settings
+            self.fleet.config = path
+        if (state == "done") == is_faulty:
+            self.unexpected_count += 1
+            print(
+                f"change {number}, {kind}: {state}: {change.record.get('why')} "
+                f"{change.output[-PRINTED_OUTPUT_LENGTH:]}",
+                flush=True,
             )
-            state = change.record.get("state", "refused")
-            ends[f"{kind}: {state}"] += 1
-            if state == "done":
-                last, current, fleet.config = f"s{number}", wanted, path
-            if (state == "done") == faulty:
-                wrong += 1
-                print(
-                    f"change {number}, {kind}: {state}: {change.record.get('why')} {change.output[-200:]}",
-                    flush=True,
-                )
-        same = fleet.wait_for(last)
-        runs = max(running.run for running in fleet.runs().values())
-        time.sleep(1)
+
+    def _roll_out(self, number: int, path: Path) -> Change:
+        return self.fleet.change(
+            f"s{number}",
+            settings=path,
+            state=f"change{number}",
+            old=self.version,
+            old_settings=self.fleet.config,
+            stages="50%,100%",
+            bake="5s",
+            most="20s",
+            prove="50%",
+            undo_held=True,
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class ChangesRun:
+    """A finished run: how changes ended, and what the fleet came to run."""
+
+    ends: Counter[str]
+    unexpected_count: int
+    ends_on_last_version: bool
+    max_starts: int  # of a broker
+    events: list[Event]
+
+
+def run_changes(count: int, seed: int) -> ChangesRun:
+    """Make ``count`` changes on one fleet."""
+    folder = Path(tempfile.mkdtemp(prefix="heathwell-"))
+    config = folder / "market.sx"
+    write_service_settings(SETTINGS, config)
+    with RolloutFleet(folder / "run", config, machines=2, rate=QUERIES_PER_SECOND).up() as fleet:
+        fleet.begin_load(LOAD_DURATION_SECONDS)
+        time.sleep(WARM_UP_SECONDS)
+        changes = SettingsChanges(fleet, random.Random(seed), config.read_text(), fleet.began)
+        for number in range(count):
+            changes.make(number)
+        ends_on_last_version = fleet.wait_for(changes.version)
+        max_starts = max(running.run for running in fleet.runs().values())
+        time.sleep(FLUSH_SECONDS)
         fleet.end_load()
-    events = read_logs([fleet.events])
-    verdict, torn = judge(events), mixed(events)
-    for name, number in sorted(ends.items()):
-        print(f"{name}: {number}")
+    return ChangesRun(
+        changes.ends,
+        changes.unexpected_count,
+        ends_on_last_version,
+        max_starts,
+        read_logs([fleet.events]),
+    )
+
+
+def main(count: int, seed: int) -> int:
+    """Make all changes, judge the run and print a summary."""
+    began_at_seconds = time.monotonic()
+    run = run_changes(count, seed)
+    verdict = judge(run.events)
+    conflicts = version_conflicts(run.events)
+    for end, end_count in sorted(run.ends.items()):
+        print(f"{end}: {end_count}")
     print(
-        f"{count} changes in {time.monotonic() - began:.0f} s: {wrong} not as they should; ends on "
-        f"the last good "
-        f"one: {same}; processes started a broker: {runs}; {verdict.counts['queries']} queries, "
-        f"{len(torn)} under "
-        f"two versions, {len(verdict.breaches)} rules broken"
+        f"{count} changes in {time.monotonic() - began_at_seconds:.0f} s: "
+        f"{run.unexpected_count} not as they should; ends on the last good one: "
+        f"{run.ends_on_last_version}; processes started a broker: {run.max_starts}; "
+        f"{verdict.counts['queries']} queries, {len(conflicts)} under two versions, "
+        f"{len(verdict.breaches)} rules broken"
     )
-    for line in [*torn[:3], *map(str, verdict.breaches[:3])]:
+    for line in [*conflicts[:PRINTED_VIOLATIONS], *map(str, verdict.breaches[:PRINTED_VIOLATIONS])]:
         print(line)
-    return 1 if wrong or torn or verdict.breaches or not same else 0
+    is_sound = not (run.unexpected_count or conflicts or verdict.breaches)
+    return 0 if is_sound and run.ends_on_last_version else 1
 
 
 if __name__ == "__main__":
-    numbers = [int(word) for word in sys.argv[1:]]
-    sys.exit(main(*(numbers + [100, 1][len(numbers) :])))
+    arguments = [int(word) for word in sys.argv[1:]]
+    sys.exit(main(*(*arguments, *DEFAULT_ARGUMENTS[len(arguments) :])))
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -1,360 +1,493 @@
-"""The vector front on sockets: `.venv/bin/python benchmarks/vectors.py [merge] [recall] [slow] [core]
-[fronts]`.
+"""The vector search server on sockets: merge cost, recall, latency with slow endpoints, throughput, fairness.
 
-Processes on loopback, simulated work at the hosts, clients on threads. Without words all parts run (four
-minutes).
+`.venv/bin/python benchmarks/vectors.py [merge] [recall] [slow] [core] [fronts]`: processes on loopback,
+simulated work at the endpoints, clients on threads. Without arguments all parts run (four minutes).
 """
 
 from __future__ import annotations
 
-import os
 import random
 import statistics
 import sys
 import tempfile
 import threading
 import time
+from collections import Counter
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass, field
 from functools import partial
 from http.client import HTTPConnection, HTTPException
 from pathlib import Path
-from typing import Any
+from typing import Any, Final
 
+import costs
 import msgspec
 import numpy as np
 
 from heathwell.codec import frames
 from heathwell.service.merging import Row, TopKMerge
 from heathwell.settings import ServiceSettings, loads
-from heathwell.testing.simulation.client_population import Clients, arrivals
+from heathwell.testing.simulation.client_population import Clients, Outcome, arrivals
 from heathwell.testing.simulation.fault_script import Load, Mix
-from heathwell.testing.simulation.process_fleet import ProcessFleet
+from heathwell.testing.simulation.process_fleet import Member, ProcessFleet
 from heathwell.testing.standins.vectors import shard_of
 
-SHARDS = 24
-MARKET = """
+SHARDS: Final = 24
+SETTINGS: Final = """
 (class price-search (aim 1s) (limit 2s) (worth 2) (late-worth 30%) (need 75%) (work 15ms))
 (class sale-record (aim 750ms) (limit 1500ms) (worth 2) (repeat keyed) (dedup 750ms) (late-worth 10%)
 (work 10ms))
-(class alike {alike})
+(class alike {search_class})
 (keys sale (class sale-record) (shape record))
 (keys price (class price-search) (shape search) (parts 8))
 (collection goods (class alike) (size 32) (points 200) (work {work}) (spread {spread}))
 (vector (listen 127.0.0.1:0))
-{fronts}
+{servers}
 (fleet (shards 24) (cells 24) (width 3) (zones hki-1 hki-2 espoo-1) (leaves 24) (brokers {brokers}))
 (limits (attempts 4) (open-cap 4000) (by-work yes))
 (leaf (slots 4) (queue 200) (noise {noise}))
 (discovery (notice 300ms) (silent-notice 3s))
 (log (level error))
 """
+SLOTS_PER_ENDPOINT: Final = 4
+VECTOR_SIZE: Final = 32
+VECTOR_DEVIATION: Final = 1.5
+NEIGHBORS: Final = 10
+QUERY_PATH: Final = "/collections/goods/points/query"
+JSON_HEADERS: Final = {"content-type": "application/json"}
+CONNECTION_LOST: Final = 0  # in place of an HTTP status
+HTTP_OK: Final = 200
+HTTP_TIMEOUT_SECONDS: Final = 30
+UPTIME_BEFORE_LOAD_SECONDS: Final = 2.0
+MICROSECONDS_PER_SECOND: Final = 1e6
+
+RECALL_RATE: Final = 40
+RECALL_DURATION_SECONDS: Final = 6
+REQUIRED_PERCENTAGES: Final = (50, 62.5, 75, 87.5, 100)
+
+SLOW_RATE: Final = 25
+SLOW_DURATION_SECONDS: Final = 15
+SLOW_ENDPOINTS: Final = 3
+SLOW_FACTOR: Final = 60.0
+SLOW_SPAN_US: Final = 1_000_000
+SLOW_INTERVAL_SECONDS: Final = 1.0
+
+FAIRNESS_DURATION_SECONDS: Final = 10
+FAIRNESS_WARM_UP_SECONDS: Final = 2.0
+FAIRNESS_BROKERS: Final = 2
+SEARCH_WORK_SECONDS: Final = 0.020
+REQUIRED_FRACTION: Final = 0.75
+SEARCHES_OVER_CAPACITY: Final = (0, 1, 3)
+
+CORE_CONNECTIONS: Final = 6
+CORE_DURATION_SECONDS: Final = 6.0
+BATCH_SIZES: Final = (1, 40)
+
+MERGED_PARTS: Final = (6, 25, 100, 500)
+MERGE_REPEATS: Final = 5
+MERGE_ROUNDS: Final = 7
+MERGE_POINTS_PER_PART: Final = 100
+
+
+@dataclass(frozen=True, slots=True)
+class SearchSettings:
+    """What differs between the settings of runs; the texts are values of the settings file."""
+
+    search_class: str
+    work: str = "5ms"
+    spread: str = "100%"
+    servers: str = ""
+    brokers: int = 1
+    noise: str = "30%"
+
+    def text(self) -> str:
+        """Return the settings file."""
+        return SETTINGS.format(
+            search_class=self.search_class,
+            work=self.work,
+            spread=self.spread,
+            servers=self.servers,
+            brokers=self.brokers,
+            noise=self.noise,
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class RunningFleet:
+    """A fleet of processes and its settings."""
+
+    processes: ProcessFleet
+    settings: ServiceSettings
 
+    @property
+    def brokers(self) -> list[Member]:
+        """The brokers' processes."""
+        return self.processes.of("broker")
 
-@dataclass(slots=True)
-class Asked:
-    """What came of one search."""
 
-    took: float
+@dataclass(frozen=True, slots=True)
+class SearchResponse:
+    """The response to one search; ``status`` is CONNECTION_LOST where there was none."""
+
     status: int
     ids: list[int] = field(default_factory=list)
-    words: dict[str, Any] = field(default_factory=dict)
+    quality: dict[str, Any] = field(default_factory=dict)  # the reply's member "heathwell"
+
 
+@dataclass(frozen=True, slots=True)
+class Search:
+    """A search of a load: what was sought, the response, and the latency from its scheduled arrival."""
 
-def market_text(
-    alike: str,
-    *,
-    work: str = "5ms",
-    spread: str = "100%",
-    fronts: str = "",
-    brokers: int = 1,
-    noise: str = "30%",
-) -> str:
-    """Settings of one run."""
-    return MARKET.format(alike=alike, work=work, spread=spread, fronts=fronts, brokers=brokers, noise=noise)
+    vector: list[float]
+    response: SearchResponse
+    latency_seconds: float
 
 
 @contextmanager
-def fleet_of(text: str, events: bool = False) -> Iterator[tuple[ProcessFleet, ServiceSettings]]:
-    """A fleet of processes while it lasts."""
+def run_fleet(search_settings: SearchSettings) -> Iterator[RunningFleet]:
+    """Run a fleet of processes for the duration of a block."""
     folder = Path(tempfile.mkdtemp(prefix="heathwell-vectors-"))
     config = folder / "market.sx"
-    config.write_text(text)
-    service_settings = loads(text)
-    fleet = ProcessFleet(str(config), service_settings, str(folder / "events") if events else None)
+    config.write_text(search_settings.text())
+    service_settings = loads(search_settings.text())
+    processes = ProcessFleet(str(config), service_settings, None)
     try:
-        fleet.up()
-        time.sleep(2.0)
-        yield fleet, service_settings
+        processes.up()
+        time.sleep(UPTIME_BEFORE_LOAD_SECONDS)
+        yield RunningFleet(processes, service_settings)
     finally:
-        fleet.down()
+        processes.down()
+
+
+def connect(address: str) -> HTTPConnection:
+    """Return a connection to HOST:PORT, opened with its first request."""
+    host, _, port = address.rpartition(":")
+    return HTTPConnection(host, int(port), timeout=HTTP_TIMEOUT_SECONDS)
 
 
-def search(link: HTTPConnection, vector: list[float], limit: int = 10) -> Asked:
-    """One search; a lost connection is status 0."""
-    began = time.monotonic()
+def search(connection: HTTPConnection, vector: list[float], limit: int = NEIGHBORS) -> SearchResponse:
+    """Send one search and return its response."""
+    request = msgspec.json.encode({"query": vector, "limit": limit})
     try:
-        link.request(
-            "POST",
-            "/collections/goods/points/query",
-            msgspec.json.encode({"query": vector, "limit": limit}),
-            {"content-type": "application/json"},
-        )
-        got = link.getresponse()
-        body = msgspec.json.decode(got.read())
+        connection.request("POST", QUERY_PATH, request, JSON_HEADERS)
+        response = connection.getresponse()
+        body = msgspec.json.decode(response.read())
     except (OSError, HTTPException):
-        link.close()
-        return Asked(time.monotonic() - began, 0)
-    took = time.monotonic() - began
-    if got.status != 200:
-        return Asked(took, got.status)
-    return Asked(took, 200, [p["id"] for p in body["result"]["points"]], body["heathwell"])
-
-
-def load(
-    address: str, rate: float, seconds: float, threads: int = 48, seed: int = 1, size: int = 32
-) -> list[tuple[list[float], Asked]]:
-    """Searches arriving at a rate whether or not answers come; latency counts from the scheduled arrival."""
+        connection.close()
+        return SearchResponse(CONNECTION_LOST)
+    if response.status != HTTP_OK:
+        return SearchResponse(response.status)
+    ids = [point["id"] for point in body["result"]["points"]]
+    return SearchResponse(HTTP_OK, ids, body["heathwell"])
+
+
+@dataclass(frozen=True, slots=True)
+class ScheduledSearch:
+    """A search and when it is due, in seconds from the beginning of the load."""
+
+    due_seconds: float
+    vector: list[float]
+
+
+def _schedule(rate: float, duration_seconds: float, seed: int, vector_size: int) -> list[ScheduledSearch]:
+    """Draw searches with exponential gaps, ``rate`` per second."""
     draws = random.Random(seed)
-    due, at = [], 0.0
-    while (at := at + draws.expovariate(rate)) < seconds:
-        due.append((at, [draws.gauss(0, 1.5) for _ in range(size)]))
-    out: list[tuple[list[float], Asked]] = []
-    lock, turn, zero = threading.Lock(), iter(due), time.monotonic()
-
-    def work() -> None:
-        host, _, port = address.rpartition(":")
-        link = HTTPConnection(host, int(port), timeout=30)
+    scheduled = []
+    due_seconds = draws.expovariate(rate)
+    while due_seconds < duration_seconds:
+        vector = [draws.gauss(0, VECTOR_DEVIATION) for _ in range(vector_size)]
+        scheduled.append(ScheduledSearch(due_seconds, vector))
+        due_seconds += draws.expovariate(rate)
+    return scheduled
+
+
+class SearchLoad:
+    """Searches that arrive at a rate, whether or not responses come."""
+
+    def __init__(
+        self, address: str, rate: float, duration_seconds: float, *, threads: int = 48, seed: int = 1
+    ) -> None:
+        self._address = address
+        self._thread_count = threads
+        self._remaining = iter(_schedule(rate, duration_seconds, seed, VECTOR_SIZE))
+        self._lock = threading.Lock()
+        self._began_at_seconds = 0.0
+        self._searches: list[Search] = []
+
+    def run(self) -> list[Search]:
+        """Send all searches and return them in the order of their responses."""
+        self._began_at_seconds = time.monotonic()
+        run_threads([self._send_searches] * self._thread_count)
+        return self._searches
+
+    def _send_searches(self) -> None:
+        connection = connect(self._address)
         while True:
-            with lock:
-                one = next(turn, None)
-            if one is None:
+            with self._lock:
+                scheduled = next(self._remaining, None)
+            if scheduled is None:
                 return
-            time.sleep(max(0.0, zero + one[0] - time.monotonic()))
-            asked = search(link, one[1])
-            asked.took = time.monotonic() - zero - one[0]
-            with lock:
-                out.append((one[1], asked))
-
-    crowd = [threading.Thread(target=work, daemon=True) for _ in range(threads)]
-    for thread in crowd:
+            due_at_seconds = self._began_at_seconds + scheduled.due_seconds
+            time.sleep(max(0.0, due_at_seconds - time.monotonic()))
+            response = search(connection, scheduled.vector)
+            latency_seconds = time.monotonic() - due_at_seconds
+            with self._lock:
+                self._searches.append(Search(scheduled.vector, response, latency_seconds))
+
+
+def run_threads(targets: list[Callable[[], None]]) -> None:
+    """Run each target in a thread of its own and wait for all."""
+    threads = [threading.Thread(target=target, daemon=True) for target in targets]
+    for thread in threads:
         thread.start()
-    for thread in crowd:
+    for thread in threads:
         thread.join()
-    return out
 
 
-def truth(service_settings: ServiceSettings) -> Callable[[list[float]], list[int]]:
-    """The ten nearest of all points, by brute force."""
-    shards = [shard_of(service_settings.collections[0], number, SHARDS) for number in range(SHARDS)]
-    vectors = np.concatenate([shard.vectors for shard in shards]).astype(np.float64)
-    ids = np.array([point for shard in shards for point in shard.ids])
+class ExactSearch:
+    """The nearest of all points by brute force."""
+
+    def __init__(self, service_settings: ServiceSettings) -> None:
+        shards = [shard_of(service_settings.collections[0], number, SHARDS) for number in range(SHARDS)]
+        self._vectors = np.concatenate([shard.vectors for shard in shards]).astype(np.float64)
+        self._ids = np.array([point for shard in shards for point in shard.ids])
 
-    def nearest(vector: list[float]) -> list[int]:
+    def nearest(self, vector: list[float]) -> list[int]:
+        """Return the ids of the nearest points, ties by id."""
         query = np.asarray(vector, np.float32).astype(np.float64)
-        scores = vectors @ query
-        return [int(ids[row]) for row in np.lexsort((ids, -scores))[:10]]
+        scores = self._vectors @ query
+        return [int(self._ids[row]) for row in np.lexsort((self._ids, -scores))[:NEIGHBORS]]
 
-    return nearest
+    def recall(self, one: Search) -> float:
+        """Return the fraction of the nearest points that a search found."""
+        return len(set(one.response.ids) & set(self.nearest(one.vector))) / NEIGHBORS
 
 
-def shares(values: list[float]) -> str:
-    """Median and 99th of some seconds, as milliseconds."""
-    ordered = sorted(values)
-    p50 = ordered[len(ordered) // 2]
-    p99 = ordered[int(len(ordered) * 0.99)]
-    return f"p50 {p50 * 1000:.0f} ms, p99 {p99 * 1000:.0f} ms"
+def _answered(searches: list[Search]) -> list[Search]:
+    return [one for one in searches if one.response.status == HTTP_OK]
 
 
-def recall() -> None:
-    """Recall at ten against the share of parts in."""
+def percentiles_text(values_seconds: list[float]) -> str:
+    """Return the median and the 99th percentile, in milliseconds."""
+    ordered = sorted(values_seconds)
+    p50_seconds = ordered[len(ordered) // 2]
+    p99_seconds = ordered[int(len(ordered) * 0.99)]
+    return f"p50 {p50_seconds * 1000:.0f} ms, p99 {p99_seconds * 1000:.0f} ms"
+
+
+def measure_recall() -> None:
+    """Print the recall at ten against the fraction of parts in the reply."""
     print(
         "recall@10 against the share of parts in (24 shards, points evenly spread; the estimate is "
         "the reply's own)"
     )
-    for need in (50, 62.5, 75, 87.5, 100):
-        with fleet_of(market_text(f"(aim 500ms) (limit 3s) (need {need}%)", spread="300%")) as (
-            fleet,
-            service_settings,
-        ):
-            nearest = truth(service_settings)
-            done = load(fleet.of("broker")[0].ready["vector"], 40, 6)
-            good = [(vector, one) for vector, one in done if one.status == 200]
-            hits = [len(set(one.ids) & set(nearest(vector))) / 10 for vector, one in good]
-            said = [one.words["recall"] for _, one in good]
-            parts = [one.words["parts"][0] / one.words["parts"][1] for _, one in good]
-            print(
-                f"  need {need:5.1f}%: parts in {statistics.mean(parts):.3f}, recall "
-                f"{statistics.mean(hits):.3f}, "
-                f"estimated {statistics.mean(said):.3f}, {len(good)} of {len(done)} answered"
-            )
+    for percentage in REQUIRED_PERCENTAGES:
+        search_class = f"(aim 500ms) (limit 3s) (need {percentage}%)"
+        with run_fleet(SearchSettings(search_class, spread="300%")) as fleet:
+            exact = ExactSearch(fleet.settings)
+            searches = SearchLoad(
+                fleet.brokers[0].ready["vector"], RECALL_RATE, RECALL_DURATION_SECONDS
+            ).run()
+        answered = _answered(searches)
+        recalls = [exact.recall(one) for one in answered]
+        estimates = [one.response.quality["recall"] for one in answered]
+        parts = [one.response.quality["parts"] for one in answered]
+        part_fractions = [received / requested for received, requested in parts]
+        print(
+            f"  need {percentage:5.1f}%: parts in {statistics.mean(part_fractions):.3f}, recall "
+            f"{statistics.mean(recalls):.3f}, estimated {statistics.mean(estimates):.3f}, "
+            f"{len(answered)} of {len(searches)} answered"
+        )
 
 
-def troubled(fleet: ProcessFleet, until: threading.Event, seed: int = 4) -> None:
-    """At any time three of the hosts work sixty times slower, others every second."""
+def _slow_endpoints(fleet: RunningFleet, stop: threading.Event, seed: int = 4) -> None:
+    """Slow some endpoints down at any time, others in each interval, until ``stop`` is set."""
     draws = random.Random(seed)
-    while not until.wait(1.0):
-        for name in draws.sample([m.name for m in fleet.of("leaf")], 3):
-            fleet.order(name, frames.FaultCommand("slow", 60.0, 1_000_000))
-
-
-def slow() -> None:
-    """The design's claim: answer at n of k, with a spare for a late one, against waiting for all."""
-    variants = {
+    fault = frames.FaultCommand("slow", SLOW_FACTOR, SLOW_SPAN_US)
+    while not stop.wait(SLOW_INTERVAL_SECONDS):
+        names = [member.name for member in fleet.processes.of("leaf")]
+        for name in draws.sample(names, SLOW_ENDPOINTS):
+            fleet.processes.order(name, fault)
+
+
+def _search_beside_slow_endpoints(fleet: RunningFleet) -> list[Search]:
+    stop = threading.Event()
+    injector = threading.Thread(target=_slow_endpoints, args=(fleet, stop), daemon=True)
+    injector.start()
+    searches = SearchLoad(fleet.brokers[0].ready["vector"], SLOW_RATE, SLOW_DURATION_SECONDS).run()
+    stop.set()
+    injector.join()
+    return searches
+
+
+def measure_slow_endpoints() -> None:
+    """Print the latency of an answer at n of k parts, with and without hedges, against waiting for all."""
+    search_classes = {
         "wait for all": "(aim 20s) (limit 20s) (need 100%)",
         "n of k": "(aim 20s) (limit 20s) (need 75%)",
         "n of k + spare": "(aim 200ms) (limit 20s) (need 75%)",
     }
     print("latency with three of 24 hosts 60 times slower, others each second; 25 searches/s, n/k 75 %")
-    for name, alike in variants.items():
-        with fleet_of(market_text(alike, spread="300%")) as (fleet, service_settings):
-            nearest, until = truth(service_settings), threading.Event()
-            maker = threading.Thread(target=troubled, args=(fleet, until), daemon=True)
-            maker.start()
-            done = load(fleet.of("broker")[0].ready["vector"], 25, 15)
-            until.set()
-            maker.join()
-            good = [(vector, one) for vector, one in done if one.status == 200]
-            hits = statistics.mean(len(set(one.ids) & set(nearest(vector))) / 10 for vector, one in good)
-            whole = sum(one.words["whole"] for _, one in good) / len(good)
-            print(
-                f"  {name:<15}: {shares([one.took for _, one in good])}, recall {hits:.3f}, "
-                f"{len(good)} of {len(done)} answered, whole {whole:.1%}"
+    for name, search_class in search_classes.items():
+        with run_fleet(SearchSettings(search_class, spread="300%")) as fleet:
+            exact = ExactSearch(fleet.settings)
+            searches = _search_beside_slow_endpoints(fleet)
+        answered = _answered(searches)
+        recall = statistics.mean(exact.recall(one) for one in answered)
+        complete_fraction = sum(one.response.quality["whole"] for one in answered) / len(answered)
+        print(
+            f"  {name:<15}: {percentiles_text([one.latency_seconds for one in answered])}, "
+            f"recall {recall:.3f}, {len(answered)} of {len(searches)} answered, "
+            f"whole {complete_fraction:.1%}"
+        )
+
+
+def _offer_memcached_load(fleet: RunningFleet) -> list[Outcome]:
+    """Send memcached requests to all brokers at a fixed rate and return the outcomes after the warm-up."""
+    addresses = [(member.name, member.address, "") for member in fleet.brokers]
+    load = Load(40.0, clients=60, retries=0, mix=[Mix("price", 0.5), Mix("sale", 0.5)])
+    clients = Clients(load, fleet.settings, partial(list, addresses), None)
+    began_at_seconds = clients.start()
+    for arrival in arrivals(
+        load, fleet.settings, 3, 0.0, float(FAIRNESS_DURATION_SECONDS), lambda _at_seconds: 1.0
+    ):
+        time.sleep(max(0.0, began_at_seconds + arrival.at - time.monotonic()))
+        clients.offer(arrival)
+    clients.finish()
+    return [outcome for outcome in clients.outcomes if outcome.at > FAIRNESS_WARM_UP_SECONDS]
+
+
+def _memcached_outcomes_beside_searches(fleet: RunningFleet, searches_per_second: float) -> list[Outcome]:
+    threads = []
+    if searches_per_second:
+        for number, broker in enumerate(fleet.brokers):
+            load = SearchLoad(
+                broker.ready["vector"],
+                searches_per_second / len(fleet.brokers),
+                FAIRNESS_DURATION_SECONDS,
+                threads=160,
+                seed=number,
             )
+            threads.append(threading.Thread(target=load.run, args=()))
+    for thread in threads:
+        thread.start()
+    outcomes = _offer_memcached_load(fleet)
+    for thread in threads:
+        thread.join()
+    return outcomes
 
 
-def fronts() -> None:
-    """Memcached service beside none, one and three times the searches that the hosts can do, shared
-    and not.
-    """
-    alike = "(aim 800ms) (limit 2s) (need 75%) (floor 50%)"
-    capacity = 24 * 4 / (24 * 0.75 * 0.020)  # slots over the work of a search
+def _outcomes_text(outcomes: list[Outcome]) -> str:
+    """Return the shares of the kinds of outcome, the most frequent first."""
+    counts = Counter(outcome.kind for outcome in outcomes)
+    return ", ".join(f"{kind} {count / len(outcomes):.1%}" for kind, count in counts.most_common())
+
+
+def measure_fairness() -> None:
+    """Print memcached service beside searches at multiples of the endpoints' capacity, shared and not."""
+    search_class = "(aim 800ms) (limit 2s) (need 75%) (floor 50%)"
+    capacity = SHARDS * SLOTS_PER_ENDPOINT / (SHARDS * REQUIRED_FRACTION * SEARCH_WORK_SECONDS)
     print(f"memcached service beside searches; the hosts can do about {capacity:.0f} searches/s")
-    for label, text in (
+    for label, servers in (
         ("shared by weight", "(fronts (queue-target 30ms) (memcached 2) (vector 1))"),
         ("not shared", ""),
     ):
-        for times in (0, 1, 3):
-            with fleet_of(market_text(alike, work="20ms", fronts=text, brokers=2)) as (
-                fleet,
-                service_settings,
-            ):
-                brokers = fleet.of("broker")
-                where = [(m.name, m.address, "") for m in brokers]
-                crowd = Clients(
-                    Load(40.0, clients=60, retries=0, mix=[Mix("price", 0.5), Mix("sale", 0.5)]),
-                    service_settings,
-                    partial(list, where),
-                    None,
-                )
-                threads = [
-                    threading.Thread(target=load, args=(m.ready["vector"], times * capacity / 2, 10, 160, n))
-                    for n, m in enumerate(brokers)
-                    if times
-                ]
-                zero = crowd.start()
-                for thread in threads:
-                    thread.start()
-                for arrival in arrivals(crowd.load, service_settings, 3, 0.0, 10.0, lambda _at: 1.0):
-                    time.sleep(max(0.0, zero + arrival.at - time.monotonic()))
-                    crowd.offer(arrival)
-                crowd.finish()
-                for thread in threads:
-                    thread.join()
-                rows = [one for one in crowd.outcomes if one.at > 2.0]
-                ended: dict[str, float] = {}
-                for one in rows:
-                    ended[one.kind] = ended.get(one.kind, 0.0) + 1 / len(rows)
-                told = ", ".join(
-                    f"{kind} {share:.1%}" for kind, share in sorted(ended.items(), key=lambda e: -e[1])
-                )
-                print(f"  {label:<16} {times}x: {told}; {shares([one.took for one in rows])}")
-
-
-def core() -> None:
-    """Searches a second that one broker's processor does: hosts that take no time, as many clients as it
-    serves.
-    """
+        search_settings = SearchSettings(search_class, work="20ms", servers=servers, brokers=FAIRNESS_BROKERS)
+        for multiple in SEARCHES_OVER_CAPACITY:
+            with run_fleet(search_settings) as fleet:
+                outcomes = _memcached_outcomes_beside_searches(fleet, multiple * capacity)
+            latencies = percentiles_text([outcome.took for outcome in outcomes])
+            print(f"  {label:<16} {multiple}x: {_outcomes_text(outcomes)}; {latencies}")
+
+
+def _search_request(batch: int) -> tuple[str, bytes]:
+    """Return path and body of a request with ``batch`` searches."""
+    draws = random.Random(1)
+    searches = [
+        {"query": [draws.gauss(0, 1) for _ in range(VECTOR_SIZE)], "limit": NEIGHBORS} for _ in range(batch)
+    ]
+    if batch > 1:
+        return f"{QUERY_PATH}/batch", msgspec.json.encode({"searches": searches})
+    return QUERY_PATH, msgspec.json.encode(searches[0])
+
+
+def _repeat_request(address: str, path: str, body: bytes, answered_counts: list[int]) -> None:
+    """Send the same request again and again; append how many times it was answered."""
+    connection = connect(address)
+    until_seconds = time.monotonic() + CORE_DURATION_SECONDS
+    answered_count = 0
+    while time.monotonic() < until_seconds:
+        connection.request("POST", path, body, JSON_HEADERS)
+        response = connection.getresponse()
+        response.read()
+        answered_count += response.status == HTTP_OK
+    answered_counts.append(answered_count)
+
+
+def measure_core() -> None:
+    """Print the searches that one core of a broker does: endpoints without work, saturating clients."""
     print("throughput of one broker core (24 parts a search, 18 needed)")
-    for batch in (1, 40):
-        with fleet_of(market_text("(aim 2s) (limit 5s) (need 75%)", work="1us", noise="0%")) as (fleet, _):
-            broker = fleet.of("broker")[0]
-            draws = random.Random(1)
-            wishes = [{"query": [draws.gauss(0, 1) for _ in range(32)], "limit": 10} for _ in range(batch)]
-            path = "/collections/goods/points/query" + ("/batch" if batch > 1 else "")
-            body = msgspec.json.encode({"searches": wishes} if batch > 1 else wishes[0])
-            done: list[int] = []
-            before = _processor(broker.process.pid)
-            crowd = [
-                threading.Thread(target=_hammer, args=(broker.ready["vector"], path, body, 6.0, done))
-                for _ in range(6)
-            ]
-            for thread in crowd:
-                thread.start()
-            for thread in crowd:
-                thread.join()
-            used, searches = _processor(broker.process.pid) - before, max(1, sum(done) * batch)
-            print(
-                f"  batch of {batch:>2}: {searches / 6:.0f} searches/s, {used / searches * 1e6:.0f} "
-                f"us of its "
-                f"processor a search: {searches / max(used, 1e-9):.0f} a core and second"
+    search_settings = SearchSettings("(aim 2s) (limit 5s) (need 75%)", work="1us", noise="0%")
+    for batch in BATCH_SIZES:
+        with run_fleet(search_settings) as fleet:
+            broker = fleet.brokers[0]
+            path, body = _search_request(batch)
+            answered_counts: list[int] = []
+            cpu_before_seconds = costs.cpu_seconds(broker.process.pid)
+            run_threads(
+                [partial(_repeat_request, broker.ready["vector"], path, body, answered_counts)]
+                * CORE_CONNECTIONS
             )
+            used_seconds = costs.cpu_seconds(broker.process.pid) - cpu_before_seconds
+        searches = max(1, sum(answered_counts) * batch)
+        print(
+            f"  batch of {batch:>2}: {searches / CORE_DURATION_SECONDS:.0f} searches/s, "
+            f"{used_seconds / searches * MICROSECONDS_PER_SECOND:.0f} us of its "
+            f"processor a search: {searches / max(used_seconds, 1e-9):.0f} a core and second"
+        )
 
 
-def _hammer(address: str, path: str, body: bytes, seconds: float, done: list[int]) -> None:
-    """Ask the same over and over; notes how many were answered."""
-    host, _, port = address.rpartition(":")
-    link, until, count = HTTPConnection(host, int(port), timeout=30), time.monotonic() + seconds, 0
-    while time.monotonic() < until:
-        link.request("POST", path, body, {"content-type": "application/json"})
-        got = link.getresponse()
-        got.read()
-        count += got.status == 200
-    done.append(count)
+def _draw_rows(draws: random.Random, part: int) -> list[Row]:
+    """Return ten rows of a part, the best first."""
+    rows = [Row(part * 1000 + number, draws.random()) for number in range(NEIGHBORS)]
+    return sorted(rows, key=lambda row: -row.score)
 
 
-def _processor(pid: int) -> float:
-    """Seconds of processor that a process has used."""
-    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+def _merge_seconds(rows_by_part: list[list[Row]]) -> float:
+    """Return the processor time of one merge, the mean of several."""
+    began_at_seconds = time.thread_time()
+    for _ in range(MERGE_REPEATS):
+        merge = TopKMerge([NEIGHBORS], [0], [None])
+        names = [str(number) for number in range(len(rows_by_part))]
+        for name, rows in zip(names, rows_by_part, strict=True):
+            merge.add_bounds(name, [rows[0].score])
+            merge.add_rows(name, [rows], MERGE_POINTS_PER_PART)
+        merge.result(0, [], MERGE_POINTS_PER_PART)
+    return (time.thread_time() - began_at_seconds) / MERGE_REPEATS
 
 
-def merge() -> None:
-    """The merge alone: linear in its parts."""
+def measure_merge() -> None:
+    """Print the cost of a merge per part, against that of the smallest."""
     draws = random.Random(2)
     print("merge of ten rows a part")
-    first = 0.0
-    for parts in (6, 25, 100, 500):
-        lists = [
-            sorted((Row(n * 1000 + m, draws.random()) for m in range(10)), key=lambda r: -r.score)
-            for n in range(parts)
-        ]
-        best = min(_merged(lists) for _ in range(7)) / parts * 1e6
-        first = first or best
-        print(f"  {parts:>3} parts: {best:.1f} us a part, {best / first:.2f} of that at 6")
-
-
-def _merged(lists: list[list[Row]]) -> float:
-    began = time.thread_time()
-    for _ in range(5):
-        top = TopKMerge([10], [0], [None])
-        names = [str(number) for number in range(len(lists))]
-        for name, rows in zip(names, lists, strict=True):
-            top.add_bounds(name, [rows[0].score])
-            top.add_rows(name, [rows], 100)
-        top.result(0, [], 100)
-    return (time.thread_time() - began) / 5
-
-
-PARTS: dict[str, Callable[[], None]] = {
-    "merge": merge,
-    "recall": recall,
-    "slow": slow,
-    "core": core,
-    "fronts": fronts,
+    smallest_us = 0.0
+    for parts in MERGED_PARTS:
+        rows_by_part = [_draw_rows(draws, part) for part in range(parts)]
+        best_seconds = min(_merge_seconds(rows_by_part) for _ in range(MERGE_ROUNDS))
+        best_us = best_seconds / parts * MICROSECONDS_PER_SECOND
+        smallest_us = smallest_us or best_us
+        print(f"  {parts:>3} parts: {best_us:.1f} us a part, {best_us / smallest_us:.2f} of that at 6")
+
+
+MEASUREMENTS: Final[dict[str, Callable[[], None]]] = {
+    "merge": measure_merge,
+    "recall": measure_recall,
+    "slow": measure_slow_endpoints,
+    "core": measure_core,
+    "fronts": measure_fairness,
 }
 
 if __name__ == "__main__":
-    for word in sys.argv[1:] or PARTS:
-        PARTS[word]()
+    for word in sys.argv[1:] or MEASUREMENTS:
+        MEASUREMENTS[word]()
