--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -140,3 +140,32 @@
 
 def test_the_design_page_names_only_what_exists():
     assert not missing_names(DESIGN.read_text(encoding="utf-8"))
+
+
+OTHER_PAGES = ("broker", "crossings", "fleet", "operations", "platform", "regions", "storms")
+FILE = re.compile(r"(?:[\w.]+/)+[\w.]*")
+METRIC = re.compile(r"heathwell_\w+")
+
+
+def missing_files_and_metrics(text: str) -> list[str]:
+    """Files and metrics that a page names and the project does not have."""
+    words = {word for span in code_spans(text) for word in span.split()}
+    files = {word for word in words if FILE.fullmatch(word) and word.endswith((".py", ".md", ".sx", "/"))}
+    missing = [name for name in files if not ((ROOT / name).exists() or (ROOT / "heathwell" / name).exists())]
+    sources = [path.read_text(encoding="utf-8") for path in (ROOT / "heathwell").rglob("*_metrics.py")]
+    defined = {name for source in sources for name in re.findall(r'"(heathwell_\w+)"', source)}
+    metrics = {match.group() for word in words if (match := METRIC.match(word))}
+    missing += [name for name in metrics if name.removesuffix("_total") not in defined]
+    return sorted(missing)
+
+
+def test_the_other_pages_name_only_files_and_metrics_that_exist():
+    for name in OTHER_PAGES:
+        assert missing_files_and_metrics((ROOT / f"docs/{name}.md").read_text(encoding="utf-8")) == [], name
+
+
+def test_a_file_or_metric_that_is_gone_is_found():
+    present = "`docs/broker.md`, `eventloop/`, `heathwell_queries_total{class}`"
+    gone = "`docs/nowhere.md`, `kernel/`, `heathwell_nothing_total{why}`"
+    assert missing_files_and_metrics(present) == []
+    assert missing_files_and_metrics(gone) == ["docs/nowhere.md", "heathwell_nothing_total", "kernel/"]
