--- a/heathwell/cli/badday.py
+++ b/heathwell/cli/badday.py
@@ -5,11 +5,12 @@
 import sys
 import tempfile
 from pathlib import Path
+from typing import Final
 
 import click
 
 from heathwell.cli.inspect import judge_optional_rules
-from heathwell.cli.process import exit_codes, settings_of
+from heathwell.cli.process import MICROSECONDS_PER_SECOND, exit_codes, settings_of
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Verdict
 from heathwell.testing.simulation.bench_day import BenchDayError
@@ -18,7 +19,7 @@
 from heathwell.testing.simulation.fault_scenario import FaultScenario
 from heathwell.testing.simulation.fault_script import Script, load_script
 
-PRINTED_BREACHES = 20
+PRINTED_BREACHES: Final = 20
 
 
 @click.command()
@@ -35,7 +36,9 @@
     with exit_codes():
         loaded_script, service_settings, config = load_script(script)
     if seconds is not None:
-        loaded_script.steps = [step for step in loaded_script.steps if step.at_us < seconds * 1e6]
+        loaded_script.steps = [
+            step for step in loaded_script.steps if step.at_us < seconds * MICROSECONDS_PER_SECOND
+        ]
         loaded_script.seconds = min(loaded_script.seconds, seconds)
     sys.exit(_play(loaded_script, service_settings, config, out))
 
--- a/heathwell/testing/simulation/misbehaving_clients.py
+++ b/heathwell/testing/simulation/misbehaving_clients.py
@@ -141,11 +141,11 @@
             writer.cancel()
         in_time = timer.call is not None
         timer.cancel()
-        self.outcomes[kind, self._classify(response, in_time)] += 1
+        self.outcomes[kind, self._classify(response, in_time=in_time)] += 1
         stream.close()
 
     @staticmethod
-    def _classify(response: bytes, in_time: bool) -> ClientOutcome:
+    def _classify(response: bytes, *, in_time: bool) -> ClientOutcome:
         status = response[STATUS_OFFSET : STATUS_OFFSET + STATUS_DIGITS]
         if status.startswith(b"2"):
             return ClientOutcome.SERVED
--- a/heathwell/testing/simulation/planted_versions.py
+++ b/heathwell/testing/simulation/planted_versions.py
@@ -54,7 +54,7 @@
         file.write_text(text.replace(self.old, self.new, 1))
 
 
-BROKER_MAIN: Final = "    def main() -> Coro[None]:\n        options = BrokerOptions("
+BROKER_MAIN: Final = "    def _run_broker() -> Coro[None]:\n        options = BrokerOptions("
 REPLY_MADE: Final = "    def on_reply_made(self, query: ServiceQuery, reply: Reply, took_us: int) -> None:\n"
 ADMISSION: Final = "        self._check_storm(plan, client)\n"
 
