--- a/heathwell/broker/replies.py
+++ b/heathwell/broker/replies.py
@@ -87,3 +87,8 @@
 
 
 OnReply = Callable[[Reply], None]
+
+
+def rejection(query_class: str, retry_after_us: int, reason: str, query_id: str = "") -> Reply:
+    """Return the reply to a query that is rejected at admission, or while it is queued."""
+    return Reply(ReplyKind.REFUSED, query_id, query_class, retry_after_us=retry_after_us, reason=reason)
--- a/heathwell/gateway/broker.py
+++ b/heathwell/gateway/broker.py
@@ -16,7 +16,7 @@
 from heathwell.broker.driver import Driver
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.broker.query_state import Handle, HintedPart, PartState, QueryState
-from heathwell.broker.replies import OnReply, Reply, ReplyKind
+from heathwell.broker.replies import OnReply, Reply, ReplyKind, rejection
 from heathwell.codec import nodeframes as nf
 from heathwell.eventloop import Loop, Net
 from heathwell.gateway.config import Config
@@ -149,10 +149,7 @@
             if self.settings.retry_advice_allowed
             else 0
         )
-        reply = Reply(
-            ReplyKind.REFUSED, query_class=spec.name, retry_after_us=retry_after_us, reason=AT_CAPACITY
-        )
-        self.loop.call_soon(on_reply, reply)
+        self.loop.call_soon(on_reply, rejection(spec.name, retry_after_us, AT_CAPACITY))
 
     def _log_arrival(self, query: PlatformQuery, spec: policy.QueryClass) -> None:
         parts = query.request.parts
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -5,6 +5,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
+from heathwell.broker import replies
 from heathwell.broker.query_state import Handle
 from heathwell.broker.replies import OnReply, Reply, ReplyKind
 from heathwell.service.fair_admission import FairAdmission
@@ -126,9 +127,7 @@
         reason = rejection.reason.value
         self._broker.counters["door", class_name, reason] += 1
         self._broker.events("door", req=request, key=plan.key, klass=class_name, why=reason)
-        reply = Reply(
-            ReplyKind.REFUSED, query_class=class_name, retry_after_us=rejection.retry_after_us, reason=reason
-        )
+        reply = replies.rejection(class_name, rejection.retry_after_us, reason)
         if self._statistics is not None:
             self._statistics.ended(self._broker.loop.now(), who, plan.key, reply)
         self._broker.loop.call_soon(on_reply, reply)
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -10,7 +10,7 @@
 from heathwell.broker.driver_contract import AttemptKey
 from heathwell.broker.endpoint_entries import to_endpoint_entry
 from heathwell.broker.query_state import Handle, HintedPart
-from heathwell.broker.replies import OnReply, Reply, ReplyKind
+from heathwell.broker.replies import OnReply, Reply, ReplyKind, rejection
 from heathwell.codec import frames
 from heathwell.eventloop import Listener, Loop, Net
 from heathwell.observability.event_log import EventLog
@@ -167,16 +167,7 @@
         """Reject a query that would be queued for too long."""
         retry_after_us = self.retry_after_us(query, retry_after_us)
         class_name = self._query_class(query).name
-        self._reply(
-            query,
-            Reply(
-                ReplyKind.REFUSED,
-                query.id,
-                class_name,
-                retry_after_us=retry_after_us,
-                reason=RejectionReason.QUEUE_FULL.value,
-            ),
-        )
+        self._reply(query, rejection(class_name, retry_after_us, RejectionReason.QUEUE_FULL.value, query.id))
 
     def mean_part_latency_us(self, query_class: int) -> float:
         """Return the mean latency of a class's parts."""
