--- a/heathwell/testing/standins/leaf_replies.py
+++ b/heathwell/testing/standins/leaf_replies.py
@@ -25,14 +25,14 @@
     def send_pong(self, stream: Stream, number: int, load: int) -> None:
         """Reply to a ping unless the leaf is unresponsive."""
         if self._context.is_responsive:
-            self._output.send(stream, frames.encode(frames.Pong(number, self._load_report(load))))
+            self._send(stream, frames.encode(frames.Pong(number, self._load_report(load))))
 
     def send_score_bounds(self, attempt: ReceivedAttempt, bounds: list[float]) -> None:
         """Send the best score that a row of the shard can have, by query of the search."""
         context = self._context
         request = attempt.request
         context.events("bound", p=request.id, seq=request.seq, node=context.address, best=bounds)
-        self._output.send(attempt.stream, frames.encode(frames.ScoreBound(request.id, request.seq, bounds)))
+        self._send(attempt.stream, frames.encode(frames.ScoreBound(request.id, request.seq, bounds)))
 
     def send_result(
         self, attempt: ReceivedAttempt, outcome: PartOutcome, load: int, payload: bytes = b""
@@ -64,7 +64,12 @@
             node=context.address,
             **log_fields,
         )
-        self._output.send(attempt.stream, frames.encode(result))
+        self._send(attempt.stream, frames.encode(result))
+
+    def _send(self, stream: Stream, frame: bytes) -> None:
+        # A leaf that is killed after the send must have logged what it sent.
+        self._context.events.flush()
+        self._output.send(stream, frame)
 
     def _loses_reply(self) -> bool:
         context = self._context
--- a/tests/test_scenario_parts.py
+++ b/tests/test_scenario_parts.py
@@ -42,7 +42,8 @@
     ScenarioTaskError,
     SimulatedScenario,
 )
-from heathwell.testing.standins.leaf_faults import parse_leaf_fault
+from heathwell.testing.standins.fault_commands import parse_fault_kind
+from heathwell.testing.standins.leaf_faults import LeafFault
 
 DEMO_SETTINGS = settings_text(
     price_search_class(work_ms=20, minimum_percent=50),
@@ -90,7 +91,7 @@
 @pytest.mark.parametrize("fault", [*SEARCH_FAULTS, *LAG_FAULTS])
 def test_commands_of_host_faults_have_their_kind_value_and_duration(fault):
     command = fault.to_command("price-search")
-    assert parse_leaf_fault(command.kind) is fault.kind
+    assert parse_fault_kind(LeafFault, command.kind) is fault.kind
     assert (command.value, command.span_us, command.text) == (fault.value, fault.duration_us, "price-search")
 
 
--- a/tests/test_standin_parts.py
+++ b/tests/test_standin_parts.py
@@ -28,7 +28,10 @@
 from heathwell.testing.standins.discovery import Discovery
 from heathwell.testing.standins.errors import StandInError, UnknownFaultError
 from heathwell.testing.standins.fault_commands import parse_fault_kind, reply_to_fault_command
+from heathwell.testing.standins.leaf_context import LeafContext
+from heathwell.testing.standins.leaf_data import ReceivedAttempt
 from heathwell.testing.standins.leaf_faults import LeafFault
+from heathwell.testing.standins.leaf_replies import LeafReplies
 from heathwell.testing.standins.leaf_result_cache import RESULT_CACHE_SIZE, ResultCache
 from heathwell.testing.standins.link_condition import (
     Direction,
@@ -37,6 +40,7 @@
     LinkFaultCommand,
 )
 from heathwell.testing.standins.log_follower import LogFollower
+from heathwell.testing.standins.part_outcomes import PartOutcome
 from heathwell.testing.standins.platform_discovery import EntryList, WatchRequest
 from heathwell.testing.standins.platform_frames import ReceivedFrame, decode_call, take_frames
 from heathwell.testing.standins.relay import Relay
@@ -207,3 +211,38 @@
     assert heading.split()[:2] == ["a", "asked"]
     assert first.split()[:4] == ["0-5", "s", "1", "100.0%"] and third.split()[0] == "10-15"
     assert run.split()[:5] == ["whole", "run", "2", "50.0%", "50.0%"]
+
+
+class StepRecorder:
+    """An event log and an output that note the order of their calls."""
+
+    is_enabled = True
+
+    def __init__(self):
+        self.steps = []
+
+    def __call__(self, event, **_fields):
+        self.steps.append(event)
+
+    def flush(self):
+        self.steps.append("flush")
+
+    def send(self, _stream, _frame):
+        self.steps.append("send")
+
+
+@pytest.mark.parametrize("reply", ["result", "score bounds"])
+def test_a_reply_is_in_the_log_file_before_it_is_sent(reply):
+    """A leaf may be killed as soon as its reply has left."""
+    loop, _net = virtual_loop(1)
+    recorder = StepRecorder()
+    context = LeafContext.create(loop, loads(MARKET), recorder, seed=1, speed=None, address="leaf0:1")
+    replies = LeafReplies(context, recorder, log_follower=None)
+    request = frames.PartRequest("q1/0", 0, "sale-record", "record", "t1:1", 0, 1_000_000)
+    attempt = ReceivedAttempt(request, stream=None, received_at_us=0, broker="b0")
+    if reply == "result":
+        replies.send_result(attempt, PartOutcome.OK, load=1)
+        assert recorder.steps == ["done", "flush", "send"]
+    else:
+        replies.send_score_bounds(attempt, [1.0])
+        assert recorder.steps == ["bound", "flush", "send"]
