--- a/heathwell/fleet/control/fleet_agent.py
+++ b/heathwell/fleet/control/fleet_agent.py
@@ -132,10 +132,11 @@
 
     def release(self, budget: str) -> None:
         """Return a unit of a count; without one in use nothing happens."""
+        now = self.check_incarnation()
         holder = self.quotas.holders.get(budget)
         if holder is not None and holder.in_use:
             holder.release()
-            self._log_holder(self.loop.now(), budget, holder)
+            self._log_holder(now, budget, holder)
 
     def holder(self, budget: str) -> QuotaHolder | None:
         """The holder of a budget, for its quota, demand and excess; None where no such budget is set."""
