--- a/heathwell/testing/simulation/local_broker.py
+++ b/heathwell/testing/simulation/local_broker.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from functools import partial
+from typing import Final
 
 from heathwell.eventloop import Listener, Net
 from heathwell.fleet.control.fleet_agent import FleetAgent
@@ -22,8 +23,8 @@
 from heathwell.testing.simulation.fleet_member import Role
 from heathwell.testing.simulation.local_surroundings import LocalSurroundings
 
-BROKER_SEED_FACTOR = 1000
-RUN_SEED_FACTOR = 10
+BROKER_SEED_FACTOR: Final = 1000
+RUN_SEED_FACTOR: Final = 10
 
 
 @dataclass(frozen=True, slots=True)
--- a/heathwell/testing/simulation/local_coordinator.py
+++ b/heathwell/testing/simulation/local_coordinator.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
+from typing import Final
 
 from heathwell.fleet.control.evacuation_coordinator import EvacuationCoordinator
 from heathwell.fleet.control.parameters import budgets_from_settings, quota_timings_from_settings
@@ -12,7 +13,7 @@
 from heathwell.testing.simulation.fleet_member import Role
 from heathwell.testing.simulation.local_surroundings import LocalSurroundings
 
-SEED_FACTOR = 50
+SEED_FACTOR: Final = 50
 
 EvacuationCoordinatorFactory = Callable[[ServiceSettings], EvacuationCoordinator]
 
--- a/heathwell/testing/simulation/rollout_fleet.py
+++ b/heathwell/testing/simulation/rollout_fleet.py
@@ -112,8 +112,8 @@
         try:
             self.processes.start()
             for number in range(self.machine_count):
-                name = f"m{number}"
-                self.machines[name] = self._start_agent(number)
+                machine = self._start_agent(number)
+                self.machines[machine.name] = machine
             for machine in self.machines.values():
                 self._wait_until_ready(machine)
             yield self
