--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -142,7 +142,17 @@
     assert not missing_names(DESIGN.read_text(encoding="utf-8"))
 
 
-OTHER_PAGES = ("broker", "crossings", "evacuation", "fleet", "operations", "platform", "regions", "storms")
+OTHER_PAGES = (
+    "broker",
+    "crossings",
+    "evacuation",
+    "fleet",
+    "operations",
+    "platform",
+    "regions",
+    "rollout",
+    "storms",
+)
 FILE = re.compile(r"(?:[\w.]+/)+[\w.]*")
 METRIC = re.compile(r"heathwell_\w+")
 
