--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -152,6 +152,7 @@
     "regions",
     "rollout",
     "storms",
+    "vector",
 )
 FILE = re.compile(r"(?:[\w.]+/)+[\w.]*")
 METRIC = re.compile(r"heathwell_\w+")
