--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -147,6 +147,7 @@
     "crossings",
     "evacuation",
     "fleet",
+    "freshness",
     "operations",
     "platform",
     "regions",
