--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -144,6 +144,7 @@
 
 OTHER_PAGES = (
     "broker",
+    "clients-vector",
     "crossings",
     "evacuation",
     "fleet",
