--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -12,6 +12,7 @@
 PAGE = ROOT / "docs/architecture.md"
 ON_CALL = ROOT / "docs/on-call.md"
 DESIGN = ROOT / "docs/design.md"
+README = ROOT / "README.md"
 MAXIMUM_LINES = 200
 MODULE = re.compile(r"heathwell(?:\.\w+)+")
 MEMBER = re.compile(r"([A-Z]\w*)(?:\.(\w+))?")
@@ -177,6 +178,13 @@
         assert missing_files_and_metrics((ROOT / f"docs/{name}.md").read_text(encoding="utf-8")) == [], name
 
 
+def test_the_readme_names_only_files_that_exist_and_every_page():
+    text = README.read_text(encoding="utf-8")
+    assert missing_files_and_metrics(text) == []
+    pages = {f"docs/{path.name}" for path in (ROOT / "docs").glob("*.md")}
+    assert pages <= code_spans(text)
+
+
 def test_a_file_or_metric_that_is_gone_is_found():
     present = "`docs/broker.md`, `eventloop/`, `heathwell_queries_total{class}`"
     gone = "`docs/nowhere.md`, `kernel/`, `heathwell_nothing_total{why}`"
