--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -278,7 +278,7 @@
     """Run all measurements and return them by name."""
     throughput_seconds = 0.5 if quick else 4.0
     return {
-        "machine": f"{os.cpu_count()} processors, {platform.machine()}, Python {{platform.python_version()}}",
+        "machine": f"{os.cpu_count()} processors, {platform.machine()}, Python {platform.python_version()}",
         "latency of a one-part get": measure_latency(fleet, 300 if quick else 5000),
         "6 parts": measure_query_cost(fleet, "six", 160 if quick else 2000),
         "40 parts": measure_query_cost(fleet, "forty", 80 if quick else 600),
--- a/heathwell/testing/simulation/simulated_scenario.py
+++ b/heathwell/testing/simulation/simulated_scenario.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import random
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -29,6 +30,7 @@
 from heathwell.testing.simulation.memcached_values import MemcachedValue, ReplyBody, read_values
 from heathwell.testing.simulation.run_parameters import run_parameters_record
 from heathwell.testing.standins.leaf import Leaf
+from heathwell.testing.standins.leaf_faults import FreshnessDisabledError
 
 EvacuationCoordinatorFactory = Callable[[ServiceSettings], EvacuationCoordinator]
 
@@ -255,7 +257,9 @@
             elif leaf.listener is not None:
                 fault = draws.choice(self.faults)
                 query_class = draws.choice(self.service_settings.classes).name
-                leaf.order(fault.to_command(query_class))
+                # Without a source the data of a leaf has no age, and faults of it change nothing.
+                with contextlib.suppress(FreshnessDisabledError):
+                    leaf.order(fault.to_command(query_class))
 
     def _inject_crash(self, leaf: Leaf, draw: float, draws: random.Random) -> None:
         """Crash the host, discovery, a broker or a zone, as the ``draw`` has it."""
--- a/tests/test_scenario_parts.py
+++ b/tests/test_scenario_parts.py
@@ -99,6 +99,13 @@
     assert SEARCH_FAULTS[: len(HOST_FAULTS)] == HOST_FAULTS
 
 
+def test_faults_of_the_datas_age_change_nothing_where_freshness_is_off():
+    scenario = SimulatedScenario(
+        loads(DEMO_SETTINGS), 3, faults=LAG_FAULTS, fault_rate=4.0, inject_crashes=False, duration_seconds=3.0
+    )
+    assert scenario.run().verdict().breaches == []
+
+
 # Replies
 
 
