--- a/heathwell/testing/simulation/__init__.py
+++ b/heathwell/testing/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: whole fleets in one process, on sockets or on virtual time, load, and what they show."""
+"""Experiments: fleets of stand-ins in one process or in many, their load, and reports."""
