--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings and a small driver for the tests; no model of servers."""
+"""Settings and a driver of one aggregator that the tests share; no model of endpoints."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 pytest_plugins = ["tests.known_red"]
 
 AIM = 1_000_000
+"""Latency objective of every query class, in microseconds; their timeout is twice as long."""
 
 
 def make_settings(**changes: Any) -> Settings:
-    """Six cells of one server each, every shard on three of them."""
+    """Return settings of six replica groups, each shard on three of them, with `changes` applied."""
     values: dict[str, Any] = {
         "classes": (
             policy.QueryClass(
@@ -59,12 +60,16 @@
 
 
 def entry(index: int, **changes: Any) -> policy.EndpointEntry:
-    """The list line of server `s<index>` in cell `index`."""
+    """Return the entry of endpoint `s<index>` in replica group `index` of the endpoint list."""
     return policy.EndpointEntry(f"s{index}", index, **changes)
 
 
 class Driver:
-    """Feeds one aggregator and remembers what it did."""
+    """Passes events to one aggregator on a clock of its own and returns the actions.
+
+    Construction passes a complete endpoint list of `servers` endpoints, one in each replica group; `first`
+    holds the actions that it caused.
+    """
 
     def __init__(self, config: Settings, seed: int = 1, servers: int | None = None) -> None:
         self.agg = Aggregator(config, seed)
@@ -75,19 +80,19 @@
         self.first = self.step(
             0,
             policy.EndpointUpdate(
-                policy.UpdateKind.FULL, tuple(entry(i) for i in range(count)), requested=False
+                policy.UpdateKind.FULL, tuple(entry(index) for index in range(count)), requested=False
             ),
         )
 
     def step(self, after: int, *events: policy.Event) -> list[policy.Action]:
-        """One batch, `after` microseconds later."""
+        """Handle one batch of events, `after` microseconds later."""
         self.now += after
         return self.agg.handle(self.now, list(events))
 
     def query(
         self, query_class: int, shards: list[int], limit: int = 2 * AIM, after: int = 5000, **more: Any
     ) -> list[policy.Action]:
-        """A query with one part for each shard, ids `q<job>` and `q<job>/<n>`."""
+        """Send a query with one part for each shard; the ids are `q<job>` and `q<job>/<number>`."""
         self.jobs += 1
         name = f"q{self.jobs}"
         self.now += after
@@ -95,8 +100,8 @@
             policy.QueryArrived(name, self.jobs, query_class, self.now + limit, len(shards), **more)
         ]
         events += [
-            policy.PartArrived(f"{name}/{n}", self.jobs, shard, 1 / len(shards))
-            for n, shard in enumerate(shards)
+            policy.PartArrived(f"{name}/{number}", self.jobs, shard, 1 / len(shards))
+            for number, shard in enumerate(shards)
         ]
         return self.step(0, *events)
 
@@ -108,27 +113,28 @@
         seq: int = 0,
         took: int = 80_000,
     ) -> list[policy.Action]:
-        """One outcome."""
+        """End one attempt with an outcome, after a latency of `took` microseconds."""
         return self.step(after, policy.AttemptEnded(send.id, seq, send.node, outcome, took))
 
     def wait(self, span: int) -> list[policy.Action]:
-        """Let time pass tick by tick, timers firing."""
-        seen: list[policy.Action] = []
+        """Advance the clock tick by tick with a due timer at each; return the actions of all ticks."""
+        actions: list[policy.Action] = []
         for _ in range(span // 5000):
-            seen += self.step(5000, policy.TimerFired("due"))
-        return seen
+            actions += self.step(5000, policy.TimerFired("due"))
+        return actions
 
 
 def of(actions: list[policy.Action], kind: type) -> list[Any]:
-    """The actions of one kind."""
-    return [a for a in actions if isinstance(a, kind)]
+    """Return the actions of one kind, in order."""
+    return [action for action in actions if isinstance(action, kind)]
 
 
 @pytest.fixture
 def drive() -> Any:
-    """A driver on the usual settings, with changes."""
+    """Return a function that builds a driver on the settings of `make_settings` with changes."""
 
     def build(seed: int = 1, servers: int | None = None, **changes: Any) -> Driver:
+        """Return a driver at the start of its clock, with `servers` endpoints listed."""
         return Driver(make_settings(**changes), seed, servers)
 
     return build
--- a/tests/test_replica_selection.py
+++ b/tests/test_replica_selection.py
@@ -1,71 +1,71 @@
-"""The ordinary path of the design page."""
+"""Replica selection and hedging: n parts are sent, a late one is hedged, the query is answered at n."""
 
 from heathwell import policy
 
 from .conftest import AIM, of
 
 
-def test_sends_only_the_needed_parts_and_answers_at_n(drive):
-    d = drive()
-    sends = of(d.query(0, [0, 1, 2, 3]), policy.Send)
+def test_only_the_required_parts_are_sent_and_the_query_is_answered_once_they_are_received(drive):
+    driver = drive()
+    sends = of(driver.query(0, [0, 1, 2, 3]), policy.Send)
     assert len(sends) == 3
-    assert of(d.end(sends[0]), policy.Answer) == []
-    assert of(d.end(sends[1]), policy.Answer) == []
-    assert of(d.end(sends[2]), policy.Answer) == [policy.Answer("q1", True)]
+    assert of(driver.end(sends[0]), policy.Answer) == []
+    assert of(driver.end(sends[1]), policy.Answer) == []
+    assert of(driver.end(sends[2]), policy.Answer) == [policy.Answer("q1", True)]
 
 
-def test_each_pick_counts_before_the_next(drive):
-    d = drive()
-    sends = of(d.query(1, [0, 0, 0]), policy.Send)
-    assert len({s.node for s in sends}) == 3
-    assert {s.node for s in sends} == {"s0", "s1", "s2"}
+def test_a_part_in_flight_adds_to_the_load_before_the_next_part_of_the_batch_is_placed(drive):
+    driver = drive()
+    sends = of(driver.query(1, [0, 0, 0]), policy.Send)
+    assert len({send.node for send in sends}) == 3
+    assert {send.node for send in sends} == {"s0", "s1", "s2"}
 
 
-def test_late_part_gets_an_unsent_sibling_and_stays_open(drive):
-    d = drive()
-    sends = of(d.query(0, [0, 1, 2, 3]), policy.Send)
+def test_a_late_part_is_hedged_by_an_unsent_part_and_stays_in_flight(drive):
+    driver = drive()
+    sends = of(driver.query(0, [0, 1, 2, 3]), policy.Send)
     for send in sends[:2]:
-        d.end(send)
-    seen = d.wait(AIM // 2 + 10_000)
-    spares = of(seen, policy.Send)
-    assert len(spares) == 1
-    assert spares[0].id not in {s.id for s in sends}
-    assert of(seen, policy.Cancel) == []
-    assert of(d.end(spares[0]), policy.Answer) == [policy.Answer("q1", True)]
-
-
-def test_failed_part_is_replaced(drive):
-    d = drive()
-    send = of(d.query(1, [0]), policy.Send)[0]
-    again = of(d.end(send, policy.Outcome.ERROR), policy.Send)
-    assert len(again) == 1 and again[0].node != send.node
-
-
-def test_each_send_states_its_reason(drive):
-    first, substitute, hedge, cancelled, retry = (
-        policy.AttemptReason.FIRST,
-        policy.AttemptReason.SUBSTITUTE,
-        policy.AttemptReason.HEDGE,
-        policy.AttemptReason.CANCELLED,
-        policy.AttemptReason.RETRY,
-    )
-
-    def reasons(actions):
-        return [(send.reason, send.is_additional) for send in of(actions, policy.Send)]
-
-    spare_part = drive()
-    sends = spare_part.query(0, [0, 1, 2, 3])
-    assert reasons(sends) == [(first, False)] * 3
-    assert reasons(spare_part.wait(AIM // 2 + 10_000)) == [(substitute, True)]
+        driver.end(send)
+    actions = driver.wait(AIM // 2 + 10_000)
+    hedges = of(actions, policy.Send)
+    assert len(hedges) == 1
+    assert hedges[0].id not in {send.id for send in sends}
+    assert of(actions, policy.Cancel) == []
+    assert of(driver.end(hedges[0]), policy.Answer) == [policy.Answer("q1", True)]
+
+
+def test_a_failed_part_is_retried_at_another_replica(drive):
+    driver = drive()
+    send = of(driver.query(1, [0]), policy.Send)[0]
+    retries = of(driver.end(send, policy.Outcome.ERROR), policy.Send)
+    assert len(retries) == 1 and retries[0].node != send.node
+
+
+def attempt_reasons(actions):
+    """Return the reason of each attempt that is sent, and whether it counts as an additional attempt."""
+    return [(send.reason, send.is_additional) for send in of(actions, policy.Send)]
+
+
+def test_each_attempt_states_its_reason(drive):
+    first = policy.AttemptReason.FIRST
+    substitute = policy.AttemptReason.SUBSTITUTE
+    hedge = policy.AttemptReason.HEDGE
+    cancelled = policy.AttemptReason.CANCELLED
+    retry = policy.AttemptReason.RETRY
+
+    unsent_part = drive()
+    actions = unsent_part.query(0, [0, 1, 2, 3])
+    assert attempt_reasons(actions) == [(first, False)] * 3
+    assert attempt_reasons(unsent_part.wait(AIM // 2 + 10_000)) == [(substitute, True)]
 
     hedged = drive(hedging_allowed=True)
-    assert reasons(hedged.query(1, [0])) == [(first, False)]
-    assert reasons(hedged.wait(AIM // 2 + 10_000)) == [(hedge, True)]
+    assert attempt_reasons(hedged.query(1, [0])) == [(first, False)]
+    assert attempt_reasons(hedged.wait(AIM // 2 + 10_000)) == [(hedge, True)]
 
     moved = drive(cancellation_allowed=True)
     moved.query(1, [0])
-    assert reasons(moved.wait(AIM // 2 + 10_000)) == [(cancelled, True)]
+    assert attempt_reasons(moved.wait(AIM // 2 + 10_000)) == [(cancelled, True)]
 
     failed = drive()
     (send,) = of(failed.query(1, [0]), policy.Send)
-    assert reasons(failed.end(send, policy.Outcome.ERROR)) == [(retry, True)]
+    assert attempt_reasons(failed.end(send, policy.Outcome.ERROR)) == [(retry, True)]
