--- a/tests/test_module_rules.py
+++ b/tests/test_module_rules.py
@@ -1,4 +1,4 @@
-"""Each rule and each exception, one by one."""
+"""The decision module, one rule or exception a test, by the actions that events cause."""
 
 from __future__ import annotations
 
@@ -7,66 +7,66 @@
 from .conftest import AIM, entry, of
 
 
-def warm_up(d, shards=range(6), rounds=20):
-    """Some answered traffic, so that the usual latency and intake are known."""
+def warm_up(driver, shards=range(6), rounds=20):
+    """Answer some queries, so that mean latencies and completion rates have samples."""
     for _ in range(rounds):
         for shard in shards:
-            for send in of(d.query(1, [shard]), policy.Send):
-                d.end(send, after=20_000, took=20_000)
+            for send in of(driver.query(1, [shard]), policy.Send):
+                driver.end(send, after=20_000, took=20_000)
 
 
-def test_unanswered_query_ends_before_its_deadline(drive):
-    d = drive(retry_advice_allowed=True, max_retry_after_us=400_000)
-    d.query(1, [0, 1])
-    seen = d.wait(2 * AIM - 5_000)
-    finals = of(seen, policy.Reject)
-    assert len(finals) == 1 and 0 < finals[0].retry_after_us <= 400_000
+def test_an_unanswered_query_is_rejected_with_a_retry_after_before_its_deadline(drive):
+    driver = drive(retry_advice_allowed=True, max_retry_after_us=400_000)
+    driver.query(1, [0, 1])
+    actions = driver.wait(2 * AIM - 5_000)
+    rejections = of(actions, policy.Reject)
+    assert len(rejections) == 1 and 0 < rejections[0].retry_after_us <= 400_000
 
 
-def test_class_without_late_worth_is_given_up_at_its_aim(drive):
-    d = drive()
-    d.query(2, [0])
-    assert len(of(d.wait(AIM + 20_000), policy.Reject)) == 1
+def test_a_query_of_a_class_without_late_weight_is_rejected_at_its_latency_objective(drive):
+    driver = drive()
+    driver.query(2, [0])
+    assert len(of(driver.wait(AIM + 20_000), policy.Reject)) == 1
 
 
-def test_unsafe_part_that_may_have_run_is_not_repeated_and_its_query_failed(drive):
-    d = drive(hedging_allowed=True, cancellation_allowed=True)
-    send = of(d.query(4, [0]), policy.Send)[0]
-    seen = d.end(send, policy.Outcome.ERROR)  # at once: nothing can still come
-    assert of(seen, policy.Send) == [] and of(seen, policy.Reject) == []
-    assert of(seen, policy.Fail) == [policy.Fail("q1")]
+def test_a_non_idempotent_part_that_may_have_run_is_not_retried_and_its_query_fails(drive):
+    driver = drive(hedging_allowed=True, cancellation_allowed=True)
+    send = of(driver.query(4, [0]), policy.Send)[0]
+    actions = driver.end(send, policy.Outcome.ERROR)  # at once: no response is pending
+    assert of(actions, policy.Send) == [] and of(actions, policy.Reject) == []
+    assert of(actions, policy.Fail) == [policy.Fail("q1")]
 
 
-def test_unsafe_part_that_never_ran_is_tried_elsewhere(drive):
-    d = drive()
-    send = of(d.query(4, [0]), policy.Send)[0]
-    again = of(d.end(send, policy.Outcome.UNREACHABLE), policy.Send)
-    assert len(again) == 1 and again[0].node != send.node
+def test_a_non_idempotent_part_that_never_ran_is_retried_at_another_replica(drive):
+    driver = drive()
+    send = of(driver.query(4, [0]), policy.Send)[0]
+    retries = of(driver.end(send, policy.Outcome.UNREACHABLE), policy.Send)
+    assert len(retries) == 1 and retries[0].node != send.node
 
 
-def test_keyed_part_is_cancelled_and_resent_inside_its_window_only(drive):
-    d = drive(cancellation_allowed=True)
-    send = of(d.query(3, [0]), policy.Send)[0]
-    seen = d.wait(AIM // 2 + 10_000)
-    assert of(seen, policy.Cancel) == [policy.Cancel(send.id, 0)]
-    again = of(seen, policy.Send)
-    assert len(again) == 1 and again[0].node != send.node
-    assert of(d.wait(AIM), policy.Send) == []
-    assert of(d.end(again[0], policy.Outcome.ERROR, seq=1), policy.Send) == []
+def test_a_keyed_part_is_cancelled_and_sent_again_within_its_idempotency_window_only(drive):
+    driver = drive(cancellation_allowed=True)
+    send = of(driver.query(3, [0]), policy.Send)[0]
+    actions = driver.wait(AIM // 2 + 10_000)
+    assert of(actions, policy.Cancel) == [policy.Cancel(send.id, 0)]
+    retries = of(actions, policy.Send)
+    assert len(retries) == 1 and retries[0].node != send.node
+    assert of(driver.wait(AIM), policy.Send) == []
+    assert of(driver.end(retries[0], policy.Outcome.ERROR, seq=1), policy.Send) == []
 
 
-def test_late_part_without_sibling_gets_a_copy_where_allowed(drive):
-    d = drive(hedging_allowed=True, cancellation_allowed=True)
-    send = of(d.query(1, [0]), policy.Send)[0]
-    seen = d.wait(AIM // 2 + 10_000)
-    copies = of(seen, policy.Send)
-    assert [c.id for c in copies] == [send.id] and copies[0].node != send.node
-    assert of(seen, policy.Cancel) == []
+def test_a_late_part_without_an_unsent_part_is_hedged_at_another_replica_where_allowed(drive):
+    driver = drive(hedging_allowed=True, cancellation_allowed=True)
+    send = of(driver.query(1, [0]), policy.Send)[0]
+    actions = driver.wait(AIM // 2 + 10_000)
+    hedges = of(actions, policy.Send)
+    assert [hedge.id for hedge in hedges] == [send.id] and hedges[0].node != send.node
+    assert of(actions, policy.Cancel) == []
 
 
-def test_draining_and_gone_servers_get_nothing(drive):
-    d = drive()
-    d.step(
+def test_draining_and_removed_endpoints_receive_no_attempts(drive):
+    driver = drive()
+    driver.step(
         5000,
         policy.EndpointUpdate(
             policy.UpdateKind.INCREMENTAL,
@@ -74,355 +74,389 @@
         ),
     )
     for _ in range(9):
-        for send in of(d.query(1, [0]), policy.Send):
+        for send in of(driver.query(1, [0]), policy.Send):
             assert send.node == "s2"
-            d.end(send)
-    d.step(5000, policy.EndpointUpdate(policy.UpdateKind.FULL, tuple(entry(i) for i in (0, 3, 4, 5))))
-    assert {s.node for s in of(d.query(1, [0]), policy.Send)} == {"s0"}
-
-
-def test_cold_server_gets_our_share_of_its_ramp_only(drive):
-    d = drive(aggregator_count=2)
-    warm_up(d)
-    d.step(0, policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL, (entry(0, started_at_us=d.now - 10_000),)))
-    to_cold = 0
-    start = d.now
-    while d.now < start + 900_000:
-        for send in of(d.query(1, [0]), policy.Send):
-            to_cold += send.node == "s0"
-            d.end(send, after=20_000, took=20_000)
-    # A warm server answered 6.7 parts a second here; 2 x 0.2 to 0.27 of that is 2.7 to 3.6, while an
-    # even third of this traffic would be 12.
-    assert 1 <= to_cold <= 3
-
-
-def test_lost_servers_do_not_widen_the_cold_budget(drive):
-    """Guards against a fall-back flood: with most of the fleet gone the rest must not look larger."""
-    rooms = []
-    for gone in ((), (2, 3, 4, 5)):
-        d = drive()
-        warm_up(d)
-        d.step(
+            driver.end(send)
+    driver.step(
+        5000, policy.EndpointUpdate(policy.UpdateKind.FULL, tuple(entry(index) for index in (0, 3, 4, 5)))
+    )
+    assert {send.node for send in of(driver.query(1, [0]), policy.Send)} == {"s0"}
+
+
+def test_an_endpoint_in_slow_start_receives_only_this_aggregators_fraction_of_its_ramp(drive):
+    driver = drive(aggregator_count=2)
+    warm_up(driver)
+    driver.step(
+        0,
+        policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL, (entry(0, started_at_us=driver.now - 10_000),)),
+    )
+    sent_count = 0
+    start_us = driver.now
+    while driver.now < start_us + 900_000:
+        for send in of(driver.query(1, [0]), policy.Send):
+            sent_count += send.node == "s0"
+            driver.end(send, after=20_000, took=20_000)
+    # An endpoint answered 6.7 parts a second before; 2 aggregators x 0.2 to 0.27 of that is 2.7 to 3.6,
+    # while an even third of this traffic would be 12.
+    assert 1 <= sent_count <= 3
+
+
+def test_removed_endpoints_do_not_raise_the_slow_start_capacity_of_the_others(drive):
+    """The capacity of an endpoint in slow start is not measured by how few endpoints are left."""
+    attempt_counts = []
+    for removed in ((), (2, 3, 4, 5)):
+        driver = drive()
+        warm_up(driver)
+        driver.step(
             0,
             policy.EndpointUpdate(
-                policy.UpdateKind.INCREMENTAL, tuple(entry(i, state=policy.EndpointState.GONE) for i in gone)
+                policy.UpdateKind.INCREMENTAL,
+                tuple(entry(index, state=policy.EndpointState.GONE) for index in removed),
             ),
         )
-        d.step(
-            0, policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL, (entry(0, started_at_us=d.now - 10_000),))
+        driver.step(
+            0,
+            policy.EndpointUpdate(
+                policy.UpdateKind.INCREMENTAL, (entry(0, started_at_us=driver.now - 10_000),)
+            ),
         )
-        sends = [s for _ in range(4) for s in of(d.query(1, [0] * 3), policy.Send)]
-        rooms.append(sum(s.node == "s0" for s in sends))
-    assert rooms[1] <= rooms[0] + 1 <= 3
+        sends = [send for _ in range(4) for send in of(driver.query(1, [0] * 3), policy.Send)]
+        attempt_counts.append(sum(send.node == "s0" for send in sends))
+    assert attempt_counts[1] <= attempt_counts[0] + 1 <= 3
 
 
-def test_many_small_brokers_do_not_all_send_a_fresh_server_its_first_part(drive):
-    """Guards a server new on the list: each broker owes it far less than a part, together they owe it few."""
-    firsts = 0
+def test_many_small_aggregators_do_not_all_send_a_new_endpoint_its_first_attempt(drive):
+    """The credit of each aggregator is far under one attempt, and that of all together is a few."""
+    first_attempts = 0
     for seed in range(40):
-        d = drive(seed=seed)
-        warm_up(d, rounds=2)
-        d.wait(2 * AIM)
-        d.step(
+        driver = drive(seed=seed)
+        warm_up(driver, rounds=2)
+        driver.wait(2 * AIM)
+        driver.step(
             0,
             policy.EndpointUpdate(
-                policy.UpdateKind.INCREMENTAL, tuple(entry(i, started_at_us=d.now - 10_000) for i in (0, 1))
+                policy.UpdateKind.INCREMENTAL,
+                tuple(entry(index, started_at_us=driver.now - 10_000) for index in (0, 1)),
             ),
         )
-        firsts += sum(s.node != "s2" for _ in range(3) for s in of(d.query(1, [0]), policy.Send))
-    assert firsts <= 30
+        first_attempts += sum(
+            send.node != "s2" for _ in range(3) for send in of(driver.query(1, [0]), policy.Send)
+        )
+    assert first_attempts <= 30
 
 
-def test_whole_and_partial_answers_are_honest(drive):
-    d = drive()
-    sends = of(d.query(5, [0, 1, 2]), policy.Send)
+def test_a_query_with_some_parts_missing_is_answered_as_partial(drive):
+    driver = drive()
+    sends = of(driver.query(5, [0, 1, 2]), policy.Send)
     assert len(sends) == 3
-    d.end(sends[0])
-    d.end(sends[1])
-    answers = of(d.wait(2 * AIM), policy.Answer)
+    driver.end(sends[0])
+    driver.end(sends[1])
+    answers = of(driver.wait(2 * AIM), policy.Answer)
     assert answers == [policy.Answer("q1", False)]
 
 
-def test_partial_under_the_floor_is_never_given(drive):
-    d = drive()
-    sends = of(d.query(5, [0, 1, 2]), policy.Send)
-    d.end(sends[0])
-    seen = d.wait(2 * AIM)
-    assert of(seen, policy.Answer) == [] and len(of(seen, policy.Reject)) == 1
+def test_a_query_under_its_minimum_fraction_is_rejected_and_never_answered(drive):
+    driver = drive()
+    sends = of(driver.query(5, [0, 1, 2]), policy.Send)
+    driver.end(sends[0])
+    actions = driver.wait(2 * AIM)
+    assert of(actions, policy.Answer) == [] and len(of(actions, policy.Reject)) == 1
 
 
-def test_first_step_is_cut_while_the_second_has_time_and_never_answered_at_the_deadline(drive):
-    """Guards "no lost query": an answer of the first step a tick before the end leaves the query without
-    its final one (waw-main big-2)."""
-    d = drive()
-    sends = of(d.query(6, [0, 1, 2, 3]), policy.Send)
-    d.end(sends[0], took=100_000)
-    d.end(sends[1], took=100_000)
-    cut = of(d.wait(AIM - 100_000), policy.Answer)
-    assert cut == [policy.Answer("q1", False)]
+def test_a_first_step_is_answered_as_partial_early_enough_for_the_second_step(drive):
+    """An answer to the first step a tick before the deadline would leave the query without a final reply."""
+    driver = drive()
+    sends = of(driver.query(6, [0, 1, 2, 3]), policy.Send)
+    driver.end(sends[0], took=100_000)
+    driver.end(sends[1], took=100_000)
+    first_answers = of(driver.wait(AIM - 100_000), policy.Answer)
+    assert first_answers == [policy.Answer("q1", False)]
     second = of(
-        d.step(5000, policy.PartArrived("q1/a", 1, 0, 0.5), policy.PartArrived("q1/b", 1, 0, 0.5)),
+        driver.step(5000, policy.PartArrived("q1/a", 1, 0, 0.5), policy.PartArrived("q1/b", 1, 0, 0.5)),
         policy.Send,
     )
-    d.end(second[0])
-    assert of(d.end(second[1]), policy.Answer) == [policy.Answer("q1", False)]
-
-
-def test_a_marked_repeat_alone_is_taken_for_a_cut_retry(drive):
-    """Guards impatient first tries (waw-main rough-2): a short deadline proves no repeat."""
-    for marks, retry, aimed in ((True, False, AIM), (True, True, AIM // 2), (False, False, AIM // 2)):
-        d = drive(clients_mark_retries=marks)
-        d.query(1, [0])
-        d.query(1, [0], limit=AIM * 3 // 2, is_retry=retry)
-        assert d.agg.queries["q2"].objective_at_us == d.now + aimed
-
-
-def test_the_slowest_of_many_parts_is_expected_later_than_that_of_few(drive):
-    """Guards large all-parts queries (waw-main overload): a rank among latencies hides their slowest part."""
-    for parts, refused in ((4, False), (60, True)):
-        d = drive(overload_multiple=0.0)
+    driver.end(second[0])
+    assert of(driver.end(second[1]), policy.Answer) == [policy.Answer("q1", False)]
+
+
+def test_where_clients_mark_retries_only_a_marked_query_is_taken_for_one(drive):
+    """A short deadline alone does not make a query a retry."""
+    for marks_retries, is_retry, objective_us in (
+        (True, False, AIM),
+        (True, True, AIM // 2),
+        (False, False, AIM // 2),
+    ):
+        driver = drive(clients_mark_retries=marks_retries)
+        driver.query(1, [0])
+        driver.query(1, [0], limit=AIM * 3 // 2, is_retry=is_retry)
+        assert driver.agg.queries["q2"].objective_at_us == driver.now + objective_us
+
+
+def test_the_expected_latency_of_a_query_grows_with_its_number_of_parts(drive):
+    """The slowest of many parts is later than that of few: a percentile over all latencies hides it."""
+    for parts, is_rejected in ((4, False), (60, True)):
+        driver = drive(overload_multiple=0.0)
         for _ in range(15):
-            for send in of(d.query(1, [0]), policy.Send):
-                d.end(send, after=90_000, took=300_000)
-        assert bool(of(d.query(1, [n % 6 for n in range(parts)]), policy.Reject)) == refused
+            for send in of(driver.query(1, [0]), policy.Send):
+                driver.end(send, after=90_000, took=300_000)
+        assert (
+            bool(of(driver.query(1, [number % 6 for number in range(parts)]), policy.Reject)) == is_rejected
+        )
 
 
-def slow_shard(d, slow=("s0", "s1", "s2")):
-    """Traffic under the rate at which counts tell; the holders of shard 0 take most of an aim."""
+def answer_shard_0_slowly(driver, slow=("s0", "s1", "s2")):
+    """Answer queries at a rate too low for in-flight counts; the replicas of shard 0 take 1.5 objectives."""
     for shards in ((3, 3, 3), *[(0, 3, 3)] * 4):
         for shard in shards:
-            for send in of(d.query(1, [shard]), policy.Send):
-                d.end(send, after=120_000, took=1_500_000 if send.node in slow else 50_000)
+            for send in of(driver.query(1, [shard]), policy.Send):
+                driver.end(send, after=120_000, took=1_500_000 if send.node in slow else 50_000)
 
 
-def test_a_query_of_a_slow_shard_is_refused_and_the_others_are_not(drive):
-    """Guards hot districts (mae-ping-courier rough-1): the shard tells, not a rank among all latencies."""
-    d = drive()
-    slow_shard(d)
-    assert len(of(d.query(1, [0, 3]), policy.Reject)) == 1
-    assert of(d.query(1, [3]), policy.Reject) == [] and of(d.query(0, [0, 3, 3, 3]), policy.Reject) == []
+def test_a_query_that_needs_a_slow_shard_is_rejected_and_others_are_admitted(drive):
+    """The latencies of the shard decide, not a percentile over those of all shards."""
+    driver = drive()
+    answer_shard_0_slowly(driver)
+    assert len(of(driver.query(1, [0, 3]), policy.Reject)) == 1
+    assert (
+        of(driver.query(1, [3]), policy.Reject) == []
+        and of(driver.query(0, [0, 3, 3, 3]), policy.Reject) == []
+    )
 
 
-def test_a_server_met_seldom_is_known_by_its_last_answers(drive):
-    """Guards ageing servers (mae-ping-courier big-1): seven answers made an average, 25 s at that rate."""
-    d = drive(replica_groups=3, shards=3)
-    warm_up(d, shards=range(3), rounds=4)
-    for late in (20_000, 20_000, 400_000):
-        d.wait(2 * AIM)
-        send = of(d.query(1, [0]), policy.Send)[0]
-        d.end(send, after=late, took=late)
-    assert all(of(d.query(1, [0]), policy.Send)[0].node != send.node for _ in range(2))
+def test_an_endpoint_that_responds_seldom_is_judged_by_its_latest_responses(drive):
+    """An average over a count of responses would span 25 s at this rate."""
+    driver = drive(replica_groups=3, shards=3)
+    warm_up(driver, shards=range(3), rounds=4)
+    for latency_us in (20_000, 20_000, 400_000):
+        driver.wait(2 * AIM)
+        send = of(driver.query(1, [0]), policy.Send)[0]
+        driver.end(send, after=latency_us, took=latency_us)
+    assert all(of(driver.query(1, [0]), policy.Send)[0].node != send.node for _ in range(2))
 
 
-def test_parts_freed_from_a_hang_do_not_refuse_the_queries_of_now(drive):
-    """Guards servers that hang by turns (waw-main big-2): what was sent long ago says nothing of now."""
-    d = drive(overload_multiple=0.0)
+def test_responses_delayed_by_a_hang_do_not_cause_rejections_after_it(drive):
+    """The latency of an attempt that was sent long ago is no evidence of the present one."""
+    driver = drive(overload_multiple=0.0)
     for shard in [*range(6)] * 2:
-        d.end(of(d.query(0, [shard]), policy.Send)[0], after=200_000, took=50_000)
-    stuck = [s for n in range(12) for s in of(d.query(0, [n % 6], limit=5 * AIM), policy.Send)]
-    d.wait(3 * AIM)
-    for send in stuck:
-        d.end(send, after=0, took=3 * AIM)
-    assert of(d.query(0, [0, 1, 2, 3]), policy.Reject) == []
+        driver.end(of(driver.query(0, [shard]), policy.Send)[0], after=200_000, took=50_000)
+    delayed = [
+        send for number in range(12) for send in of(driver.query(0, [number % 6], limit=5 * AIM), policy.Send)
+    ]
+    driver.wait(3 * AIM)
+    for send in delayed:
+        driver.end(send, after=0, took=3 * AIM)
+    assert of(driver.query(0, [0, 1, 2, 3]), policy.Reject) == []
 
 
-def test_advice_is_spread_also_where_clients_heed_little(drive):
-    """Guards a wave of retries: cut after the spread, all got the same moment (waw-main, 500 ms)."""
-    advice = set()
+def test_retry_after_is_spread_by_jitter_up_to_a_small_maximum(drive):
+    """Limited to the maximum only after the jitter, all clients would retry at the same instant."""
+    retry_after_us = set()
     for seed in range(6):
-        d = drive(seed=seed, retry_advice_allowed=True, max_retry_after_us=300_000)
-        d.query(1, [0], limit=AIM // 2)
-        advice |= {r.retry_after_us for r in of(d.wait(AIM // 2), policy.Reject)}
-    assert len(advice) == 6 and max(advice) <= 300_000
-
-
-def test_a_query_that_broke_one_holder_is_tried_next_at_another_shard(drive):
-    """Guards shards of two holders (mae-ping-courier): one deadly query must not take both."""
-    d = drive(overload_multiple=0.0)
-    warm_up(d, rounds=2)
-    d.end(of(d.query(1, [5]), policy.Send)[0], policy.Outcome.BROKEN)  # the broker is wary now
-    first = of(d.query(1, [0, 3]), policy.Send)
+        driver = drive(seed=seed, retry_advice_allowed=True, max_retry_after_us=300_000)
+        driver.query(1, [0], limit=AIM // 2)
+        retry_after_us |= {reject.retry_after_us for reject in of(driver.wait(AIM // 2), policy.Reject)}
+    assert len(retry_after_us) == 6 and max(retry_after_us) <= 300_000
+
+
+def test_a_query_that_broke_a_connection_next_sends_a_part_of_another_shard(drive):
+    """A query of death must not break both replicas of a shard that has two."""
+    driver = drive(overload_multiple=0.0)
+    warm_up(driver, rounds=2)
+    # A crash is recent from here on.
+    driver.end(of(driver.query(1, [5]), policy.Send)[0], policy.Outcome.BROKEN)
+    first = of(driver.query(1, [0, 3]), policy.Send)
     assert len(first) == 1
-    again = of(d.end(first[0], policy.Outcome.BROKEN), policy.Send)
-    assert len(again) == 1 and again[0].id != first[0].id
-    more = of(d.end(again[0]), policy.Send)
-    assert [m.id for m in more] == [first[0].id]  # cleared by an answer, the broken part is sent again
-
-
-def test_one_quick_answer_of_an_avoided_server_does_not_clear_it(drive):
-    """Guards slow servers of a busy broker (taoyuan-shared big-2): the pause is its own."""
-    d = drive(overload_multiple=0.0)
-    warm_up(d)
-    server = d.agg.endpoints["s0"]
-    server.relative_latency.value, server.relative_latency.updated_at_us = (
-        8.0,
-        d.now,
-    )  # as after a run of slow answers
-    warm_up(d, shards=(3, 4, 5))
-    d.query(1, [1], after=0), d.query(1, [1], after=0)  # its neighbours are busy now
-    before = d.agg.latency.relative_latency(server)
-    send = next(s for _ in range(9) for s in of(d.query(1, [0], after=0), policy.Send) if s.node == "s0")
-    d.end(send, after=20_000, took=20_000)
-    assert server.relative_latency.value - 1 > 0.8 * (before - 1) > 1
-
-
-def test_a_query_past_its_time_and_a_batch_after_a_stall_end_once(drive):
-    """Guards a broker that stood still: all that waited comes at once, some of it too late."""
-    d = drive()
-    warm_up(d)
-    seen = d.query(1, [0, 1], limit=-5_000)
-    assert len(of(seen, policy.Reject)) == 1 and of(seen, policy.Send) == []
-    sends = of(d.query(1, [0, 1]), policy.Send)
-    d.now += 3 * AIM
-    late = d.step(
+    second = of(driver.end(first[0], policy.Outcome.BROKEN), policy.Send)
+    assert len(second) == 1 and second[0].id != first[0].id
+    more = of(driver.end(second[0]), policy.Send)
+    assert [send.id for send in more] == [first[0].id]  # cleared by a response, the broken part is sent again
+
+
+def test_one_fast_response_does_not_clear_the_relative_latency_of_a_slow_endpoint(drive):
+    """The relative latency fades with time and is not replaced by a single sample."""
+    driver = drive(overload_multiple=0.0)
+    warm_up(driver)
+    endpoint = driver.agg.endpoints["s0"]
+    endpoint.relative_latency.value = 8.0  # as after a run of slow responses
+    endpoint.relative_latency.updated_at_us = driver.now
+    warm_up(driver, shards=(3, 4, 5))
+    for _ in range(2):  # the other replicas of its shard have attempts in flight from here on
+        driver.query(1, [1], after=0)
+    before = driver.agg.latency.relative_latency(endpoint)
+    send = next(
+        candidate
+        for _ in range(9)
+        for candidate in of(driver.query(1, [0], after=0), policy.Send)
+        if candidate.node == "s0"
+    )
+    driver.end(send, after=20_000, took=20_000)
+    assert endpoint.relative_latency.value - 1 > 0.8 * (before - 1) > 1
+
+
+def test_an_expired_query_and_a_batch_after_a_stall_have_one_final_reply(drive):
+    """After a stall all pending events arrive in one batch, some of them after the deadline."""
+    driver = drive()
+    warm_up(driver)
+    actions = driver.query(1, [0, 1], limit=-5_000)
+    assert len(of(actions, policy.Reject)) == 1 and of(actions, policy.Send) == []
+    sends = of(driver.query(1, [0, 1]), policy.Send)
+    driver.now += 3 * AIM
+    late = driver.step(
         0,
-        *[policy.AttemptEnded(s.id, 0, s.node, policy.Outcome.OK, 3 * AIM) for s in sends],
-        policy.ClientDisconnected(f"q{d.jobs}"),
+        *[policy.AttemptEnded(send.id, 0, send.node, policy.Outcome.OK, 3 * AIM) for send in sends],
+        policy.ClientDisconnected(f"q{driver.jobs}"),
         policy.TimerFired("due"),
     )
     assert len(of(late, policy.Answer)) + len(of(late, policy.Reject)) <= 1
-    assert d.agg.queries == {} and len(of(d.query(1, [0]), policy.Send)) == 1
+    assert driver.agg.queries == {} and len(of(driver.query(1, [0]), policy.Send)) == 1
 
 
-def test_a_second_step_is_not_expected_to_take_as_long_as_a_first_of_many_parts(drive):
-    """Guards large two-step queries (waw-main quiet): their own burst refused the next one."""
-    d = drive(overload_multiple=0.0)
+def test_a_second_step_is_not_expected_to_take_as_long_as_a_first_step_of_many_parts(drive):
+    """Large second steps must not cause the next query to be rejected."""
+    driver = drive(overload_multiple=0.0)
     for _ in range(15):
-        for send in of(d.query(2, [0]), policy.Send):
-            d.end(send, after=90_000, took=150_000)
-    assert of(d.query(2, [n % 6 for n in range(20)]), policy.Reject) == []
-
-
-def test_every_ending_of_a_two_step_query_is_final(drive):
-    """Each moment at which the floor is reached, up to the deadline: one final answer, in time."""
-    for limit in (AIM // 2, 2 * AIM):
-        for after in range(0, limit, limit // 16):
-            d = drive()
-            sends = of(d.query(6, [0, 1, 2, 3], limit=limit), policy.Send)
-            d.end(sends[0])
-            seen = d.wait(after)
-            seen += d.end(sends[1]) if d.now < 10_000_000 + limit - 10_000 else []
-            seen += d.wait(10_000_000 + limit + 15_000 - d.now)
-            assert len(of(seen, policy.Reject)) == 1 and len(of(seen, policy.Answer)) <= 1
+        for send in of(driver.query(2, [0]), policy.Send):
+            driver.end(send, after=90_000, took=150_000)
+    assert of(driver.query(2, [number % 6 for number in range(20)]), policy.Reject) == []
+
+
+def test_a_two_step_query_has_one_final_reply_whenever_its_minimum_fraction_is_reached(drive):
+    """Sixteen instants up to the deadline, for a short and a usual timeout."""
+    for timeout_us in (AIM // 2, 2 * AIM):
+        for pause_us in range(0, timeout_us, timeout_us // 16):
+            driver = drive()
+            sends = of(driver.query(6, [0, 1, 2, 3], limit=timeout_us), policy.Send)
+            driver.end(sends[0])
+            actions = driver.wait(pause_us)
+            actions += driver.end(sends[1]) if driver.now < 10_000_000 + timeout_us - 10_000 else []
+            actions += driver.wait(10_000_000 + timeout_us + 15_000 - driver.now)
+            assert len(of(actions, policy.Reject)) == 1 and len(of(actions, policy.Answer)) <= 1
             assert not isinstance(
-                [a for a in seen if isinstance(a, policy.Answer | policy.Reject)][-1], policy.Answer
+                [action for action in actions if isinstance(action, policy.Answer | policy.Reject)][-1],
+                policy.Answer,
             )
 
 
-def test_second_step_needs_all_its_parts(drive):
-    d = drive()
-    send = of(d.query(2, [0]), policy.Send)[0]
-    assert of(d.end(send), policy.Answer) == [policy.Answer("q1", True)]
+def test_a_second_step_requires_all_its_parts(drive):
+    driver = drive()
+    send = of(driver.query(2, [0]), policy.Send)[0]
+    assert of(driver.end(send), policy.Answer) == [policy.Answer("q1", True)]
     second = of(
-        d.step(5000, policy.PartArrived("q1/a", 1, 0, 0.5), policy.PartArrived("q1/b", 1, 0, 0.5)),
+        driver.step(5000, policy.PartArrived("q1/a", 1, 0, 0.5), policy.PartArrived("q1/b", 1, 0, 0.5)),
         policy.Send,
     )
     assert len(second) == 2 and second[0].node != second[1].node
-    assert of(d.end(second[0]), policy.Answer) == []
-    assert of(d.end(second[1]), policy.Answer) == [policy.Answer("q1", True)]
+    assert of(driver.end(second[0]), policy.Answer) == []
+    assert of(driver.end(second[1]), policy.Answer) == [policy.Answer("q1", True)]
 
 
-def test_attempt_budget_holds(drive):
-    d = drive(attempt_budget_window_us=10 * AIM, free_additional_attempts=2, additional_attempt_ratio=0.0)
-    again = 0
+def test_additional_attempts_stay_within_the_attempt_budget_of_the_settings(drive):
+    driver = drive(
+        attempt_budget_window_us=10 * AIM, free_additional_attempts=2, additional_attempt_ratio=0.0
+    )
+    retries = 0
     for _ in range(6):
-        send = of(d.query(1, [0]), policy.Send)[0]
-        again += len(of(d.end(send, policy.Outcome.ERROR), policy.Send))
-    assert again == 2
+        send = of(driver.query(1, [0]), policy.Send)[0]
+        retries += len(of(driver.end(send, policy.Outcome.ERROR), policy.Send))
+    assert retries == 2
 
 
-def test_own_budget_stops_a_storm_of_further_attempts(drive):
-    d = drive()
-    again = 0
+def test_the_retry_budget_limits_retries_where_every_attempt_fails(drive):
+    driver = drive()
+    retries = 0
     for job in range(60):
-        for send in of(d.query(1, [job % 6]), policy.Send):
-            again += len(of(d.end(send, policy.Outcome.ERROR), policy.Send))
-    assert 0 < again <= 16
+        for send in of(driver.query(1, [job % 6]), policy.Send):
+            retries += len(of(driver.end(send, policy.Outcome.ERROR), policy.Send))
+    assert 0 < retries <= 16
 
 
-def test_server_that_errors_fast_does_not_draw_more_parts(drive):
-    d = drive()
-    warm_up(d, rounds=3)
-    hits = 0
+def test_an_endpoint_that_fails_fast_does_not_attract_more_attempts(drive):
+    driver = drive()
+    warm_up(driver, rounds=3)
+    attempt_count = 0
     for _ in range(20):
-        for send in of(d.query(1, [0]), policy.Send):
-            hits += send.node == "s0"
-            d.end(send, policy.Outcome.ERROR if send.node == "s0" else policy.Outcome.OK, took=20_000)
-    assert hits <= 4
+        for send in of(driver.query(1, [0]), policy.Send):
+            attempt_count += send.node == "s0"
+            driver.end(send, policy.Outcome.ERROR if send.node == "s0" else policy.Outcome.OK, took=20_000)
+    assert attempt_count <= 4
 
 
-def test_one_failing_class_is_ejected_alone(drive):
-    d = drive(servers=1, replica_groups=1, groups_per_shard=1, shards=1)
-    d2 = drive()
-    for agg in (d, d2):
+def test_errors_of_one_query_class_eject_an_endpoint_for_that_class_alone(drive):
+    single = drive(servers=1, replica_groups=1, groups_per_shard=1, shards=1)
+    several = drive()
+    for driver in (single, several):
         for _ in range(3):
-            for send in of(agg.query(1, [0]), policy.Send):
-                agg.end(send, policy.Outcome.ERROR)
-    # The only holder stays a candidate whatever it does.
-    assert [s.node for s in of(d.query(1, [0]), policy.Send)] == ["s0"]
-    bars = {s.node: set(s.ejections) for s in d2.agg.endpoints.values() if s.ejections}
-    assert all(keys == {1} for keys in bars.values())
-
-
-def test_silent_server_is_ejected_probed_and_tried_again(drive):
-    d = drive(probing_allowed=True)
-    warm_up(d)
-    seen = []
-    held = 0
-    stuck = []
-    end = d.now + 6 * AIM
-    while d.now < end:
-        for old, at in stuck[:]:
-            if d.now > at + 2 * AIM:
-                stuck.remove((old, at))
-                seen += d.end(old, policy.Outcome.TIMED_OUT, took=2 * AIM)
-        for send in of(d.query(1, [0]), policy.Send):
+            for send in of(driver.query(1, [0]), policy.Send):
+                driver.end(send, policy.Outcome.ERROR)
+    # The only replica of a shard serves it even while it is ejected.
+    assert [send.node for send in of(single.query(1, [0]), policy.Send)] == ["s0"]
+    ejected_classes = {
+        endpoint.node: set(endpoint.ejections)
+        for endpoint in several.agg.endpoints.values()
+        if endpoint.ejections
+    }
+    assert all(classes == {1} for classes in ejected_classes.values())
+
+
+def test_an_endpoint_without_responses_is_ejected_probed_and_gets_one_half_open_trial(drive):
+    driver = drive(probing_allowed=True)
+    warm_up(driver)
+    actions = []
+    attempt_count = 0
+    pending = []
+    end_us = driver.now + 6 * AIM
+    while driver.now < end_us:
+        for attempt, sent_at_us in pending[:]:
+            if driver.now > sent_at_us + 2 * AIM:
+                pending.remove((attempt, sent_at_us))
+                actions += driver.end(attempt, policy.Outcome.TIMED_OUT, took=2 * AIM)
+        for send in of(driver.query(1, [0]), policy.Send):
             if send.node == "s0":
-                held += 1
-                stuck.append((send, d.now))
+                attempt_count += 1
+                pending.append((send, driver.now))
             else:
-                seen += d.end(send, after=20_000, took=20_000)
-        seen += d.wait(100_000)
-    assert held <= 4
-    assert "s0" in {p.node for p in of(seen, policy.Probe)}
-    d.step(5000, policy.ProbeEnded("s0", policy.Outcome.OK))
-    nodes = [of(d.query(1, [0]), policy.Send)[0].node for _ in range(3)]
+                actions += driver.end(send, after=20_000, took=20_000)
+        actions += driver.wait(100_000)
+    assert attempt_count <= 4
+    assert "s0" in {probe.node for probe in of(actions, policy.Probe)}
+    driver.step(5000, policy.ProbeEnded("s0", policy.Outcome.OK))
+    nodes = [of(driver.query(1, [0]), policy.Send)[0].node for _ in range(3)]
     assert nodes.count("s0") == 1
 
 
-def test_overload_sheds_at_once_and_the_least_worth_first(drive):
+def test_overload_sheds_the_class_of_least_priority_weight_first(drive):
     classes = (
         policy.QueryClass("dear", AIM, 2 * AIM, priority_weight=4.0),
         policy.QueryClass("cheap", AIM, 2 * AIM, priority_weight=1.0),
     )
-    d = drive(classes=classes, weight_by_work=True)
-    ended = {0: 0, 1: 0}
-    waiting = []
+    driver = drive(classes=classes, weight_by_work=True)
+    rejected = {0: 0, 1: 0}
+    in_flight = []
     for turn in range(600):
         query_class = turn % 2
-        actions = d.query(query_class, [turn % 6], after=5000)
-        ended[query_class] += len(of(actions, policy.Reject))
-        waiting += of(actions, policy.Send)
-        if turn % 4 == 3 and waiting:
-            d.end(waiting.pop(0), took=400_000)
-    assert ended[1] > 1.5 * ended[0]
-    assert ended[1] > 20
-
-
-def test_ask_mode_subscribes_and_keeps_asking_inside_the_limit(drive):
-    d = drive(poll_mode=True, poll_within_us=10 * AIM)
-    assert len(of(d.first, policy.WatchEndpoints)) == 1
+        actions = driver.query(query_class, [turn % 6], after=5000)
+        rejected[query_class] += len(of(actions, policy.Reject))
+        in_flight += of(actions, policy.Send)
+        if turn % 4 == 3 and in_flight:
+            driver.end(in_flight.pop(0), took=400_000)
+    assert rejected[1] > 1.5 * rejected[0]
+    assert rejected[1] > 20
+
+
+def test_poll_mode_watches_endpoints_and_polls_again_after_each_failure(drive):
+    driver = drive(poll_mode=True, poll_within_us=10 * AIM)
+    assert len(of(driver.first, policy.WatchEndpoints)) == 1
     for _ in range(6):
-        d.step(5000, policy.EndpointUpdate(policy.UpdateKind.FAILED))
-        assert len(of(d.wait(5 * AIM), policy.WatchEndpoints)) == 1
-    quiet = drive()
-    assert of(quiet.first, policy.WatchEndpoints) == []
+        driver.step(5000, policy.EndpointUpdate(policy.UpdateKind.FAILED))
+        assert len(of(driver.wait(5 * AIM), policy.WatchEndpoints)) == 1
+    watching = drive()
+    assert of(watching.first, policy.WatchEndpoints) == []
 
 
-def test_stale_and_foreign_events_are_ignored(drive):
-    d = drive()
+def test_events_of_unknown_parts_queries_and_endpoints_are_ignored(drive):
+    driver = drive()
     assert (
-        d.step(
+        driver.step(
             5000,
             policy.AttemptEnded("none", 0, "s0", policy.Outcome.OK),
             policy.ClientDisconnected("none"),
@@ -434,156 +468,161 @@
     )
 
 
-def test_parts_of_one_call_count_once(drive):
-    d = drive(servers=1, replica_groups=1, groups_per_shard=1, shards=1, parts_per_call=4)
-    d.query(1, [0, 0, 0, 0])
-    assert d.agg.load.load(d.agg.endpoints["s0"]) == 1
+def test_parts_of_one_call_count_as_one_in_the_load_of_an_endpoint(drive):
+    driver = drive(servers=1, replica_groups=1, groups_per_shard=1, shards=1, parts_per_call=4)
+    driver.query(1, [0, 0, 0, 0])
+    assert driver.agg.load.load(driver.agg.endpoints["s0"]) == 1
 
 
-def test_partial_first_step_goes_on_and_is_never_marked_whole(drive):
-    d = drive()
-    sends = of(d.query(6, [0, 1, 2, 3]), policy.Send)
-    d.end(sends[0])
-    d.end(sends[1])
-    assert of(d.wait(AIM * 4 // 5), policy.Answer) == [policy.Answer("q1", False)]
+def test_a_query_with_a_partial_first_step_goes_on_and_is_never_marked_complete(drive):
+    driver = drive()
+    sends = of(driver.query(6, [0, 1, 2, 3]), policy.Send)
+    driver.end(sends[0])
+    driver.end(sends[1])
+    assert of(driver.wait(AIM * 4 // 5), policy.Answer) == [policy.Answer("q1", False)]
     more = of(
-        d.step(5000, policy.PartArrived("q1/a", 1, 0, 0.5), policy.PartArrived("q1/b", 1, 1, 0.5)),
+        driver.step(5000, policy.PartArrived("q1/a", 1, 0, 0.5), policy.PartArrived("q1/b", 1, 1, 0.5)),
         policy.Send,
     )
-    d.end(more[0])
-    assert of(d.end(more[1]), policy.Answer) == [policy.Answer("q1", False)]
+    driver.end(more[0])
+    assert of(driver.end(more[1]), policy.Answer) == [policy.Answer("q1", False)]
 
 
-def test_unanswered_call_to_discovery_is_made_again(drive):
-    d = drive(poll_mode=True, poll_within_us=10 * AIM)
-    assert len(of(d.wait(5 * AIM), policy.WatchEndpoints)) == 1
-    d.step(5000, policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL))
-    assert of(d.wait(20 * AIM), policy.WatchEndpoints) == []
+def test_a_poll_of_discovery_without_an_update_is_repeated(drive):
+    driver = drive(poll_mode=True, poll_within_us=10 * AIM)
+    assert len(of(driver.wait(5 * AIM), policy.WatchEndpoints)) == 1
+    driver.step(5000, policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL))
+    assert of(driver.wait(20 * AIM), policy.WatchEndpoints) == []
 
 
-def test_tenant_over_its_share_is_shed_first(drive):
-    d = drive(
+def test_a_tenant_over_its_quota_is_shed_first(drive):
+    driver = drive(
         tenants=(policy.Tenant("in", 1000.0), policy.Tenant("over", 1.0)),
         over_quota_weight=0.1,
         weight_by_work=True,
     )
-    refused = {0: 0, 1: 0}
-    waiting = []
+    rejected = {0: 0, 1: 0}
+    in_flight = []
     for turn in range(400):
-        actions = d.query(0, [turn % 6], tenant=turn % 2)
-        refused[turn % 2] += len(of(actions, policy.Reject))
-        waiting += of(actions, policy.Send)
-        if turn % 4 == 3 and waiting:
-            d.end(waiting.pop(0), took=400_000)
-    assert refused[1] > 2 * refused[0]
-
-
-def test_a_cut_retry_counts_its_aim_from_the_first_try(drive):
-    d = drive()
-    d.query(1, [0], limit=2 * AIM)
-    d.query(1, [1], limit=AIM + AIM // 2)
-    d.query(1, [2], limit=AIM // 2)
-    aims = [q.objective_at_us - q.admitted_at_us for q in d.agg.queries.values()]
-    assert aims == [AIM, AIM // 2, -AIM // 2]
-
-
-def test_broker_with_few_parts_out_sheds_by_recent_latencies(drive):
-    """Guards against overload that a broker can't count: it sees little of each server, all of it slow."""
-    refused = {}
-    for took in (40_000, 900_000):
-        d, waiting, count = drive(seed=3, replica_groups=60, shards=60), [], 0
+        actions = driver.query(0, [turn % 6], tenant=turn % 2)
+        rejected[turn % 2] += len(of(actions, policy.Reject))
+        in_flight += of(actions, policy.Send)
+        if turn % 4 == 3 and in_flight:
+            driver.end(in_flight.pop(0), took=400_000)
+    assert rejected[1] > 2 * rejected[0]
+
+
+def test_a_retry_with_a_shortened_timeout_has_its_objective_from_the_first_attempt_of_its_client(drive):
+    driver = drive()
+    driver.query(1, [0], limit=2 * AIM)
+    driver.query(1, [1], limit=AIM + AIM // 2)
+    driver.query(1, [2], limit=AIM // 2)
+    objectives_us = [query.objective_at_us - query.admitted_at_us for query in driver.agg.queries.values()]
+    assert objectives_us == [AIM, AIM // 2, -AIM // 2]
+
+
+def test_an_aggregator_with_few_parts_in_flight_sheds_by_recent_latencies(drive):
+    """Overload that in-flight counts do not show: few parts at each endpoint, all of them slow."""
+    rejected = {}
+    for latency_us in (40_000, 900_000):
+        driver = drive(seed=3, replica_groups=60, shards=60)
+        in_flight = []
+        count = 0
         for turn in range(200):
-            actions = d.query(1, [turn % 6, (turn + 3) % 6], after=100_000)
+            actions = driver.query(1, [turn % 6, (turn + 3) % 6], after=100_000)
             count += len(of(actions, policy.Reject))
-            waiting += [(send, d.now) for send in of(actions, policy.Send)]
-            while waiting and d.now >= waiting[0][1] + took:
-                d.end(waiting.pop(0)[0], took=took)
-        refused[took] = count
-    assert refused[40_000] == 0 and refused[900_000] > 20
+            in_flight += [(send, driver.now) for send in of(actions, policy.Send)]
+            while in_flight and driver.now >= in_flight[0][1] + latency_us:
+                driver.end(in_flight.pop(0)[0], took=latency_us)
+        rejected[latency_us] = count
+    assert rejected[40_000] == 0 and rejected[900_000] > 20
 
 
-def test_one_heavy_hint_does_not_rule_the_usual_latency(drive):
-    """Guards against rough hints: the usual latency leans to the hint and is no rate per hinted work."""
-    d = drive()
+def test_one_large_work_hint_does_not_dominate_the_mean_latency(drive):
+    """The mean latency is a mean over responses, not a rate for each unit of hinted work."""
+    driver = drive()
     for job in range(30):
-        hint = 1_000 if job % 10 == 0 else 100_000
-        d.jobs += 1
-        name = f"q{d.jobs}"
+        work_hint_us = 1_000 if job % 10 == 0 else 100_000
+        driver.jobs += 1
+        name = f"q{driver.jobs}"
         sends = of(
-            d.step(
+            driver.step(
                 5000,
-                policy.QueryArrived(name, d.jobs, 1, d.now + 2 * AIM, 1),
-                policy.PartArrived(name + "/0", d.jobs, job % 6, 1.0, work_hint_us=hint),
+                policy.QueryArrived(name, driver.jobs, 1, driver.now + 2 * AIM, 1),
+                policy.PartArrived(name + "/0", driver.jobs, job % 6, 1.0, work_hint_us=work_hint_us),
             ),
             policy.Send,
         )
-        d.end(sends[0], after=100_000, took=100_000)
-    assert 90_000 <= d.agg.mean_latency_us[1].value <= 110_000
+        driver.end(sends[0], after=100_000, took=100_000)
+    assert 90_000 <= driver.agg.mean_latency_us[1].value <= 110_000
 
 
-def test_deadly_query_is_held_then_given_up_and_an_answer_clears_it(drive):
-    """Guards the fleet against queries that bring down each server that begins a part of them."""
-    d = drive()
-    sends = of(d.query(1, [0, 2, 4]), policy.Send)
+def test_a_query_of_death_is_held_then_abandoned_and_a_response_clears_it(drive):
+    """A query whose parts crash the endpoints that run them must not reach the whole fleet."""
+    driver = drive()
+    sends = of(driver.query(1, [0, 2, 4]), policy.Send)
     assert len(sends) == 3
-    assert of(d.end(sends[0], policy.Outcome.BROKEN), policy.Send) == []
-    assert of(d.end(sends[1], policy.Outcome.BROKEN), policy.Send) == []
-    assert of(d.end(sends[2], policy.Outcome.BROKEN), policy.Reject) == [
+    assert of(driver.end(sends[0], policy.Outcome.BROKEN), policy.Send) == []
+    assert of(driver.end(sends[1], policy.Outcome.BROKEN), policy.Send) == []
+    assert of(driver.end(sends[2], policy.Outcome.BROKEN), policy.Reject) == [
         policy.Reject("q1", reason=policy.EndReason.QUERY_OF_DEATH)
     ]
-    e = drive()
-    sends = of(e.query(1, [0, 2, 4]), policy.Send)
-    assert of(e.end(sends[0], policy.Outcome.BROKEN), policy.Send) == []
-    assert [s.id for s in of(e.end(sends[1]), policy.Send)] == [sends[0].id]
+    cleared = drive()
+    sends = of(cleared.query(1, [0, 2, 4]), policy.Send)
+    assert of(cleared.end(sends[0], policy.Outcome.BROKEN), policy.Send) == []
+    assert [send.id for send in of(cleared.end(sends[1]), policy.Send)] == [sends[0].id]
 
 
-def test_while_servers_die_one_part_goes_first_and_the_rest_once_it_is_answered(drive):
-    """Guards against a deadly query costing as many servers as it has parts; also after a plain crash."""
-    d = drive()
-    d.end(of(d.query(1, [0]), policy.Send)[0], policy.Outcome.BROKEN)
-    first = of(d.query(0, [1, 2, 3, 4]), policy.Send)
+def test_after_a_crash_one_part_is_sent_as_a_canary_and_the_others_once_it_is_answered(drive):
+    """A query of death then breaks one endpoint, not as many as it has parts."""
+    driver = drive()
+    driver.end(of(driver.query(1, [0]), policy.Send)[0], policy.Outcome.BROKEN)
+    first = of(driver.query(0, [1, 2, 3, 4]), policy.Send)
     assert len(first) == 1
-    assert len(of(d.end(first[0]), policy.Send)) == 2
-    d.wait(6 * AIM)
-    assert len(of(d.query(0, [1, 2, 3, 4]), policy.Send)) == 3
+    assert len(of(driver.end(first[0]), policy.Send)) == 2
+    driver.wait(6 * AIM)
+    assert len(of(driver.query(0, [1, 2, 3, 4]), policy.Send)) == 3
 
 
-def test_query_for_a_shard_with_slow_busy_holders_is_refused_while_others_go_on(drive):
-    """Guards against queries that one hot shard holds up (a crash or drain took its neighbours)."""
-    d = drive()
-    d.step(
+def test_a_query_for_a_shard_with_slow_busy_replicas_is_rejected_while_others_are_admitted(drive):
+    """The other replicas of the shard are gone, so the last one holds up every query that needs it."""
+    driver = drive()
+    driver.step(
         0,
         policy.EndpointUpdate(
-            policy.UpdateKind.INCREMENTAL, tuple(entry(i, state=policy.EndpointState.GONE) for i in (1, 2))
+            policy.UpdateKind.INCREMENTAL,
+            tuple(entry(index, state=policy.EndpointState.GONE) for index in (1, 2)),
         ),
     )
-    warm_up(d, shards=[3], rounds=40)
+    warm_up(driver, shards=[3], rounds=40)
     for _ in range(15):
-        for send in of(d.query(1, [0]), policy.Send):
-            d.end(send, took=900_000)
+        for send in of(driver.query(1, [0]), policy.Send):
+            driver.end(send, took=900_000)
     for shard in (3, 3, 3, 3, 0, 0):
-        d.query(1, [shard])
-    assert len(of(d.query(1, [0, 3]), policy.Reject)) == 1
-    assert len(of(d.query(1, [3]), policy.Send)) == 1
+        driver.query(1, [shard])
+    assert len(of(driver.query(1, [0, 3]), policy.Reject)) == 1
+    assert len(of(driver.query(1, [3]), policy.Send)) == 1
 
 
-def test_parts_of_a_client_that_left_are_called_off(drive):
-    """Guards against work for clients that leave long before the deadline they stated."""
-    d = drive(cancellation_allowed=True)
-    sends = of(d.query(1, [0, 1]), policy.Send)
-    d.step(200_000)
-    seen = d.step(5000, policy.ClientDisconnected("q1"))
-    assert {c.id for c in of(seen, policy.Cancel)} == {s.id for s in sends}
+def test_attempts_of_a_disconnected_client_are_cancelled(drive):
+    """Endpoints must not work for a client that disconnected long before its deadline."""
+    driver = drive(cancellation_allowed=True)
+    sends = of(driver.query(1, [0, 1]), policy.Send)
+    driver.step(200_000)
+    actions = driver.step(5000, policy.ClientDisconnected("q1"))
+    assert {cancel.id for cancel in of(actions, policy.Cancel)} == {send.id for send in sends}
 
 
-def test_late_part_keeps_its_place_on_a_server_that_answers_in_turn(drive):
-    """Guards against paying twice for a part in a long queue; a server that lost it is still left."""
+def test_a_late_part_is_cancelled_only_where_a_later_attempt_at_its_endpoint_was_answered_first(drive):
+    """An endpoint that answers in order still has the part in its queue; one that does not has lost it."""
     for overtaken in (False, True):
-        d = drive(cancellation_allowed=True, servers=6)
-        early = of(d.query(1, [0, 0, 0]), policy.Send)
-        late = next(s for s in of(d.query(1, [0, 0, 0]), policy.Send) if s.node == early[0].node)
-        mine, other = (early[0], late) if overtaken else (late, early[0])
-        seen = d.wait(AIM // 4)
-        seen += d.end(other, took=AIM // 4)
-        seen += d.wait(AIM // 4 + 20_000)
-        assert (mine.id in {c.id for c in of(seen, policy.Cancel)}) == overtaken
+        driver = drive(cancellation_allowed=True, servers=6)
+        early = of(driver.query(1, [0, 0, 0]), policy.Send)
+        sends = of(driver.query(1, [0, 0, 0]), policy.Send)
+        later = next(send for send in sends if send.node == early[0].node)
+        unanswered = early[0] if overtaken else later
+        answered = later if overtaken else early[0]
+        actions = driver.wait(AIM // 4)
+        actions += driver.end(answered, took=AIM // 4)
+        actions += driver.wait(AIM // 4 + 20_000)
+        assert (unanswered.id in {cancel.id for cancel in of(actions, policy.Cancel)}) == overtaken
