--- a/tests/test_module_rules.py
+++ b/tests/test_module_rules.py
@@ -558,7 +558,7 @@
 
 
 def test_a_query_of_death_is_held_then_abandoned_and_a_response_clears_it(drive):
-    """A query whose parts crash the endpoints that run them must not reach the whole fleet."""
+    """A query whose parts crash the endpoints that run them must not reach all endpoints of the fleet."""
     driver = drive()
     sends = of(driver.query(1, [0, 2, 4]), policy.Send)
     assert len(sends) == 3
--- a/tests/test_part_ranking.py
+++ b/tests/test_part_ranking.py
@@ -1,4 +1,4 @@
-"""The ranking of parts: the same choices as ranking anew before each pick, at a cost linear in parts."""
+"""The ranking of parts: the same choices as ranking anew before each choice, at a cost linear in parts."""
 
 from __future__ import annotations
 
@@ -11,12 +11,14 @@
 from .conftest import AIM, of
 
 
-def servers_listed(count: int) -> tuple[policy.EndpointEntry, ...]:
-    return tuple(policy.EndpointEntry(f"s{i}", i) for i in range(count))
+def list_endpoints(count: int) -> policy.EndpointUpdate:
+    """Return a complete list of `count` endpoints, one in each replica group."""
+    entries = tuple(policy.EndpointEntry(f"s{index}", index) for index in range(count))
+    return policy.EndpointUpdate(policy.UpdateKind.FULL, entries, False)
 
 
-class Naive(Aggregator):
-    """Ranks all parts not yet picked anew before each pick, as the design page words it."""
+class NaiveAggregator(Aggregator):
+    """Ranks all parts not yet chosen anew before each choice, as `docs/design.md` states the rule."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -24,6 +26,7 @@
         self.selector.in_rank_order = self.rank_anew
 
     def rank_anew(self, parts):
+        """Yield the parts in order of rank, ranking those that are left before each."""
         self.rankings += 1
         left = list(parts)
         while left:
@@ -32,98 +35,97 @@
             yield best
 
 
-def fleet(kind: type[Aggregator], seed: int, call: int = 1, servers: int = 24) -> Aggregator:
-    """An aggregator whose servers differ in latency and load."""
-    spec = policy.QueryClass("s", AIM, 2 * AIM, required_fraction=0.75, minimum_fraction=0.75)
-    agg = kind(
+def build_aggregator(
+    aggregator_type: type[Aggregator], seed: int, parts_per_call: int = 1, endpoint_count: int = 24
+) -> Aggregator:
+    """Return an aggregator whose endpoints differ in latency and load by draws of the seed."""
+    query_class = policy.QueryClass("s", AIM, 2 * AIM, required_fraction=0.75, minimum_fraction=0.75)
+    aggregator = aggregator_type(
         Settings(
-            classes=(spec,), shards=servers, replica_groups=servers, groups_per_shard=3, parts_per_call=call
+            classes=(query_class,),
+            shards=endpoint_count,
+            replica_groups=endpoint_count,
+            groups_per_shard=3,
+            parts_per_call=parts_per_call,
         ),
         seed,
     )
-    agg.handle(1000, [policy.EndpointUpdate(policy.UpdateKind.FULL, servers_listed(servers), False)])
+    aggregator.handle(1000, [list_endpoints(endpoint_count)])
     draws = random.Random(seed)
-    for server in agg.endpoints.values():
-        server.relative_latency.value, server.relative_latency.updated_at_us = draws.uniform(0.4, 2.4), 2000
-        server.penalty.value, server.penalty.updated_at_us = draws.choice((0.0, 0.0, 1.0, 2.0)), 2000
-    return agg
+    for endpoint in aggregator.endpoints.values():
+        endpoint.relative_latency.value = draws.uniform(0.4, 2.4)
+        endpoint.relative_latency.updated_at_us = 2000
+        endpoint.penalty.value = draws.choice((0.0, 0.0, 1.0, 2.0))
+        endpoint.penalty.updated_at_us = 2000
+    return aggregator
 
 
-def sends(agg: Aggregator, now: int, parts: int, shards: int) -> list[tuple[str, str]]:
-    batch: list[policy.Event] = [policy.QueryArrived("q", 1, 0, now + 2 * AIM, parts)]
-    batch += [policy.PartArrived(f"q/{i}", 1, i % shards, 1 / parts) for i in range(parts)]
-    return [(s.id, s.node) for s in of(agg.handle(now, batch), policy.Send)]
+def send_query(aggregator: Aggregator, now_us: int, part_count: int, shards: int) -> list[tuple[str, str]]:
+    """Send one query; return the part and the endpoint of each attempt, in order."""
+    batch: list[policy.Event] = [policy.QueryArrived("q", 1, 0, now_us + 2 * AIM, part_count)]
+    batch += [
+        policy.PartArrived(f"q/{number}", 1, number % shards, 1 / part_count) for number in range(part_count)
+    ]
+    return [(send.id, send.node) for send in of(aggregator.handle(now_us, batch), policy.Send)]
 
 
 @pytest.mark.parametrize("seed", range(60))
-@pytest.mark.parametrize("call", [1, 4])
-def test_the_same_parts_at_the_same_servers_as_ranking_anew(seed, call):
-    """Any two parts with one pick tie, so ties go by shard here: every choice must then agree."""
+@pytest.mark.parametrize("parts_per_call", [1, 4])
+def test_the_same_parts_are_sent_to_the_same_endpoints_as_by_ranking_anew(seed, parts_per_call):
+    """Any two parts with one draw tie, so ties go by shard here: every choice must then agree."""
     chosen = []
-    for kind in (Aggregator, Naive):
-        agg = fleet(kind, seed, call)
-        agg.random.random = lambda: 0.5
-        chosen.append(sends(agg, 2000, 24, 24))
-    assert agg.rankings == 1  # else the ranking would be compared with itself
+    for aggregator_type in (Aggregator, NaiveAggregator):
+        aggregator = build_aggregator(aggregator_type, seed, parts_per_call)
+        aggregator.random.random = lambda: 0.5
+        chosen.append(send_query(aggregator, 2000, 24, 24))
+    assert aggregator.rankings == 1  # else the ranking would be compared with itself
     assert len(chosen[0]) == 18 and chosen[0] == chosen[1]
 
 
-def test_parts_that_tie_are_drawn_alike():
-    first: dict[str, int] = {}
+def test_parts_of_equal_rank_are_chosen_with_equal_probability():
+    settings = Settings(
+        classes=(policy.QueryClass("s", AIM, 2 * AIM, required_fraction=0.2, minimum_fraction=0.2),),
+        shards=6,
+        replica_groups=6,
+        groups_per_shard=2,
+    )
+    first_counts: dict[str, int] = {}
     for seed in range(600):
-        agg = Aggregator(
-            Settings(
-                classes=(policy.QueryClass("s", AIM, 2 * AIM, required_fraction=0.2, minimum_fraction=0.2),),
-                shards=6,
-                replica_groups=6,
-                groups_per_shard=2,
-            ),
-            seed,
-        )
-        agg.handle(
-            1000,
-            [
-                policy.EndpointUpdate(
-                    policy.UpdateKind.FULL, tuple(policy.EndpointEntry(f"s{i}", i) for i in range(6)), False
-                )
-            ],
-        )
-        part, _ = sends(agg, 2000, 5, 6)[0]
-        first[part] = first.get(part, 0) + 1
-    assert len(first) == 5 and min(first.values()) > 80  # 120 each, sd 10
+        aggregator = Aggregator(settings, seed)
+        aggregator.handle(1000, [list_endpoints(6)])
+        part, _ = send_query(aggregator, 2000, 5, 6)[0]
+        first_counts[part] = first_counts.get(part, 0) + 1
+    assert len(first_counts) == 5 and min(first_counts.values()) > 80  # 120 each, standard deviation 10
 
 
 @pytest.mark.parametrize("parts", [40, 400])
-def test_looks_at_holders_grow_no_faster_than_the_parts(parts):
-    looks = 0
-    agg = fleet(Aggregator, 3, servers=240)
-    select = agg.selector.select
+def test_replica_selections_grow_no_faster_than_the_parts(parts):
+    selection_count = 0
+    aggregator = build_aggregator(Aggregator, 3, endpoint_count=240)
+    select = aggregator.selector.select
 
     def counting_select(part):
-        nonlocal looks
-        looks += 1
+        """Count the call and select as before."""
+        nonlocal selection_count
+        selection_count += 1
         return select(part)
 
-    agg.selector.select = counting_select
-    sends(agg, 2000, parts, 240)
-    assert parts <= looks < 12 * parts  # under one a part the count would no longer be taken
+    aggregator.selector.select = counting_select
+    send_query(aggregator, 2000, parts, 240)
+    assert parts <= selection_count < 12 * parts  # under one a part the calls would no longer be counted
 
 
-def test_latencies_are_not_kept_longer_than_they_count():
-    """A broker that gets many parts sheds by counts and never looked at them: the list grew for ever."""
-    agg, now = fleet(Aggregator, 5, servers=3), 10_000
+def test_latency_samples_are_dropped_once_they_count_no_more():
+    """An aggregator that sheds by in-flight counts never reads its samples; their number has a bound."""
+    aggregator = build_aggregator(Aggregator, 5, endpoint_count=3)
+    now_us = 10_000
     for job in range(3000):
-        now += 10_000
-        sent = of(
-            agg.handle(
-                now,
-                [
-                    policy.QueryArrived(f"q{job}", job, 0, now + 2 * AIM, 1),
-                    policy.PartArrived(f"q{job}/0", job, job % 3, 1.0),
-                ],
-            ),
-            policy.Send,
-        )
-        for send in sent:
-            agg.handle(now + 1000, [policy.AttemptEnded(send.id, 0, send.node, policy.Outcome.OK, 1000)])
-    assert agg.latency.recent_sample_count < 300
+        now_us += 10_000
+        batch = [
+            policy.QueryArrived(f"q{job}", job, 0, now_us + 2 * AIM, 1),
+            policy.PartArrived(f"q{job}/0", job, job % 3, 1.0),
+        ]
+        for send in of(aggregator.handle(now_us, batch), policy.Send):
+            response = policy.AttemptEnded(send.id, 0, send.node, policy.Outcome.OK, 1000)
+            aggregator.handle(now_us + 1000, [response])
+    assert aggregator.latency.recent_sample_count < 300
