--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,139 +1,184 @@
-"""Checks of the rules on events and actions alone; no model of servers."""
+"""Checks of the six rules on the events and actions of one aggregator; no model of endpoints."""
 
 from __future__ import annotations
 
 from collections import defaultdict
+from typing import NamedTuple
 
 from heathwell import Settings, policy
 
 
-class Rules:
-    """Watches batches of one aggregator and asserts the rules it can keep alone."""
+class AttemptRecord(NamedTuple):
+    """One attempt of a part; the outcome is None while the attempt is in flight."""
 
-    def __init__(self, config: Settings, slack: int = 20_000) -> None:
-        self.config, self.slack, self.now = config, slack, 0
+    sent_at_us: int
+    outcome: str | None = None
+
+
+class RuleChecker:
+    """Asserts, batch by batch, the rules that one aggregator can keep alone.
+
+    A final reply may be up to `slack_us` after the deadline of its query, as the clock advances in ticks.
+    """
+
+    def __init__(self, config: Settings, slack_us: int = 20_000) -> None:
+        self.config = config
+        self.slack_us = slack_us
+        self.now_us = 0
         self.open: dict[str, policy.QueryArrived] = {}
-        self.jobs: dict[int, policy.QueryArrived] = {}
-        self.parts: dict[str, policy.PartArrived] = {}
-        self.step: dict[str, int] = {}
-        self.step_of: dict[str, int] = {}
-        self.tries: dict[str, list[list]] = defaultdict(list)
-        self.good: set[str] = set()
-        self.first_whole: dict[str, bool] = {}
-        self.taken: list[int] = []
-        self.further: list[int] = []
-        self.bad_since: dict[str, int] = {}
         self.ended: set[str] = set()
+        self.query_by_job: dict[int, policy.QueryArrived] = {}
+        self.parts: dict[str, policy.PartArrived] = {}
+        self.answered_parts: set[str] = set()
+        self.current_step: dict[str, int] = {}
+        self.step_of_part: dict[str, int] = {}
+        self.first_step_complete: dict[str, bool] = {}
+        self.attempts: dict[str, list[AttemptRecord]] = defaultdict(list)
+        self.admitted_at_us: list[int] = []
+        self.additional_attempts_at_us: list[int] = []
+        self.draining_since_us: dict[str, int] = {}
 
-    def batch(self, now: int, events: list[policy.Event], actions: list[policy.Action]) -> None:
-        self.now = now
+    def on_batch(self, now_us: int, events: list[policy.Event], actions: list[policy.Action]) -> None:
+        """Check the actions that one batch of events caused."""
+        self.now_us = now_us
         for event in events:
-            self.heard(event)
+            self.on_event(event)
         for action in actions:
-            self.did(action)
+            self.on_action(action)
         for query in self.open.values():
-            assert now <= query.deadline_us + self.slack, "lost query"
+            assert now_us <= query.deadline_us + self.slack_us, "lost query"
 
-    def heard(self, event: policy.Event) -> None:
+    def on_event(self, event: policy.Event) -> None:
+        """Record what an event adds to the state that the rules refer to."""
         match event:
             case policy.QueryArrived():
-                self.open[event.id] = self.jobs[event.job] = event
-                self.step[event.id] = 1
-                self.taken.append(self.now)
+                self.open[event.id] = self.query_by_job[event.job] = event
+                self.current_step[event.id] = 1
+                self.admitted_at_us.append(self.now_us)
             case policy.PartArrived():
                 self.parts[event.id] = event
-                self.step_of[event.id] = self.step[self.jobs[event.job].id]
-                self.taken.append(self.now)
+                self.step_of_part[event.id] = self.current_step[self.query_by_job[event.job].id]
+                self.admitted_at_us.append(self.now_us)
             case policy.AttemptEnded():
-                entry = self.tries[event.id][event.seq]
-                entry[1] = event.outcome
+                self.record_outcome(event.id, event.seq, event.outcome)
                 if event.outcome == policy.Outcome.OK:
-                    self.good.add(event.id)
-            case policy.EndpointUpdate(kind=kind, endpoints=servers) if kind != policy.UpdateKind.FAILED:
-                listed = {s.node: s.state for s in servers}
-                for node in list(self.bad_since):
-                    if listed.get(node) == policy.EndpointState.LIVE:
-                        del self.bad_since[node]
-                for node, state in listed.items():
-                    if state in (policy.EndpointState.DRAINING, policy.EndpointState.GONE):
-                        self.bad_since.setdefault(node, self.now)
-
-    def did(self, action: policy.Action) -> None:
+                    self.answered_parts.add(event.id)
+            case policy.EndpointUpdate():
+                self.on_endpoint_update(event)
+
+    def on_endpoint_update(self, update: policy.EndpointUpdate) -> None:
+        """Record since when each endpoint of an update is draining or gone."""
+        if update.kind == policy.UpdateKind.FAILED:
+            return
+        listed = {endpoint.node: endpoint.state for endpoint in update.endpoints}
+        for node in list(self.draining_since_us):
+            if listed.get(node) == policy.EndpointState.LIVE:
+                del self.draining_since_us[node]
+        for node, state in listed.items():
+            if state in (policy.EndpointState.DRAINING, policy.EndpointState.GONE):
+                self.draining_since_us.setdefault(node, self.now_us)
+
+    def record_outcome(self, part_id: str, seq: int, outcome: str) -> None:
+        """Set the outcome of one attempt."""
+        attempts = self.attempts[part_id]
+        attempts[seq] = attempts[seq]._replace(outcome=outcome)
+
+    def on_action(self, action: policy.Action) -> None:
+        """Check one action."""
         match action:
             case policy.Send():
-                self.sent(action)
+                self.on_send(action)
             case policy.Answer():
                 assert action.id in self.open, "second final answer"
-                self.answered(action)
+                self.on_answer(action)
             case policy.Reject() | policy.Fail():
                 assert action.id in self.open, "second final answer"
-                query = self.open[action.id]
-                spec = self.config.classes[query.query_class]
-                if (
-                    isinstance(action, policy.Reject)
-                    and spec.idempotency == policy.Idempotency.NON_IDEMPOTENT
-                ):
-                    for part, event in self.parts.items():
-                        if event.job == query.job:
-                            assert all(t[1] in policy.NOT_EXECUTED for t in self.tries[part]), "may have run"
+                if isinstance(action, policy.Reject):
+                    self.check_safe_to_retry(self.open[action.id])
                 self.close(action.id)
             case policy.Cancel():
                 assert self.config.cancellation_allowed
-                assert len(self.tries[action.id]) > action.seq
-                if self.tries[action.id][action.seq][1] is None:
-                    self.tries[action.id][action.seq][1] = policy.Outcome.CANCELLED
+                assert len(self.attempts[action.id]) > action.seq
+                if self.attempts[action.id][action.seq].outcome is None:
+                    self.record_outcome(action.id, action.seq, policy.Outcome.CANCELLED)
             case policy.Probe():
                 assert self.config.probing_allowed
 
-    def sent(self, action: policy.Send) -> None:
+    def check_safe_to_retry(self, query: policy.QueryArrived) -> None:
+        """Check that no part of a rejected non-idempotent query may have run: its client may retry it."""
+        query_class = self.config.classes[query.query_class]
+        if query_class.idempotency != policy.Idempotency.NON_IDEMPOTENT:
+            return
+        for part, event in self.parts.items():
+            if event.job == query.job:
+                assert all(attempt[1] in policy.NOT_EXECUTED for attempt in self.attempts[part]), (
+                    "may have run"
+                )
+
+    def on_send(self, action: policy.Send) -> None:
+        """Check an attempt against the state of its part, its query and its endpoint."""
         event = self.parts[action.id]
-        query = self.jobs[event.job]
-        spec = self.config.classes[query.query_class]
+        query = self.query_by_job[event.job]
         assert query.id in self.open, "send for a finished query"
-        assert action.id not in self.good, "send for a finished part"
-        if action.node in self.bad_since:
-            assert self.now <= self.bad_since[action.node] + self.config.drain_grace_us, "drain"
-        before = self.tries[action.id]
-        assert len(before) < self.config.max_attempts
-        if any(t[1] is None for t in before):
+        assert action.id not in self.answered_parts, "send for a finished part"
+        if action.node in self.draining_since_us:
+            assert self.now_us <= self.draining_since_us[action.node] + self.config.drain_grace_us, "drain"
+        earlier = self.attempts[action.id]
+        assert len(earlier) < self.config.max_attempts
+        if any(attempt.outcome is None for attempt in earlier):
             assert self.config.hedging_allowed, "two at once"
-        risky = [t[0] for t in before if t[1] not in policy.NOT_EXECUTED]
-        if spec.idempotency == policy.Idempotency.NON_IDEMPOTENT:
-            assert not risky, "unsafe part sent twice"
-        if spec.idempotency == policy.Idempotency.KEYED and risky:
-            assert self.now <= min(risky) + spec.idempotency_window_us, "outside the window"
-        if before and self.config.attempt_budget_window_us:
-            self.further.append(self.now)
-            edge = self.now - self.config.attempt_budget_window_us
-            made = sum(t >= edge for t in self.further)
-            took = sum(t > edge for t in self.taken)
-            assert (
-                made
-                <= self.config.free_additional_attempts + self.config.additional_attempt_ratio * took + 1e-9
-            ), "budget"
-        before.append([self.now, None])
-
-    def answered(self, action: policy.Answer) -> None:
+        self.check_idempotency(self.config.classes[query.query_class], earlier)
+        if earlier and self.config.attempt_budget_window_us:
+            self.check_attempt_budget()
+        earlier.append(AttemptRecord(self.now_us))
+
+    def check_idempotency(self, query_class: policy.QueryClass, earlier: list[AttemptRecord]) -> None:
+        """Check that a part whose earlier attempts may have run may be sent again."""
+        executed_at_us = [
+            attempt.sent_at_us for attempt in earlier if attempt.outcome not in policy.NOT_EXECUTED
+        ]
+        if query_class.idempotency == policy.Idempotency.NON_IDEMPOTENT:
+            assert not executed_at_us, "unsafe part sent twice"
+        if query_class.idempotency == policy.Idempotency.KEYED and executed_at_us:
+            assert self.now_us <= min(executed_at_us) + query_class.idempotency_window_us, (
+                "outside the window"
+            )
+
+    def check_attempt_budget(self) -> None:
+        """Count an additional attempt and check the budget of the settings over its window."""
+        self.additional_attempts_at_us.append(self.now_us)
+        window_start_us = self.now_us - self.config.attempt_budget_window_us
+        additional = sum(at_us >= window_start_us for at_us in self.additional_attempts_at_us)
+        admitted = sum(at_us > window_start_us for at_us in self.admitted_at_us)
+        assert (
+            additional
+            <= self.config.free_additional_attempts + self.config.additional_attempt_ratio * admitted + 1e-9
+        ), "budget"
+
+    def on_answer(self, action: policy.Answer) -> None:
+        """Check the received weight of an answer; begin the second step or close the query."""
         query = self.open[action.id]
-        spec = self.config.classes[query.query_class]
-        step = self.step[action.id]
-        got = sum(
-            e.weight
-            for e in self.parts.values()
-            if e.job == query.job and e.id in self.good and self.step_of[e.id] == step
+        query_class = self.config.classes[query.query_class]
+        step = self.current_step[action.id]
+        received = sum(
+            part.weight
+            for part in self.parts.values()
+            if part.job == query.job and part.id in self.answered_parts and self.step_of_part[part.id] == step
         )
-        floor = spec.minimum_fraction if step == 1 or spec.minimum_fraction < spec.required_fraction else 1.0
-        assert got >= floor - 1e-4, "under floor"
+        allows_partial = query_class.minimum_fraction < query_class.required_fraction
+        minimum = query_class.minimum_fraction if step == 1 or allows_partial else 1.0
+        assert received >= minimum - 1e-4, "under floor"
         if action.complete:
-            need = spec.required_fraction if step == 1 else 1.0
-            assert got >= need - 1e-4, "not whole"
-            assert step == 1 or self.first_whole[action.id]
-        if step == 1 and spec.second_step_parts:
-            self.step[action.id] = 2
-            self.first_whole[action.id] = action.complete
+            required = query_class.required_fraction if step == 1 else 1.0
+            assert received >= required - 1e-4, "not whole"
+            assert step == 1 or self.first_step_complete[action.id]
+        if step == 1 and query_class.second_step_parts:
+            self.current_step[action.id] = 2
+            self.first_step_complete[action.id] = action.complete
         else:
             self.close(action.id)
 
-    def close(self, query: str) -> None:
-        self.open.pop(query)
-        self.ended.add(query)
+    def close(self, query_id: str) -> None:
+        """Record the final reply of a query."""
+        self.open.pop(query_id)
+        self.ended.add(query_id)
