--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""Determinism, independence, size limits, settings, the adapter through its pipe, and the README."""
+"""The bench adapter over its pipe, checks of settings, determinism, size limits and the README's example."""
 
 from __future__ import annotations
 
@@ -20,6 +20,7 @@
 
 ROOT = Path(__file__).parent.parent
 
+# Settings and endpoints in the words of the bench's wire, with one unknown field.
 SETUP = {
     "ceilings": {"max-attempts": 3, "cancelling": True},
     "classes": [{"objective-us": 1000000, "hard-limit-us": 2000000, "idempotency": "read_like"}],
@@ -30,29 +31,31 @@
 MEMBERS = [
     {
         "flavor": 0,
-        "node": f"n:{i}",
-        "place": i,
+        "node": f"n:{index}",
+        "place": index,
         "availability": "live",
         "since-us": None,
         "rating": 1,
         "site": 0,
     }
-    for i in range(2)
+    for index in range(2)
 ]
 
 
-def start(who: int, seed: int) -> list[dict]:
+def start_messages(instance: int, seed: int) -> list[dict]:
+    """Return the wire messages that create an instance and give it the endpoint list."""
     return [
-        {"event_type": "new-instance", "who": who, "nonce64": seed, "setup": SETUP},
+        {"event_type": "new-instance", "who": instance, "nonce64": seed, "setup": SETUP},
         {"event_type": "list", "table": 0, "members-list": MEMBERS},
-        {"event_type": "fleet", "who": who, "form": "restored", "index": 1, "table": 0},
+        {"event_type": "fleet", "who": instance, "form": "restored", "index": 1, "table": 0},
     ]
 
 
-def query(who: int, job: int) -> list[dict]:
+def query_messages(instance: int, job: int) -> list[dict]:
+    """Return the wire messages of a query with two parts."""
     base = {
         "event_type": "query",
-        "who": who,
+        "who": instance,
         "band": 0,
         "deadline-us": 3_000_000,
         "job-no": job,
@@ -63,48 +66,57 @@
         "customer": 0,
     }
     return [
-        {**base, "xid": f"q{who}.{job}", "amount": 2, "range-no": -1},
-        {**base, "xid": f"q{who}.{job}a", "amount": 0.5, "range-no": 0},
-        {**base, "xid": f"q{who}.{job}b", "amount": 0.5, "range-no": 1},
+        {**base, "xid": f"q{instance}.{job}", "amount": 2, "range-no": -1},
+        {**base, "xid": f"q{instance}.{job}a", "amount": 0.5, "range-no": 0},
+        {**base, "xid": f"q{instance}.{job}b", "amount": 0.5, "range-no": 1},
     ]
 
 
-def pipe(lines: list[str], **env: str) -> subprocess.CompletedProcess[str]:
+def run_adapter(lines: list[str], **environment: str) -> subprocess.CompletedProcess[str]:
+    """Run the bench adapter on lines of input; return its output and exit status."""
     return subprocess.run(
         [sys.executable, "-m", "heathwell.benchlink"],
         input="\n".join(lines) + "\n",
         capture_output=True,
         text=True,
         cwd=ROOT,
-        env={**os.environ, **env},
+        env={**os.environ, **environment},
         check=False,
     )
 
 
-def batches(whos: list[int]) -> list[str]:
-    out = [{"time-us": 1000, "inbox": [m for who in whos for m in start(who, 40 + who)]}]
+def input_lines(instances: list[int]) -> list[str]:
+    """Return a batch that starts the instances and eight batches with a query for each, as lines of input."""
+    started = [message for instance in instances for message in start_messages(instance, 40 + instance)]
+    batches: list[dict] = [{"time-us": 1000, "inbox": started}]
     for job in range(8):
-        out.append({"time-us": 1_000_000 + 5000 * job, "inbox": [m for who in whos for m in query(who, job)]})
-    return [json.dumps(b) for b in out]
+        queries = [message for instance in instances for message in query_messages(instance, job)]
+        batches.append({"time-us": 1_000_000 + 5000 * job, "inbox": queries})
+    return [json.dumps(batch) for batch in batches]
 
 
-def test_pipe_answers_each_batch_and_ends_with_0():
-    done = pipe(['{"time-us":1,"inbox":[]}', *batches([3])])
+def commands_of(instance: int, output: str) -> list[list[dict]]:
+    """Return the commands of one instance in each line of the adapter's output."""
+    return [
+        [command for command in json.loads(line)["cmds"] if command["who"] == instance]
+        for line in output.splitlines()
+    ]
+
+
+def test_the_adapter_replies_to_each_batch_and_exits_with_0():
+    done = run_adapter(['{"time-us":1,"inbox":[]}', *input_lines([3])])
     replies = [json.loads(line) for line in done.stdout.splitlines()]
     assert done.returncode == 0 and done.stderr == "" and len(replies) == 10
     assert replies[0] == {"cmds": []}
-    assert [c["event_type"] for c in replies[2]["cmds"]].count("transmit") == 2
+    assert [command["event_type"] for command in replies[2]["cmds"]].count("transmit") == 2
 
 
-def test_instances_interleaved_act_as_alone_under_any_hash_seed():
-    def by(who: int, text: str) -> list[list[dict]]:
-        return [[c for c in json.loads(line)["cmds"] if c["who"] == who] for line in text.splitlines()]
-
-    both = pipe(batches([1, 2]), PYTHONHASHSEED="1").stdout
-    for who in (1, 2):
-        alone = pipe(batches([who]), PYTHONHASHSEED="77").stdout
-        assert by(who, both) == by(who, alone)
-        assert any(by(who, alone)[1])
+def test_interleaved_instances_decide_as_each_does_alone_under_any_hash_seed():
+    both = run_adapter(input_lines([1, 2]), PYTHONHASHSEED="1").stdout
+    for instance in (1, 2):
+        alone = run_adapter(input_lines([instance]), PYTHONHASHSEED="77").stdout
+        assert commands_of(instance, both) == commands_of(instance, alone)
+        assert any(commands_of(instance, alone)[1])
 
 
 @pytest.mark.parametrize(
@@ -134,8 +146,8 @@
         ),
     ],
 )
-def test_bad_input_is_a_plain_message_that_names_the_field(line, word):
-    done = pipe([line])
+def test_invalid_input_ends_the_adapter_with_a_message_that_names_the_field(line, word):
+    done = run_adapter([line])
     assert done.returncode != 0 and done.stdout == ""
     assert word in done.stderr and "Traceback" not in done.stderr
 
@@ -151,7 +163,7 @@
         ({"additional_attempt_ratio": -1.0}, "budget"),
     ],
 )
-def test_senseless_settings_are_refused(change, word):
+def test_invalid_settings_raise_an_error_that_names_the_field(change, word):
     with pytest.raises(ValueError, match=word):
         make_settings(**change)
 
@@ -166,23 +178,25 @@
         ({"second_step_parts": -1}, "second_step_parts"),
     ],
 )
-def test_senseless_classes_are_refused(change, word):
+def test_an_invalid_query_class_raises_an_error_that_names_the_field(change, word):
     with pytest.raises(ValueError, match=word):
         policy.QueryClass(**{"name": "c", "latency_objective_us": 10, "timeout_us": 20, **change})
 
 
-def test_same_events_same_actions():
-    def day(seed: int) -> list[list[policy.Action]]:
-        d = Driver(make_settings(), seed)
-        seen = []
-        for job in range(30):
-            seen.append(d.query(job % 3, [0, 1, 2, 3]))
-            for send in of(seen[-1], policy.Send)[:2]:
-                seen.append(d.end(send))
-        return seen
+def actions_of_thirty_queries(seed: int) -> list[list[policy.Action]]:
+    """Return the actions of each batch where a driver sends thirty queries and answers two parts of each."""
+    driver = Driver(make_settings(), seed)
+    actions = []
+    for job in range(30):
+        actions.append(driver.query(job % 3, [0, 1, 2, 3]))
+        for send in of(actions[-1], policy.Send)[:2]:
+            actions.append(driver.end(send))
+    return actions
+
 
-    assert day(5) == day(5)
-    assert day(5) != day(6)
+def test_the_same_events_and_seed_cause_the_same_actions():
+    assert actions_of_thirty_queries(5) == actions_of_thirty_queries(5)
+    assert actions_of_thirty_queries(5) != actions_of_thirty_queries(6)
 
 
 TYPE_MODULES = {"__init__", "actions", "events", "operator_events", "records", "settings"}
@@ -190,7 +204,7 @@
 
 
 def test_each_component_of_the_decision_module_is_small_and_listed_in_the_deploy_file():
-    """The bench records the files listed under ``policy``: all that decide have to stand there."""
+    """The bench records the files listed under ``policy``, so every file with decisions has to be listed."""
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     components = {path for path in (ROOT / "heathwell/policy").glob("*.py") if path.stem not in TYPE_MODULES}
     assert sorted(deploy["policy"]) == sorted(str(path.relative_to(ROOT)) for path in components)
@@ -202,17 +216,17 @@
         assert max(len(line) for line in path.read_text().splitlines()) <= 110
 
 
-def test_readme_example_runs():
+def test_the_example_of_the_readme_prints_its_answer():
     code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert code
-    out = io.StringIO()
-    with contextlib.redirect_stdout(out):
+    output = io.StringIO()
+    with contextlib.redirect_stdout(output):
         exec(code.group(1), {})  # noqa: S102
-    assert out.getvalue().strip() == "1 [Answer(id='q', complete=True)]"
+    assert output.getvalue().strip() == "1 [Answer(id='q', complete=True)]"
 
 
-def test_library_needs_no_adapter():
-    agg = Aggregator(
-        Settings(classes=(policy.QueryClass("c", 10, 20),), shards=1, replica_groups=1, groups_per_shard=1), 1
-    )
-    assert agg.handle(5, []) == []
+def test_an_aggregator_runs_without_the_adapter():
+    query_class = policy.QueryClass("c", 10, 20)
+    settings = Settings(classes=(query_class,), shards=1, replica_groups=1, groups_per_shard=1)
+    aggregator = Aggregator(settings, 1)
+    assert aggregator.handle(5, []) == []
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -1,7 +1,7 @@
-"""Seeded plays have the same outcome in processes whose strings hash differently (PYTHONHASHSEED).
+"""Seeded scenarios have the same result in processes whose strings hash differently (PYTHONHASHSEED).
 
-Each process plays all of them and prints a digest of each whole outcome: every event, decision and figure in
-its order. Run as a module, this file is such a process.
+Each process runs all scenarios and prints a digest of each result: every event, decision and counter in its
+order. Run as a module, this file is such a process.
 """
 
 from __future__ import annotations
@@ -42,18 +42,18 @@
 )
 from heathwell.testing.simulation.zone_faults import Scenario
 
-from .test_event_orderings_random import play as play_crossings
+from .test_event_orderings_random import play as play_event_orderings
 
 ROOT = Path(__file__).parent.parent
 HASH_SEEDS = ("0", "1", "2")
-HASHED = "string hash"  # what must differ between the processes, or nothing is tested
+STRING_HASH = "string hash"  # key of a value that must differ between the processes, or nothing is tested
 SECOND_US = 1_000_000
 CLASSES = ("sale-record", "price-search", "day-report")
 MEMBERS = [f"b{number}.{'xyz'[number % 3]}" for number in range(24)]
 
 
-def judged_release() -> Any:
-    """A release with a worse class over a few brokers, with all states that its course went through."""
+def release_with_a_worse_class() -> Any:
+    """Return a release whose new version is worse in one class, with every state of its controller."""
     stages = (
         Stage(0.0, 10 * SECOND_US, 20 * SECOND_US),
         Stage(0.25, 60 * SECOND_US, 120 * SECOND_US, require_proof=True),
@@ -70,8 +70,8 @@
     )
 
 
-def ruling_on_many_worse_classes() -> Any:
-    """What the judge names where several classes are worse at once."""
+def canary_verdicts_on_several_worse_classes() -> Any:
+    """Return the verdicts of the canary analysis where several query classes are worse at once."""
     analysis = CanaryAnalysis(AnalysisLimits(), 40)
     windows = [
         BrokerWindow(
@@ -86,30 +86,30 @@
     return [analysis.observe(windows) for _ in range(40)]
 
 
-def budget_day() -> Any:
-    """Keepers and brokers under drawn faults."""
-    day = QuotaScenario(1, brokers=8)
-    faults = schedule_random_faults(day, 6 * SECOND_US, 12 * SECOND_US)
-    day.run_until(13 * SECOND_US)
+def quotas_under_random_faults() -> Any:
+    """Return the state of quota coordinators and brokers after a random fault script."""
+    scenario = QuotaScenario(1, brokers=8)
+    faults = schedule_random_faults(scenario, 6 * SECOND_US, 12 * SECOND_US)
+    scenario.run_until(13 * SECOND_US)
     holders = [
-        (broker.name, name, holder.quota(broker.clock_us(day.now_us)), holder.in_use)
-        for broker in day.brokers
+        (broker.name, name, holder.quota(broker.clock_us(scenario.now_us)), holder.in_use)
+        for broker in scenario.brokers
         if broker.is_running
         for name, holder in broker.program.holders.items()
     ]
     return (
         faults,
-        day.auditor.units_used,
-        day.overshoots,
-        day.message_count,
-        day.ended_incarnations,
-        sorted(day.cut_links),
+        scenario.auditor.units_used,
+        scenario.overshoots,
+        scenario.message_count,
+        scenario.ended_incarnations,
+        sorted(scenario.cut_links),
         holders,
     )
 
 
-def granted_quotas() -> Any:
-    """One fraction's grants to members whose demands together are beyond it."""
+def quota_grants_under_excess_demand() -> Any:
+    """Return the grants of one fraction to members whose demands exceed it together."""
     ledger = FractionLedger(
         Budget("connections", BudgetKind.COUNT, 1_200, 240, 24, linger_timeout_us=300_000),
         0,
@@ -127,35 +127,35 @@
     ]
 
 
-def budgets_in_use() -> Any:
-    """Brokers with quotas from keepers, hosts that come back cold, and the event logs of all of them."""
+def brokers_with_quotas() -> Any:
+    """Return the event logs of brokers with quotas whose hosts restart into slow start."""
     experiment = QuotaExperiment("lent", "cold return", 1, brokers=3, hosts=9, rate=2.0)
     experiment.run()
     return experiment.events, sorted(experiment.outcomes.counts.items())
 
 
-def zone_day() -> Any:
-    """A zone that is killed, left by the fleet and taken back, with all events."""
-    day = EvacuationScenario(EvacuationVariant.FLEET, Scenario.KILLED, 1, brokers=6, hosts=9, rate=16.0)
-    day.duration_seconds = 12.0
-    day.run()
-    result = day.result()
+def zone_evacuation_and_restore() -> Any:
+    """Return the events of a fleet that evacuates a killed zone and restores it."""
+    scenario = EvacuationScenario(EvacuationVariant.FLEET, Scenario.KILLED, 1, brokers=6, hosts=9, rate=16.0)
+    scenario.duration_seconds = 12.0
+    scenario.run()
+    result = scenario.result()
     assert result.evacuated_after_seconds is not None and result.restored_after_seconds is not None
-    return day.events, result
+    return scenario.events, result
 
 
-def storm_day() -> Any:
-    """An outage and the retries after it, with all events."""
+def retry_storm() -> Any:
+    """Return the events of an outage and of the retries after it."""
     parameters = RetryStormParameters(
         clients=40, think_seconds=8.0, outage_seconds=4.0, before_seconds=4.0, after_seconds=4.0
     )
-    day = RetryStormScenario(Variant.STORM_CONTROL, 2, parameters)
-    day.run()
-    return day.events, day.record.requests, day.state_changes()
+    scenario = RetryStormScenario(Variant.STORM_CONTROL, 2, parameters)
+    scenario.run()
+    return scenario.events, scenario.record.requests, scenario.state_changes()
 
 
 def platform_brokers() -> Any:
-    """Brokers of the platform, one killed and one node replaced, with what each has counted."""
+    """Return the counters of platform brokers of which one is killed and one node is replaced."""
     world = MultiBrokerScenario(3, 8, 1)
     world.loop.call_at(SECOND_US, world.restart, 1)
     world.loop.call_at(SECOND_US, world.replace, 2)
@@ -168,57 +168,61 @@
     )
 
 
-def drawn_crossings() -> Any:
-    """A drawn schedule of drains, resets and lists, with all events."""
-    return play_crossings("asked", 3, span_us=3 * SECOND_US)
+def random_event_orderings() -> Any:
+    """Return the events of a random schedule of drains, resets and endpoint updates."""
+    return play_event_orderings("asked", 3, span_us=3 * SECOND_US)
 
 
-def drawn_script() -> Any:
-    """The faults of a fleet's day."""
+def random_fault_script() -> Any:
+    """Return a random fault script for the demonstration fleet."""
     return generate_fault_script(5, load(str(ROOT / "examples" / "market-fleet.sx")))
 
 
-PLAYS: tuple[Callable[[], Any], ...] = (
-    judged_release,
-    ruling_on_many_worse_classes,
-    budget_day,
-    granted_quotas,
-    budgets_in_use,
-    zone_day,
-    storm_day,
+SCENARIOS: tuple[Callable[[], Any], ...] = (
+    release_with_a_worse_class,
+    canary_verdicts_on_several_worse_classes,
+    quotas_under_random_faults,
+    quota_grants_under_excess_demand,
+    brokers_with_quotas,
+    zone_evacuation_and_restore,
+    retry_storm,
     platform_brokers,
-    drawn_crossings,
-    drawn_script,
+    random_event_orderings,
+    random_fault_script,
 )
 
 
 def digests() -> dict[str, str]:
-    """A digest of each play's whole outcome in this process."""
-    found = {play.__name__: hashlib.sha256(repr(play()).encode()).hexdigest() for play in PLAYS}
-    return {HASHED: str(hash("za")), **found}
+    """Return a digest of the result of each scenario in this process, and the hash of a string."""
+    results = {
+        scenario.__name__: hashlib.sha256(repr(scenario()).encode()).hexdigest() for scenario in SCENARIOS
+    }
+    return {STRING_HASH: str(hash("za")), **results}
 
 
-def started(hash_seed: str) -> subprocess.Popen[str]:
-    """A process whose strings hash by this seed, at work on its digests."""
+def start_process(hash_seed: str) -> subprocess.Popen[str]:
+    """Start a process whose strings hash by this seed and that prints its digests."""
     environment = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(ROOT)}
     command = [sys.executable, "-m", "tests.test_hash_seeds"]
     return subprocess.Popen(command, cwd=ROOT, env=environment, text=True, stdout=PIPE, stderr=PIPE)
 
 
-def finished(process: subprocess.Popen[str]) -> dict[str, str]:
-    """The digests of a process, once it has them."""
+def read_digests(process: subprocess.Popen[str]) -> dict[str, str]:
+    """Wait for a process and return the digests that it printed."""
     printed, errors = process.communicate()
     assert process.returncode == 0, errors
-    found: dict[str, str] = json.loads(printed)
-    return found
+    digests_by_scenario: dict[str, str] = json.loads(printed)
+    return digests_by_scenario
 
 
-def test_seeded_plays_have_the_same_outcome_whatever_strings_hash_to():
-    processes = [started(hash_seed) for hash_seed in HASH_SEEDS]
-    found = [finished(process) for process in processes]
-    assert len({one.pop(HASHED) for one in found}) == len(HASH_SEEDS), "the processes hash strings alike"
-    assert all(set(one) == {play.__name__ for play in PLAYS} for one in found)
-    differing = [name for name in found[0] if len({one[name] for one in found}) > 1]
+def test_seeded_scenarios_have_the_same_result_whatever_the_hash_seed():
+    processes = [start_process(hash_seed) for hash_seed in HASH_SEEDS]
+    results = [read_digests(process) for process in processes]
+    assert len({result.pop(STRING_HASH) for result in results}) == len(HASH_SEEDS), (
+        "the processes hash strings alike"
+    )
+    assert all(set(result) == {scenario.__name__ for scenario in SCENARIOS} for result in results)
+    differing = [name for name in results[0] if len({result[name] for result in results}) > 1]
     assert not differing, f"outcomes that depend on PYTHONHASHSEED: {', '.join(differing)}"
 
 
