--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""Codecs: whatever way the bytes are cut, the same messages come out, and nothing loses its place."""
+"""Codecs of memcached, HTTP and the inner protocol: incremental parsing, limits and malformed input."""
 
 from __future__ import annotations
 
@@ -9,8 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heathwell.codec import frames
-from heathwell.codec import memcached as mc
+from heathwell.codec import frames, memcached
 from heathwell.codec.http import Response, ServerSide
 
 STREAM = (
@@ -22,16 +21,18 @@
 )
 
 
-def commands(chunks):
-    parser = mc.Requests(max_line_bytes=400)
+def parse_commands(chunks):
+    """Return the commands that a parser reads from chunks of bytes."""
+    parser = memcached.Requests(max_line_bytes=400)
     return [command for chunk in chunks for command in parser.feed(chunk)]
 
 
-WHOLE = commands([STREAM])
+COMMANDS = parse_commands([STREAM])
+"""The commands of `STREAM`, parsed from a single chunk."""
 
 
-def test_commands_of_every_kind_in_order():
-    kinds = [type(c).__name__ for c in WHOLE]
+def test_commands_of_every_kind_are_parsed_in_order():
+    kinds = [type(command).__name__ for command in COMMANDS]
     assert kinds == [
         "Get",
         "RejectedCommand",
@@ -53,7 +54,7 @@
         "MalformedCommand",
         "ServerCommand",
     ]
-    assert [c.quiet for c in WHOLE if isinstance(c, mc.RejectedCommand)] == [
+    assert [command.quiet for command in COMMANDS if isinstance(command, memcached.RejectedCommand)] == [
         False,
         True,
         False,
@@ -61,39 +62,44 @@
         True,
         True,
     ]
-    assert WHOLE[4].quiet and WHOLE[4].key == b"k"
-    assert WHOLE[-2].line == b"CLIENT_ERROR bad data chunk\r\n" and WHOLE[13].line == b"ERROR\r\n"
-    assert b"250" in WHOLE[14].line and b"control" in WHOLE[15].line
+    assert COMMANDS[4].quiet and COMMANDS[4].key == b"k"
+    assert COMMANDS[-2].line == b"CLIENT_ERROR bad data chunk\r\n" and COMMANDS[13].line == b"ERROR\r\n"
+    assert b"250" in COMMANDS[14].line and b"control" in COMMANDS[15].line
 
 
-def test_one_byte_at_a_time_gives_the_same():
-    assert commands([bytes([byte]) for byte in STREAM]) == WHOLE
+def test_a_stream_read_byte_by_byte_gives_the_same_commands():
+    assert parse_commands([bytes([byte]) for byte in STREAM]) == COMMANDS
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=12))
-def test_any_cut_gives_the_same(cuts):
+def test_a_stream_cut_anywhere_gives_the_same_commands(cuts):
     edges = [0, *sorted(cuts), len(STREAM)]
-    assert commands([STREAM[a:b] for a, b in zip(edges, edges[1:], strict=False)]) == WHOLE
+    assert (
+        parse_commands([STREAM[start:end] for start, end in zip(edges, edges[1:], strict=False)]) == COMMANDS
+    )
 
 
 @given(st.binary(max_size=400))
-def test_any_bytes_are_taken_without_an_error_and_the_place_is_found_again(junk):
-    parser = mc.Requests(max_line_bytes=100)
-    for _ in parser.feed(junk):
+def test_arbitrary_bytes_raise_no_error_and_the_next_line_is_parsed(data):
+    parser = memcached.Requests(max_line_bytes=100)
+    for _ in parser.feed(data):
         pass
     if parser._block is None:
         last = list(parser.feed(b"\r\nversion\r\n"))[-1]
-        assert last == mc.ServerCommand("version") or parser._block is not None
+        assert last == memcached.ServerCommand("version") or parser._block is not None
 
 
-def test_a_line_over_the_limit_is_refused_once_and_holds_no_memory():
-    parser = mc.Requests(max_line_bytes=1000)
-    out = []
+def test_a_line_over_the_limit_is_rejected_once_and_is_not_buffered():
+    parser = memcached.Requests(max_line_bytes=1000)
+    commands = []
     for _ in range(100):
-        out += parser.feed(b"get " + b"k" * 1000)
+        commands += parser.feed(b"get " + b"k" * 1000)
         assert parser.buffered <= 2100
-    out += parser.feed(b"\r\nget a\r\n")
-    assert [type(c) for c in out] == [mc.MalformedCommand, mc.Get] and b"too long" in out[0].line
+    commands += parser.feed(b"\r\nget a\r\n")
+    assert [type(command) for command in commands] == [
+        memcached.MalformedCommand,
+        memcached.Get,
+    ] and b"too long" in commands[0].line
 
 
 @pytest.mark.parametrize(
@@ -109,33 +115,39 @@
         (b"mg a O" + b"1" * 40, b"opaque"),
     ],
 )
-def test_what_is_wrong_is_a_client_error_that_says_why(line, word):
-    bad, after = list(mc.Requests().feed(line + b"\r\nmn\r\n"))
-    assert isinstance(bad, mc.MalformedCommand) and bad.line.startswith(b"CLIENT_ERROR") and word in bad.line
-    assert after == mc.Noop()
+def test_an_invalid_command_is_a_client_error_that_states_the_cause(line, word):
+    malformed, following = list(memcached.Requests().feed(line + b"\r\nmn\r\n"))
+    assert (
+        isinstance(malformed, memcached.MalformedCommand)
+        and malformed.line.startswith(b"CLIENT_ERROR")
+        and word in malformed.line
+    )
+    assert following == memcached.Noop()
 
 
-def test_meta_flags_come_back_as_asked():
+def test_a_meta_response_returns_the_requested_flags():
     key = base64.b64encode("sale:åke:1".encode())
-    request = next(iter(mc.Requests().feed(b"mg " + key + b" b k f s t c v O77\r\n")))
+    request = next(iter(memcached.Requests().feed(b"mg " + key + b" b k f s t c v O77\r\n")))
     assert request.key.decode() == "sale:åke:1"
-    assert mc.meta_value(request, 5, b"hey", 9) == b"VA 3 b k" + key + b" f5 s3 t-1 c9 O77\r\nhey\r\n"
-    assert mc.meta_miss(request) == b"EN b k" + key + b" O77\r\n"
+    assert memcached.meta_value(request, 5, b"hey", 9) == b"VA 3 b k" + key + b" f5 s3 t-1 c9 O77\r\nhey\r\n"
+    assert memcached.meta_miss(request) == b"EN b k" + key + b" O77\r\n"
 
 
-def test_frames_survive_any_cut_and_skip_unknown_fields():
+def test_frames_are_decoded_byte_by_byte_and_unknown_fields_are_skipped():
     wire = b"".join(
-        frames.encode(m)
-        for m in (
+        frames.encode(message)
+        for message in (
             frames.Hello(1, "b", "broker"),
             frames.Call([frames.PartRequest("q/0", 0, "c", "record", "k", 3, 99)]),
             frames.Result("q/0", 0, "ok", b"x" * 1000, 4),
             frames.Pong(3),
         )
     )
-    whole = list(frames.Frames().feed(wire))
+    messages = list(frames.Frames().feed(wire))
     parser = frames.Frames()
-    assert [m for byte in wire for m in parser.feed(bytes([byte]))] == whole and len(whole) == 4
+    assert [message for byte in wire for message in parser.feed(bytes([byte]))] == messages and len(
+        messages
+    ) == 4
     newer = msgspec.msgpack.encode({"type": "pong", "n": 1, "brand_new": [1, 2]})
     assert list(frames.Frames().feed(len(newer).to_bytes(4, "big") + newer)) == [frames.Pong(1)]
 
@@ -148,12 +160,12 @@
         (b"\0\0\0\x02\x81\xa4", "not a message"),
     ],
 )
-def test_garbled_frames_are_told(data, word):
+def test_a_malformed_frame_raises_a_frame_error(data, word):
     with pytest.raises(frames.FrameError, match=word):
         list(frames.Frames().feed(data))
 
 
-def test_an_unknown_version_is_refused_by_name():
+def test_a_hello_of_an_unknown_version_raises_an_error_that_names_it():
     with pytest.raises(frames.HelloError, match="version 9"):
         frames.check_hello(frames.Hello(9, "x"))
     with pytest.raises(frames.HelloError, match="must be hello"):
@@ -161,38 +173,37 @@
     frames.check_hello(frames.Hello(frames.VERSION, "x"))
 
 
-def test_http_requests_pipelined_in_pieces_and_errors():
-    side = ServerSide(max_body_bytes=10)
-    out = []
+def test_http_requests_are_parsed_byte_by_byte_and_errors_have_a_status():
+    connection = ServerSide(max_body_bytes=10)
+    requests = []
     for byte in b"GET /a?x=1 HTTP/1.1\r\nHost: h\r\n\r\n":
-        out += side.feed(bytes([byte]))
-    assert (out[0].path, out[0].query) == ("/a", "x=1")
-    assert side.respond(Response(200, b"hi")).startswith(b"HTTP/1.1 200")
-    [too_long] = side.feed(b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\n" + b"x" * 20)
-    assert too_long.status == 413 and side.closing
-    [bad] = ServerSide().feed(b"NOT HTTP\r\n\r\n")
-    assert bad.status == 400
+        requests += connection.feed(bytes([byte]))
+    assert (requests[0].path, requests[0].query) == ("/a", "x=1")
+    assert connection.respond(Response(200, b"hi")).startswith(b"HTTP/1.1 200")
+    [too_long] = connection.feed(b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\n" + b"x" * 20)
+    assert too_long.status == 413 and connection.closing
+    [malformed] = ServerSide().feed(b"NOT HTTP\r\n\r\n")
+    assert malformed.status == 400
 
 
-def _framed(message):
+def encode_frame(message):
+    """Return the frame of an arbitrary message, also one that this version does not define."""
     body = msgspec.msgpack.encode(message)
     return len(body).to_bytes(4, "big") + body
 
 
-def test_a_message_of_a_newer_side_is_skipped_and_one_that_is_wrong_is_not():
-    """Old beside new: an unknown type and unknown fields cost nothing; a known type that is spoilt ends the
-    wire.
-    """
+def test_an_unknown_message_type_is_skipped_and_a_malformed_known_one_raises_an_error():
+    """A peer of a newer version may send types and fields that this one does not define."""
     decoder = frames.Frames(greeted=False)
-    got = list(
+    messages = list(
         decoder.feed(
             frames.encode(frames.Hello(frames.VERSION, "b0", "broker"))
-            + _framed({"type": "later", "what": [1, 2]})
-            + _framed({"type": "ping", "n": 3, "mood": "new"})
+            + encode_frame({"type": "later", "what": [1, 2]})
+            + encode_frame({"type": "ping", "n": 3, "mood": "new"})
         )
     )
-    assert got[1:] == [frames.Ping(3)] and decoder.skipped == 1
+    assert messages[1:] == [frames.Ping(3)] and decoder.skipped == 1
     with pytest.raises(frames.FrameError, match="not a message"):
-        list(decoder.feed(_framed({"type": "ping", "n": "three"})))
+        list(decoder.feed(encode_frame({"type": "ping", "n": "three"})))
     with pytest.raises(frames.FrameError):
-        list(frames.Frames(greeted=False).feed(_framed({"type": "later"})))
+        list(frames.Frames(greeted=False).feed(encode_frame({"type": "later"})))
--- a/tests/test_eventloop.py
+++ b/tests/test_eventloop.py
@@ -1,4 +1,4 @@
-"""The event loop: tasks, cancel, timers, streams, on sockets and on virtual time."""
+"""The event loop: tasks, cancellation, timers and streams, on sockets and on virtual time."""
 
 from __future__ import annotations
 
@@ -23,50 +23,54 @@
 
 
 def echo(stream):
+    """Write back what a stream reads until its end."""
     while data := (yield from stream.read()):
         stream.write(data)
         yield from stream.drain()
 
 
 @pytest.fixture(params=["sockets", "memory"])
-def world(request):
-    loop, net, *_ = socket_loop() if request.param == "sockets" else virtual_loop(seed=3)
-    yield loop, net
+def loop_and_network(request):
+    """Yield an event loop and its network, once on sockets and once on virtual time."""
+    loop, network, *_ = socket_loop() if request.param == "sockets" else virtual_loop(seed=3)
+    yield loop, network
     loop.shutdown()
 
 
-def run(loop, gen):
-    return loop.run(loop.spawn(gen, "main"))
+def run(loop, coroutine):
+    """Run a coroutine as the main task of a loop and return its result."""
+    return loop.run(loop.spawn(coroutine, "main"))
 
 
-def test_bytes_come_back_in_order_through_small_buffers(world):
-    loop, net = world
+def test_a_stream_keeps_the_order_of_bytes_under_backpressure(loop_and_network):
+    loop, network = loop_and_network
 
     def main():
-        listener = net.listen("127.0.0.1:0", echo, "echo")
-        stream = yield from net.connect(listener.address, 1_000_000)
-        sent, got = bytes(range(256)) * 4096, bytearray()
+        listener = network.listen("127.0.0.1:0", echo, "echo")
+        stream = yield from network.connect(listener.address, 1_000_000)
+        sent = bytes(range(256)) * 4096
+        received = bytearray()
 
         def writer():
-            for at in range(0, len(sent), 10_000):
-                stream.write(sent[at : at + 10_000])
+            for offset in range(0, len(sent), 10_000):
+                stream.write(sent[offset : offset + 10_000])
                 yield from stream.drain()
             stream.end()
 
         loop.spawn(writer(), "writer")
         while data := (yield from stream.read()):
-            got += data
-        assert bytes(got) == sent
+            received += data
+        assert bytes(received) == sent
         listener.close()
         with pytest.raises(ConnectError):
-            yield from net.connect(listener.address, 100_000)
+            yield from network.connect(listener.address, 100_000)
 
     run(loop, main())
 
 
-def test_a_slow_reader_is_bounded_and_a_reset_is_told(world):
-    loop, net = world
-    fate = []
+def test_a_stream_over_its_hard_limit_raises_and_its_peer_reads_a_broken_stream(loop_and_network):
+    loop, network = loop_and_network
+    errors = []
 
     def flood(stream):
         stream.hard_limit = 2_000_000
@@ -74,147 +78,153 @@
             while True:
                 stream.write(b"x" * 65_536)
                 yield from sleep(loop, 0)
-        except StreamOverrunError as problem:
-            fate.append(str(problem))
+        except StreamOverrunError as error:
+            errors.append(str(error))
 
     def main():
-        listener = net.listen("127.0.0.1:0", flood, "flood")
-        stream = yield from net.connect(listener.address, 1_000_000)
-        while not fate:
+        listener = network.listen("127.0.0.1:0", flood, "flood")
+        stream = yield from network.connect(listener.address, 1_000_000)
+        while not errors:
             yield from sleep(loop, 1000)
         with pytest.raises(StreamBrokenError):
             while (yield from stream.read()):
                 pass
 
     run(loop, main())
-    assert "too slowly" in fate[0]
+    assert "too slowly" in errors[0]
 
 
-def test_cancel_runs_cleanup_and_reaches_children(world):
-    loop, _net = world
-    seen = []
+def test_cancellation_runs_cleanup_and_cancels_child_tasks(loop_and_network):
+    loop, _network = loop_and_network
+    cleaned_up = []
+    parent_tasks = []
 
     def child():
         try:
             yield from sleep(loop, 10_000_000)
         finally:
-            seen.append("child")
+            cleaned_up.append("child")
 
     def parent():
-        loop.spawn(child(), "child", parent=me[0])
+        loop.spawn(child(), "child", parent=parent_tasks[0])
         try:
             yield from sleep(loop, 10_000_000)
         finally:
             yield from sleep(loop, 1000)  # cleanup may wait
-            seen.append("parent")
+            cleaned_up.append("parent")
 
     def main():
-        me.append(loop.spawn(parent(), "parent"))
+        parent_tasks.append(loop.spawn(parent(), "parent"))
         yield from sleep(loop, 1000)
-        me[0].cancel()
-        assert (yield from me[0].join()) is None
+        parent_tasks[0].cancel()
+        assert (yield from parent_tasks[0].join()) is None
         yield from sleep(loop, 1000)
 
-    me = []
     run(loop, main())
-    assert seen == ["parent", "child"]
+    assert cleaned_up == ["parent", "child"]
 
 
-def test_an_error_ends_its_task_alone_and_is_told_with_its_name(world):
-    loop, net = world
-    told = []
-    loop.on_error = lambda name, error: told.append((name.split()[0], str(error)))
+def test_an_error_ends_its_task_alone_and_is_reported_with_the_task_name(loop_and_network):
+    loop, network = loop_and_network
+    reported = []
+    loop.on_error = lambda name, error: reported.append((name.split()[0], str(error)))
 
-    def bad(stream):
+    def failing(stream):
         yield from stream.read()
         raise KeyError("oops")
 
     def main():
-        listener = net.listen("127.0.0.1:0", bad, "bad")
+        listener = network.listen("127.0.0.1:0", failing, "bad")
         for _ in range(2):
-            stream = yield from net.connect(listener.address, 1_000_000)
+            stream = yield from network.connect(listener.address, 1_000_000)
             stream.write(b"x")
             with contextlib.suppress(StreamBrokenError):
                 assert (yield from stream.read()) == b""
         assert listener.open == 0
 
     run(loop, main())
-    assert told == [("bad", "'oops'")] * 2
+    assert reported == [("bad", "'oops'")] * 2
 
 
-def test_timers_fire_in_order_and_cancelled_ones_do_not(world):
-    loop, _net = world
-    seen = []
+def test_timers_fire_in_order_and_cancelled_ones_do_not(loop_and_network):
+    loop, _network = loop_and_network
+    fired = []
 
     def main():
-        start = loop.now()
-        timers = [loop.call_at(start + 1000 * n, seen.append, n) for n in (3, 1, 2)]
+        start_us = loop.now()
+        timers = [loop.call_at(start_us + 1000 * number, fired.append, number) for number in (3, 1, 2)]
         timers[2].cancel()
-        many = [loop.call_at(start + 60_000_000, seen.append, "late") for _ in range(3000)]
-        for timer in many:
+        cancelled = [loop.call_at(start_us + 60_000_000, fired.append, "late") for _ in range(3000)]
+        for timer in cancelled:
             timer.cancel()
         yield from sleep(loop, 10_000)
         assert len(loop._timers) < 600
 
     run(loop, main())
-    assert seen == [1, 3]
+    assert fired == [1, 3]
 
 
-def test_virtual_time_jumps_and_a_standstill_is_told():
+def test_virtual_time_advances_to_the_next_timer_and_a_deadlock_raises_an_error():
     loop, _ = virtual_loop()
-    start = loop.now()
+    start_us = loop.now()
     run(loop, sleep(loop, 3_600_000_000))
-    assert loop.now() - start == 3_600_000_000
+    assert loop.now() - start_us == 3_600_000_000
     with pytest.raises(StalledError):
         run(loop, Event().wait())
 
 
-def test_a_cut_way_holds_bytes_and_heals_in_order():
-    loop, net = virtual_loop()
+def test_a_cut_link_holds_bytes_and_delivers_them_in_order_once_healed():
+    loop, network = virtual_loop()
 
     def main():
-        net.listen("b:1", echo, "echo")
-        stream = yield from net.connect("b:1", 1_000_000, "a")
-        net.cut("b", "a")
+        network.listen("b:1", echo, "echo")
+        stream = yield from network.connect("b:1", 1_000_000, "a")
+        network.cut("b", "a")
         for part in (b"1", b"2", b"3"):
             stream.write(part)
             yield from sleep(loop, 1000)
         with pytest.raises(ConnectError):
-            yield from net.connect("b:1", 50_000, "a")
-        net.heal("b", "a")
-        got = b""
-        while len(got) < 3:
-            got += yield from stream.read()
-        assert got == b"123"
+            yield from network.connect("b:1", 50_000, "a")
+        network.heal("b", "a")
+        received = b""
+        while len(received) < 3:
+            received += yield from stream.read()
+        assert received == b"123"
 
     run(loop, main())
 
 
-def test_the_seed_decides_the_order_within_a_turn():
-    def order(seed):
-        loop, _ = virtual_loop(seed)
-        seen = []
+def task_order(seed):
+    """Return the order in which eight tasks spawned in one turn run on virtual time."""
+    loop, _ = virtual_loop(seed)
+    started = []
 
-        def task(n):
-            seen.append(n)
-            yield from sleep(loop, 0)
+    def task(number):
+        started.append(number)
+        yield from sleep(loop, 0)
 
-        for n in range(8):
-            loop.spawn(task(n), str(n))
-        run(loop, sleep(loop, 10))
-        return seen
+    for number in range(8):
+        loop.spawn(task(number), str(number))
+    run(loop, sleep(loop, 10))
+    return started
 
-    assert order(1) == order(1) and order(1) != order(2) and sorted(order(1)) == list(range(8))
 
+def test_the_seed_determines_the_order_of_tasks_within_a_turn():
+    assert (
+        task_order(1) == task_order(1)
+        and task_order(1) != task_order(2)
+        and sorted(task_order(1)) == list(range(8))
+    )
 
-def test_the_worker_blocks_nobody_and_hands_back_errors():
+
+def test_a_worker_does_not_block_the_loop_and_passes_on_errors():
     loop, _, _ = socket_loop()
     worker = Worker(loop)
-    seen = []
+    ticks = []
 
     def ticker():
         for _ in range(3):
-            seen.append("tick")
+            ticks.append("tick")
             yield from sleep(loop, 1000)
 
     def main():
@@ -227,47 +237,47 @@
     run(loop, main())
     worker.close()
     loop.shutdown()
-    assert seen == ["tick"] * 3
+    assert ticks == ["tick"] * 3
 
 
 def test_a_signal_wakes_the_loop():
     loop, _, poller = socket_loop()
-    came = Event()
-    old = signal.getsignal(signal.SIGUSR1)
-    poller.on_signal(signal.SIGUSR1, came.set)
+    received = Event()
+    previous_handler = signal.getsignal(signal.SIGUSR1)
+    poller.on_signal(signal.SIGUSR1, received.set)
     loop.call_at(loop.now() + 5000, os.kill, os.getpid(), signal.SIGUSR1)
-    run(loop, came.wait())
+    run(loop, received.wait())
     loop.shutdown()
-    signal.signal(signal.SIGUSR1, old)
+    signal.signal(signal.SIGUSR1, previous_handler)
 
 
-def test_accept_backs_off_while_descriptors_run_out_and_loses_nobody():
-    loop, net, _ = socket_loop()
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+def test_accept_backs_off_without_free_descriptors_and_loses_no_connection():
+    loop, network, _ = socket_loop()
+    soft_limit, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
 
     def main():
-        listener = net.listen("127.0.0.1:0", echo, "echo")
-        first = yield from net.connect(listener.address, 1_000_000)
-        held = []
-        resource.setrlimit(resource.RLIMIT_NOFILE, (len(os.listdir("/proc/self/fd")) + 8, hard))
-        waiting = yield from net.connect(listener.address, 1_000_000)
+        listener = network.listen("127.0.0.1:0", echo, "echo")
+        first = yield from network.connect(listener.address, 1_000_000)
+        descriptors = []
+        resource.setrlimit(resource.RLIMIT_NOFILE, (len(os.listdir("/proc/self/fd")) + 8, hard_limit))
+        second = yield from network.connect(listener.address, 1_000_000)
         yield from sleep(loop, 10_000)
         try:
             while True:
-                held.append(os.dup(0))
+                descriptors.append(os.dup(0))
         except OSError:
-            os.close(held.pop())
-        late = yield from net.connect(listener.address, 1_000_000)
+            os.close(descriptors.pop())
+        third = yield from network.connect(listener.address, 1_000_000)
         while not listener.accept_backoffs:
             yield from sleep(loop, 5000)
-        for fd in held:
-            os.close(fd)
-        for stream in (first, waiting, late):
+        for descriptor in descriptors:
+            os.close(descriptor)
+        for stream in (first, second, third):
             stream.write(b"hi")
             assert (yield from stream.read()) == b"hi"
 
     try:
         run(loop, main())
     finally:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (soft_limit, hard_limit))
         loop.shutdown()
--- a/tests/test_nodeframes.py
+++ b/tests/test_nodeframes.py
@@ -1,4 +1,4 @@
-"""The codec of the platform's frames: any cut, every length bounded, every spoilt answer told."""
+"""The codec of the platform's frames: incremental parsing, bounded lengths, an error for malformed frames."""
 
 from __future__ import annotations
 
@@ -6,46 +6,56 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heathwell.codec import nodeframes as nf
+from heathwell.codec import nodeframes
 from heathwell.testing.standins.platform_frames import decode_call
 
-ID = st.from_regex(r"[0-9a-f]{16}\.[0-9]{1,2}(\.fetch)?", fullmatch=True)
+PART_ID = st.from_regex(r"[0-9a-f]{16}\.[0-9]{1,2}(\.fetch)?", fullmatch=True)
 VALUE = st.from_regex(r"[0-9a-f]{16}", fullmatch=True)
 
 
-def answer(part, end, score, report, value):
-    return nf.encode_frame(nf.ANSWER, f"{part} {end} {score} {report}\n{value}".encode())
+def encode_answer(part, status, score, report, value):
+    """Return the frame of one part's answer."""
+    return nodeframes.encode_frame(nodeframes.ANSWER, f"{part} {status} {score} {report}\n{value}".encode())
 
 
-@given(st.lists(st.tuples(ID, st.integers(0, 2**31), VALUE), min_size=1, max_size=6), st.data())
-def test_any_cut_gives_the_same_answers(answers, data):
+@given(st.lists(st.tuples(PART_ID, st.integers(0, 2**31), VALUE), min_size=1, max_size=6), st.data())
+def test_a_stream_cut_anywhere_gives_the_same_answers(answers, data):
     stream = b"".join(
-        answer(part, 200, score, "inflight=7,util=0.61", value) for part, score, value in answers
+        encode_answer(part, 200, score, "inflight=7,util=0.61", value) for part, score, value in answers
     )
-    stream += nf.encode_frame(nf.PROBE, b"200") + nf.encode_frame(nf.FRAME_REJECTED, b"why")
-    incoming, got = nf.FrameReader(), []
+    stream += nodeframes.encode_frame(nodeframes.PROBE, b"200") + nodeframes.encode_frame(
+        nodeframes.FRAME_REJECTED, b"why"
+    )
+    reader = nodeframes.FrameReader()
+    messages = []
     while stream:
         cut = data.draw(st.integers(1, len(stream)))
-        got += incoming.feed(stream[:cut])
+        messages += reader.feed(stream[:cut])
         stream = stream[cut:]
-    assert got == [
-        nf.PartAnswer(part, 200, float(score), 7.0, value.encode()) for part, score, value in answers
-    ] + [nf.ProbeAnswer(True), nf.FrameRejected("why")]
-    assert not incoming.buffered_bytes
+    assert messages == [
+        nodeframes.PartAnswer(part, 200, float(score), 7.0, value.encode()) for part, score, value in answers
+    ] + [nodeframes.ProbeAnswer(True), nodeframes.FrameRejected("why")]
+    assert not reader.buffered_bytes
 
 
 @given(
-    ID, st.integers(0, 99), st.binary(max_size=200), st.lists(st.integers(0, 99), max_size=4), st.booleans()
+    PART_ID,
+    st.integers(0, 99),
+    st.binary(max_size=200),
+    st.lists(st.integers(0, 99), max_size=4),
+    st.booleans(),
 )
-def test_a_call_is_read_as_it_was_made(part, shard, text, answered, whole):
-    line = nf.encode_part(part, shard, 240, text, key="5c0f", answered=tuple(answered), complete=whole)
-    (first, second) = decode_call(line + nf.encode_part("b.1", 1, 5, b""))
+def test_a_call_is_decoded_as_it_was_encoded(part, shard, text, answered, complete):
+    line = nodeframes.encode_part(
+        part, shard, 240, text, key="5c0f", answered=tuple(answered), complete=complete
+    )
+    (first, second) = decode_call(line + nodeframes.encode_part("b.1", 1, 5, b""))
     assert (first.id, first.shard, first.text) == (part, shard, text)
     assert first.fields == {
         "d": "240",
         "k": "5c0f",
         "from": "+".join(map(str, answered)),
-        "whole": str(int(whole)),
+        "whole": str(int(complete)),
     }
     assert (second.id, second.fields, second.text) == ("b.1", {"d": "5"}, b"")
 
@@ -53,30 +63,30 @@
 @pytest.mark.parametrize(
     "data",
     [
-        nf.encode_frame(b"X", b"q.1 200 5 -\n0123456789abcdef"),
-        nf.encode_frame(nf.ANSWER, b"q.1 200 5 - 0123456789abcdef"),
-        nf.encode_frame(nf.ANSWER, b"q.1 777 5 -\n0123456789abcdef"),
-        nf.encode_frame(nf.ANSWER, b"q.1 200 x -\n0123456789abcdef"),
-        nf.encode_frame(nf.ANSWER, b"q.1 200 5 -\n0123456789abcde"),
-        nf.encode_frame(nf.ANSWER, b"q.1 200 5 -\n0123456789abcdef0"),
-        nf.encode_frame(nf.ANSWER, b"q.1 200 5 -\n0123456789abcdeg"),
-        nf.encode_frame(nf.ANSWER, b"q.1 200\n0123456789abcdef"),
-        nf.encode_frame(nf.ANSWER, b"q.1 200 5 -" + b"a" * 2000 + b"\n0123456789abcdef"),
-        nf.encode_frame(nf.ANSWER, b"\x80\n"),
-        nf.encode_frame(nf.PROBE, b"what"),
+        nodeframes.encode_frame(b"X", b"q.1 200 5 -\n0123456789abcdef"),
+        nodeframes.encode_frame(nodeframes.ANSWER, b"q.1 200 5 - 0123456789abcdef"),
+        nodeframes.encode_frame(nodeframes.ANSWER, b"q.1 777 5 -\n0123456789abcdef"),
+        nodeframes.encode_frame(nodeframes.ANSWER, b"q.1 200 x -\n0123456789abcdef"),
+        nodeframes.encode_frame(nodeframes.ANSWER, b"q.1 200 5 -\n0123456789abcde"),
+        nodeframes.encode_frame(nodeframes.ANSWER, b"q.1 200 5 -\n0123456789abcdef0"),
+        nodeframes.encode_frame(nodeframes.ANSWER, b"q.1 200 5 -\n0123456789abcdeg"),
+        nodeframes.encode_frame(nodeframes.ANSWER, b"q.1 200\n0123456789abcdef"),
+        nodeframes.encode_frame(nodeframes.ANSWER, b"q.1 200 5 -" + b"a" * 2000 + b"\n0123456789abcdef"),
+        nodeframes.encode_frame(nodeframes.ANSWER, b"\x80\n"),
+        nodeframes.encode_frame(nodeframes.PROBE, b"what"),
         b"\xb2\xd0\x5e\x00" + b"Oq.1 200 5 -\n",
         b"\0\0\0\0",
         b"\xff\xff\xff\xffO",
     ],
 )
-def test_spoilt_answers_are_told(data):
-    with pytest.raises(nf.NodeFrameError):
-        list(nf.FrameReader().feed(data))
+def test_a_malformed_frame_raises_an_error(data):
+    with pytest.raises(nodeframes.NodeFrameError):
+        list(nodeframes.FrameReader().feed(data))
 
 
-def test_a_spoilt_answer_names_its_part_where_it_can():
-    with pytest.raises(nf.NodeFrameError) as caught:
-        list(nf.FrameReader().feed(b"\xb2\xd0\x5e\x00" + b"Oq.1 200 5 -\n"))
+def test_the_error_of_a_malformed_answer_has_its_part_id_where_that_is_readable():
+    with pytest.raises(nodeframes.NodeFrameError) as caught:
+        list(nodeframes.FrameReader().feed(b"\xb2\xd0\x5e\x00" + b"Oq.1 200 5 -\n"))
     assert caught.value.part_id == "q.1"
 
 
@@ -90,16 +100,16 @@
         ("=,=,", None),
     ],
 )
-def test_a_report_that_cant_be_read_costs_its_answer_nothing(report, inflight):
-    (got,) = nf.FrameReader().feed(answer("q.1", 200, 5, report, "0123456789abcdef"))
-    assert got.inflight == inflight and got.data == b"0123456789abcdef"
+def test_an_answer_with_an_unreadable_load_report_is_accepted(report, inflight):
+    (decoded,) = nodeframes.FrameReader().feed(encode_answer("q.1", 200, 5, report, "0123456789abcdef"))
+    assert decoded.inflight == inflight and decoded.data == b"0123456789abcdef"
 
 
 @given(st.binary(max_size=300))
-def test_noise_never_does_more_than_fail(data):
-    incoming = nf.FrameReader()
+def test_arbitrary_bytes_raise_nothing_but_a_frame_error(data):
+    reader = nodeframes.FrameReader()
     try:
-        list(incoming.feed(data))
-    except nf.NodeFrameError:
+        list(reader.feed(data))
+    except nodeframes.NodeFrameError:
         return
-    assert incoming.buffered_bytes <= nf.MAX_FRAME_BYTES + 4
+    assert reader.buffered_bytes <= nodeframes.MAX_FRAME_BYTES + 4
