--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
 import pytest
@@ -18,7 +19,7 @@
 """Latency objective of every query class, in microseconds; their timeout is twice as long."""
 
 
-def make_settings(**changes: Any) -> Settings:
+def make_settings(**changes: object) -> Settings:
     """Return settings of six replica groups, each shard on three of them, with `changes` applied."""
     values: dict[str, Any] = {
         "classes": (
@@ -59,9 +60,13 @@
     return Settings(**values)
 
 
-def entry(index: int, **changes: Any) -> policy.EndpointEntry:
+def entry(
+    index: int,
+    state: policy.EndpointState = policy.EndpointState.LIVE,
+    started_at_us: int | None = None,
+) -> policy.EndpointEntry:
     """Return the entry of endpoint `s<index>` in replica group `index` of the endpoint list."""
-    return policy.EndpointEntry(f"s{index}", index, **changes)
+    return policy.EndpointEntry(f"s{index}", index, state, started_at_us)
 
 
 class Driver:
@@ -90,14 +95,24 @@
         return self.agg.handle(self.now, list(events))
 
     def query(
-        self, query_class: int, shards: list[int], limit: int = 2 * AIM, after: int = 5000, **more: Any
+        self,
+        query_class: int,
+        shards: list[int],
+        limit: int = 2 * AIM,
+        after: int = 5000,
+        *,
+        tenant: int = 0,
+        is_retry: bool = False,
     ) -> list[policy.Action]:
         """Send a query with one part for each shard; the ids are `q<job>` and `q<job>/<number>`."""
         self.jobs += 1
         name = f"q{self.jobs}"
         self.now += after
+        deadline_us = self.now + limit
         events: list[policy.Event] = [
-            policy.QueryArrived(name, self.jobs, query_class, self.now + limit, len(shards), **more)
+            policy.QueryArrived(
+                name, self.jobs, query_class, deadline_us, len(shards), tenant=tenant, is_retry=is_retry
+            )
         ]
         events += [
             policy.PartArrived(f"{name}/{number}", self.jobs, shard, 1 / len(shards))
@@ -130,10 +145,10 @@
 
 
 @pytest.fixture
-def drive() -> Any:
+def drive() -> Callable[..., Driver]:
     """Return a function that builds a driver on the settings of `make_settings` with changes."""
 
-    def build(seed: int = 1, servers: int | None = None, **changes: Any) -> Driver:
+    def build(seed: int = 1, servers: int | None = None, **changes: object) -> Driver:
         """Return a driver at the start of its clock, with `servers` endpoints listed."""
         return Driver(make_settings(**changes), seed, servers)
 
--- a/tests/test_eventloop.py
+++ b/tests/test_eventloop.py
@@ -6,6 +6,7 @@
 import os
 import resource
 import signal
+from pathlib import Path
 
 import pytest
 
@@ -259,7 +260,9 @@
         listener = network.listen("127.0.0.1:0", echo, "echo")
         first = yield from network.connect(listener.address, 1_000_000)
         descriptors = []
-        resource.setrlimit(resource.RLIMIT_NOFILE, (len(os.listdir("/proc/self/fd")) + 8, hard_limit))
+        resource.setrlimit(
+            resource.RLIMIT_NOFILE, (len(list(Path("/proc/self/fd").iterdir())) + 8, hard_limit)
+        )
         second = yield from network.connect(listener.address, 1_000_000)
         yield from sleep(loop, 10_000)
         try:
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -14,7 +14,6 @@
 from collections.abc import Callable
 from pathlib import Path
 from subprocess import PIPE
-from typing import Any
 
 from heathwell.fleet.quotas import Budget, BudgetKind, FractionLedger, GrantRequest, Lease
 from heathwell.fleet.rollout import (
@@ -52,7 +51,7 @@
 MEMBERS = [f"b{number}.{'xyz'[number % 3]}" for number in range(24)]
 
 
-def release_with_a_worse_class() -> Any:
+def release_with_a_worse_class() -> object:
     """Return a release whose new version is worse in one class, with every state of its controller."""
     stages = (
         Stage(0.0, 10 * SECOND_US, 20 * SECOND_US),
@@ -70,7 +69,7 @@
     )
 
 
-def canary_verdicts_on_several_worse_classes() -> Any:
+def canary_verdicts_on_several_worse_classes() -> object:
     """Return the verdicts of the canary analysis where several query classes are worse at once."""
     analysis = CanaryAnalysis(AnalysisLimits(), 40)
     windows = [
@@ -86,7 +85,7 @@
     return [analysis.observe(windows) for _ in range(40)]
 
 
-def quotas_under_random_faults() -> Any:
+def quotas_under_random_faults() -> object:
     """Return the state of quota coordinators and brokers after a random fault script."""
     scenario = QuotaScenario(1, brokers=8)
     faults = schedule_random_faults(scenario, 6 * SECOND_US, 12 * SECOND_US)
@@ -108,7 +107,7 @@
     )
 
 
-def quota_grants_under_excess_demand() -> Any:
+def quota_grants_under_excess_demand() -> object:
     """Return the grants of one fraction to members whose demands exceed it together."""
     ledger = FractionLedger(
         Budget("connections", BudgetKind.COUNT, 1_200, 240, 24, linger_timeout_us=300_000),
@@ -127,14 +126,14 @@
     ]
 
 
-def brokers_with_quotas() -> Any:
+def brokers_with_quotas() -> object:
     """Return the event logs of brokers with quotas whose hosts restart into slow start."""
     experiment = QuotaExperiment("lent", "cold return", 1, brokers=3, hosts=9, rate=2.0)
     experiment.run()
     return experiment.events, sorted(experiment.outcomes.counts.items())
 
 
-def zone_evacuation_and_restore() -> Any:
+def zone_evacuation_and_restore() -> object:
     """Return the events of a fleet that evacuates a killed zone and restores it."""
     scenario = EvacuationScenario(EvacuationVariant.FLEET, Scenario.KILLED, 1, brokers=6, hosts=9, rate=16.0)
     scenario.duration_seconds = 12.0
@@ -144,7 +143,7 @@
     return scenario.events, result
 
 
-def retry_storm() -> Any:
+def retry_storm() -> object:
     """Return the events of an outage and of the retries after it."""
     parameters = RetryStormParameters(
         clients=40, think_seconds=8.0, outage_seconds=4.0, before_seconds=4.0, after_seconds=4.0
@@ -154,7 +153,7 @@
     return scenario.events, scenario.record.requests, scenario.state_changes()
 
 
-def platform_brokers() -> Any:
+def platform_brokers() -> object:
     """Return the counters of platform brokers of which one is killed and one node is replaced."""
     world = MultiBrokerScenario(3, 8, 1)
     world.loop.call_at(SECOND_US, world.restart, 1)
@@ -168,17 +167,17 @@
     )
 
 
-def random_event_orderings() -> Any:
+def random_event_orderings() -> object:
     """Return the events of a random schedule of drains, resets and endpoint updates."""
     return play_event_orderings("asked", 3, span_us=3 * SECOND_US)
 
 
-def random_fault_script() -> Any:
+def random_fault_script() -> object:
     """Return a random fault script for the demonstration fleet."""
     return generate_fault_script(5, load(str(ROOT / "examples" / "market-fleet.sx")))
 
 
-SCENARIOS: tuple[Callable[[], Any], ...] = (
+SCENARIOS: tuple[Callable[[], object], ...] = (
     release_with_a_worse_class,
     canary_verdicts_on_several_worse_classes,
     quotas_under_random_faults,
--- a/tests/test_part_ranking.py
+++ b/tests/test_part_ranking.py
@@ -14,7 +14,7 @@
 def list_endpoints(count: int) -> policy.EndpointUpdate:
     """Return a complete list of `count` endpoints, one in each replica group."""
     entries = tuple(policy.EndpointEntry(f"s{index}", index) for index in range(count))
-    return policy.EndpointUpdate(policy.UpdateKind.FULL, entries, False)
+    return policy.EndpointUpdate(policy.UpdateKind.FULL, entries, requested=False)
 
 
 class NaiveAggregator(Aggregator):
