--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Final
 
 import pytest
 from hypothesis import settings as hypothesis_settings
@@ -17,10 +17,16 @@
 
 AIM = 1_000_000
 """Latency objective of every query class, in microseconds; their timeout is twice as long."""
+TICK_US: Final = 5_000
+START_US: Final = 10_000_000
 
 
 def make_settings(**changes: object) -> Settings:
-    """Return settings of six replica groups, each shard on three of them, with `changes` applied."""
+    """Return settings of six replica groups, each shard on three of them, with `changes` applied.
+
+    The query classes by index: 0 needs three quarters of its parts, 1 all of them, 2 has a second step, 3 is
+    keyed, 4 is not idempotent, 5 accepts a partial answer, 6 accepts one and has a second step.
+    """
     values: dict[str, Any] = {
         "classes": (
             policy.QueryClass(
@@ -48,7 +54,7 @@
         "shards": 6,
         "replica_groups": 6,
         "groups_per_shard": 3,
-        "tick_us": 5000,
+        "tick_us": TICK_US,
         "max_attempts": 3,
         "overload_multiple": 2.0,
         "overload_after_us": 1_000_000,
@@ -72,50 +78,56 @@
 class Driver:
     """Passes events to one aggregator on a clock of its own and returns the actions.
 
-    Construction passes a complete endpoint list of `servers` endpoints, one in each replica group; `first`
-    holds the actions that it caused.
+    Construction passes a complete list of `endpoint_count` endpoints, one in each replica group;
+    `initial_actions` holds the actions that it caused.
     """
 
-    def __init__(self, config: Settings, seed: int = 1, servers: int | None = None) -> None:
-        self.agg = Aggregator(config, seed)
+    def __init__(self, config: Settings, seed: int = 1, endpoint_count: int | None = None) -> None:
+        self.aggregator = Aggregator(config, seed)
         self.config = config
-        self.now = 10_000_000
-        self.jobs = 0
-        count = config.replica_groups if servers is None else servers
-        self.first = self.step(
+        self.now_us = START_US
+        self.query_count = 0
+        count = config.replica_groups if endpoint_count is None else endpoint_count
+        self.initial_actions = self.step(
             0,
             policy.EndpointUpdate(
                 policy.UpdateKind.FULL, tuple(entry(index) for index in range(count)), requested=False
             ),
         )
 
-    def step(self, after: int, *events: policy.Event) -> list[policy.Action]:
-        """Handle one batch of events, `after` microseconds later."""
-        self.now += after
-        return self.agg.handle(self.now, list(events))
+    def step(self, after_us: int, *events: policy.Event) -> list[policy.Action]:
+        """Handle one batch of events, `after_us` microseconds later."""
+        self.now_us += after_us
+        return self.aggregator.handle(self.now_us, list(events))
 
     def query(
         self,
         query_class: int,
         shards: list[int],
-        limit: int = 2 * AIM,
-        after: int = 5000,
+        timeout_us: int = 2 * AIM,
+        after_us: int = TICK_US,
         *,
         tenant: int = 0,
         is_retry: bool = False,
     ) -> list[policy.Action]:
         """Send a query with one part for each shard; the ids are `q<job>` and `q<job>/<number>`."""
-        self.jobs += 1
-        name = f"q{self.jobs}"
-        self.now += after
-        deadline_us = self.now + limit
+        self.query_count += 1
+        name = f"q{self.query_count}"
+        self.now_us += after_us
+        deadline_us = self.now_us + timeout_us
         events: list[policy.Event] = [
             policy.QueryArrived(
-                name, self.jobs, query_class, deadline_us, len(shards), tenant=tenant, is_retry=is_retry
+                name,
+                self.query_count,
+                query_class,
+                deadline_us,
+                len(shards),
+                tenant=tenant,
+                is_retry=is_retry,
             )
         ]
         events += [
-            policy.PartArrived(f"{name}/{number}", self.jobs, shard, 1 / len(shards))
+            policy.PartArrived(f"{name}/{number}", self.query_count, shard, 1 / len(shards))
             for number, shard in enumerate(shards)
         ]
         return self.step(0, *events)
@@ -124,18 +136,18 @@
         self,
         send: policy.Send,
         outcome: str = policy.Outcome.OK,
-        after: int = 5000,
+        after_us: int = TICK_US,
         seq: int = 0,
-        took: int = 80_000,
+        latency_us: int = 80_000,
     ) -> list[policy.Action]:
-        """End one attempt with an outcome, after a latency of `took` microseconds."""
-        return self.step(after, policy.AttemptEnded(send.id, seq, send.node, outcome, took))
+        """End one attempt with an outcome, after a latency of `latency_us` microseconds."""
+        return self.step(after_us, policy.AttemptEnded(send.id, seq, send.node, outcome, latency_us))
 
-    def wait(self, span: int) -> list[policy.Action]:
+    def wait(self, duration_us: int) -> list[policy.Action]:
         """Advance the clock tick by tick with a due timer at each; return the actions of all ticks."""
         actions: list[policy.Action] = []
-        for _ in range(span // 5000):
-            actions += self.step(5000, policy.TimerFired("due"))
+        for _ in range(duration_us // TICK_US):
+            actions += self.step(TICK_US, policy.TimerFired("due"))
         return actions
 
 
@@ -148,8 +160,8 @@
 def drive() -> Callable[..., Driver]:
     """Return a function that builds a driver on the settings of `make_settings` with changes."""
 
-    def build(seed: int = 1, servers: int | None = None, **changes: object) -> Driver:
-        """Return a driver at the start of its clock, with `servers` endpoints listed."""
-        return Driver(make_settings(**changes), seed, servers)
+    def build(seed: int = 1, endpoint_count: int | None = None, **changes: object) -> Driver:
+        """Return a driver at the start of its clock, with `endpoint_count` endpoints listed."""
+        return Driver(make_settings(**changes), seed, endpoint_count)
 
     return build
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -289,15 +289,15 @@
 def test_a_last_try_with_all_the_time_left_does_not_make_first_tries_look_cut():
     d = Driver(make_settings())
     for _ in range(20):
-        (send,) = of(d.query(0, [0], limit=1_500_000), policy.Send)
+        (send,) = of(d.query(0, [0], timeout_us=1_500_000), policy.Send)
         d.end(send)
-    d.query(0, [0], limit=1_990_000)  # a client's last try may have more time than its first
-    query = d.agg.queries[f"q{d.jobs + 1 - 1}"]
-    assert query.objective_at_us == d.now + 1_000_000
-    d.query(0, [1], limit=1_500_000)
-    assert d.agg.queries[f"q{d.jobs}"].objective_at_us == d.now + 1_000_000
-    d.query(0, [2], limit=700_000)  # a retry that is cut short still tells when its client first asked
-    assert d.agg.queries[f"q{d.jobs}"].objective_at_us == d.now - 300_000
+    d.query(0, [0], timeout_us=1_990_000)  # a client's last try may have more time than its first
+    query = d.aggregator.queries[f"q{d.query_count + 1 - 1}"]
+    assert query.objective_at_us == d.now_us + 1_000_000
+    d.query(0, [1], timeout_us=1_500_000)
+    assert d.aggregator.queries[f"q{d.query_count}"].objective_at_us == d.now_us + 1_000_000
+    d.query(0, [2], timeout_us=700_000)  # a retry that is cut short still tells when its client first asked
+    assert d.aggregator.queries[f"q{d.query_count}"].objective_at_us == d.now_us - 300_000
 
 
 def test_a_client_that_closes_has_left():
@@ -374,16 +374,16 @@
         ),
     )
     d.step(5_000_000, policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL, ()))
-    assert "s1" in d.agg.endpoints and not d.agg.endpoints["s1"].live
+    assert "s1" in d.aggregator.endpoints and not d.aggregator.endpoints["s1"].live
     d.step(16_000_000, policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL, ()))
-    assert "s1" not in d.agg.endpoints
+    assert "s1" not in d.aggregator.endpoints
     d.step(
         0,
         policy.EndpointUpdate(
-            policy.UpdateKind.INCREMENTAL, (policy.EndpointEntry("s1", 1, started_at_us=d.now),)
+            policy.UpdateKind.INCREMENTAL, (policy.EndpointEntry("s1", 1, started_at_us=d.now_us),)
         ),
     )
-    assert d.agg.slow_start_fraction(d.agg.endpoints["s1"]) < 1.0
+    assert d.aggregator.slow_start_fraction(d.aggregator.endpoints["s1"]) < 1.0
 
 
 def test_parts_lost_with_their_connections_shed_nothing_and_eject_nobody(drive):
@@ -392,24 +392,26 @@
     for _ in range(40):
         for send in of(d.query(0, [0, 1, 2, 3]), policy.Send):
             first = first or send
-            again = of(d.end(send, policy.Outcome.CONNECTION_LOST, after=1000, took=10_000), policy.Send)
+            again = of(
+                d.end(send, policy.Outcome.CONNECTION_LOST, after_us=1000, latency_us=10_000), policy.Send
+            )
             assert (
                 len(again) == 1 and again[0].node != send.node
             )  # outside of the own budget, at another holder
-            d.end(again[0], after=1000, seq=1)
-    assert not any(server.ejections or server.penalty.value for server in d.agg.endpoints.values())
-    assert d.agg.retry_budget.bucket.tokens >= 1
+            d.end(again[0], after_us=1000, seq=1)
+    assert not any(server.ejections or server.penalty.value for server in d.aggregator.endpoints.values())
+    assert d.aggregator.retry_budget.bucket.tokens >= 1
 
 
 def test_a_keyed_part_that_was_lost_is_sent_again_within_its_window_only(drive):
     d = drive()
     (send,) = of(d.query(3, [0]), policy.Send)
-    assert of(d.end(send, policy.Outcome.CONNECTION_LOST, after=100_000), policy.Send)
+    assert of(d.end(send, policy.Outcome.CONNECTION_LOST, after_us=100_000), policy.Send)
     (send,) = of(d.query(3, [0]), policy.Send)
-    assert not of(d.end(send, policy.Outcome.CONNECTION_LOST, after=750_000), policy.Send)
+    assert not of(d.end(send, policy.Outcome.CONNECTION_LOST, after_us=750_000), policy.Send)
     (send,) = of(d.query(4, [0]), policy.Send)
     assert not of(
-        d.end(send, policy.Outcome.CONNECTION_LOST, after=1000), policy.Send
+        d.end(send, policy.Outcome.CONNECTION_LOST, after_us=1000), policy.Send
     )  # an unsafe one may have run
 
 
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -13,14 +13,14 @@
         make_settings(shards=ENDPOINT_COUNT, replica_groups=ENDPOINT_COUNT, slow_start_duration_us=60_000_000)
     )
     for number in range(40):
-        for send in of(driver.query(1, [number % ENDPOINT_COUNT], after=AIM // 4), policy.Send):
+        for send in of(driver.query(1, [number % ENDPOINT_COUNT], after_us=AIM // 4), policy.Send):
             driver.end(send)
     return driver
 
 
 def endpoint_serving(driver: Driver, shard: int, after: int) -> str:
     """Return the endpoint that a part of this shard is sent to; it responds at once."""
-    (send,) = of(driver.query(1, [shard], after=after), policy.Send)
+    (send,) = of(driver.query(1, [shard], after_us=after), policy.Send)
     driver.end(send)
     return send.node
 
@@ -29,7 +29,7 @@
     """Reject parts at one endpoint, `times` in all, and answer all others; return the operator log lines."""
     lines: list[str] = []
     while times:
-        for send in of(driver.query(1, [int(node[1:])], after=10_000), policy.Send):
+        for send in of(driver.query(1, [int(node[1:])], after_us=10_000), policy.Send):
             is_rejected = send.node == node
             times -= is_rejected
             actions = driver.end(send, policy.Outcome.REJECTED if is_rejected else policy.Outcome.OK)
@@ -50,41 +50,41 @@
     driver = low_traffic_driver()
     for _ in range(3):
         reject_parts(driver, "s7", 1)
-        driver.agg.endpoints["s7"].penalty.value = 0.0
+        driver.aggregator.endpoints["s7"].penalty.value = 0.0
         while endpoint_serving(driver, 7, AIM) != "s7":
             pass
-    assert not driver.agg.endpoints["s7"].ejections
+    assert not driver.aggregator.endpoints["s7"].ejections
 
 
 def test_where_most_endpoints_reject_no_more_than_the_maximum_fraction_is_ejected():
     driver = low_traffic_driver()
     for number in range(0, ENDPOINT_COUNT, 2):
         reject_parts(driver, f"s{number}", 2)
-    ejected = [endpoint for endpoint in driver.agg.endpoints.values() if endpoint.ejections]
+    ejected = [endpoint for endpoint in driver.aggregator.endpoints.values() if endpoint.ejections]
     assert len(ejected) == 0.4 * ENDPOINT_COUNT
 
 
 def test_a_slow_response_still_counts_at_the_next_attempt():
     driver = low_traffic_driver()
-    while (send := of(driver.query(1, [7], after=10_000), policy.Send)[0]).node != "s7":
+    while (send := of(driver.query(1, [7], after_us=10_000), policy.Send)[0]).node != "s7":
         driver.end(send)
-    driver.end(send, took=8 * AIM // 10)
+    driver.end(send, latency_us=8 * AIM // 10)
     driver.wait(16 * AIM)  # such an aggregator sends to it about every 15 objectives
-    assert driver.agg.latency.relative_latency(driver.agg.endpoints["s7"]) > 2
+    assert driver.aggregator.latency.relative_latency(driver.aggregator.endpoints["s7"]) > 2
     assert "s7" not in {endpoint_serving(driver, 7, 5_000) for _ in range(6)}
 
 
 def test_an_aggregator_with_frequent_samples_has_a_memory_of_one_latency_objective():
     driver = Driver(make_settings())
     for number in range(400):
-        for send in of(driver.query(1, [number % 6], after=5_000), policy.Send):
+        for send in of(driver.query(1, [number % 6], after_us=5_000), policy.Send):
             driver.end(send)
-    assert driver.agg.latency.memory_us(1.0) == AIM
+    assert driver.aggregator.latency.memory_us(1.0) == AIM
 
 
 def exhaust_retry_budget(driver: Driver) -> None:
     """Spend all tokens of the aggregator's own retry budget."""
-    driver.agg.retry_budget.bucket.tokens = 0.0
+    driver.aggregator.retry_budget.bucket.tokens = 0.0
 
 
 def test_a_part_that_reached_no_endpoint_is_retried_without_retry_budget():
@@ -92,7 +92,7 @@
     exhaust_retry_budget(driver)
     (send,) = of(driver.query(1, [7]), policy.Send)
     (retry,) = of(driver.end(send, policy.Outcome.UNREACHABLE), policy.Send)
-    assert retry.node != send.node and driver.agg.retry_budget.bucket.tokens >= 0
+    assert retry.node != send.node and driver.aggregator.retry_budget.bucket.tokens >= 0
 
 
 def test_a_part_without_retry_budget_waits_for_it_while_its_query_can_meet_its_objective():
@@ -102,7 +102,7 @@
     sends = of(driver.query(1, [7, 17, 27]), policy.Send)
     actions = driver.end(sends[0], policy.Outcome.REJECTED)
     assert not of(actions, policy.Reject) and not of(actions, policy.Send)
-    driver.agg.retry_budget.bucket.tokens = 1.0  # earned by first attempts of other queries
+    driver.aggregator.retry_budget.bucket.tokens = 1.0  # earned by first attempts of other queries
     retries = of(driver.wait(AIM // 10), policy.Send)
     assert [retry.id for retry in retries] == [sends[0].id]
 
@@ -122,10 +122,10 @@
     """
     driver = Driver(make_settings(shards=6, replica_groups=6, slow_start_duration_us=60_000_000))
     for number in range(60):
-        for send in of(driver.query(1, [number % 6], after=AIM // 8), policy.Send):
+        for send in of(driver.query(1, [number % 6], after_us=AIM // 8), policy.Send):
             driver.end(send)
-    endpoint = driver.agg.endpoints["s1"]
-    driver.agg.load.add_penalty(endpoint)
-    initial_penalty = driver.agg.load.penalty(endpoint)
-    driver.agg.context.now_us += AIM
-    assert driver.agg.load.penalty(endpoint) <= 0.37 * initial_penalty
+    endpoint = driver.aggregator.endpoints["s1"]
+    driver.aggregator.load.add_penalty(endpoint)
+    initial_penalty = driver.aggregator.load.penalty(endpoint)
+    driver.aggregator.context.now_us += AIM
+    assert driver.aggregator.load.penalty(endpoint) <= 0.37 * initial_penalty
--- a/tests/test_module_rules.py
+++ b/tests/test_module_rules.py
@@ -12,7 +12,7 @@
     for _ in range(rounds):
         for shard in shards:
             for send in of(driver.query(1, [shard]), policy.Send):
-                driver.end(send, after=20_000, took=20_000)
+                driver.end(send, after_us=20_000, latency_us=20_000)
 
 
 def test_an_unanswered_query_is_rejected_with_a_retry_after_before_its_deadline(drive):
@@ -88,14 +88,16 @@
     warm_up(driver)
     driver.step(
         0,
-        policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL, (entry(0, started_at_us=driver.now - 10_000),)),
+        policy.EndpointUpdate(
+            policy.UpdateKind.INCREMENTAL, (entry(0, started_at_us=driver.now_us - 10_000),)
+        ),
     )
     sent_count = 0
-    start_us = driver.now
-    while driver.now < start_us + 900_000:
+    start_us = driver.now_us
+    while driver.now_us < start_us + 900_000:
         for send in of(driver.query(1, [0]), policy.Send):
             sent_count += send.node == "s0"
-            driver.end(send, after=20_000, took=20_000)
+            driver.end(send, after_us=20_000, latency_us=20_000)
     # An endpoint answered 6.7 parts a second before; 2 aggregators x 0.2 to 0.27 of that is 2.7 to 3.6,
     # while an even third of this traffic would be 12.
     assert 1 <= sent_count <= 3
@@ -117,7 +119,7 @@
         driver.step(
             0,
             policy.EndpointUpdate(
-                policy.UpdateKind.INCREMENTAL, (entry(0, started_at_us=driver.now - 10_000),)
+                policy.UpdateKind.INCREMENTAL, (entry(0, started_at_us=driver.now_us - 10_000),)
             ),
         )
         sends = [send for _ in range(4) for send in of(driver.query(1, [0] * 3), policy.Send)]
@@ -136,7 +138,7 @@
             0,
             policy.EndpointUpdate(
                 policy.UpdateKind.INCREMENTAL,
-                tuple(entry(index, started_at_us=driver.now - 10_000) for index in (0, 1)),
+                tuple(entry(index, started_at_us=driver.now_us - 10_000) for index in (0, 1)),
             ),
         )
         first_attempts += sum(
@@ -167,8 +169,8 @@
     """An answer to the first step a tick before the deadline would leave the query without a final reply."""
     driver = drive()
     sends = of(driver.query(6, [0, 1, 2, 3]), policy.Send)
-    driver.end(sends[0], took=100_000)
-    driver.end(sends[1], took=100_000)
+    driver.end(sends[0], latency_us=100_000)
+    driver.end(sends[1], latency_us=100_000)
     first_answers = of(driver.wait(AIM - 100_000), policy.Answer)
     assert first_answers == [policy.Answer("q1", False)]
     second = of(
@@ -188,8 +190,8 @@
     ):
         driver = drive(clients_mark_retries=marks_retries)
         driver.query(1, [0])
-        driver.query(1, [0], limit=AIM * 3 // 2, is_retry=is_retry)
-        assert driver.agg.queries["q2"].objective_at_us == driver.now + objective_us
+        driver.query(1, [0], timeout_us=AIM * 3 // 2, is_retry=is_retry)
+        assert driver.aggregator.queries["q2"].objective_at_us == driver.now_us + objective_us
 
 
 def test_the_expected_latency_of_a_query_grows_with_its_number_of_parts(drive):
@@ -198,7 +200,7 @@
         driver = drive(overload_multiple=0.0)
         for _ in range(15):
             for send in of(driver.query(1, [0]), policy.Send):
-                driver.end(send, after=90_000, took=300_000)
+                driver.end(send, after_us=90_000, latency_us=300_000)
         assert (
             bool(of(driver.query(1, [number % 6 for number in range(parts)]), policy.Reject)) == is_rejected
         )
@@ -209,7 +211,7 @@
     for shards in ((3, 3, 3), *[(0, 3, 3)] * 4):
         for shard in shards:
             for send in of(driver.query(1, [shard]), policy.Send):
-                driver.end(send, after=120_000, took=1_500_000 if send.node in slow else 50_000)
+                driver.end(send, after_us=120_000, latency_us=1_500_000 if send.node in slow else 50_000)
 
 
 def test_a_query_that_needs_a_slow_shard_is_rejected_and_others_are_admitted(drive):
@@ -230,7 +232,7 @@
     for latency_us in (20_000, 20_000, 400_000):
         driver.wait(2 * AIM)
         send = of(driver.query(1, [0]), policy.Send)[0]
-        driver.end(send, after=latency_us, took=latency_us)
+        driver.end(send, after_us=latency_us, latency_us=latency_us)
     assert all(of(driver.query(1, [0]), policy.Send)[0].node != send.node for _ in range(2))
 
 
@@ -238,13 +240,15 @@
     """The latency of an attempt that was sent long ago is no evidence of the present one."""
     driver = drive(overload_multiple=0.0)
     for shard in [*range(6)] * 2:
-        driver.end(of(driver.query(0, [shard]), policy.Send)[0], after=200_000, took=50_000)
+        driver.end(of(driver.query(0, [shard]), policy.Send)[0], after_us=200_000, latency_us=50_000)
     delayed = [
-        send for number in range(12) for send in of(driver.query(0, [number % 6], limit=5 * AIM), policy.Send)
+        send
+        for number in range(12)
+        for send in of(driver.query(0, [number % 6], timeout_us=5 * AIM), policy.Send)
     ]
     driver.wait(3 * AIM)
     for send in delayed:
-        driver.end(send, after=0, took=3 * AIM)
+        driver.end(send, after_us=0, latency_us=3 * AIM)
     assert of(driver.query(0, [0, 1, 2, 3]), policy.Reject) == []
 
 
@@ -253,7 +257,7 @@
     retry_after_us = set()
     for seed in range(6):
         driver = drive(seed=seed, retry_advice_allowed=True, max_retry_after_us=300_000)
-        driver.query(1, [0], limit=AIM // 2)
+        driver.query(1, [0], timeout_us=AIM // 2)
         retry_after_us |= {reject.retry_after_us for reject in of(driver.wait(AIM // 2), policy.Reject)}
     assert len(retry_after_us) == 6 and max(retry_after_us) <= 300_000
 
@@ -276,20 +280,20 @@
     """The relative latency fades with time and is not replaced by a single sample."""
     driver = drive(overload_multiple=0.0)
     warm_up(driver)
-    endpoint = driver.agg.endpoints["s0"]
+    endpoint = driver.aggregator.endpoints["s0"]
     endpoint.relative_latency.value = 8.0  # as after a run of slow responses
-    endpoint.relative_latency.updated_at_us = driver.now
+    endpoint.relative_latency.updated_at_us = driver.now_us
     warm_up(driver, shards=(3, 4, 5))
     for _ in range(2):  # the other replicas of its shard have attempts in flight from here on
-        driver.query(1, [1], after=0)
-    before = driver.agg.latency.relative_latency(endpoint)
+        driver.query(1, [1], after_us=0)
+    before = driver.aggregator.latency.relative_latency(endpoint)
     send = next(
         candidate
         for _ in range(9)
-        for candidate in of(driver.query(1, [0], after=0), policy.Send)
+        for candidate in of(driver.query(1, [0], after_us=0), policy.Send)
         if candidate.node == "s0"
     )
-    driver.end(send, after=20_000, took=20_000)
+    driver.end(send, after_us=20_000, latency_us=20_000)
     assert endpoint.relative_latency.value - 1 > 0.8 * (before - 1) > 1
 
 
@@ -297,18 +301,18 @@
     """After a stall all pending events arrive in one batch, some of them after the deadline."""
     driver = drive()
     warm_up(driver)
-    actions = driver.query(1, [0, 1], limit=-5_000)
+    actions = driver.query(1, [0, 1], timeout_us=-5_000)
     assert len(of(actions, policy.Reject)) == 1 and of(actions, policy.Send) == []
     sends = of(driver.query(1, [0, 1]), policy.Send)
-    driver.now += 3 * AIM
+    driver.now_us += 3 * AIM
     late = driver.step(
         0,
         *[policy.AttemptEnded(send.id, 0, send.node, policy.Outcome.OK, 3 * AIM) for send in sends],
-        policy.ClientDisconnected(f"q{driver.jobs}"),
+        policy.ClientDisconnected(f"q{driver.query_count}"),
         policy.TimerFired("due"),
     )
     assert len(of(late, policy.Answer)) + len(of(late, policy.Reject)) <= 1
-    assert driver.agg.queries == {} and len(of(driver.query(1, [0]), policy.Send)) == 1
+    assert driver.aggregator.queries == {} and len(of(driver.query(1, [0]), policy.Send)) == 1
 
 
 def test_a_second_step_is_not_expected_to_take_as_long_as_a_first_step_of_many_parts(drive):
@@ -316,7 +320,7 @@
     driver = drive(overload_multiple=0.0)
     for _ in range(15):
         for send in of(driver.query(2, [0]), policy.Send):
-            driver.end(send, after=90_000, took=150_000)
+            driver.end(send, after_us=90_000, latency_us=150_000)
     assert of(driver.query(2, [number % 6 for number in range(20)]), policy.Reject) == []
 
 
@@ -325,11 +329,11 @@
     for timeout_us in (AIM // 2, 2 * AIM):
         for pause_us in range(0, timeout_us, timeout_us // 16):
             driver = drive()
-            sends = of(driver.query(6, [0, 1, 2, 3], limit=timeout_us), policy.Send)
+            sends = of(driver.query(6, [0, 1, 2, 3], timeout_us=timeout_us), policy.Send)
             driver.end(sends[0])
             actions = driver.wait(pause_us)
-            actions += driver.end(sends[1]) if driver.now < 10_000_000 + timeout_us - 10_000 else []
-            actions += driver.wait(10_000_000 + timeout_us + 15_000 - driver.now)
+            actions += driver.end(sends[1]) if driver.now_us < 10_000_000 + timeout_us - 10_000 else []
+            actions += driver.wait(10_000_000 + timeout_us + 15_000 - driver.now_us)
             assert len(of(actions, policy.Reject)) == 1 and len(of(actions, policy.Answer)) <= 1
             assert not isinstance(
                 [action for action in actions if isinstance(action, policy.Answer | policy.Reject)][-1],
@@ -377,12 +381,14 @@
     for _ in range(20):
         for send in of(driver.query(1, [0]), policy.Send):
             attempt_count += send.node == "s0"
-            driver.end(send, policy.Outcome.ERROR if send.node == "s0" else policy.Outcome.OK, took=20_000)
+            driver.end(
+                send, policy.Outcome.ERROR if send.node == "s0" else policy.Outcome.OK, latency_us=20_000
+            )
     assert attempt_count <= 4
 
 
 def test_errors_of_one_query_class_eject_an_endpoint_for_that_class_alone(drive):
-    single = drive(servers=1, replica_groups=1, groups_per_shard=1, shards=1)
+    single = drive(endpoint_count=1, replica_groups=1, groups_per_shard=1, shards=1)
     several = drive()
     for driver in (single, several):
         for _ in range(3):
@@ -392,7 +398,7 @@
     assert [send.node for send in of(single.query(1, [0]), policy.Send)] == ["s0"]
     ejected_classes = {
         endpoint.node: set(endpoint.ejections)
-        for endpoint in several.agg.endpoints.values()
+        for endpoint in several.aggregator.endpoints.values()
         if endpoint.ejections
     }
     assert all(classes == {1} for classes in ejected_classes.values())
@@ -404,18 +410,18 @@
     actions = []
     attempt_count = 0
     pending = []
-    end_us = driver.now + 6 * AIM
-    while driver.now < end_us:
+    end_us = driver.now_us + 6 * AIM
+    while driver.now_us < end_us:
         for attempt, sent_at_us in pending[:]:
-            if driver.now > sent_at_us + 2 * AIM:
+            if driver.now_us > sent_at_us + 2 * AIM:
                 pending.remove((attempt, sent_at_us))
-                actions += driver.end(attempt, policy.Outcome.TIMED_OUT, took=2 * AIM)
+                actions += driver.end(attempt, policy.Outcome.TIMED_OUT, latency_us=2 * AIM)
         for send in of(driver.query(1, [0]), policy.Send):
             if send.node == "s0":
                 attempt_count += 1
-                pending.append((send, driver.now))
+                pending.append((send, driver.now_us))
             else:
-                actions += driver.end(send, after=20_000, took=20_000)
+                actions += driver.end(send, after_us=20_000, latency_us=20_000)
         actions += driver.wait(100_000)
     assert attempt_count <= 4
     assert "s0" in {probe.node for probe in of(actions, policy.Probe)}
@@ -434,23 +440,23 @@
     in_flight = []
     for turn in range(600):
         query_class = turn % 2
-        actions = driver.query(query_class, [turn % 6], after=5000)
+        actions = driver.query(query_class, [turn % 6], after_us=5000)
         rejected[query_class] += len(of(actions, policy.Reject))
         in_flight += of(actions, policy.Send)
         if turn % 4 == 3 and in_flight:
-            driver.end(in_flight.pop(0), took=400_000)
+            driver.end(in_flight.pop(0), latency_us=400_000)
     assert rejected[1] > 1.5 * rejected[0]
     assert rejected[1] > 20
 
 
 def test_poll_mode_watches_endpoints_and_polls_again_after_each_failure(drive):
     driver = drive(poll_mode=True, poll_within_us=10 * AIM)
-    assert len(of(driver.first, policy.WatchEndpoints)) == 1
+    assert len(of(driver.initial_actions, policy.WatchEndpoints)) == 1
     for _ in range(6):
         driver.step(5000, policy.EndpointUpdate(policy.UpdateKind.FAILED))
         assert len(of(driver.wait(5 * AIM), policy.WatchEndpoints)) == 1
     watching = drive()
-    assert of(watching.first, policy.WatchEndpoints) == []
+    assert of(watching.initial_actions, policy.WatchEndpoints) == []
 
 
 def test_events_of_unknown_parts_queries_and_endpoints_are_ignored(drive):
@@ -469,9 +475,9 @@
 
 
 def test_parts_of_one_call_count_as_one_in_the_load_of_an_endpoint(drive):
-    driver = drive(servers=1, replica_groups=1, groups_per_shard=1, shards=1, parts_per_call=4)
+    driver = drive(endpoint_count=1, replica_groups=1, groups_per_shard=1, shards=1, parts_per_call=4)
     driver.query(1, [0, 0, 0, 0])
-    assert driver.agg.load.load(driver.agg.endpoints["s0"]) == 1
+    assert driver.aggregator.load.load(driver.aggregator.endpoints["s0"]) == 1
 
 
 def test_a_query_with_a_partial_first_step_goes_on_and_is_never_marked_complete(drive):
@@ -508,16 +514,18 @@
         rejected[turn % 2] += len(of(actions, policy.Reject))
         in_flight += of(actions, policy.Send)
         if turn % 4 == 3 and in_flight:
-            driver.end(in_flight.pop(0), took=400_000)
+            driver.end(in_flight.pop(0), latency_us=400_000)
     assert rejected[1] > 2 * rejected[0]
 
 
 def test_a_retry_with_a_shortened_timeout_has_its_objective_from_the_first_attempt_of_its_client(drive):
     driver = drive()
-    driver.query(1, [0], limit=2 * AIM)
-    driver.query(1, [1], limit=AIM + AIM // 2)
-    driver.query(1, [2], limit=AIM // 2)
-    objectives_us = [query.objective_at_us - query.admitted_at_us for query in driver.agg.queries.values()]
+    driver.query(1, [0], timeout_us=2 * AIM)
+    driver.query(1, [1], timeout_us=AIM + AIM // 2)
+    driver.query(1, [2], timeout_us=AIM // 2)
+    objectives_us = [
+        query.objective_at_us - query.admitted_at_us for query in driver.aggregator.queries.values()
+    ]
     assert objectives_us == [AIM, AIM // 2, -AIM // 2]
 
 
@@ -529,11 +537,11 @@
         in_flight = []
         count = 0
         for turn in range(200):
-            actions = driver.query(1, [turn % 6, (turn + 3) % 6], after=100_000)
+            actions = driver.query(1, [turn % 6, (turn + 3) % 6], after_us=100_000)
             count += len(of(actions, policy.Reject))
-            in_flight += [(send, driver.now) for send in of(actions, policy.Send)]
-            while in_flight and driver.now >= in_flight[0][1] + latency_us:
-                driver.end(in_flight.pop(0)[0], took=latency_us)
+            in_flight += [(send, driver.now_us) for send in of(actions, policy.Send)]
+            while in_flight and driver.now_us >= in_flight[0][1] + latency_us:
+                driver.end(in_flight.pop(0)[0], latency_us=latency_us)
         rejected[latency_us] = count
     assert rejected[40_000] == 0 and rejected[900_000] > 20
 
@@ -543,18 +551,18 @@
     driver = drive()
     for job in range(30):
         work_hint_us = 1_000 if job % 10 == 0 else 100_000
-        driver.jobs += 1
-        name = f"q{driver.jobs}"
+        driver.query_count += 1
+        name = f"q{driver.query_count}"
         sends = of(
             driver.step(
                 5000,
-                policy.QueryArrived(name, driver.jobs, 1, driver.now + 2 * AIM, 1),
-                policy.PartArrived(name + "/0", driver.jobs, job % 6, 1.0, work_hint_us=work_hint_us),
+                policy.QueryArrived(name, driver.query_count, 1, driver.now_us + 2 * AIM, 1),
+                policy.PartArrived(name + "/0", driver.query_count, job % 6, 1.0, work_hint_us=work_hint_us),
             ),
             policy.Send,
         )
-        driver.end(sends[0], after=100_000, took=100_000)
-    assert 90_000 <= driver.agg.mean_latency_us[1].value <= 110_000
+        driver.end(sends[0], after_us=100_000, latency_us=100_000)
+    assert 90_000 <= driver.aggregator.mean_latency_us[1].value <= 110_000
 
 
 def test_a_query_of_death_is_held_then_abandoned_and_a_response_clears_it(drive):
@@ -597,7 +605,7 @@
     warm_up(driver, shards=[3], rounds=40)
     for _ in range(15):
         for send in of(driver.query(1, [0]), policy.Send):
-            driver.end(send, took=900_000)
+            driver.end(send, latency_us=900_000)
     for shard in (3, 3, 3, 3, 0, 0):
         driver.query(1, [shard])
     assert len(of(driver.query(1, [0, 3]), policy.Reject)) == 1
@@ -616,13 +624,13 @@
 def test_a_late_part_is_cancelled_only_where_a_later_attempt_at_its_endpoint_was_answered_first(drive):
     """An endpoint that answers in order still has the part in its queue; one that does not has lost it."""
     for overtaken in (False, True):
-        driver = drive(cancellation_allowed=True, servers=6)
+        driver = drive(cancellation_allowed=True, endpoint_count=6)
         early = of(driver.query(1, [0, 0, 0]), policy.Send)
         sends = of(driver.query(1, [0, 0, 0]), policy.Send)
         later = next(send for send in sends if send.node == early[0].node)
         unanswered = early[0] if overtaken else later
         answered = later if overtaken else early[0]
         actions = driver.wait(AIM // 4)
-        actions += driver.end(answered, took=AIM // 4)
+        actions += driver.end(answered, latency_us=AIM // 4)
         actions += driver.wait(AIM // 4 + 20_000)
         assert (unanswered.id in {cancel.id for cancel in of(actions, policy.Cancel)}) == overtaken
