--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,38 +19,38 @@
 """Latency objective of every query class, in microseconds; their timeout is twice as long."""
 TICK_US: Final = 5_000
 START_US: Final = 10_000_000
+QUERY_CLASSES: Final = (
+    policy.QueryClass("sample", AIM, 2 * AIM, required_fraction=0.75, minimum_fraction=0.75, late_weight=0.3),
+    policy.QueryClass("all", AIM, 2 * AIM, late_weight=0.3),
+    policy.QueryClass("two", AIM, 2 * AIM, second_step_parts=2),
+    policy.QueryClass(
+        "keyed", AIM, 2 * AIM, idempotency=policy.Idempotency.KEYED, idempotency_window_us=700_000
+    ),
+    policy.QueryClass("unsafe", AIM, 2 * AIM, idempotency=policy.Idempotency.NON_IDEMPOTENT),
+    policy.QueryClass(
+        "partial", AIM, 2 * AIM, required_fraction=1.0, minimum_fraction=0.5, partial_weight=0.9
+    ),
+    policy.QueryClass(
+        "both",
+        AIM,
+        2 * AIM,
+        required_fraction=0.8,
+        minimum_fraction=0.4,
+        second_step_parts=2,
+        partial_weight=0.9,
+    ),
+)
+"""Query classes of `make_settings`; tests refer to them by index.
+
+Class 0 requires three quarters of its parts, 1 all of them; 2 has a second step of two parts; 3 is keyed, 4
+not idempotent; 5 accepts a partial answer; 6 accepts one and has a second step.
+"""
 
 
 def make_settings(**changes: object) -> Settings:
-    """Return settings of six replica groups, each shard on three of them, with `changes` applied.
-
-    The query classes by index: 0 needs three quarters of its parts, 1 all of them, 2 has a second step, 3 is
-    keyed, 4 is not idempotent, 5 accepts a partial answer, 6 accepts one and has a second step.
-    """
+    """Return settings of six replica groups, each shard on three of them, with `changes` applied."""
     values: dict[str, Any] = {
-        "classes": (
-            policy.QueryClass(
-                "sample", AIM, 2 * AIM, required_fraction=0.75, minimum_fraction=0.75, late_weight=0.3
-            ),
-            policy.QueryClass("all", AIM, 2 * AIM, late_weight=0.3),
-            policy.QueryClass("two", AIM, 2 * AIM, second_step_parts=2),
-            policy.QueryClass(
-                "keyed", AIM, 2 * AIM, idempotency=policy.Idempotency.KEYED, idempotency_window_us=700_000
-            ),
-            policy.QueryClass("unsafe", AIM, 2 * AIM, idempotency=policy.Idempotency.NON_IDEMPOTENT),
-            policy.QueryClass(
-                "partial", AIM, 2 * AIM, required_fraction=1.0, minimum_fraction=0.5, partial_weight=0.9
-            ),
-            policy.QueryClass(
-                "both",
-                AIM,
-                2 * AIM,
-                required_fraction=0.8,
-                minimum_fraction=0.4,
-                second_step_parts=2,
-                partial_weight=0.9,
-            ),
-        ),
+        "classes": QUERY_CLASSES,
         "shards": 6,
         "replica_groups": 6,
         "groups_per_shard": 3,
