--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,9 @@
-"""Settings and a small driver for the tests; no model of servers."""
+"""Settings and a driver of one aggregator that the tests share; no model of endpoints."""
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Callable
+from typing import Any, Final
 
 import pytest
 from hypothesis import settings as hypothesis_settings
@@ -15,38 +16,45 @@
 pytest_plugins = ["tests.known_red"]
 
 AIM = 1_000_000
-
-
-def make_settings(**changes: Any) -> Settings:
-    """Six cells of one server each, every shard on three of them."""
+"""Latency objective of every query class, in microseconds; their timeout is twice as long."""
+TICK_US: Final = 5_000
+START_US: Final = 10_000_000
+QUERY_CLASSES: Final = (
+    policy.QueryClass("sample", AIM, 2 * AIM, required_fraction=0.75, minimum_fraction=0.75, late_weight=0.3),
+    policy.QueryClass("all", AIM, 2 * AIM, late_weight=0.3),
+    policy.QueryClass("two", AIM, 2 * AIM, second_step_parts=2),
+    policy.QueryClass(
+        "keyed", AIM, 2 * AIM, idempotency=policy.Idempotency.KEYED, idempotency_window_us=700_000
+    ),
+    policy.QueryClass("unsafe", AIM, 2 * AIM, idempotency=policy.Idempotency.NON_IDEMPOTENT),
+    policy.QueryClass(
+        "partial", AIM, 2 * AIM, required_fraction=1.0, minimum_fraction=0.5, partial_weight=0.9
+    ),
+    policy.QueryClass(
+        "both",
+        AIM,
+        2 * AIM,
+        required_fraction=0.8,
+        minimum_fraction=0.4,
+        second_step_parts=2,
+        partial_weight=0.9,
+    ),
+)
+"""Query classes of `make_settings`; tests refer to them by index.
+
+Class 0 requires three quarters of its parts, 1 all of them; 2 has a second step of two parts; 3 is keyed, 4
+not idempotent; 5 accepts a partial answer; 6 accepts one and has a second step.
+"""
+
+
+def make_settings(**changes: object) -> Settings:
+    """Return settings of six replica groups, each shard on three of them, with `changes` applied."""
     values: dict[str, Any] = {
-        "classes": (
-            policy.QueryClass(
-                "sample", AIM, 2 * AIM, required_fraction=0.75, minimum_fraction=0.75, late_weight=0.3
-            ),
-            policy.QueryClass("all", AIM, 2 * AIM, late_weight=0.3),
-            policy.QueryClass("two", AIM, 2 * AIM, second_step_parts=2),
-            policy.QueryClass(
-                "keyed", AIM, 2 * AIM, idempotency=policy.Idempotency.KEYED, idempotency_window_us=700_000
-            ),
-            policy.QueryClass("unsafe", AIM, 2 * AIM, idempotency=policy.Idempotency.NON_IDEMPOTENT),
-            policy.QueryClass(
-                "partial", AIM, 2 * AIM, required_fraction=1.0, minimum_fraction=0.5, partial_weight=0.9
-            ),
-            policy.QueryClass(
-                "both",
-                AIM,
-                2 * AIM,
-                required_fraction=0.8,
-                minimum_fraction=0.4,
-                second_step_parts=2,
-                partial_weight=0.9,
-            ),
-        ),
+        "classes": QUERY_CLASSES,
         "shards": 6,
         "replica_groups": 6,
         "groups_per_shard": 3,
-        "tick_us": 5000,
+        "tick_us": TICK_US,
         "max_attempts": 3,
         "overload_multiple": 2.0,
         "overload_after_us": 1_000_000,
@@ -58,45 +66,69 @@
     return Settings(**values)
 
 
-def entry(index: int, **changes: Any) -> policy.EndpointEntry:
-    """The list line of server `s<index>` in cell `index`."""
-    return policy.EndpointEntry(f"s{index}", index, **changes)
+def entry(
+    index: int,
+    state: policy.EndpointState = policy.EndpointState.LIVE,
+    started_at_us: int | None = None,
+) -> policy.EndpointEntry:
+    """Return the entry of endpoint `s<index>` in replica group `index` of the endpoint list."""
+    return policy.EndpointEntry(f"s{index}", index, state, started_at_us)
 
 
 class Driver:
-    """Feeds one aggregator and remembers what it did."""
+    """Passes events to one aggregator on a clock of its own and returns the actions.
 
-    def __init__(self, config: Settings, seed: int = 1, servers: int | None = None) -> None:
-        self.agg = Aggregator(config, seed)
+    Construction passes a complete list of `endpoint_count` endpoints, one in each replica group;
+    `initial_actions` holds the actions that it caused.
+    """
+
+    def __init__(self, config: Settings, seed: int = 1, endpoint_count: int | None = None) -> None:
+        self.aggregator = Aggregator(config, seed)
         self.config = config
-        self.now = 10_000_000
-        self.jobs = 0
-        count = config.replica_groups if servers is None else servers
-        self.first = self.step(
+        self.now_us = START_US
+        self.query_count = 0
+        count = config.replica_groups if endpoint_count is None else endpoint_count
+        self.initial_actions = self.step(
             0,
             policy.EndpointUpdate(
-                policy.UpdateKind.FULL, tuple(entry(i) for i in range(count)), requested=False
+                policy.UpdateKind.FULL, tuple(entry(index) for index in range(count)), requested=False
             ),
         )
 
-    def step(self, after: int, *events: policy.Event) -> list[policy.Action]:
-        """One batch, `after` microseconds later."""
-        self.now += after
-        return self.agg.handle(self.now, list(events))
+    def step(self, after_us: int, *events: policy.Event) -> list[policy.Action]:
+        """Handle one batch of events, `after_us` microseconds later."""
+        self.now_us += after_us
+        return self.aggregator.handle(self.now_us, list(events))
 
     def query(
-        self, query_class: int, shards: list[int], limit: int = 2 * AIM, after: int = 5000, **more: Any
+        self,
+        query_class: int,
+        shards: list[int],
+        timeout_us: int = 2 * AIM,
+        after_us: int = TICK_US,
+        *,
+        tenant: int = 0,
+        is_retry: bool = False,
     ) -> list[policy.Action]:
-        """A query with one part for each shard, ids `q<job>` and `q<job>/<n>`."""
-        self.jobs += 1
-        name = f"q{self.jobs}"
-        self.now += after
+        """Send a query with one part for each shard; the ids are `q<job>` and `q<job>/<number>`."""
+        self.query_count += 1
+        name = f"q{self.query_count}"
+        self.now_us += after_us
+        deadline_us = self.now_us + timeout_us
         events: list[policy.Event] = [
-            policy.QueryArrived(name, self.jobs, query_class, self.now + limit, len(shards), **more)
+            policy.QueryArrived(
+                name,
+                self.query_count,
+                query_class,
+                deadline_us,
+                len(shards),
+                tenant=tenant,
+                is_retry=is_retry,
+            )
         ]
         events += [
-            policy.PartArrived(f"{name}/{n}", self.jobs, shard, 1 / len(shards))
-            for n, shard in enumerate(shards)
+            policy.PartArrived(f"{name}/{number}", self.query_count, shard, 1 / len(shards))
+            for number, shard in enumerate(shards)
         ]
         return self.step(0, *events)
 
@@ -104,31 +136,32 @@
         self,
         send: policy.Send,
         outcome: str = policy.Outcome.OK,
-        after: int = 5000,
+        after_us: int = TICK_US,
         seq: int = 0,
-        took: int = 80_000,
+        latency_us: int = 80_000,
     ) -> list[policy.Action]:
-        """One outcome."""
-        return self.step(after, policy.AttemptEnded(send.id, seq, send.node, outcome, took))
+        """End one attempt with an outcome, after a latency of `latency_us` microseconds."""
+        return self.step(after_us, policy.AttemptEnded(send.id, seq, send.node, outcome, latency_us))
 
-    def wait(self, span: int) -> list[policy.Action]:
-        """Let time pass tick by tick, timers firing."""
-        seen: list[policy.Action] = []
-        for _ in range(span // 5000):
-            seen += self.step(5000, policy.TimerFired("due"))
-        return seen
+    def wait(self, duration_us: int) -> list[policy.Action]:
+        """Advance the clock tick by tick with a due timer at each; return the actions of all ticks."""
+        actions: list[policy.Action] = []
+        for _ in range(duration_us // TICK_US):
+            actions += self.step(TICK_US, policy.TimerFired("due"))
+        return actions
 
 
 def of(actions: list[policy.Action], kind: type) -> list[Any]:
-    """The actions of one kind."""
-    return [a for a in actions if isinstance(a, kind)]
+    """Return the actions of one kind, in order."""
+    return [action for action in actions if isinstance(action, kind)]
 
 
 @pytest.fixture
-def drive() -> Any:
-    """A driver on the usual settings, with changes."""
+def drive() -> Callable[..., Driver]:
+    """Return a function that builds a driver on the settings of `make_settings` with changes."""
 
-    def build(seed: int = 1, servers: int | None = None, **changes: Any) -> Driver:
-        return Driver(make_settings(**changes), seed, servers)
+    def build(seed: int = 1, endpoint_count: int | None = None, **changes: object) -> Driver:
+        """Return a driver at the start of its clock, with `endpoint_count` endpoints listed."""
+        return Driver(make_settings(**changes), seed, endpoint_count)
 
     return build
