--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -156,6 +156,14 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
+def warm_up(driver, shards=range(6), rounds=20):
+    """Answer some queries, so that mean latencies and completion rates have samples."""
+    for _ in range(rounds):
+        for shard in shards:
+            for send in of(driver.query(1, [shard]), policy.Send):
+                driver.end(send, after_us=20_000, latency_us=20_000)
+
+
 @pytest.fixture
 def drive() -> Callable[..., Driver]:
     """Return a function that builds a driver on the settings of `make_settings` with changes."""
--- /dev/null
+++ b/tests/test_load_shedding.py
@@ -0,0 +1,200 @@
+"""Load shedding: which queries are rejected, by the actions that events cause."""
+
+from __future__ import annotations
+
+from heathwell import policy
+
+from .conftest import AIM, entry, of, warm_up
+
+
+def answer_shard_0_slowly(driver, slow=("s0", "s1", "s2")):
+    """Answer queries at a rate too low for in-flight counts; the replicas of shard 0 take 1.5 objectives."""
+    for shards in ((3, 3, 3), *[(0, 3, 3)] * 4):
+        for shard in shards:
+            for send in of(driver.query(1, [shard]), policy.Send):
+                driver.end(send, after_us=120_000, latency_us=1_500_000 if send.node in slow else 50_000)
+
+
+def test_where_clients_mark_retries_only_a_marked_query_is_taken_for_one(drive):
+    """A short deadline alone does not make a query a retry."""
+    for marks_retries, is_retry, objective_us in (
+        (True, False, AIM),
+        (True, True, AIM // 2),
+        (False, False, AIM // 2),
+    ):
+        driver = drive(clients_mark_retries=marks_retries)
+        driver.query(1, [0])
+        driver.query(1, [0], timeout_us=AIM * 3 // 2, is_retry=is_retry)
+        assert driver.aggregator.queries["q2"].objective_at_us == driver.now_us + objective_us
+
+
+def test_the_expected_latency_of_a_query_grows_with_its_number_of_parts(drive):
+    """The slowest of many parts is later than that of few: a percentile over all latencies hides it."""
+    for parts, is_rejected in ((4, False), (60, True)):
+        driver = drive(overload_multiple=0.0)
+        for _ in range(15):
+            for send in of(driver.query(1, [0]), policy.Send):
+                driver.end(send, after_us=90_000, latency_us=300_000)
+        assert (
+            bool(of(driver.query(1, [number % 6 for number in range(parts)]), policy.Reject)) == is_rejected
+        )
+
+
+def test_a_query_that_needs_a_slow_shard_is_rejected_and_others_are_admitted(drive):
+    """The latencies of the shard decide, not a percentile over those of all shards."""
+    driver = drive()
+    answer_shard_0_slowly(driver)
+    assert len(of(driver.query(1, [0, 3]), policy.Reject)) == 1
+    assert (
+        of(driver.query(1, [3]), policy.Reject) == []
+        and of(driver.query(0, [0, 3, 3, 3]), policy.Reject) == []
+    )
+
+
+def test_an_endpoint_that_responds_seldom_is_judged_by_its_latest_responses(drive):
+    """An average over a count of responses would span 25 s at this rate."""
+    driver = drive(replica_groups=3, shards=3)
+    warm_up(driver, shards=range(3), rounds=4)
+    for latency_us in (20_000, 20_000, 400_000):
+        driver.wait(2 * AIM)
+        send = of(driver.query(1, [0]), policy.Send)[0]
+        driver.end(send, after_us=latency_us, latency_us=latency_us)
+    assert all(of(driver.query(1, [0]), policy.Send)[0].node != send.node for _ in range(2))
+
+
+def test_responses_delayed_by_a_hang_do_not_cause_rejections_after_it(drive):
+    """The latency of an attempt that was sent long ago is no evidence of the present one."""
+    driver = drive(overload_multiple=0.0)
+    for shard in [*range(6)] * 2:
+        driver.end(of(driver.query(0, [shard]), policy.Send)[0], after_us=200_000, latency_us=50_000)
+    delayed = [
+        send
+        for number in range(12)
+        for send in of(driver.query(0, [number % 6], timeout_us=5 * AIM), policy.Send)
+    ]
+    driver.wait(3 * AIM)
+    for send in delayed:
+        driver.end(send, after_us=0, latency_us=3 * AIM)
+    assert of(driver.query(0, [0, 1, 2, 3]), policy.Reject) == []
+
+
+def test_retry_after_is_spread_by_jitter_up_to_a_small_maximum(drive):
+    """Limited to the maximum only after the jitter, all clients would retry at the same instant."""
+    retry_after_us = set()
+    for seed in range(6):
+        driver = drive(seed=seed, retry_advice_allowed=True, max_retry_after_us=300_000)
+        driver.query(1, [0], timeout_us=AIM // 2)
+        retry_after_us |= {reject.retry_after_us for reject in of(driver.wait(AIM // 2), policy.Reject)}
+    assert len(retry_after_us) == 6 and max(retry_after_us) <= 300_000
+
+
+def test_a_second_step_is_not_expected_to_take_as_long_as_a_first_step_of_many_parts(drive):
+    """Large second steps must not cause the next query to be rejected."""
+    driver = drive(overload_multiple=0.0)
+    for _ in range(15):
+        for send in of(driver.query(2, [0]), policy.Send):
+            driver.end(send, after_us=90_000, latency_us=150_000)
+    assert of(driver.query(2, [number % 6 for number in range(20)]), policy.Reject) == []
+
+
+def test_overload_sheds_the_class_of_least_priority_weight_first(drive):
+    classes = (
+        policy.QueryClass("dear", AIM, 2 * AIM, priority_weight=4.0),
+        policy.QueryClass("cheap", AIM, 2 * AIM, priority_weight=1.0),
+    )
+    driver = drive(classes=classes, weight_by_work=True)
+    rejected = {0: 0, 1: 0}
+    in_flight = []
+    for turn in range(600):
+        query_class = turn % 2
+        actions = driver.query(query_class, [turn % 6], after_us=5000)
+        rejected[query_class] += len(of(actions, policy.Reject))
+        in_flight += of(actions, policy.Send)
+        if turn % 4 == 3 and in_flight:
+            driver.end(in_flight.pop(0), latency_us=400_000)
+    assert rejected[1] > 1.5 * rejected[0]
+    assert rejected[1] > 20
+
+
+def test_a_tenant_over_its_quota_is_shed_first(drive):
+    driver = drive(
+        tenants=(policy.Tenant("in", 1000.0), policy.Tenant("over", 1.0)),
+        over_quota_weight=0.1,
+        weight_by_work=True,
+    )
+    rejected = {0: 0, 1: 0}
+    in_flight = []
+    for turn in range(400):
+        actions = driver.query(0, [turn % 6], tenant=turn % 2)
+        rejected[turn % 2] += len(of(actions, policy.Reject))
+        in_flight += of(actions, policy.Send)
+        if turn % 4 == 3 and in_flight:
+            driver.end(in_flight.pop(0), latency_us=400_000)
+    assert rejected[1] > 2 * rejected[0]
+
+
+def test_a_retry_with_a_shortened_timeout_has_its_objective_from_the_first_attempt_of_its_client(drive):
+    driver = drive()
+    driver.query(1, [0], timeout_us=2 * AIM)
+    driver.query(1, [1], timeout_us=AIM + AIM // 2)
+    driver.query(1, [2], timeout_us=AIM // 2)
+    objectives_us = [
+        query.objective_at_us - query.admitted_at_us for query in driver.aggregator.queries.values()
+    ]
+    assert objectives_us == [AIM, AIM // 2, -AIM // 2]
+
+
+def test_an_aggregator_with_few_parts_in_flight_sheds_by_recent_latencies(drive):
+    """Overload that in-flight counts do not show: few parts at each endpoint, all of them slow."""
+    rejected = {}
+    for latency_us in (40_000, 900_000):
+        driver = drive(seed=3, replica_groups=60, shards=60)
+        in_flight = []
+        count = 0
+        for turn in range(200):
+            actions = driver.query(1, [turn % 6, (turn + 3) % 6], after_us=100_000)
+            count += len(of(actions, policy.Reject))
+            in_flight += [(send, driver.now_us) for send in of(actions, policy.Send)]
+            while in_flight and driver.now_us >= in_flight[0][1] + latency_us:
+                driver.end(in_flight.pop(0)[0], latency_us=latency_us)
+        rejected[latency_us] = count
+    assert rejected[40_000] == 0 and rejected[900_000] > 20
+
+
+def test_a_query_for_a_shard_with_slow_busy_replicas_is_rejected_while_others_are_admitted(drive):
+    """The other replicas of the shard are gone, so the last one holds up every query that needs it."""
+    driver = drive()
+    driver.step(
+        0,
+        policy.EndpointUpdate(
+            policy.UpdateKind.INCREMENTAL,
+            tuple(entry(index, state=policy.EndpointState.GONE) for index in (1, 2)),
+        ),
+    )
+    warm_up(driver, shards=[3], rounds=40)
+    for _ in range(15):
+        for send in of(driver.query(1, [0]), policy.Send):
+            driver.end(send, latency_us=900_000)
+    for shard in (3, 3, 3, 3, 0, 0):
+        driver.query(1, [shard])
+    assert len(of(driver.query(1, [0, 3]), policy.Reject)) == 1
+    assert len(of(driver.query(1, [3]), policy.Send)) == 1
+
+
+def test_one_large_work_hint_does_not_dominate_the_mean_latency(drive):
+    """The mean latency is a mean over responses, not a rate for each unit of hinted work."""
+    driver = drive()
+    for job in range(30):
+        work_hint_us = 1_000 if job % 10 == 0 else 100_000
+        driver.query_count += 1
+        name = f"q{driver.query_count}"
+        sends = of(
+            driver.step(
+                5000,
+                policy.QueryArrived(name, driver.query_count, 1, driver.now_us + 2 * AIM, 1),
+                policy.PartArrived(name + "/0", driver.query_count, job % 6, 1.0, work_hint_us=work_hint_us),
+            ),
+            policy.Send,
+        )
+        driver.end(sends[0], after_us=100_000, latency_us=100_000)
+    assert 90_000 <= driver.aggregator.mean_latency_us[1].value <= 110_000
