--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -26,7 +26,7 @@
 from heathwell.testing.simulation.local_fleet import LocalFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
 
-MARKET = settings_text(
+DEMO_SETTINGS = settings_text(
     price_search_class(),
     day_report_class(),
     sale_record_class(),
@@ -43,7 +43,7 @@
 class World:
     """Loop, fleet, events; `client()` connects to a broker."""
 
-    def __init__(self, seed: int = 1, text: str = MARKET, shuffle: int | None = None) -> None:
+    def __init__(self, seed: int = 1, text: str = DEMO_SETTINGS, shuffle: int | None = None) -> None:
         self.loop, self.net = virtual_loop(shuffle)
         self.service_settings: ServiceSettings = loads(text)
         self.errors: list[tuple[str, BaseException]] = []
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -21,9 +21,9 @@
 from heathwell.settings import loads
 from heathwell.testing.simulation.local_fleet import LocalFleet
 
-from .fleet import MARKET
+from .fleet import DEMO_SETTINGS
 
-TEXT = MARKET.replace("(need 75%)", "(need 75%) (floor 50%) (partial-worth 80%)").replace(
+TEXT = DEMO_SETTINGS.replace("(need 75%)", "(need 75%) (floor 50%) (partial-worth 80%)").replace(
     "(notice 300ms)", "(notice 1ms)"
 )
 
--- a/tests/test_command_processes.py
+++ b/tests/test_command_processes.py
@@ -23,10 +23,10 @@
 from heathwell.testing.simulation.process_fleet import ProcessFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
 
-from .fleet import MARKET
+from .fleet import DEMO_SETTINGS
 
 ROOT = Path(__file__).parent.parent
-SLOW = MARKET.replace(
+SLOW = DEMO_SETTINGS.replace(
     "(aim 750ms) (limit 1500ms) (repeat keyed) (dedup 750ms) (late-worth 10%) (work 30ms)",
     "(aim 4s) (limit 8s) (repeat keyed) (dedup 4s) (work 250ms)",
 )
@@ -101,7 +101,7 @@
 
 def test_fleet_up_writes_its_ready_file_and_ends_on_sigterm(tmp_path):
     config, ready = tmp_path / "m.sx", tmp_path / "ready.json"
-    config.write_text(MARKET)
+    config.write_text(DEMO_SETTINGS)
     process = subprocess.Popen(
         [
             sys.executable,
@@ -132,7 +132,7 @@
 
 def test_check_tells_all_errors_and_exits_2(tmp_path):
     bad = tmp_path / "bad.sx"
-    bad.write_text(MARKET.replace("(aim 1s)", "(aim 1)").replace("(width 3)", "(widht 3)"))
+    bad.write_text(DEMO_SETTINGS.replace("(aim 1s)", "(aim 1)").replace("(width 3)", "(widht 3)"))
     done = cli("check", str(bad))
     assert done.exit_code == 2
     assert "class[0].aim" in done.output and "did you mean 'width'" in done.output
@@ -143,7 +143,7 @@
 
 def test_a_taken_address_is_exit_code_3(tmp_path):
     config = tmp_path / "m.sx"
-    config.write_text(MARKET)
+    config.write_text(DEMO_SETTINGS)
     first = subprocess.Popen(
         [sys.executable, "-m", "heathwell", "discovery", "--config", str(config), "--name", "d"],
         stdout=subprocess.PIPE,
@@ -186,7 +186,7 @@
 
 
 def test_a_short_bad_day_over_sockets(tmp_path):
-    (tmp_path / "m.sx").write_text(MARKET)
+    (tmp_path / "m.sx").write_text(DEMO_SETTINGS)
     script = tmp_path / "day.sx"
     script.write_text("""
 (market "m.sx") (seconds 5) (load (rate 20) (clients 24) (mix price) (mix sale) (mix report))
@@ -217,7 +217,7 @@
     ],
 )
 def test_a_bad_script_names_the_place(tmp_path, change, said):
-    (tmp_path / "m.sx").write_text(MARKET)
+    (tmp_path / "m.sx").write_text(DEMO_SETTINGS)
     text = '(market "m.sx") (seconds 5) (load (rate 20) (mix price))\n(at 1s silent (to leaf1) (span 2s))\n'
     script = tmp_path / "day.sx"
     script.write_text(text.replace(*change))
@@ -276,7 +276,7 @@
             }
         )
     )
-    script, skipped = fault_script_from_bench_day(str(day), loads(MARKET), "m.sx", 20.0, 10.0)
+    script, skipped = fault_script_from_bench_day(str(day), loads(DEMO_SETTINGS), "m.sx", 20.0, 10.0)
     assert isinstance(script, Script) and script.seconds == 20.0
     assert skipped == ["unheard_of: no counterpart on loopback"]
     made = {step.kind for step in script.steps}
@@ -297,4 +297,4 @@
     assert all(step.at_us <= 20_000_000 for step in script.steps)
     day.write_text("{}")
     with pytest.raises(BenchDayError, match="'troubles' is missing"):
-        fault_script_from_bench_day(str(day), loads(MARKET), "m.sx", 20.0, 10.0)
+        fault_script_from_bench_day(str(day), loads(DEMO_SETTINGS), "m.sx", 20.0, 10.0)
--- a/tests/test_event_orderings_servers.py
+++ b/tests/test_event_orderings_servers.py
@@ -17,14 +17,16 @@
 from heathwell.testing.simulation.local_fleet import LocalFleet
 
 from .crossings import TURNS_MOST
-from .fleet import MARKET
+from .fleet import DEMO_SETTINGS
 
 SEARCHES = """
 (across (let-go 1s))
 (collection goods (class price-search) (size 8) (points 40))
 (vector (listen 127.0.0.1:0) (idle 60s))
 """
-MARKET_WITH_LIMITS = MARKET.replace("(limits (attempts 4)", "(limits (clients 3) (attempts 4)") + SEARCHES
+MARKET_WITH_LIMITS = (
+    DEMO_SETTINGS.replace("(limits (attempts 4)", "(limits (clients 3) (attempts 4)") + SEARCHES
+)
 GET = b"get sale:anna:17\r\n"
 COLLECTIONS = b"GET /collections HTTP/1.1\r\nHost: b\r\n\r\n"
 
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -11,9 +11,9 @@
 from heathwell.testing.audit.reader import from_lines
 from heathwell.testing.simulation.simulated_scenario import SimulatedScenario
 
-from .fleet import MARKET
+from .fleet import DEMO_SETTINGS
 
-THREE = MARKET.replace("(brokers 1)", "(brokers 3)").replace("(leaves 6)", "(leaves 12)")
+THREE = DEMO_SETTINGS.replace("(brokers 1)", "(brokers 3)").replace("(leaves 6)", "(leaves 12)")
 
 
 def day(seed: int, seconds: float = 25.0) -> SimulatedScenario:
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -36,9 +36,9 @@
 from heathwell.testing.simulation.simulated_scenario import SimulatedScenario
 from heathwell.testing.standins.source import SOURCE_CLOCK_OFFSET_US
 
-from .fleet import MARKET, World
+from .fleet import DEMO_SETTINGS, World
 
-ON = MARKET + "(freshness (on yes))"
+ON = DEMO_SETTINGS + "(freshness (on yes))"
 
 
 def policy(text, words):
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -9,7 +9,7 @@
 from heathwell.codec import frames
 from heathwell.eventloop import StreamBrokenError, sleep
 
-from .fleet import MARKET, World
+from .fleet import DEMO_SETTINGS, World
 
 
 def order(world, leaf, kind, seconds=0.0, value=0.0, text=""):
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("floor", [0.75, 0.5])
 def test_one_part_under_is_never_answered_as_whole(floor):
-    text = MARKET.replace("(need 75%)", f"(need 75%) (floor {floor})") + "; no"
+    text = DEMO_SETTINGS.replace("(need 75%)", f"(need 75%) (floor {floor})") + "; no"
     world = World(4, text.replace("(shape search) (parts 8)", "(shape search) (parts 4)"))
 
     def main():
@@ -91,7 +91,7 @@
 
 
 def test_a_partial_answer_is_flagged_and_carries_its_coverage():
-    text = MARKET.replace("(need 75%)", "(need 75%) (floor 50%) (partial-worth 80%)")
+    text = DEMO_SETTINGS.replace("(need 75%)", "(need 75%) (floor 50%) (partial-worth 80%)")
     world = World(5, text)
     seen = []
 
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize(("after", "resent"), [(100_000, True), (900_000, False)])
 def test_a_reset_between_request_and_reply_of_a_keyed_part(after, resent):
     """Inside its window it is sent again, past it never; the effect happens once."""
-    text = MARKET.replace(
+    text = DEMO_SETTINGS.replace(
         "(repeat keyed) (dedup 750ms) (late-worth 10%) (work 30ms)",
         "(repeat keyed) (dedup 750ms) (late-worth 10%) (work 1400ms)",
     )
@@ -224,7 +224,9 @@
 
 
 def test_100_keys_of_three_classes_in_one_multi_get():
-    world = World(11, MARKET.replace("(open-cap 600)", "(open-cap 0)").replace("(leaves 6)", "(leaves 36)"))
+    world = World(
+        11, DEMO_SETTINGS.replace("(open-cap 600)", "(open-cap 0)").replace("(leaves 6)", "(leaves 36)")
+    )
 
     def main():
         client = yield from world.client()
@@ -243,7 +245,7 @@
 
 
 def test_over_the_open_cap_is_refused_at_the_door_with_advice():
-    world = World(12, MARKET.replace("(open-cap 600)", "(open-cap 30)"))
+    world = World(12, DEMO_SETTINGS.replace("(open-cap 600)", "(open-cap 30)"))
 
     def main():
         client = yield from world.client()
@@ -300,7 +302,7 @@
 def test_a_slow_reader_is_cut_off_and_its_memory_given_back():
     world = World(
         15,
-        MARKET.replace("(limits ", "(limits (unread 100kb) (pipelined 64) ").replace(
+        DEMO_SETTINGS.replace("(limits ", "(limits (unread 100kb) (pipelined 64) ").replace(
             "(open-cap 600)", "(open-cap 0)"
         )
         + "(leaf (rows 400) (slots 64) (queue 500))",
@@ -345,7 +347,7 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_clients_that_leave_while_outcomes_come_in_leave_nothing_behind(seed):
     """The module may send for a query whose client left within the same turn: told as never sent."""
-    world = World(seed, MARKET.replace("(open-cap 600)", "(open-cap 0)"), shuffle=seed)
+    world = World(seed, DEMO_SETTINGS.replace("(open-cap 600)", "(open-cap 0)"), shuffle=seed)
 
     def leaver(number):
         client = yield from world.client()
@@ -388,7 +390,9 @@
 
 
 def test_parts_that_share_a_call_keep_an_outcome_each():
-    text = MARKET.replace("(attempts 4)", "(attempts 4) (parts-a-call 8)").replace("(leaves 6)", "(leaves 6)")
+    text = DEMO_SETTINGS.replace("(attempts 4)", "(attempts 4) (parts-a-call 8)").replace(
+        "(leaves 6)", "(leaves 6)"
+    )
     world = World(18, text.replace("(width 3)", "(width 1)").replace("(need 75%)", "(need 100%)"))
 
     def main():
@@ -404,7 +408,7 @@
 
 
 def test_idle_connections_to_hosts_close_and_open_again():
-    world = World(19, MARKET.replace("(attempts 4)", "(attempts 4) (idle-close 2s)"))
+    world = World(19, DEMO_SETTINGS.replace("(attempts 4)", "(attempts 4) (idle-close 2s)"))
 
     def main():
         client = yield from world.client()
@@ -421,7 +425,7 @@
 
 
 def test_discovery_that_pushes_is_followed_and_its_loss_survived():
-    world = World(20, MARKET.replace("(discovery ", "(discovery (ask no) "))
+    world = World(20, DEMO_SETTINGS.replace("(discovery ", "(discovery (ask no) "))
 
     def main():
         client = yield from world.client()
--- a/tests/test_region_reachability.py
+++ b/tests/test_region_reachability.py
@@ -27,11 +27,11 @@
     retransmission_delay_us,
 )
 
-from .fleet import MARKET, World
+from .fleet import DEMO_SETTINGS, World
 from .test_regions import FAR, Bench
 from .test_settings import problems
 
-SPLIT = MARKET.replace("(width 3)", "(width 1)") + (
+SPLIT = DEMO_SETTINGS.replace("(width 3)", "(width 1)") + (
     "(across (let-go 2s) (region small (zones a)) (region large (zones b c)))"
 )
 
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -29,7 +29,7 @@
     Variant,
 )
 
-from .fleet import MARKET, World
+from .fleet import DEMO_SETTINGS, World
 
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 3_000_000)), max_size=200))
@@ -347,7 +347,7 @@
 
 
 def test_clients_over_their_limit_are_told_and_idle_ones_closed():
-    world = World(text=MARKET.replace("(limits", "(limits (clients 3)"))
+    world = World(text=DEMO_SETTINGS.replace("(limits", "(limits (clients 3)"))
 
     def main():
         clients = []
--- a/tests/test_standin_parts.py
+++ b/tests/test_standin_parts.py
@@ -46,7 +46,7 @@
 from heathwell.testing.standins.relay import Relay
 from heathwell.testing.standins.source import SourceLog
 
-from .fleet import MARKET
+from .fleet import DEMO_SETTINGS
 
 SECOND_US = 1_000_000
 
@@ -64,7 +64,9 @@
 def test_a_stand_in_replies_with_the_error_of_a_fault_command(name):
     loop, net = virtual_loop(1)
     stand_in = (
-        Relay(loop, net.at(name), []) if name == "relay" else Discovery(loop, net.at(name), loads(MARKET))
+        Relay(loop, net.at(name), [])
+        if name == "relay"
+        else Discovery(loop, net.at(name), loads(DEMO_SETTINGS))
     )
     unknown = reply_to_fault_command(stand_in.order, frames.FaultCommand("nonsense"))
     assert unknown.text.startswith("unknown trouble 'nonsense'; known: ") and unknown.text.endswith(", heal")
@@ -236,7 +238,7 @@
     """A leaf may be killed as soon as its reply has left."""
     loop, _net = virtual_loop(1)
     recorder = StepRecorder()
-    context = LeafContext.create(loop, loads(MARKET), recorder, seed=1, speed=None, address="leaf0:1")
+    context = LeafContext.create(loop, loads(DEMO_SETTINGS), recorder, seed=1, speed=None, address="leaf0:1")
     replies = LeafReplies(context, recorder, log_follower=None)
     request = frames.PartRequest("q1/0", 0, "sale-record", "record", "t1:1", 0, 1_000_000)
     attempt = ReceivedAttempt(request, stream=None, received_at_us=0, broker="b0")
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -36,7 +36,7 @@
 from .fleet import World
 
 SHARDS = 6
-MARKET = """
+DEMO_SETTINGS = """
 (class price-search (aim 1s) (limit 2s) (need 75%) (work 5ms))
 (class sale-record (aim 750ms) (limit 1500ms) (repeat keyed) (dedup 750ms) (work 3ms))
 (class near (aim 900ms) (limit 2s) (need 100%) (floor 40%))
@@ -59,7 +59,7 @@
 class Running:
     """A fleet on a thread; `call` runs something on its loop."""
 
-    def __init__(self, text: str = MARKET) -> None:
+    def __init__(self, text: str = DEMO_SETTINGS) -> None:
         self.service_settings = loads(text)
         self.loop, self.net, _ = socket_loop()
         self.errors: list = []
@@ -120,7 +120,7 @@
 
 
 @contextmanager
-def running(text: str = MARKET):
+def running(text: str = DEMO_SETTINGS):
     one = Running(text)
     try:
         yield one
@@ -422,7 +422,7 @@
 
 
 def test_parts_that_cannot_change_the_rows_are_not_waited_for():
-    text = MARKET.replace(
+    text = DEMO_SETTINGS.replace(
         "(size 16) (points 150) (overlap 20%)", "(size 16) (points 150) (spread 5%)"
     ).replace("(work 2ms))\n(collection far", "(work 150ms))\n(collection far")
     with running(text) as one:
@@ -447,7 +447,7 @@
         assert {breach.rule for breach in judge(from_lines(list(one.events)), slack=100_000).breaches} == {5}
 
 
-WIDE = MARKET.replace("(body 1mb) (slow 400ms)", "(body 32mb)").replace(
+WIDE = DEMO_SETTINGS.replace("(body 1mb) (slow 400ms)", "(body 32mb)").replace(
     "(collection dots",
     "(collection wide (class near) (batch-class bulk) (size 1024) (points 60) (work 1ms))\n(collection dots",
 )
@@ -542,7 +542,7 @@
 
 def test_a_search_without_time_is_refused_before_it_costs_anything():
     """Virtual time: whether a search is shed depends on how fast hosts answer, here exactly their work."""
-    slow = MARKET.replace("(work 2ms))\n(collection far", "(work 80ms))\n(collection far")
+    slow = DEMO_SETTINGS.replace("(work 2ms))\n(collection far", "(work 80ms))\n(collection far")
     world = World(text=slow)
     url, query = "/collections/prices/points/query", {"query": vector(1, 16)}
 
@@ -564,7 +564,7 @@
 
 def test_http_clients_over_their_limit_are_told():
     with running(
-        MARKET.replace("(vector (listen", "(limits (clients-an-address 2))\n(vector (listen")
+        DEMO_SETTINGS.replace("(vector (listen", "(limits (clients-an-address 2))\n(vector (listen")
     ) as one:
         host, port = one.broker.vector_address.split(":")
         kept = [socket.create_connection((host, int(port)), 5) for _ in range(2)]
