--- a/heathwell/testing/simulation/region_experiment.py
+++ b/heathwell/testing/simulation/region_experiment.py
@@ -16,19 +16,7 @@
 from heathwell.eventloop import Coro, sleep
 from heathwell.service.records import Plan
 from heathwell.settings import loads
-from heathwell.testing.simulation.demo_settings import (
-    PRICE_KEYS,
-    RULES,
-    SALE_KEYS,
-    day_report_class,
-    discovery_section,
-    fleet_section,
-    limits_section,
-    price_search_class,
-    report_keys,
-    sale_record_class,
-    settings_text,
-)
+from heathwell.testing.simulation import demo_settings
 from heathwell.testing.simulation.experiment_phases import Phase, phase_order
 from heathwell.testing.simulation.region_settings import (
     ZONE_NAMES,
@@ -87,14 +75,14 @@
     *, shards: int, replica_groups: int, replicas: int, leaves: int, brokers: int
 ) -> str:
     """Return the settings of a fleet of this size over both regions, without its variant."""
-    return settings_text(
-        price_search_class(minimum_percent=50),
-        day_report_class(),
-        sale_record_class(),
-        SALE_KEYS,
-        PRICE_KEYS,
-        report_keys(),
-        fleet_section(
+    return demo_settings.settings_text(
+        demo_settings.price_search_class(minimum_percent=50),
+        demo_settings.day_report_class(),
+        demo_settings.sale_record_class(),
+        demo_settings.SALE_KEYS,
+        demo_settings.PRICE_KEYS,
+        demo_settings.report_keys(),
+        demo_settings.fleet_section(
             shards=shards,
             replica_groups=replica_groups,
             replicas=replicas,
@@ -102,9 +90,9 @@
             leaves=leaves,
             brokers=brokers,
         ),
-        RULES,
-        limits_section(max_in_flight=800),
-        discovery_section(),
+        demo_settings.RULES,
+        demo_settings.limits_section(max_in_flight=800),
+        demo_settings.discovery_section(),
     )
 
 
--- a/heathwell/testing/simulation/region_process_experiment.py
+++ b/heathwell/testing/simulation/region_process_experiment.py
@@ -16,20 +16,8 @@
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.audit import Verdict
+from heathwell.testing.simulation import demo_settings
 from heathwell.testing.simulation.client_population import Outcome, OutcomeKind
-from heathwell.testing.simulation.demo_settings import (
-    PRICE_KEYS,
-    RULES,
-    SALE_KEYS,
-    day_report_class,
-    discovery_section,
-    fleet_section,
-    limits_section,
-    price_search_class,
-    report_keys,
-    sale_record_class,
-    settings_text,
-)
 from heathwell.testing.simulation.experiment_phases import Phase
 from heathwell.testing.simulation.fault_scenario import FaultScenario
 from heathwell.testing.simulation.fault_script import Load, Mix, Script, Step
@@ -57,17 +45,19 @@
 CLIENT_COUNT: Final = 120
 SETTINGS_FILE_NAME: Final = "market.sx"
 
-_SETTINGS: Final = settings_text(
-    price_search_class(work_ms=20, minimum_percent=50),
-    day_report_class(work_ms=15, second_step_parts=3),
-    sale_record_class(work_ms=15),
-    SALE_KEYS,
-    PRICE_KEYS,
-    report_keys(parts=2),
-    fleet_section(shards=32, replica_groups=32, replicas=2, zones=ZONE_NAMES, leaves=32, brokers=8),
-    RULES,
-    limits_section(max_in_flight=600),
-    discovery_section(notice_ms=500, silent_notice_ms=3_000),
+_SETTINGS: Final = demo_settings.settings_text(
+    demo_settings.price_search_class(work_ms=20, minimum_percent=50),
+    demo_settings.day_report_class(work_ms=15, second_step_parts=3),
+    demo_settings.sale_record_class(work_ms=15),
+    demo_settings.SALE_KEYS,
+    demo_settings.PRICE_KEYS,
+    demo_settings.report_keys(parts=2),
+    demo_settings.fleet_section(
+        shards=32, replica_groups=32, replicas=2, zones=ZONE_NAMES, leaves=32, brokers=8
+    ),
+    demo_settings.RULES,
+    demo_settings.limits_section(max_in_flight=600),
+    demo_settings.discovery_section(notice_ms=500, silent_notice_ms=3_000),
     "(log (level error))",
 )
 
--- a/tests/test_both_servers.py
+++ b/tests/test_both_servers.py
@@ -7,39 +7,29 @@
 import pytest
 
 from heathwell.settings import loads
-from heathwell.testing.simulation.demo_settings import (
-    PRICE_KEYS,
-    RULES,
-    SALE_KEYS,
-    day_report_class,
-    discovery_section,
-    fleet_section,
-    limits_section,
-    price_search_class,
-    report_keys,
-    sale_record_class,
-    settings_text,
-)
+from heathwell.testing.simulation import demo_settings
 from heathwell.testing.simulation.search_scenario import SearchScenario
 from heathwell.testing.standins.vectors import shard_of
 
-SETTINGS = settings_text(
-    price_search_class(),
-    day_report_class(),
-    sale_record_class(),
+SETTINGS = demo_settings.settings_text(
+    demo_settings.price_search_class(),
+    demo_settings.day_report_class(),
+    demo_settings.sale_record_class(),
     "(class alike (aim 800ms) (limit 2s) (need 75%) (floor 50%))",
     "(class bulk (aim 4s) (limit 8s) (worth 0.2) (need 100%))",
-    SALE_KEYS,
-    PRICE_KEYS,
-    report_keys(),
+    demo_settings.SALE_KEYS,
+    demo_settings.PRICE_KEYS,
+    demo_settings.report_keys(),
     "(collection goods (class alike) (batch-class bulk) (size 8) (points 40) (overlap 20%) (spread 40%)",
     "(work 25ms))",
     "(vector (listen 127.0.0.1:0))",
     "(fronts (queue-target 30ms) (memcached 2) (vector 1))",
-    fleet_section(shards=12, replica_groups=6, replicas=3, zones=("a", "b", "c"), leaves=6, brokers=2),
-    RULES,
-    limits_section(max_in_flight=600),
-    discovery_section(),
+    demo_settings.fleet_section(
+        shards=12, replica_groups=6, replicas=3, zones=("a", "b", "c"), leaves=6, brokers=2
+    ),
+    demo_settings.RULES,
+    demo_settings.limits_section(max_in_flight=600),
+    demo_settings.discovery_section(),
 )
 
 
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -25,5 +25,5 @@
         assert report["coverage"]["items"] == [5, 5] and len(report["items"]) == 15
 
     world.run(main())
-    finals = world.seen("final")
-    assert len(finals) == 4 and len(world.seen("take")) == 4
+    finals = world.events_of("final")
+    assert len(finals) == 4 and len(world.events_of("take")) == 4
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -303,7 +303,7 @@
         values, _ = yield from client.get(f"sale:anna:17@~{token}")
         assert "behind" not in json.loads(values[f"sale:anna:17@~{token}"][1])
         yield from client.get("sale:anna:17@~mangled")
-        assert "token" in client.lost["sale:anna:17@~mangled"]["why"]
+        assert "token" in client.unanswered["sale:anna:17@~mangled"]["why"]
 
     world.run(main())
 
@@ -319,11 +319,11 @@
     def main():
         client = yield from world.client()
         client.stream.write(b"get report:anna:2026-11-28\r\n")
-        while not world.seen("first"):
+        while not world.events_of("first"):
             yield from sleep(world.loop, 1000)
         for leaf in world.fleet.leaves:
             order(leaf, "back", 0, 50.0)
-        values, _ = yield from client.reply()
+        values, _ = yield from client.read_reply()
         [(_, data)] = values.values()
         assert json.loads(data)["consistent"] is False
 
@@ -337,7 +337,7 @@
         client = yield from world.client()
         yield from client.get("price:tea")
         broker = world.fleet.brokers[0].broker
-        told = msgspec.to_builtins(broker.explain(world.seen("final")[0]["q"]))
+        told = msgspec.to_builtins(broker.explain(world.events_of("final")[0]["q"]))
         assert len(told["parts"]) == 8 and sum(p["in"] for p in told["parts"]) == 6
         for part in told["parts"]:
             assert (part["age_ms"] > 0 and part["host"]) if part["in"] else part["why_missing"] == "not sent"
@@ -354,10 +354,10 @@
         for leaf in world.fleet.leaves:
             leaf.order(frames.FaultCommand("failclass", 0, 60_000_000, "price-search"))
         yield from client.get("price:tea")
-        sends = world.seen("send")
+        sends = world.events_of("send")
         assert all(("reason" in send) == send.get("further", False) for send in sends)
         assert {send["reason"] for send in sends if "reason" in send} == {"retry", "substitute"}
-        explanation = world.fleet.brokers[0].broker.explain(world.seen("final")[0]["q"])
+        explanation = world.fleet.brokers[0].broker.explain(world.events_of("final")[0]["q"])
         for part in explanation.parts:
             logged = [send.get("reason", "first") for send in sends if send["p"] == part.part]
             assert part.attempt_reasons == logged
@@ -374,9 +374,9 @@
         for leaf in world.fleet.leaves:
             leaf.order(frames.FaultCommand("failclass", 0, 60_000_000, "price-search"))
         yield from client.get("price:tea")
-        assert client.lost["price:tea"]["refused"]
-        assert "too_few_parts" not in json.dumps(client.lost["price:tea"])
-        (final,) = world.seen("final")
+        assert client.unanswered["price:tea"]["refused"]
+        assert "too_few_parts" not in json.dumps(client.unanswered["price:tea"])
+        (final,) = world.events_of("final")
         assert final["reason"] == "too_few_parts"
         assert world.fleet.brokers[0].broker.explain(final["q"]).reason == "too_few_parts"
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -84,7 +84,7 @@
             body = json.loads(data)
             assert flags == 1 << 16 and not body["whole"] and body["coverage"]["weight"] >= floor
         else:
-            assert client.lost["price:tea"]["refused"] and end == "END"
+            assert client.unanswered["price:tea"]["refused"] and end == "END"
 
     world.run(main())
     finish(world)
@@ -105,7 +105,7 @@
             values, end = yield from client.get(f"price:{word}")
             for flags, data in values.values():
                 seen.append((flags, json.loads(data)))
-            assert values or client.lost[f"price:{word}"]["refused"]
+            assert values or client.unanswered[f"price:{word}"]["refused"]
 
     world.run(main())
     partial = [(flags, body) for flags, body in seen if not body["whole"]]
@@ -128,14 +128,14 @@
         client = yield from world.client()
         client.stream.write(b"get sale:anna:17\r\n")
         yield from sleep(world.loop, after)
-        [arrive] = world.seen("arrive")
+        [arrive] = world.events_of("arrive")
         next(leaf for leaf in world.fleet.leaves if leaf.address == arrive["node"]).order(
             frames.FaultCommand("reset")
         )
-        values, end = yield from client.reply()
-        sent = world.seen("send")
+        values, end = yield from client.read_reply()
+        sent = world.events_of("send")
         assert len(sent) == (2 if resent else 1)
-        assert bool(values) is resent and bool(client.lost) is not resent
+        assert bool(values) is resent and bool(client.unanswered) is not resent
 
     world.run(main())
     finish(world)
@@ -154,10 +154,14 @@
 
     world.run(main())
     drained = {
-        leaf.address: e["t"] for leaf in world.fleet.leaves for e in world.seen("drain", node=leaf.address)
+        leaf.address: e["t"]
+        for leaf in world.fleet.leaves
+        for e in world.events_of("drain", node=leaf.address)
     }
     late = [
-        a for a in world.seen("arrive") if a["node"] in drained and a["t"] > drained[a["node"]] + 1_000_000
+        a
+        for a in world.events_of("arrive")
+        if a["node"] in drained and a["t"] > drained[a["node"]] + 1_000_000
     ]
     assert len(drained) == 2 and not late
     finish(world)
@@ -175,7 +179,10 @@
         asked = world.loop.now()
         values, end = yield from client.get("sale:anna:17", "price:tea")
         assert not set(values) & {"sale:anna:17"}
-        assert client.lost["sale:anna:17"]["refused"] and client.lost["sale:anna:17"]["retry_after_ms"] > 0
+        assert (
+            client.unanswered["sale:anna:17"]["refused"]
+            and client.unanswered["sale:anna:17"]["retry_after_ms"] > 0
+        )
         assert world.loop.now() - asked < 2_000_000
 
     world.run(main())
@@ -189,7 +196,7 @@
         client = yield from world.client()
         client.stream.write(b"".join(b"get price:v%d\r\n" % n for n in range(40)))
         yield from sleep(world.loop, 5_000)
-        assert len(world.seen("take")) == 40
+        assert len(world.events_of("take")) == 40
         client.stream.abort()
         yield from sleep(world.loop, 3_000_000)
         broker = world.fleet.brokers[0].broker
@@ -197,7 +204,10 @@
         assert not broker.aggregator.queries and not broker.aggregator.attempts_in_flight
 
     world.run(main())
-    assert len(world.seen("left")) + len(world.seen("final")) == 40 and len(world.seen("left")) > 20
+    assert (
+        len(world.events_of("left")) + len(world.events_of("final")) == 40
+        and len(world.events_of("left")) > 20
+    )
     finish(world)
 
 
@@ -210,14 +220,14 @@
             client.stream.write(bytes([byte]))
             yield from sleep(world.loop, 500)
         client.stream.end()
-        values, end = yield from client.reply()
+        values, end = yield from client.read_reply()
         assert list(values) == ["sale:anna:17"] and end == "END"
-        assert (yield from client.line()) == b"MN"
-        head = yield from client.line()
+        assert (yield from client.read_line()) == b"MN"
+        head = yield from client.read_line()
         assert head.startswith(b"VA ") and b"O9" in head and b"ksale:anna:17" in head
-        yield from client.block(int(head.split()[1]))
+        yield from client.read_block(int(head.split()[1]))
         with pytest.raises(StreamBrokenError):
-            yield from client.line()
+            yield from client.read_line()
 
     world.run(main())
     finish(world)
@@ -238,7 +248,7 @@
         keys = keys[::3] + keys[1::3] + keys[2::3]
         values, end = yield from client.get(*keys)
         assert [key for key in keys if key in values] == list(values)
-        assert end == "END" and len(values) + len(client.lost) == 100 and len(values) > 60
+        assert end == "END" and len(values) + len(client.unanswered) == 100 and len(values) > 60
 
     world.run(main())
     finish(world)
@@ -250,11 +260,11 @@
     def main():
         client = yield from world.client()
         values, end = yield from client.get(*[f"price:w{n}" for n in range(5)])
-        assert len(values) == 3 and list(client.lost) == ["price:w3", "price:w4"] and end == "END"
-        assert all(0 < lost["retry_after_ms"] <= 500 for lost in client.lost.values())
+        assert len(values) == 3 and list(client.unanswered) == ["price:w3", "price:w4"] and end == "END"
+        assert all(0 < lost["retry_after_ms"] <= 500 for lost in client.unanswered.values())
 
     world.run(main())
-    assert len(world.seen("door", why="full")) == 2
+    assert len(world.events_of("door", why="full")) == 2
     finish(world)
 
 
@@ -269,12 +279,12 @@
         broker.drain()
         assert not broker.idle.is_set
         client.stream.write(b"get price:bread\r\n")
-        values, _ = yield from client.reply()
+        values, _ = yield from client.read_reply()
         assert list(values) == ["price:tea"] and broker.idle.is_set
-        yield from client.reply()
-        assert client.lost["price:bread"]["refused"]
+        yield from client.read_reply()
+        assert client.unanswered["price:bread"]["refused"]
         client.stream.write(b"mg price:bread v\r\n")
-        assert (yield from client.line()).startswith(b"SERVER_ERROR heathwell refused=1 retry-after-ms=")
+        assert (yield from client.read_line()).startswith(b"SERVER_ERROR heathwell refused=1 retry-after-ms=")
 
     world.run(main())
     finish(world)
@@ -289,7 +299,7 @@
         yield from sleep(world.loop, 5_000)
         world.fleet.restart_broker(0)
         with pytest.raises(StreamBrokenError):
-            yield from client.reply()
+            yield from client.read_reply()
         yield from sleep(world.loop, 1_500_000)
         client = yield from world.client()
         values, _ = yield from client.get("price:tea")
@@ -341,7 +351,7 @@
             assert not told or "version 9" in got[-1].text
 
     world.run(main())
-    assert world.seen("garbled")
+    assert world.events_of("garbled")
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -378,7 +388,7 @@
     def main():
         handle = broker.ask("sale:anna:17", lambda _reply: None)
         yield from sleep(world.loop, 5_000)
-        [sent] = world.seen("send")
+        [sent] = world.events_of("send")
         # An outcome that calls for another attempt, and the client's leaving, in one batch.
         broker.on_attempt_result(sent["node"], (sent["p"], 0), "unreachable", None)
         handle.disconnect()
@@ -386,7 +396,7 @@
         assert not broker.queries and not broker.aggregator.attempts_in_flight and broker.open_count == 0
 
     world.run(main())
-    assert len(world.seen("send")) == 1 and len(world.seen("unsent")) == 1
+    assert len(world.events_of("send")) == 1 and len(world.events_of("unsent")) == 1
 
 
 def test_parts_that_share_a_call_keep_an_outcome_each():
@@ -401,9 +411,9 @@
         assert json.loads(values["price:tea"][1])["coverage"]["parts"] == [8, 8]
 
     world.run(main())
-    arrivals = world.seen("arrive")
+    arrivals = world.events_of("arrive")
     assert len(arrivals) == 8 and len({a["node"] for a in arrivals}) == 6  # 12 shards on 6 hosts: pairs share
-    assert len(world.seen("ended", outcome="ok")) == 8
+    assert len(world.events_of("ended", outcome="ok")) == 8
     finish(world)
 
 
@@ -430,10 +440,10 @@
     def main():
         client = yield from world.client()
         assert (yield from client.get("price:tea"))[0]
-        assert not world.seen("watch")
+        assert not world.events_of("watch")
         world.fleet.discovery.order(frames.FaultCommand("down", 0, 3_000_000))
         yield from sleep(world.loop, 1_000_000)
-        assert world.seen("news", kind="failed")
+        assert world.events_of("news", kind="failed")
         assert (yield from client.get("price:bread"))[0]
         world.fleet.leaves[0].crash()
         yield from sleep(world.loop, 8_000_000)
@@ -458,7 +468,7 @@
         yield from sleep(world.loop, 9_000_000)
         server = world.fleet.brokers[0].broker.aggregator.endpoints[leaf.address]
         assert server.live and server.started_at_us is not None and server.started_at_us > 3_000_000
-        assert len(world.seen("watch")) > 2
+        assert len(world.events_of("watch")) > 2
         assert (yield from client.get("price:tea"))[0]
 
     world.run(main())
--- a/tests/test_region_reachability.py
+++ b/tests/test_region_reachability.py
@@ -110,7 +110,10 @@
         back = yield from world.client()  # nobody better was found: it is kept, and told at once
         began = world.loop.now()
         yield from back.get("report:t1,t2:2026-11-28")
-        assert back.lost["report:t1,t2:2026-11-28"]["why"] == "cut off" and world.loop.now() - began < 5_000
+        assert (
+            back.unanswered["report:t1,t2:2026-11-28"]["why"] == "cut off"
+            and world.loop.now() - began < 5_000
+        )
         yield from sleep(world.loop, 3_000_000)
         yield from back.get("report:t1,t2:2026-11-28")
         for name in far():
@@ -122,7 +125,7 @@
             values, _ = yield from back.get("report:t1,t2:2026-11-28")
             if not values:
                 yield from sleep(world.loop, 500_000)
-        assert values and "cut off" not in str(back.lost)
+        assert values and "cut off" not in str(back.unanswered)
 
     world.run(main())
     assert world.verdict().kept
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -356,7 +356,7 @@
         values, _ = yield from clients[0].get("sale:t1:5")
         assert values
         over = yield from world.client()
-        line = yield from over.line()
+        line = yield from over.read_line()
         assert line == b"SERVER_ERROR heathwell too many connections"
         assert (yield from over.stream.read()) == b""
         yield from clients[1].get("sale:t1:6")
--- a/tests/test_scenario_parts.py
+++ b/tests/test_scenario_parts.py
@@ -6,20 +6,7 @@
 
 from heathwell.eventloop import StreamBrokenError, virtual_loop
 from heathwell.settings import loads
-from heathwell.testing.simulation import multi_broker_scenario
-from heathwell.testing.simulation.demo_settings import (
-    PRICE_KEYS,
-    RULES,
-    SALE_KEYS,
-    day_report_class,
-    discovery_section,
-    fleet_section,
-    limits_section,
-    price_search_class,
-    report_keys,
-    sale_record_class,
-    settings_text,
-)
+from heathwell.testing.simulation import demo_settings, multi_broker_scenario
 from heathwell.testing.simulation.experiment_phases import Phase, phase_order
 from heathwell.testing.simulation.host_faults import HOST_FAULTS, LAG_FAULTS, SEARCH_FAULTS
 from heathwell.testing.simulation.memcached_values import CoverageFields, ReplyBody, read_values
@@ -45,17 +32,19 @@
 from heathwell.testing.standins.fault_commands import parse_fault_kind
 from heathwell.testing.standins.leaf_faults import LeafFault
 
-DEMO_SETTINGS = settings_text(
-    price_search_class(work_ms=20, minimum_percent=50),
-    day_report_class(second_step_parts=3, second_step_work_percent=50),
-    sale_record_class(work_ms=15),
-    SALE_KEYS,
-    PRICE_KEYS,
-    report_keys(parts=2),
-    fleet_section(shards=8, replica_groups=4, replicas=2, zones=ZONE_NAMES, leaves=4, brokers=2),
-    RULES,
-    limits_section(max_in_flight=100, max_retry_after_ms=500),
-    discovery_section(notice_ms=400, silent_notice_ms=3_000),
+DEMO_SETTINGS = demo_settings.settings_text(
+    demo_settings.price_search_class(work_ms=20, minimum_percent=50),
+    demo_settings.day_report_class(second_step_parts=3, second_step_work_percent=50),
+    demo_settings.sale_record_class(work_ms=15),
+    demo_settings.SALE_KEYS,
+    demo_settings.PRICE_KEYS,
+    demo_settings.report_keys(parts=2),
+    demo_settings.fleet_section(
+        shards=8, replica_groups=4, replicas=2, zones=ZONE_NAMES, leaves=4, brokers=2
+    ),
+    demo_settings.RULES,
+    demo_settings.limits_section(max_in_flight=100, max_retry_after_ms=500),
+    demo_settings.discovery_section(notice_ms=400, silent_notice_ms=3_000),
 )
 
 
@@ -75,7 +64,9 @@
 
 
 def test_without_a_minimum_a_search_has_no_partial_answers():
-    text = DEMO_SETTINGS.replace(price_search_class(work_ms=20, minimum_percent=50), price_search_class())
+    text = DEMO_SETTINGS.replace(
+        demo_settings.price_search_class(work_ms=20, minimum_percent=50), demo_settings.price_search_class()
+    )
     search = loads(text).classes[0]
     assert (search.work, search.required_fraction, search.minimum_fraction) == (40_000, 0.75, 0)
 
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -487,7 +487,7 @@
             key = f"sale:t{len(durations_us)}:7"
             started_at_us = world.loop.now()
             values, _ = yield from client.get(key)
-            assert key in values, client.lost
+            assert key in values, client.unanswered
             assert json.loads(values[key][1])["coverage"]["parts"] == [1, 1]
             durations_us.append(world.loop.now() - started_at_us)
             yield from sleep(world.loop, 20_000)
@@ -549,10 +549,10 @@
     def main():
         for _ in range(3):
             assert (yield from posted(world, url, query)).status == 200
-        arrived = len(world.seen("arrive"))
+        arrived = len(world.events_of("arrive"))
         got = yield from posted(world, url, query, [("x-heathwell-timeout-ms", "30")])
         assert got.status == 503 and b"no time" in got.body
-        assert len(world.seen("arrive")) == arrived
+        assert len(world.events_of("arrive")) == arrived
         # A time-out that the client chose itself leaves enough; it is no retry with what time remains.
         for _ in range(3):
             got = yield from posted(world, url + "?timeout=1", query)
