--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -5,6 +5,7 @@
 import json
 from typing import Any
 
+from heathwell.codec import frames
 from heathwell.eventloop import StreamBrokenError, sleep, virtual_loop
 from heathwell.servers.memcached_replies import ValueFlag
 from heathwell.settings import ServiceSettings, loads
@@ -30,6 +31,11 @@
 )
 
 
+def inject_fault(target, kind: str, seconds: float = 0.0, value: float = 0.0, text: str = "") -> None:
+    """Inject a fault into a leaf or the discovery stand-in for some seconds."""
+    target.order(frames.FaultCommand(kind, value, int(seconds * 1_000_000), text))
+
+
 class World:
     """A deployment on virtual time: event loop, network, local fleet and recorded events.
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases, each caused on purpose, on virtual time."""
+"""Faults of hosts, clients and discovery, each injected into a deployment on virtual time."""
 
 from __future__ import annotations
 
@@ -9,35 +9,43 @@
 from heathwell.codec import frames
 from heathwell.eventloop import StreamBrokenError, sleep
 
-from .fleet import DEMO_SETTINGS, World
+from .fleet import DEMO_SETTINGS, World, inject_fault
 
 
-def order(world, leaf, kind, seconds=0.0, value=0.0, text=""):
-    return world.fleet.leaves[leaf].order(frames.FaultCommand(kind, value, int(seconds * 1e6), text))
+def fail_price_searches(leaf):
+    """Let a leaf fail price searches for a minute."""
+    inject_fault(leaf, "failclass", 60.0, text="price-search")
 
 
-def holders(world, shard):
+def replicas_of(world, shard):
+    """Return the leaves that hold a shard."""
     return [leaf for leaf in world.fleet.leaves if (leaf.replica_group - shard) % 6 < 3]
 
 
+def shards_of(world, key):
+    """Return the shards that a key's query needs, in the order of its parts."""
+    return [part.shard for part in world.fleet.brokers[0].broker.keys.plan(key).parts]
+
+
 def finish(world):
+    """Let four seconds pass, close the deployment and check all rules."""
     world.run(sleep(world.loop, 4_000_000))
     world.close()
     verdict = world.verdict()
     assert verdict.kept, "\n".join(map(str, verdict.breaches[:5]))
 
 
-def test_a_host_silent_in_the_middle_of_its_reply_while_others_are_whole():
+def test_a_query_is_answered_without_hosts_that_stall_in_the_middle_of_a_reply():
     world = World(2)
 
     def main():
         client = yield from world.client()
-        order(world, 0, "midreply", 5.0)
-        order(world, 1, "midreply", 5.0)
+        inject_fault(world.fleet.leaves[0], "midreply", 5.0)
+        inject_fault(world.fleet.leaves[1], "midreply", 5.0)
         values, end = yield from client.get("price:tea", "sale:anna:17")
         assert "price:tea" in values and end == "END"
         assert json.loads(values["price:tea"][1])["coverage"]["parts"][0] >= 6
-        # The second halves come when everything is over: they change nothing and break nothing.
+        # The rest of the stalled replies arrives after the answer and must change nothing.
         yield from sleep(world.loop, 6_000_000)
         assert sum(link.late_answers for link in world.fleet.brokers[0].broker.links.values()) > 0
         again, end = yield from client.get("price:tea")
@@ -47,11 +55,7 @@
     finish(world)
 
 
-def shards_of(world, key):
-    return [part.shard for part in world.fleet.brokers[0].broker.keys.plan(key).parts]
-
-
-def test_exactly_three_quarters_is_whole_by_class_and_says_what_is_in_it():
+def test_an_answer_of_exactly_the_required_fraction_is_complete_and_states_its_coverage():
     world = World(3)
 
     def main():
@@ -67,17 +71,17 @@
 
 
 @pytest.mark.parametrize("floor", [0.75, 0.5])
-def test_one_part_under_is_never_answered_as_whole(floor):
+def test_an_answer_below_the_required_fraction_is_never_marked_complete(floor):
     text = DEMO_SETTINGS.replace("(need 75%)", f"(need 75%) (floor {floor})") + "; no"
     world = World(4, text.replace("(shape search) (parts 8)", "(shape search) (parts 4)"))
 
     def main():
         client = yield from world.client()
         shards = shards_of(world, "price:tea")
-        lost = {leaf.name for shard in shards[:1] + shards[-1:] for leaf in holders(world, shard)}
+        failing = {leaf.name for shard in shards[:1] + shards[-1:] for leaf in replicas_of(world, shard)}
         for leaf in world.fleet.leaves:
-            if leaf.name in lost:
-                leaf.order(frames.FaultCommand("failclass", 0, 60_000_000, "price-search"))
+            if leaf.name in failing:
+                fail_price_searches(leaf)
         values, end = yield from client.get("price:tea")
         if values:
             flags, data = values["price:tea"]
@@ -90,34 +94,34 @@
     finish(world)
 
 
-def test_a_partial_answer_is_flagged_and_carries_its_coverage():
+def test_a_partial_answer_is_flagged_and_states_its_coverage():
     text = DEMO_SETTINGS.replace("(need 75%)", "(need 75%) (floor 50%) (partial-worth 80%)")
     world = World(5, text)
-    seen = []
+    answers = []
 
     def main():
         client = yield from world.client()
-        # Shards 0, 1, 6 and 7 lose all holders' price searches, the others answer.
+        # All replicas of shards 0, 1, 6 and 7 fail price searches; those of the other shards answer.
         for leaf in world.fleet.leaves:
             if leaf.replica_group in (0, 1, 2, 3):
-                leaf.order(frames.FaultCommand("failclass", 0, 60_000_000, "price-search"))
+                fail_price_searches(leaf)
         for word in "abcdefghijkl":
             values, end = yield from client.get(f"price:{word}")
             for flags, data in values.values():
-                seen.append((flags, json.loads(data)))
+                answers.append((flags, json.loads(data)))
             assert values or client.unanswered[f"price:{word}"]["refused"]
 
     world.run(main())
-    partial = [(flags, body) for flags, body in seen if not body["whole"]]
+    partial = [(flags, body) for flags, body in answers if not body["whole"]]
     assert partial and all(
         flags == 1 << 16 and 0.5 <= body["coverage"]["weight"] < 0.75 for flags, body in partial
     )
     finish(world)
 
 
-@pytest.mark.parametrize(("after", "resent"), [(100_000, True), (900_000, False)])
-def test_a_reset_between_request_and_reply_of_a_keyed_part(after, resent):
-    """Inside its window it is sent again, past it never; the effect happens once."""
+@pytest.mark.parametrize(("reset_after_us", "is_retried"), [(100_000, True), (900_000, False)])
+def test_a_keyed_part_is_retried_after_a_reset_only_within_its_idempotency_window(reset_after_us, is_retried):
+    """Within the window the part is sent a second time, after it never: the effect happens once."""
     text = DEMO_SETTINGS.replace(
         "(repeat keyed) (dedup 750ms) (late-worth 10%) (work 30ms)",
         "(repeat keyed) (dedup 750ms) (late-worth 10%) (work 1400ms)",
@@ -127,21 +131,19 @@
     def main():
         client = yield from world.client()
         client.stream.write(b"get sale:anna:17\r\n")
-        yield from sleep(world.loop, after)
+        yield from sleep(world.loop, reset_after_us)
         [arrive] = world.events_of("arrive")
-        next(leaf for leaf in world.fleet.leaves if leaf.address == arrive["node"]).order(
-            frames.FaultCommand("reset")
-        )
+        inject_fault(next(leaf for leaf in world.fleet.leaves if leaf.address == arrive["node"]), "reset")
         values, end = yield from client.read_reply()
         sent = world.events_of("send")
-        assert len(sent) == (2 if resent else 1)
-        assert bool(values) is resent and bool(client.unanswered) is not resent
+        assert len(sent) == (2 if is_retried else 1)
+        assert bool(values) is is_retried and bool(client.unanswered) is not is_retried
 
     world.run(main())
     finish(world)
 
 
-def test_a_drain_notice_racing_a_send():
+def test_no_part_reaches_a_draining_host_after_the_drain_grace():
     world = World(7)
 
     def main():
@@ -153,43 +155,43 @@
             yield from sleep(world.loop, 150_000)
 
     world.run(main())
-    drained = {
-        leaf.address: e["t"]
+    drained_at_us = {
+        leaf.address: event["t"]
         for leaf in world.fleet.leaves
-        for e in world.events_of("drain", node=leaf.address)
+        for event in world.events_of("drain", node=leaf.address)
     }
     late = [
-        a
-        for a in world.events_of("arrive")
-        if a["node"] in drained and a["t"] > drained[a["node"]] + 1_000_000
+        arrival
+        for arrival in world.events_of("arrive")
+        if arrival["node"] in drained_at_us and arrival["t"] > drained_at_us[arrival["node"]] + 1_000_000
     ]
-    assert len(drained) == 2 and not late
+    assert len(drained_at_us) == 2 and not late
     finish(world)
 
 
-def test_all_holders_of_a_shard_gone_is_refused_at_once_with_advice():
+def test_a_query_without_live_replicas_is_rejected_at_once_with_a_retry_after():
     world = World(8)
 
     def main():
         client = yield from world.client()
-        for leaf in holders(world, shards_of(world, "sale:anna:17")[0]):
+        for leaf in replicas_of(world, shards_of(world, "sale:anna:17")[0]):
             leaf.crash()
         yield from client.get("sale:anna:17")
         yield from sleep(world.loop, 5_000_000)
-        asked = world.loop.now()
+        requested_at_us = world.loop.now()
         values, end = yield from client.get("sale:anna:17", "price:tea")
         assert not set(values) & {"sale:anna:17"}
         assert (
             client.unanswered["sale:anna:17"]["refused"]
             and client.unanswered["sale:anna:17"]["retry_after_ms"] > 0
         )
-        assert world.loop.now() - asked < 2_000_000
+        assert world.loop.now() - requested_at_us < 2_000_000
 
     world.run(main())
     finish(world)
 
 
-def test_a_client_that_vanishes_with_40_queries_pipelined():
+def test_a_client_that_disconnects_with_40_pipelined_queries_leaves_no_state():
     world = World(9)
 
     def main():
@@ -211,7 +213,7 @@
     finish(world)
 
 
-def test_a_client_that_sends_one_byte_at_a_time_and_a_half_closed_one():
+def test_a_request_in_single_bytes_on_a_half_closed_connection_is_answered():
     world = World(10)
 
     def main():
@@ -233,7 +235,7 @@
     finish(world)
 
 
-def test_100_keys_of_three_classes_in_one_multi_get():
+def test_a_multi_get_of_100_keys_of_three_classes_is_answered_in_order():
     world = World(
         11, DEMO_SETTINGS.replace("(open-cap 600)", "(open-cap 0)").replace("(leaves 6)", "(leaves 36)")
     )
@@ -254,7 +256,7 @@
     finish(world)
 
 
-def test_over_the_open_cap_is_refused_at_the_door_with_advice():
+def test_a_query_over_the_in_flight_limit_is_rejected_at_admission_with_a_retry_after():
     world = World(12, DEMO_SETTINGS.replace("(open-cap 600)", "(open-cap 30)"))
 
     def main():
@@ -268,7 +270,7 @@
     finish(world)
 
 
-def test_stopping_takes_nothing_new_and_finishes_what_is_held():
+def test_a_graceful_shutdown_finishes_queries_in_flight_and_rejects_new_ones():
     world = World(13)
 
     def main():
@@ -290,7 +292,7 @@
     finish(world)
 
 
-def test_a_broker_killed_and_restarted_under_load_serves_again():
+def test_a_broker_that_is_killed_and_restarted_answers_again():
     world = World(14)
 
     def main():
@@ -309,7 +311,7 @@
     finish(world)
 
 
-def test_a_slow_reader_is_cut_off_and_its_memory_given_back():
+def test_unsent_bytes_for_a_slow_reader_are_bounded_while_others_are_answered():
     world = World(
         15,
         DEMO_SETTINGS.replace("(limits ", "(limits (unread 100kb) (pipelined 64) ").replace(
@@ -324,53 +326,60 @@
         for number in range(300):
             client.stream.write(b"get sale:anna:%d sale:bo:%d\r\n" % (number, number))
         yield from sleep(world.loop, 30_000_000)
-        front = world.fleet.brokers[0].memcached_server
-        assert max(c.stream.unsent for c in front.connections) <= 100 * 1024
+        server = world.fleet.brokers[0].memcached_server
+        assert max(connection.stream.unsent for connection in server.connections) <= 100 * 1024
         values, _ = yield from other.get("sale:anna:1")
         assert values
 
     world.run(main())
 
 
-def test_an_unknown_version_and_garbage_on_the_inner_wire_are_refused():
+def frames_until_end(stream):
+    """Return the frames that a stream delivers until it ends."""
+    received = []
+    decoder = frames.Frames()
+    try:
+        while data := (yield from stream.read()):
+            received += decoder.feed(data)
+    except StreamBrokenError:
+        pass
+    return received
+
+
+def test_a_leaf_rejects_an_unknown_version_and_malformed_frames():
     world = World(16)
 
     def main():
         leaf = world.fleet.leaves[0]
-        for first, told in ((frames.encode(frames.Hello(9, "new")), "mismatch"), (b"\xff" * 8, "")):
+        for data, error in ((frames.encode(frames.Hello(9, "new")), "mismatch"), (b"\xff" * 8, "")):
             stream = yield from world.net.connect(leaf.address, 1_000_000)
-            stream.write(first)
-            got = []
-            decoder = frames.Frames()
-            try:
-                while data := (yield from stream.read()):
-                    got += decoder.feed(data)
-            except StreamBrokenError:
-                pass
-            assert isinstance(got[0], frames.Hello)
-            assert not told or "version 9" in got[-1].text
+            stream.write(data)
+            received = yield from frames_until_end(stream)
+            assert isinstance(received[0], frames.Hello)
+            assert not error or "version 9" in received[-1].text
 
     world.run(main())
     assert world.events_of("garbled")
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_clients_that_leave_while_outcomes_come_in_leave_nothing_behind(seed):
-    """The module may send for a query whose client left within the same turn: told as never sent."""
+def test_clients_that_disconnect_while_results_arrive_leave_no_state(seed):
+    """An attempt may be decided for a query whose client disconnects in the same turn: it is unsent."""
     world = World(seed, DEMO_SETTINGS.replace("(open-cap 600)", "(open-cap 0)"), shuffle=seed)
 
-    def leaver(number):
+    def disconnect_early(number):
+        """Send a query and disconnect within 80 ms."""
         client = yield from world.client()
         client.stream.write(b"get price:l%d\r\n" % number)
-        # About when answers and failures come in: some of these share a turn with them.
+        # About when results arrive: some disconnects share a turn with them.
         yield from sleep(world.loop, 20_000 + (number * 137) % 60_000)
         client.stream.abort()
 
     def main():
         for leaf in world.fleet.leaves[::2]:
-            leaf.order(frames.FaultCommand("failclass", 0, 3_000_000, "price-search"))
+            inject_fault(leaf, "failclass", 3.0, text="price-search")
         for number in range(80):
-            world.loop.spawn(leaver(number), "leaver")
+            world.loop.spawn(disconnect_early(number), "leaver")
             yield from sleep(world.loop, 7_000)
         yield from sleep(world.loop, 5_000_000)
         broker = world.fleet.brokers[0].broker
@@ -381,7 +390,7 @@
     finish(world)
 
 
-def test_a_send_decided_as_its_client_leaves_is_told_as_never_sent():
+def test_an_attempt_decided_as_its_client_disconnects_is_reported_as_unsent():
     world = World(17)
     broker = world.fleet.brokers[0].broker
 
@@ -389,7 +398,7 @@
         handle = broker.ask("sale:anna:17", lambda _reply: None)
         yield from sleep(world.loop, 5_000)
         [sent] = world.events_of("send")
-        # An outcome that calls for another attempt, and the client's leaving, in one batch.
+        # A result that needs another attempt and the client's disconnect are in one batch.
         broker.on_attempt_result(sent["node"], (sent["p"], 0), "unreachable", None)
         handle.disconnect()
         yield from sleep(world.loop, 3_000_000)
@@ -399,10 +408,8 @@
     assert len(world.events_of("send")) == 1 and len(world.events_of("unsent")) == 1
 
 
-def test_parts_that_share_a_call_keep_an_outcome_each():
-    text = DEMO_SETTINGS.replace("(attempts 4)", "(attempts 4) (parts-a-call 8)").replace(
-        "(leaves 6)", "(leaves 6)"
-    )
+def test_parts_batched_into_one_call_have_an_outcome_each():
+    text = DEMO_SETTINGS.replace("(attempts 4)", "(attempts 4) (parts-a-call 8)")
     world = World(18, text.replace("(width 3)", "(width 1)").replace("(need 75%)", "(need 100%)"))
 
     def main():
@@ -412,12 +419,14 @@
 
     world.run(main())
     arrivals = world.events_of("arrive")
-    assert len(arrivals) == 8 and len({a["node"] for a in arrivals}) == 6  # 12 shards on 6 hosts: pairs share
+    assert (
+        len(arrivals) == 8 and len({arrival["node"] for arrival in arrivals}) == 6
+    )  # 12 shards on 6 hosts: two parts a call
     assert len(world.events_of("ended", outcome="ok")) == 8
     finish(world)
 
 
-def test_idle_connections_to_hosts_close_and_open_again():
+def test_idle_connections_to_hosts_are_closed_and_reopened_on_demand():
     world = World(19, DEMO_SETTINGS.replace("(attempts 4)", "(attempts 4) (idle-close 2s)"))
 
     def main():
@@ -434,40 +443,40 @@
     finish(world)
 
 
-def test_discovery_that_pushes_is_followed_and_its_loss_survived():
+def test_pushed_endpoint_updates_are_followed_after_an_outage_of_discovery():
     world = World(20, DEMO_SETTINGS.replace("(discovery ", "(discovery (ask no) "))
 
     def main():
         client = yield from world.client()
         assert (yield from client.get("price:tea"))[0]
         assert not world.events_of("watch")
-        world.fleet.discovery.order(frames.FaultCommand("down", 0, 3_000_000))
+        inject_fault(world.fleet.discovery, "down", 3.0)
         yield from sleep(world.loop, 1_000_000)
         assert world.events_of("news", kind="failed")
         assert (yield from client.get("price:bread"))[0]
         world.fleet.leaves[0].crash()
         yield from sleep(world.loop, 8_000_000)
-        state = world.fleet.brokers[0].broker.aggregator.endpoints[world.fleet.leaves[0].address]
-        assert not state.live
+        endpoint = world.fleet.brokers[0].broker.aggregator.endpoints[world.fleet.leaves[0].address]
+        assert not endpoint.live
 
     world.run(main())
     finish(world)
 
 
-def test_discovery_that_is_down_is_asked_again_and_a_restart_is_a_new_process():
+def test_discovery_is_polled_again_after_an_outage_and_a_restarted_host_is_a_new_incarnation():
     world = World(21)
 
     def main():
         client = yield from world.client()
         assert (yield from client.get("price:tea"))[0]
-        world.fleet.discovery.order(frames.FaultCommand("down", 0, 6_000_000))
+        inject_fault(world.fleet.discovery, "down", 6.0)
         leaf = world.fleet.leaves[2]
         leaf.crash()
         yield from sleep(world.loop, 3_000_000)
         leaf.start()
         yield from sleep(world.loop, 9_000_000)
-        server = world.fleet.brokers[0].broker.aggregator.endpoints[leaf.address]
-        assert server.live and server.started_at_us is not None and server.started_at_us > 3_000_000
+        endpoint = world.fleet.brokers[0].broker.aggregator.endpoints[leaf.address]
+        assert endpoint.live and endpoint.started_at_us is not None and endpoint.started_at_us > 3_000_000
         assert len(world.events_of("watch")) > 2
         assert (yield from client.get("price:tea"))[0]
 
