--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -76,12 +76,12 @@
         assert not self.errors, self.errors
         return result
 
-    def events_of(self, event: str, **fields: Any) -> list[dict[str, Any]]:
-        """Return the recorded events of one kind that have the given field values."""
+    def events_of(self, event_type: str, **fields: Any) -> list[dict[str, Any]]:
+        """Return the recorded events of one type that have the given field values."""
         return [
             record
             for record in self.events
-            if record["ev"] == event and all(record.get(name) == value for name, value in fields.items())
+            if record["ev"] == event_type and all(record.get(name) == value for name, value in fields.items())
         ]
 
     def client(self, broker: int = 0):
@@ -89,9 +89,9 @@
         stream = yield from self.net.connect(self.fleet.brokers[broker].address, 1_000_000, "client")
         return Client(stream, self, broker)
 
-    def record_event(self, event: str, **fields: Any) -> None:
+    def record_event(self, event_type: str, **fields: Any) -> None:
         """Append an event of the client to the recorded events."""
-        self.events.append({"t": self.loop.now(), "who": "client", "ev": event, **fields})
+        self.events.append({"t": self.loop.now(), "who": "client", "ev": event_type, **fields})
 
     def verdict(self, events: list[dict[str, Any]] | None = None):
         """Return the auditor's verdict on the given events, or on all recorded ones."""
--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -1,4 +1,4 @@
-"""Bad days on virtual time over seeds, judged by the auditor; and a planted breach of each rule is found."""
+"""Fault scenarios on virtual time keep all rules; the auditor finds a planted breach of each rule."""
 
 from __future__ import annotations
 
@@ -13,76 +13,91 @@
 
 from .fleet import DEMO_SETTINGS
 
-THREE = DEMO_SETTINGS.replace("(brokers 1)", "(brokers 3)").replace("(leaves 6)", "(leaves 12)")
+THREE_BROKERS = DEMO_SETTINGS.replace("(brokers 1)", "(brokers 3)").replace("(leaves 6)", "(leaves 12)")
 
 
-def day(seed: int, seconds: float = 25.0) -> SimulatedScenario:
-    return SimulatedScenario(loads(THREE), seed, duration_seconds=seconds).run()
+def run_scenario(seed: int, seconds: float = 25.0) -> SimulatedScenario:
+    """Return a scenario of three brokers, played to its end."""
+    return SimulatedScenario(loads(THREE_BROKERS), seed, duration_seconds=seconds).run()
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_bad_days_keep_every_rule(seed):
-    world = day(seed)
-    verdict = world.verdict()
+def test_fault_scenarios_keep_every_rule(seed):
+    scenario = run_scenario(seed)
+    verdict = scenario.verdict()
     assert verdict.kept, "\n".join(map(str, verdict.breaches[:10]))
     assert verdict.counts["queries"] > 500 and verdict.counts["arrivals"] > 1500
 
 
-def test_the_same_seed_gives_the_same_day():
-    assert day(3, 6.0).events == day(3, 6.0).events
+def test_the_same_seed_gives_the_same_events():
+    assert run_scenario(3, 6.0).events == run_scenario(3, 6.0).events
 
 
 @pytest.fixture(scope="module")
-def good():
-    return day(11, 12.0)
+def clean_scenario():
+    """Return a scenario without a breach, which tests copy before they plant one."""
+    return run_scenario(11, 12.0)
 
 
-def first(events, ev, **fields):
-    return next(e for e in events if e["ev"] == ev and all(e.get(k) == v for k, v in fields.items()))
+def first(events, event_type, **fields):
+    """Return the first event of a type that has the given field values."""
+    return next(
+        event
+        for event in events
+        if event["ev"] == event_type and all(event.get(name) == value for name, value in fields.items())
+    )
 
 
 def plant_second_final(events):
+    """Rule 1: a query has one final answer."""
     events.append(copy.deepcopy(first(events, "final")))
     return 1
 
 
-def plant_no_final(events):
+def plant_missing_final(events):
+    """Rule 1: a query has a final answer."""
     events.remove(first(events, "final"))
     return 1
 
 
 def plant_late_final(events):
+    """Rule 1: the final answer is in time."""
     first(events, "final")["t"] += 5_000_000
     return 1
 
 
-def plant_sent_after_the_final(events):
+def plant_part_sent_after_the_final(events):
+    """Rule 1: nothing is sent for a query after its final answer."""
     final = first(events, "final", kind="answered")
     for name in ("send", "arrive"):
-        found = copy.deepcopy(first(events, name, p=final["parts"][0]))
-        found |= {"t": final["t"] + 1000, "seq": 3}
-        events.append(found)
+        event = copy.deepcopy(first(events, name, p=final["parts"][0]))
+        event |= {"t": final["t"] + 1000, "seq": 3}
+        events.append(event)
     return 1
 
 
-def plant_client_without_reply(events):
+def plant_query_without_reply(events):
+    """Rule 1: each request of a client has a reply."""
     events.remove(first(events, "reply", kind="answer"))
     return 1
 
 
 def plant_unlogged_send(events):
+    """Rule 2: each arrival belongs to an attempt that was sent."""
     events.remove(first(events, "send"))
     return 2
 
 
-def plant_two_at_once(events):
+def plant_two_attempts_of_a_part_in_flight(events):
+    """Rule 2: a part that may not run twice has one attempt in flight."""
     send = first(events, "send", seq=0)
     events.append(send | {"seq": 1, "t": send["t"] + 1})
     events.append(first(events, "arrive", p=send["p"]) | {"seq": 1, "t": send["t"] + 2})
     return 2
 
 
-def plant_keyed_outside_its_window(events):
+def plant_keyed_part_retried_after_its_idempotency_window(events):
+    """Rule 2: a keyed part is retried within its window only."""
     take = first(events, "take", klass="sale-record")
     send = first(events, "send", p=take["q"] + "/0")
     take["deadline"] = 9_000_000
@@ -90,21 +105,28 @@
     return 2
 
 
-def plant_false_proof(events):
+def plant_executed_attempt_reported_unreachable(events):
+    """Rule 2: a part that ran is not reported as never received."""
     begin = first(events, "begin")
     first(events, "ended", p=begin["p"], seq=begin["seq"])["outcome"] = "unreachable"
     return 2
 
 
-def plant_send_to_a_drained_host(events):
-    arrive = next(
-        a
-        for a in events
-        if a["ev"] == "arrive"
-        and a["t"] > 4_000_000
-        and not any(
-            n["ev"] == "news" and n["who"] == a["broker"] and -2_000_000 < n["t"] - a["t"] < 0 for n in events
+def plant_part_sent_to_a_drained_host(events):
+    """Rule 3: nothing new is sent to a host after the drain grace."""
+
+    def has_recent_endpoint_update(arrival):
+        return any(
+            event["ev"] == "news"
+            and event["who"] == arrival["broker"]
+            and -2_000_000 < event["t"] - arrival["t"] < 0
+            for event in events
         )
+
+    arrive = next(
+        event
+        for event in events
+        if event["ev"] == "arrive" and event["t"] > 4_000_000 and not has_recent_endpoint_update(event)
     )
     events.append(
         {
@@ -118,12 +140,14 @@
     return 3
 
 
-def plant_a_fall(events):
+def plant_overloaded_host(events):
+    """Rule 4: no host is overloaded."""
     events.append({"t": 9_000_000, "who": "leaf1", "ev": "fell", "node": "x", "pressure": 1.2})
     return 4
 
 
-def plant_a_push(events):
+def plant_overload_of_a_host_in_slow_start(events):
+    """Rule 4: a host in slow start is not overloaded by all brokers together."""
     arrive = first(events, "arrive")
     for number in range(400):
         events.append(
@@ -132,49 +156,54 @@
     return 4
 
 
-def plant_under_the_floor(events):
-    final = next(e for e in events if e["ev"] == "final" and len(e["parts"]) == 6)
+def plant_answer_below_the_minimum_fraction(events):
+    """Rule 5: no answer is below its minimum fraction."""
+    final = next(event for event in events if event["ev"] == "final" and len(event["parts"]) == 6)
     final["parts"] = final["parts"][:5]
     return 5
 
 
-def plant_a_part_nobody_answered(events):
+def plant_part_without_a_result(events):
+    """Rule 5: an answer holds only parts that were received."""
     final = first(events, "final", kind="answered")
     events.remove(first(events, "done", p=final["parts"][0], outcome="ok"))
     return 5
 
 
-def plant_a_part_twice(events):
+def plant_part_counted_twice(events):
+    """Rule 5: an answer counts a part once."""
     final = first(events, "final", kind="answered")
     final["parts"].append(final["parts"][0])
     return 5
 
 
-def plant_client_told_whole(events):
-    reply = next(e for e in events if e["ev"] == "reply" and e.get("values"))
+def plant_reply_with_too_many_parts(events):
+    """Rule 5: the reply states the coverage of the final answer."""
+    reply = next(event for event in events if event["ev"] == "reply" and event.get("values"))
     reply["values"][0]["got"] = 99
     return 5
 
 
-def plant_over_budget(events):
+def plant_attempts_over_the_budget(events):
+    """Rule 6: additional attempts stay within their budget."""
     first(events, "run")["figures"] |= {"counted_over": 10_000_000, "free_resends": 0, "further_ratio": 0.0}
     return 6
 
 
 @pytest.mark.parametrize(
     "plant",
-    [f for name, f in list(globals().items()) if name.startswith("plant_")],
-    ids=lambda f: f.__name__[6:],
+    [function for name, function in list(globals().items()) if name.startswith("plant_")],
+    ids=lambda function: function.__name__[6:],
 )
-def test_a_planted_breach_is_found_at_its_request_and_lines(good, plant):
-    events = copy.deepcopy(good.events)
+def test_a_planted_breach_is_found_with_its_request_and_event_lines(clean_scenario, plant):
+    events = copy.deepcopy(clean_scenario.events)
     rule = plant(events)
-    events.sort(key=lambda e: e["t"])
+    events.sort(key=lambda event: event["t"])
     verdict = judge(from_lines(events), slack=20_000)
     assert not verdict.kept
-    found = [b for b in verdict.breaches if b.rule == rule]
-    assert found and all(b.request and b.lines for b in found)
+    breaches = [breach for breach in verdict.breaches if breach.rule == rule]
+    assert breaches and all(breach.request and breach.lines for breach in breaches)
 
 
-def test_the_clean_run_has_none(good):
-    assert good.verdict().kept
+def test_a_scenario_without_a_planted_breach_keeps_every_rule(clean_scenario):
+    assert clean_scenario.verdict().kept
