--- a/tests/test_fault_scenarios.py
+++ b/tests/test_fault_scenarios.py
@@ -89,7 +89,7 @@
 
 
 def plant_two_attempts_of_a_part_in_flight(events):
-    """Rule 2: a part that may not run twice has one attempt in flight."""
+    """Rule 2: without hedging, a part has one attempt in flight."""
     send = first(events, "send", seq=0)
     events.append(send | {"seq": 1, "t": send["t"] + 1})
     events.append(first(events, "arrive", p=send["p"]) | {"seq": 1, "t": send["t"] + 2})
