--- a/tests/test_region_reachability.py
+++ b/tests/test_region_reachability.py
@@ -1,6 +1,4 @@
-"""Within reach or cut off: which queries can be answered, clients let go, crossing's cost, losses of the
-link.
-"""
+"""A broker cut off from shards: answerable queries, drained clients, cost of crossings, losses of a link."""
 
 from __future__ import annotations
 
@@ -28,174 +26,179 @@
 )
 
 from .fleet import DEMO_SETTINGS, World
-from .test_regions import FAR, Bench
+from .test_regions import REMOTE_NODES, RegionLinksDriver
 from .test_settings import problems
 
-SPLIT = DEMO_SETTINGS.replace("(width 3)", "(width 1)") + (
+TWO_REGION_SETTINGS = DEMO_SETTINGS.replace("(width 3)", "(width 1)") + (
     "(across (let-go 2s) (region small (zones a)) (region large (zones b c)))"
 )
 
 
 @given(st.lists(st.booleans(), min_size=1, max_size=12), st.integers(1, 14), st.floats(0.01, 1))
-def test_answerable_is_the_share_of_first_shards_that_meet_the_floor(within, span, floor):
-    shards, wide = len(within), min(span, len(within))
-    met = sum(
-        sum(within[(first + n) % shards] for n in range(wide)) / wide >= floor - 1e-6
+def test_answerable_fraction_counts_first_shards_whose_span_meets_the_minimum(reachable, span, minimum):
+    shards = len(reachable)
+    parts = min(span, shards)
+    answerable = sum(
+        sum(reachable[(first + offset) % shards] for offset in range(parts)) / parts >= minimum - 1e-6
         for first in range(shards)
     )
-    assert answerable_fraction(within, span, floor) == met / shards
+    assert answerable_fraction(reachable, span, minimum) == answerable / shards
 
 
-def test_clients_are_let_go_spread_out_once_a_cut_and_never_on_a_blip():
-    drain, idle = ClientDrain(2_000_000, 5), [(n, 0) for n in range(400)]
-    left: dict[int, int] = {}
+def test_idle_clients_are_closed_spread_out_once_a_cut_and_never_on_a_short_one():
+    drain = ClientDrain(2_000_000, 5)
+    idle = [(number, 0) for number in range(400)]
+    closed_at_us: dict[int, int] = {}
 
-    def wait(now, until, cut, clients):
-        for at in range(now, until, 250_000):
-            drain.tick(at, is_cut_off=cut)
-            for client in drain.take_due(at, [IdleClient(*c) for c in clients if c[0] not in left]):
-                left[client] = at
+    def wait(now_us, until_us, is_cut_off, clients):
+        for at_us in range(now_us, until_us, 250_000):
+            drain.tick(at_us, is_cut_off=is_cut_off)
+            open_clients = [IdleClient(*client) for client in clients if client[0] not in closed_at_us]
+            for client in drain.take_due(at_us, open_clients):
+                closed_at_us[client] = at_us
 
     wait(0, 750_000, True, idle)
     wait(750_000, 6_000_000, False, idle)
-    assert not left
+    assert not closed_at_us
     wait(6_000_000, 6_750_000, True, idle)
-    wait(6_750_000, 7_000_000, False, idle)  # a half-open step that came to nothing: the same cut
+    wait(6_750_000, 7_000_000, False, idle)  # a half-open step that failed: the same cut
     wait(7_000_000, 7_500_000, True, idle)
-    came_back = [(1000 + n, 7_400_000) for n in range(50)]
-    wait(7_500_000, 12_000_000, True, idle + came_back)
-    assert sorted(left) == list(range(400)) and drain.closed_count == 400
-    assert max(sum(at == when for at in left.values()) for when in left.values()) < 90  # no herd
-    wait(12_000_000, 16_000_000, False, came_back)
-    wait(16_000_000, 20_000_000, True, came_back)  # a new cut: they have not heard of it
+    reconnected = [(1000 + number, 7_400_000) for number in range(50)]
+    wait(7_500_000, 12_000_000, True, idle + reconnected)
+    assert sorted(closed_at_us) == list(range(400)) and drain.closed_count == 400
+    assert max(sum(at == when for at in closed_at_us.values()) for when in closed_at_us.values()) < 90
+    wait(12_000_000, 16_000_000, False, reconnected)
+    wait(16_000_000, 20_000_000, True, reconnected)  # a new cut, of which they have not been notified
     assert drain.closed_count == 450
-    assert not ClientDrain(0, 1).take_due(9, [IdleClient(*c) for c in idle])
+    assert not ClientDrain(0, 1).take_due(9, [IdleClient(*client) for client in idle])
 
 
-def test_a_broker_cut_off_says_so_by_class_and_lets_idle_clients_go():
-    world = World(text=SPLIT)
+def test_a_broker_that_is_cut_off_reports_it_by_class_and_closes_idle_clients():
+    world = World(text=TWO_REGION_SETTINGS)
     broker = world.fleet.brokers[0]
 
-    def far():
-        return [leaf.name for leaf in world.fleet.leaves if leaf.zone != 0]
+    remote_nodes = [leaf.name for leaf in world.fleet.leaves if leaf.zone != 0]
 
     def page(path, query=""):
         return broker.admin_server.answer(Request("GET", path, query, {}, b""))
 
-    def waits(client, ended, name):
-        data = yield from client.stream.read()
-        ended[name] = data
+    def wait_for_data(client, received, number):
+        received[number] = yield from client.stream.read()
 
     def main():
-        idle, ended = [], {}
+        received = {}
         for number in range(12):
-            idle.append((yield from world.client()))
-            world.loop.spawn(waits(idle[-1], ended, number), "idle")
-        asking = yield from world.client()
+            idle_client = yield from world.client()
+            world.loop.spawn(wait_for_data(idle_client, received, number), "idle")
+        active_client = yield from world.client()
         assert page("/healthz").status == 200 and page("/healthz", "class=sale-record").status == 200
-        for name in far():
+        for name in remote_nodes:
             world.net.cut("b0", name)
             world.net.cut(name, "b0")
         for number in range(40):
             if not broker.broker.cut_off:
-                yield from asking.get(f"price:t{number}")
+                yield from active_client.get(f"price:t{number}")
                 yield from sleep(world.loop, 40_000)
         yield from sleep(world.loop, 3_500_000)
-        assert set(ended) == set(range(12)) and set(ended.values()) == {b""}
+        assert set(received) == set(range(12)) and set(received.values()) == {b""}
         assert page("/healthz").body == b"cut off from most shards\n"
         health = page("/healthz", "class=sale-record")
         assert health.status == 503 and health.body == b"33% of sale-record queries can be answered\n"
         assert page("/healthz", "class=no").status == 404
         assert b"heathwell_clients_let_go_total 13" in page("/metrics").body
-        back = yield from world.client()  # nobody better was found: it is kept, and told at once
-        began = world.loop.now()
-        yield from back.get("report:t1,t2:2026-11-28")
+        # A client that connects again is kept and gets an immediate rejection.
+        client = yield from world.client()
+        started_at_us = world.loop.now()
+        yield from client.get("report:t1,t2:2026-11-28")
         assert (
-            back.unanswered["report:t1,t2:2026-11-28"]["why"] == "cut off"
-            and world.loop.now() - began < 5_000
+            client.unanswered["report:t1,t2:2026-11-28"]["why"] == "cut off"
+            and world.loop.now() - started_at_us < 5_000
         )
         yield from sleep(world.loop, 3_000_000)
-        yield from back.get("report:t1,t2:2026-11-28")
-        for name in far():
+        yield from client.get("report:t1,t2:2026-11-28")
+        for name in remote_nodes:
             world.net.heal("b0", name)
             world.net.heal(name, "b0")
         yield from sleep(world.loop, 6_000_000)
         assert page("/healthz").status == 200
-        for _ in range(20):  # hosts that the module ejected in the cut come back by its own trials
-            values, _ = yield from back.get("report:t1,t2:2026-11-28")
+        for _ in range(20):  # hosts ejected during the cut are reinstated by half-open attempts
+            values, _ = yield from client.get("report:t1,t2:2026-11-28")
             if not values:
                 yield from sleep(world.loop, 500_000)
-        assert values and "cut off" not in str(back.unanswered)
+        assert values and "cut off" not in str(client.unanswered)
 
     world.run(main())
     assert world.verdict().kept
 
 
-def test_an_expected_delay_is_not_slowness_and_crossing_has_a_budget():
-    for way, slow in ((RegionRoute(), True), (RegionRoute(round_trip_us=200_000), False)):
-        bench = Bench(routes={"espoo": way})
+def test_an_expected_round_trip_is_not_slow_and_crossings_have_a_cost_budget():
+    for route, is_slow in ((RegionRoute(), True), (RegionRoute(round_trip_us=200_000), False)):
+        driver = RegionLinksDriver(routes={"espoo": route})
         for _ in range(80):
-            bench.wait(25)
-            asked = [bench.ask(node) for node in FAR]
-            bench.wait(25)
-            for one in asked:
-                bench.end(one, took=240)
-        assert (bench.link.state == LinkState.SLOW) is slow
-    bench = Bench(routes={"espoo": RegionRoute(cost=2.0)}, crossing_cost_budget=10.0)
-    for node in FAR[:4]:
-        bench.end(bench.ask(node))
-    assert not bench.regions.restrictions(bench.now).deprioritized
-    bench.end(bench.ask(FAR[4]))
-    assert bench.regions.restrictions(bench.now).deprioritized == set(FAR)  # spent: only what home has not
-    bench.wait(1_100)
+            driver.wait(25)
+            attempts = [driver.send(node) for node in REMOTE_NODES]
+            driver.wait(25)
+            for attempt in attempts:
+                driver.end(attempt, duration_ms=240)
+        assert (driver.link.state == LinkState.SLOW) is is_slow
+    driver = RegionLinksDriver(routes={"espoo": RegionRoute(cost=2.0)}, crossing_cost_budget=10.0)
+    for node in REMOTE_NODES[:4]:
+        driver.end(driver.send(node))
+    assert not driver.regions.restrictions(driver.now_us).deprioritized
+    driver.end(driver.send(REMOTE_NODES[4]))
+    # The budget is spent: remote hosts serve only shards without a local replica.
+    assert driver.regions.restrictions(driver.now_us).deprioritized == set(REMOTE_NODES)
+    driver.wait(1_100)
     assert (
-        not bench.regions.restrictions(bench.now).deprioritized
-        and abs(bench.regions.crossing_budget.spent_cost) < 1e-9
+        not driver.regions.restrictions(driver.now_us).deprioritized
+        and abs(driver.regions.crossing_budget.spent_cost) < 1e-9
     )
 
 
-def test_links_are_checked():
+def test_invalid_link_settings_are_reported():
     assert (
-        "across.link[0].between: no region 'mars'" in problems(SPLIT[:-1] + "(link (between small mars)))")[0]
+        "across.link[0].between: no region 'mars'"
+        in problems(TWO_REGION_SETTINGS[:-1] + "(link (between small mars)))")[0]
     )
-    assert "names two regions" in problems(SPLIT[:-1] + "(link (between small)))")[0]
+    assert "names two regions" in problems(TWO_REGION_SETTINGS[:-1] + "(link (between small)))")[0]
     assert (
         "the link is given twice"
-        in problems(SPLIT[:-1] + "(link (between small large)) (link (between large small)))")[0]
+        in problems(TWO_REGION_SETTINGS[:-1] + "(link (between small large)) (link (between large small)))")[
+            0
+        ]
     )
 
 
-def test_losses_show_as_resends_in_steps_that_double():
+def test_packet_losses_delay_by_retransmission_timeouts_that_double():
     draws = random.Random(3)
-    waits = [retransmission_delay_us(100, 0.3, draws) for _ in range(4000)]
-    assert set(waits) <= {RETRANSMISSION_TIMEOUT_US * (2**n - 1) for n in range(12)}
-    assert 0.27 < sum(wait > 0 for wait in waits) / 4000 < 0.33
-    assert (
-        sum(retransmission_delay_us(14_480, 0.05, draws) > 0 for _ in range(2000)) > 600
-    )  # ten packets: any of them
+    delays_us = [retransmission_delay_us(100, 0.3, draws) for _ in range(4000)]
+    assert set(delays_us) <= {RETRANSMISSION_TIMEOUT_US * (2**losses - 1) for losses in range(12)}
+    assert 0.27 < sum(delay_us > 0 for delay_us in delays_us) / 4000 < 0.33
+    # A message of ten packets is delayed by the loss of any of them.
+    assert sum(retransmission_delay_us(14_480, 0.05, draws) > 0 for _ in range(2000)) > 600
     assert retransmission_delay_us(100, 0.0, draws) == 0
 
 
-def test_the_service_around_a_trouble_is_counted_by_class_span_and_home():
+def test_service_around_a_fault_is_counted_by_class_phase_and_locality():
     service_settings = loads(region_process_settings("decider"))
     faults = (ProcessFault("cut", ScriptedFault.REGION_LINK_CUT),)
-    rows = [
+    outcomes = [
         Outcome(
-            at / 10,
+            tenth / 10,
             "sale-record",
-            "refused" if 80 <= at < 160 and n % 2 else "on time",
+            "refused" if 80 <= tenth < 160 and number % 2 else "on time",
             0.01,
-            f"sale:t{at + n}:1",
-            f"b{n}",
+            f"sale:t{tenth + number}:1",
+            f"b{number}",
         )
-        for at in range(40, 280)
-        for n in range(8)
+        for tenth in range(40, 280)
+        for number in range(8)
     ]
-    service = services_by_fault(rows, service_settings, faults)["cut"]
+    service = services_by_fault(outcomes, service_settings, faults)["cut"]
     during = ServiceKey("sale-record", Phase.DURING)
     before = ServiceKey("sale-record", Phase.BEFORE)
     assert service.fraction(during, "refused") == 0.5
     assert service.fraction(before, "refused") == 0 and service.recovery_seconds == 0
-    at_home = service.count(ServiceKey("sale-record", Phase.DURING, is_local=True))
-    assert 0.2 * 640 < at_home < 0.3 * 640  # a quarter of the shards lies all at home
+    local_count = service.count(ServiceKey("sale-record", Phase.DURING, is_local=True))
+    assert 0.2 * 640 < local_count < 0.3 * 640  # a quarter of the shards has local replicas only
     assert len(service.refused_after_objectives) == 320
