--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -1,9 +1,8 @@
-"""Storms: what is remembered, advice that spreads, states by evidence, and an outage on virtual time."""
+"""Retry storms: bounded records, spread retry-after times, storm states, and an outage on virtual time."""
 
 from __future__ import annotations
 
 import json
-import random
 
 import pytest
 from hypothesis import given
@@ -33,31 +32,35 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 3_000_000)), max_size=200))
-def test_the_sketch_never_tells_less_than_was_counted(asks):
-    sketch, true, now, last = CountMinSketch(1_000_000, width=64), {}, 0, {}
-    for who, pause in asks:
-        now += pause
-        true[who] = true.get(who, 0.0) * 0.5 ** ((now - last.get(who, now)) / 1_000_000) + 1
-        last[who] = now
-        sketch.add(hash_names(str(who)), now)
-    for who, count in true.items():
-        faded = count * 0.5 ** ((now - last[who]) / 1_000_000)
-        assert sketch.count(hash_names(str(who)), now) >= faded - 1e-6
-    assert sketch.count(hash_names("nobody"), now + 60_000_000) < 1e-6
-
-
-def test_the_sketch_stays_exact_enough_at_its_size_and_for_days():
+def test_the_sketch_never_underestimates_a_decayed_count(requests):
+    sketch = CountMinSketch(1_000_000, width=64)
+    true_counts: dict[int, float] = {}
+    last_at_us: dict[int, int] = {}
+    now_us = 0
+    for client, pause_us in requests:
+        now_us += pause_us
+        elapsed_us = now_us - last_at_us.get(client, now_us)
+        true_counts[client] = true_counts.get(client, 0.0) * 0.5 ** (elapsed_us / 1_000_000) + 1
+        last_at_us[client] = now_us
+        sketch.add(hash_names(str(client)), now_us)
+    for client, count in true_counts.items():
+        decayed_count = count * 0.5 ** ((now_us - last_at_us[client]) / 1_000_000)
+        assert sketch.count(hash_names(str(client)), now_us) >= decayed_count - 1e-6
+    assert sketch.count(hash_names("nobody"), now_us + 60_000_000) < 1e-6
+
+
+def test_the_sketch_rarely_overestimates_2000_clients():
     sketch = CountMinSketch(1_000_000)
-    for who in range(2000):
-        sketch.add(hash_names(str(who)), 10**12)
-    over = [sketch.count(hash_names(str(who)), 10**12) for who in range(2000)]
-    assert sum(count > 1.01 for count in over) < 40 and min(over) >= 0.99
+    for client in range(2000):
+        sketch.add(hash_names(str(client)), 10**12)
+    counts = [sketch.count(hash_names(str(client)), 10**12) for client in range(2000)]
+    assert sum(count > 1.01 for count in counts) < 40 and min(counts) >= 0.99
 
 
-def test_what_is_remembered_is_bounded_and_forgotten():
+def test_the_recent_map_is_bounded_and_expires_entries():
     recent: RecentMap[int] = RecentMap(1_000_000, maximum=10)
-    for n in range(50):
-        recent.put(n, n, 0)
+    for number in range(50):
+        recent.put(number, number, 0)
     assert len(recent) == 10 and recent.dropped_count == 40 and recent.get(3, 500_000) == 3
     recent.put(99, 1, 1_200_000)
     assert (
@@ -66,61 +69,67 @@
     assert len(recent) <= 20
 
 
-def test_advice_is_flat_fits_and_is_never_past_its_use():
-    schedule, slots = RetrySchedule(4), {}
-    times = [schedule.book(1_000_000, 100_000.0, 2.0, 0, 8_000_000) for _ in range(70)]
-    for at in times:
-        assert 0 < at <= 8_000_000
-        slots[(1_000_000 + at) // 100_000] = slots.get((1_000_000 + at) // 100_000, 0) + 1
-    assert max(slots.values()) == 1  # 0.2 s of work fits a slot, four fifths of it are given away
-    assert min(times) < 400_000 and max(times) > 6_500_000
-    overfull = [schedule.book(1_000_000, 100_000.0, 2.0, 0, 8_000_000) for _ in range(400)]
-    assert all(4_000_000 <= at <= 8_000_000 for at in overfull[-200:])  # spread over the later half
+def test_retry_after_times_are_spread_evenly_and_stay_within_the_maximum():
+    schedule = RetrySchedule(4)
+    slots: dict[int, int] = {}
+    retry_after_us = [schedule.book(1_000_000, 100_000.0, 2.0, 0, 8_000_000) for _ in range(70)]
+    for delay_us in retry_after_us:
+        assert 0 < delay_us <= 8_000_000
+        slot = (1_000_000 + delay_us) // 100_000
+        slots[slot] = slots.get(slot, 0) + 1
+    assert max(slots.values()) == 1  # 0.2 s of work fits a slot, of which four fifths are booked
+    assert min(retry_after_us) < 400_000 and max(retry_after_us) > 6_500_000
+    overbooked = [schedule.book(1_000_000, 100_000.0, 2.0, 0, 8_000_000) for _ in range(400)]
+    assert all(4_000_000 <= delay_us <= 8_000_000 for delay_us in overbooked[-200:])  # the later half
     assert schedule.book(1_000_000, 100_000.0, 2.0, 5_000_000, 8_000_000) >= 5_000_000
-    assert schedule.book(60_000_000, 100_000.0, 2.0, 0, 8_000_000) < 400_000  # what is past is forgotten
+    assert schedule.book(60_000_000, 100_000.0, 2.0, 0, 8_000_000) < 400_000  # past bookings expire
 
 
-class ServiceBroker:
-    """Feeds a decider; the module behind it answers so much work a second and refuses the rest."""
+class LimitedCapacityBroker:
+    """A storm controller before a service that answers a fixed work rate and rejects the rest."""
 
-    def __init__(self, limits=None, capacity=1_000_000.0):
+    def __init__(self, limits=None, capacity_us=1_000_000.0):
         self.storms = StormController(limits or StormLimits(), 0, 3)
-        self.now, self.capacity, self.room, self.states = 0, capacity, 1.0, []
-        self.draws = random.Random(1)
-        self.left = 0.0
+        self.now_us = 0
+        self.capacity_us = capacity_us
+        self.states: list[StormState] = []
+        self.remaining_us = 0.0
         self.admitted: dict[str, int] = {}
 
-    def ask(self, client, key="k", cost=20_000.0):
-        verdict = self.storms.admit(self.now, client, key, cost)
+    def request(self, client, key="k", cost_us=20_000.0):
+        """Return 0 for an answered request, else its retry-after in microseconds."""
+        verdict = self.storms.admit(self.now_us, client, key, cost_us)
         if not verdict.is_admitted:
             return verdict.retry_after_us
         self.admitted[verdict.kind] = self.admitted.get(verdict.kind, 0) + 1
-        if self.left >= cost:
-            self.left -= cost
-            self.storms.record_reply(cost, is_answer=True, within_objective=True)
+        if self.remaining_us >= cost_us:
+            self.remaining_us -= cost_us
+            self.storms.record_reply(cost_us, is_answer=True, within_objective=True)
             return 0
-        after = self.storms.schedule_retry(self.now, client, key, cost)
-        self.storms.record_reply(cost, is_answer=False, within_objective=False)
-        return after
+        retry_after_us = self.storms.schedule_retry(self.now_us, client, key, cost_us)
+        self.storms.record_reply(cost_us, is_answer=False, within_objective=False)
+        return retry_after_us
 
     def tick(self):
-        self.now += 250_000
-        self.left = self.capacity * self.room * 0.25
-        change = self.storms.tick(self.now, self.room)
-        self.states += [change.state] if change is not None else []
+        """Pass 250 ms and record a change of the storm state."""
+        self.now_us += 250_000
+        self.remaining_us = self.capacity_us * 0.25
+        change = self.storms.tick(self.now_us, 1.0)
+        if change is not None:
+            self.states.append(change.state)
 
 
-def test_repeats_that_no_advice_sent_make_a_storm_and_their_end_ends_it():
-    broker = ServiceBroker()
+def test_unscheduled_retries_cause_a_storm_that_ends_with_them():
+    broker = LimitedCapacityBroker()
     for turn in range(40):
-        for n in range(8):
-            broker.ask(f"c{turn * 8 + n}")
+        for number in range(8):
+            broker.request(f"c{turn * 8 + number}")
         broker.tick()
     assert broker.storms.state == StormState.CALM and broker.storms.capacity_us > 500_000
     for turn in range(24):
-        for n in range(60):  # the same few, over and over
-            broker.ask(f"mad{n}")
-        broker.ask(f"fresh{turn}")
+        for number in range(60):  # the same clients in every turn
+            broker.request(f"mad{number}")
+        broker.request(f"fresh{turn}")
         broker.tick()
     assert (
         broker.storms.state == StormState.STORM
@@ -129,8 +138,8 @@
     )
     assert broker.admitted["first"] > 20
     for turn in range(40):
-        for n in range(8):
-            broker.ask(f"d{turn * 8 + n}")
+        for number in range(8):
+            broker.request(f"d{turn * 8 + number}")
         broker.tick()
     assert (
         broker.states[-2:] == [StormState.DRAINING, StormState.CALM]
@@ -138,83 +147,89 @@
     )
 
 
-def test_a_festival_of_first_tries_is_no_storm_though_many_are_refused():
-    broker, due = ServiceBroker(), []
+def test_a_burst_of_first_attempts_is_no_storm_though_many_are_rejected():
+    broker = LimitedCapacityBroker()
+    retries: list[tuple[int, str]] = []
     for turn in range(100):
-        busy = 20 <= turn < 60
-        for n in range(60 if busy else 8):
-            client = f"c{turn}-{n}"
-            after = broker.ask(client)
-            if after:
-                due.append((broker.now + after, client))
-        for at, client in [one for one in due if one[0] <= broker.now]:
-            due.remove((at, client))
-            after = broker.ask(client)  # as advised, and no sooner
-            if after:
-                due.append((broker.now + after, client))
+        is_burst = 20 <= turn < 60
+        for number in range(60 if is_burst else 8):
+            client = f"c{turn}-{number}"
+            retry_after_us = broker.request(client)
+            if retry_after_us:
+                retries.append((broker.now_us + retry_after_us, client))
+        for at_us, client in [retry for retry in retries if retry[0] <= broker.now_us]:
+            retries.remove((at_us, client))
+            retry_after_us = broker.request(client)
+            if retry_after_us:
+                retries.append((broker.now_us + retry_after_us, client))
         broker.tick()
     assert StormState.STORM not in broker.states
 
 
-def test_who_ignores_advice_waits_longer_and_goes_last():
-    broker = ServiceBroker(StormLimits(initial_work_rate_us=400_000.0), capacity=400_000.0)
-    served = {"heeds": 0, "ignores": 0}
-    due = {("heeds", n): 0 for n in range(40)} | {("ignores", n): 0 for n in range(40)}
+def test_clients_that_ignore_the_retry_after_wait_longer_and_are_answered_last():
+    broker = LimitedCapacityBroker(StormLimits(initial_work_rate_us=400_000.0), capacity_us=400_000.0)
+    answered = {"heeds": 0, "ignores": 0}
+    retry_at_us = {("heeds", number): 0 for number in range(40)}
+    retry_at_us |= {("ignores", number): 0 for number in range(40)}
     for _ in range(80):
-        for (policy, n), at in due.items():
-            tries = 4 if policy == "ignores" else int(at <= broker.now)
-            for _ in range(tries):
-                after = broker.ask(f"{policy}{n}", cost=10_000.0)
-                if not after:
-                    served[policy] += 1
+        for (behavior, number), at_us in retry_at_us.items():
+            attempts = 4 if behavior == "ignores" else int(at_us <= broker.now_us)
+            for _ in range(attempts):
+                retry_after_us = broker.request(f"{behavior}{number}", cost_us=10_000.0)
+                if not retry_after_us:
+                    answered[behavior] += 1
                     break
-                due[policy, n] = broker.now + after
+                retry_at_us[behavior, number] = broker.now_us + retry_after_us
         broker.tick()
-    assert served["heeds"] > 1.5 * served["ignores"]
-    honest = broker.storms.schedule_retry(broker.now, "new", "k", 10_000.0)
-    early = [broker.storms.schedule_retry(broker.now, "ignores1", "k", 10_000.0) for _ in range(3)]
-    assert min(early) >= 2_000_000 and honest <= 8_000_000 and max(early) <= 8_000_000
+    assert answered["heeds"] > 1.5 * answered["ignores"]
+    first_us = broker.storms.schedule_retry(broker.now_us, "new", "k", 10_000.0)
+    early_us = [broker.storms.schedule_retry(broker.now_us, "ignores1", "k", 10_000.0) for _ in range(3)]
+    assert min(early_us) >= 2_000_000 and first_us <= 8_000_000 and max(early_us) <= 8_000_000
 
 
-def test_a_start_lets_connections_and_work_in_gradually():
+def test_a_starting_broker_admits_connections_and_work_at_a_rising_rate():
     storms = StormController(
         StormLimits(accept_rate=1000.0, initial_accept_rate=20.0, initial_work_rate_us=100_000.0), 0, 1
     )
     assert storms.state == StormState.DRAINING
-    taken = {}
-    for now in range(0, 4_000_000, 5_000):
-        if now % 250_000 == 0:
-            storms.tick(now, 0.2)
-        while not storms.accept_delay_us(now):
+    accepted_by_second: dict[int, int] = {}
+    for now_us in range(0, 4_000_000, 5_000):
+        if now_us % 250_000 == 0:
+            storms.tick(now_us, 0.2)
+        while not storms.accept_delay_us(now_us):
             storms.on_connection_accepted()
-            taken[now // 1_000_000] = taken.get(now // 1_000_000, 0) + 1
-    assert taken[0] < 60 < taken[2] < taken[3] <= 1300
+            second = now_us // 1_000_000
+            accepted_by_second[second] = accepted_by_second.get(second, 0) + 1
+    assert accepted_by_second[0] < 60 < accepted_by_second[2] < accepted_by_second[3] <= 1300
+    # Work is admitted at the initial rate, whichever client requests it.
     admitted = sum(storms.admit(4_000_000, f"c{n}", "k", 10_000.0).is_admitted for n in range(500))
-    assert 1 <= admitted < 60  # what has not been shown to work is not let in, whoever asks
+    assert 1 <= admitted < 60
 
 
-def test_a_rush_of_connects_is_building_and_damps_no_query():
-    broker = ServiceBroker()
+def test_a_burst_of_connections_is_a_building_storm_in_which_queries_are_admitted():
+    broker = LimitedCapacityBroker()
     for _ in range(30):
         broker.storms.on_connection_accepted()
-        broker.ask(f"a{broker.now}")
+        broker.request(f"a{broker.now_us}")
         broker.tick()
-    for n in range(200):
+    for number in range(200):
         broker.storms.on_connection_accepted()
-        assert broker.storms.admit(broker.now, f"b{n}", "k", 1.0).is_admitted
+        assert broker.storms.admit(broker.now_us, f"b{number}", "k", 1.0).is_admitted
     broker.tick()
     assert broker.storms.state == StormState.BUILDING
 
 
-def test_listeners_leave_connections_waiting_as_told():
-    def served(stream):
-        yield from stream.read()
+def read_once(stream):
+    """Serve a connection by one read."""
+    yield from stream.read()
 
+
+def test_a_listener_delays_accepts_on_virtual_time():
     loop, net = virtual_loop(1)
-    listener = net.listen("b:1", served, "paced")
-    allowed = [0]
-    listener.accept_delay_us = lambda: 0 if loop.now() >= allowed[0] else 50_000
-    listener.on_accept = lambda: allowed.__setitem__(0, loop.now() + 400_000)
+    listener = net.listen("b:1", read_once, "paced")
+    next_accept_at_us = [0]
+    listener.accept_delay_us = lambda: 0 if loop.now() >= next_accept_at_us[0] else 50_000
+    listener.on_accept = lambda: next_accept_at_us.__setitem__(0, loop.now() + 400_000)
 
     def main():
         times = []
@@ -228,13 +243,15 @@
     times = loop.run(loop.spawn(main(), "main"))
     assert times[1] - times[0] >= 400_000 and times[2] - times[1] >= 400_000 and listener.delayed_accepts > 5
 
+
+def test_a_listener_delays_accepts_on_sockets():
     loop, net, _ = socket_loop()
-    listener = net.listen("127.0.0.1:0", served, "paced")
-    gate = [3]
-    listener.accept_delay_us = lambda: 0 if gate[0] else 20_000
-    listener.on_accept = lambda: gate.__setitem__(0, gate[0] - 1)
+    listener = net.listen("127.0.0.1:0", read_once, "paced")
+    remaining_accepts = [3]
+    listener.accept_delay_us = lambda: 0 if remaining_accepts[0] else 20_000
+    listener.on_accept = lambda: remaining_accepts.__setitem__(0, remaining_accepts[0] - 1)
 
-    def crowd():
+    def main():
         for _ in range(6):
             yield from net.connect(listener.address, 1_000_000)
         for _ in range(200):
@@ -242,82 +259,98 @@
                 break
             yield from sleep(loop, 10_000)
         assert listener.accepted == 3
-        gate[0] = 10
+        remaining_accepts[0] = 10
         for _ in range(400):
             if listener.accepted == 6:
                 return True
             yield from sleep(loop, 10_000)
         return False
 
-    assert loop.run(loop.spawn(crowd(), "main"))
+    assert loop.run(loop.spawn(main(), "main"))
     loop.shutdown()
 
 
-@pytest.mark.parametrize("more", [{}, {"broker_restart_after_seconds": 2.0, "client_addresses": 3}])
-def test_after_an_outage_of_everything_service_is_back_and_every_rule_kept(more):
-    parameters = RetryStormParameters(
-        clients=240, think_seconds=8.0, outage_seconds=10.0, before_seconds=8.0, after_seconds=14.0, **more
+@pytest.mark.parametrize("parameters", [{}, {"broker_restart_after_seconds": 2.0, "client_addresses": 3}])
+def test_after_a_full_outage_service_recovers_and_every_rule_is_kept(parameters):
+    storm_parameters = RetryStormParameters(
+        clients=240,
+        think_seconds=8.0,
+        outage_seconds=10.0,
+        before_seconds=8.0,
+        after_seconds=14.0,
+        **parameters,
     )
-    day = RetryStormScenario(Variant.STORM_CONTROL, 2, parameters)
-    day.run()
-    verdict = day.verdict()
+    scenario = RetryStormScenario(Variant.STORM_CONTROL, 2, storm_parameters)
+    scenario.run()
+    verdict = scenario.verdict()
     assert verdict.kept, "\n".join(map(str, verdict.breaches[:5]))
     assert verdict.counts["falls"] == 0 and verdict.coldest < 1
-    record = day.record
-    began, ended = record.outage_started_at_us, record.outage_ended_at_us
-    assert record.service_level(began - 5_000_000, began).on_time_fraction > 0.9
-    assert record.service_level(ended + 9_000_000, ended + 14_000_000).on_time_fraction > 0.9
-    obeying, ignoring = (
-        record.service_level(ended, ended + 8_000_000, behavior)
-        for behavior in (ClientBehavior.OBEYS_RETRY_AFTER, ClientBehavior.IGNORES_RETRY_AFTER)
-    )
+    record = scenario.record
+    started_at_us = record.outage_started_at_us
+    ended_at_us = record.outage_ended_at_us
+    assert record.service_level(started_at_us - 5_000_000, started_at_us).on_time_fraction > 0.9
+    assert record.service_level(ended_at_us + 9_000_000, ended_at_us + 14_000_000).on_time_fraction > 0.9
+    recovery_us = (ended_at_us, ended_at_us + 8_000_000)
+    obeying = record.service_level(*recovery_us, ClientBehavior.OBEYS_RETRY_AFTER)
+    ignoring = record.service_level(*recovery_us, ClientBehavior.IGNORES_RETRY_AFTER)
     assert obeying.answered_fraction > ignoring.answered_fraction - 0.1
-    assert any(change.state == StormState.STORM for change in day.state_changes())
+    assert any(change.state == StormState.STORM for change in scenario.state_changes())
 
 
-def test_a_heedful_client_waits_as_told_gives_up_in_time_and_tells_kinds_apart():
-    class Told(RetryingClient):
-        def __init__(self):
-            self.now, self.waits = 0.0, []
-            super().__init__("127.0.0.1", 1, useful=5.0, sleep=self._rest, clock=lambda: self.now, seed=1)
+class SimulatedTimeClient(RetryingClient):
+    """A retrying client whose waits pass simulated time and are recorded."""
 
-        def _rest(self, seconds):
-            self.waits.append(seconds)
-            self.now += seconds
+    def __init__(self):
+        self.now = 0.0
+        self.waits: list[float] = []
+        super().__init__("127.0.0.1", 1, useful=5.0, sleep=self._wait, clock=lambda: self.now, seed=1)
 
-    class Fake:
-        def __init__(self, answers):
-            self.answers = iter(answers)
+    def _wait(self, seconds):
+        self.waits.append(seconds)
+        self.now += seconds
 
-        def get(self, _key):
-            answer = next(self.answers)
-            if isinstance(answer, Exception):
-                raise answer
-            return None if answer is None else json.dumps(answer).encode()
 
-        def close(self):
-            pass
+class ScriptedMemcachedClient:
+    """A memcached client that returns or raises one scripted reply a request."""
 
-    def asked(*answers):
-        client = Told()
-        client._client = Fake(answers)
-        return client.get("price:a"), client.waits
+    def __init__(self, replies):
+        self.replies = iter(replies)
 
-    whole, refused = (
-        {"whole": True, "coverage": {}},
-        {"whole": False, "refused": True, "retry_after_ms": 1200},
-    )
-    answer, waits = asked(refused, refused, whole)
+    def get(self, _key):
+        """Return the next reply as JSON, or None for a miss; raise the next reply that is an exception."""
+        reply = next(self.replies)
+        if isinstance(reply, Exception):
+            raise reply
+        return None if reply is None else json.dumps(reply).encode()
+
+    def close(self):
+        """Do nothing."""
+
+
+def get_with_replies(*replies):
+    """Return a retrying client's answer to scripted replies, and its waits in seconds."""
+    client = SimulatedTimeClient()
+    client._client = ScriptedMemcachedClient(replies)
+    return client.get("price:a"), client.waits
+
+
+def test_a_retrying_client_honours_the_retry_after_within_its_timeout_and_distinguishes_replies():
+    complete = {"whole": True, "coverage": {}}
+    rejected = {"whole": False, "refused": True, "retry_after_ms": 1200}
+    answer, waits = get_with_replies(rejected, rejected, complete)
     assert answer.kind == "whole" and answer.tries == 3 and waits == [1.2, 1.2]
-    answer, waits = asked(*[refused] * 9)
+    answer, waits = get_with_replies(*[rejected] * 9)
     assert answer.kind == "refused" and sum(waits) < 5.0 and len(waits) == 4
-    answer, waits = asked(OSError("gone"), OSError("gone"), {"whole": False, "coverage": {}})
+    answer, waits = get_with_replies(OSError("gone"), OSError("gone"), {"whole": False, "coverage": {}})
     assert answer.kind == "partial" and 0.05 <= waits[0] <= 0.15 and waits[1] <= 0.3
-    assert asked(None)[0].kind == "miss" and asked({"whole": False, "failed": True})[0].kind == "failed"
-    assert asked(*[OSError("gone")] * 40)[0].kind == "lost"
+    assert (
+        get_with_replies(None)[0].kind == "miss"
+        and get_with_replies({"whole": False, "failed": True})[0].kind == "failed"
+    )
+    assert get_with_replies(*[OSError("gone")] * 40)[0].kind == "lost"
 
 
-def test_one_address_takes_its_own_connections_and_idle_ones_make_room():
+def test_connections_are_limited_by_address_and_idle_ones_are_evicted():
     limiter = ConnectionLimiter(6, maximum_per_address=4)
     busy = {0}
     for number in range(4):
@@ -325,28 +358,22 @@
     assert limiter.admit(4, "greedy", lambda n: True) == ConnectionVerdict(False, None)
     assert limiter.admit(5, "a", lambda n: True) == ConnectionVerdict(True, None) and limiter.admit(
         6, "b", lambda n: True
-    ) == ConnectionVerdict(
-        True,
-        None,
-    )
+    ) == ConnectionVerdict(True, None)
     limiter.on_request(1)
-    assert limiter.admit(7, "c", lambda n: n not in busy) == ConnectionVerdict(
-        True,
-        2,
-    )  # the longest idle of who holds the most
-    assert limiter.admit(8, "d", lambda n: False) == ConnectionVerdict(False, None)  # all are at work
+    # Evicted is the connection idle longest of the address that holds the most.
+    assert limiter.admit(7, "c", lambda n: n not in busy) == ConnectionVerdict(True, 2)
+    assert limiter.admit(8, "d", lambda n: False) == ConnectionVerdict(False, None)  # none is idle
     assert limiter.admit(9, "d", lambda n: n not in busy) == ConnectionVerdict(True, 3)
     assert limiter.admit(10, "e", lambda n: n not in busy) == ConnectionVerdict(True, 1)
-    assert limiter.admit(11, "f", lambda n: True) == ConnectionVerdict(
-        False, None
-    )  # nobody holds clearly more
+    # No address holds clearly more than the others.
+    assert limiter.admit(11, "f", lambda n: True) == ConnectionVerdict(False, None)
     for number in (0, 5, 6, 7, 9, 10, 99):
         limiter.on_closed(number)
     assert not len(limiter) and not limiter._numbers_by_address
     assert (limiter.rejected_count, limiter.evicted_count) == (3, 3)
 
 
-def test_clients_over_their_limit_are_told_and_idle_ones_closed():
+def test_a_client_over_the_connection_limit_gets_an_error_and_is_closed():
     world = World(text=DEMO_SETTINGS.replace("(limits", "(limits (clients 3)"))
 
     def main():
@@ -355,10 +382,10 @@
             clients.append((yield from world.client()))
         values, _ = yield from clients[0].get("sale:t1:5")
         assert values
-        over = yield from world.client()
-        line = yield from over.read_line()
+        rejected = yield from world.client()
+        line = yield from rejected.read_line()
         assert line == b"SERVER_ERROR heathwell too many connections"
-        assert (yield from over.stream.read()) == b""
+        assert (yield from rejected.stream.read()) == b""
         yield from clients[1].get("sale:t1:6")
         assert world.fleet.brokers[0].memcached_server.stats().clients_refused == 1
 
