--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -1,4 +1,4 @@
-"""The search of one shard and the vector front, by `qdrant-client` over sockets against brute force."""
+"""The vector server by `qdrant-client` over sockets, against brute force; filters and bounds of a shard."""
 
 from __future__ import annotations
 
@@ -19,7 +19,6 @@
 from qdrant_client import QdrantClient, models
 from qdrant_client.http.exceptions import UnexpectedResponse
 
-from heathwell.codec import frames
 from heathwell.codec.http import ClientSide, Response, ServerSide
 from heathwell.eventloop import sleep, socket_loop
 from heathwell.service.vectors.filter_checks import FilterError, check_filter
@@ -33,7 +32,7 @@
 from heathwell.testing.simulation.run_parameters import run_parameters_record
 from heathwell.testing.standins.vectors import GeneratedCollection, generate_shard, shard_of
 
-from .fleet import World
+from .fleet import World, inject_fault
 
 SHARDS = 6
 DEMO_SETTINGS = """
@@ -56,8 +55,8 @@
 """
 
 
-class Running:
-    """A fleet on a thread; `call` runs something on its loop."""
+class RunningFleet:
+    """A fleet on sockets, whose loop runs on a thread of its own."""
 
     def __init__(self, text: str = DEMO_SETTINGS) -> None:
         self.service_settings = loads(text)
@@ -77,147 +76,177 @@
             self.loop, lambda _name: self.net, self.service_settings, 1, event_records=self.events
         )
         self.broker = self.fleet.brokers[0]
-        self.stop = False
-        self.wishes: list = []
+        self.stop_requested = False
+        self.calls: list = []
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
-        while sum(s.live for s in self.broker.broker.aggregator.endpoints.values()) < len(self.fleet.leaves):
+        while self.live_endpoint_count() < len(self.fleet.leaves):
             time.sleep(0.02)
 
+    def live_endpoint_count(self):
+        """Return how many endpoints the broker's module holds as live."""
+        return sum(endpoint.live for endpoint in self.broker.broker.aggregator.endpoints.values())
+
     def _run(self) -> None:
         def main():
-            while not self.stop:
-                while self.wishes:
-                    self.wishes.pop(0)()
+            while not self.stop_requested:
+                while self.calls:
+                    self.calls.pop(0)()
                 yield from sleep(self.loop, 10_000)
 
         self.loop.run(self.loop.spawn(main(), "main"))
         self.loop.shutdown()
 
-    def call(self, what):
+    def call(self, function):
+        """Call a function on the loop's thread and return its result."""
         done = threading.Event()
-        got: list = []
-        self.wishes.append(lambda: (got.append(what()), done.set()))
+        results: list = []
+
+        def call():
+            results.append(function())
+            done.set()
+
+        self.calls.append(call)
         assert done.wait(5)
-        return got[0]
+        return results[0]
 
-    def order(self, leaves, kind, value=0.0, seconds=0.0, text=""):
-        self.call(
-            lambda: [
-                self.fleet.leaves[n].order(frames.FaultCommand(kind, value, int(seconds * 1e6), text))
-                for n in leaves
-            ]
-        )
+    def inject_faults(self, leaves, kind, seconds=0.0, text=""):
+        """Inject a fault into the leaves of the given numbers."""
+
+        def inject():
+            for number in leaves:
+                inject_fault(self.fleet.leaves[number], kind, seconds, text=text)
+
+        self.call(inject)
+
+    def stop(self):
+        """Stop the loop and wait for its thread."""
+        self.stop_requested = True
+        self.thread.join(5)
 
     @property
     def client(self):
+        """A new client of the vector server."""
         host, port = self.broker.vector_address.split(":")
         return QdrantClient(host=host, port=int(port), timeout=5)
 
     @property
-    def base(self):
+    def base_url(self):
+        """The vector server's URL without a path."""
         return f"http://{self.broker.vector_address}"
 
 
 @contextmanager
 def running(text: str = DEMO_SETTINGS):
-    one = Running(text)
+    """Run a fleet with these settings; no task of it may fail."""
+    fleet = RunningFleet(text)
     try:
-        yield one
+        yield fleet
     finally:
-        one.stop = True
-        one.thread.join(5)
-    assert not one.errors, one.errors
+        fleet.stop()
+    assert not fleet.errors, fleet.errors
 
 
 @pytest.fixture(scope="module")
 def fleet():
-    with running() as one:
-        yield one
+    """A running fleet that the module's tests share."""
+    with running() as running_fleet:
+        yield running_fleet
 
 
-def brute(service_settings, name, query, limit, offset=0, keep=lambda payload: True, least=None):
-    """All shards' points, scored in double precision."""
-    spec = next(one for one in service_settings.collections if one.name == name)
-    found = {}
-    wide = np.asarray(query, np.float32).astype(np.float64)
+def brute_force(service_settings, name, query, limit, offset=0, keep=lambda payload: True):
+    """Return (id, score) of the best points of all shards, scored in double precision."""
+    spec = next(collection for collection in service_settings.collections if collection.name == name)
+    scores = {}
+    query_vector = np.asarray(query, np.float32).astype(np.float64)
     for number in range(SHARDS):
         shard = shard_of(spec, number, SHARDS)
         for point, vector, payload in zip(
             shard.ids, shard.stored_vectors.astype(np.float64), shard.payloads, strict=True
         ):
             if spec.distance == "euclid":
-                score = float(np.sqrt(((vector - wide) ** 2).sum()))
+                score = float(np.sqrt(((vector - query_vector) ** 2).sum()))
             else:
-                score = float(vector @ wide)
+                score = float(vector @ query_vector)
                 if spec.distance == "cosine":
-                    score /= np.linalg.norm(vector) * np.linalg.norm(wide)
+                    score /= np.linalg.norm(vector) * np.linalg.norm(query_vector)
             if keep(payload):
-                found[point] = score
+                scores[point] = score
     sign = 1 if spec.distance == "euclid" else -1
-    rows = sorted(found.items(), key=lambda item: (sign * item[1], item[0]))
-    if least is not None:
-        rows = [row for row in rows if sign * row[1] <= sign * least]
+    rows = sorted(scores.items(), key=lambda item: (sign * item[1], item[0]))
     return rows[offset : offset + limit]
 
 
-def same(points, rows):
-    assert [p.id for p in points] == [point for point, _ in rows]
-    assert [p.score for p in points] == pytest.approx([score for _, score in rows], abs=1e-4)
+def assert_same_rows(points, rows):
+    """Check that a client's points have the ids and scores of the expected rows."""
+    assert [point.id for point in points] == [point for point, _ in rows]
+    assert [point.score for point in points] == pytest.approx([score for _, score in rows], abs=1e-4)
 
 
-def vector(seed, size):
-    return [float(x) for x in np.random.default_rng(seed).normal(0, 1, size)]
+def random_vector(seed, size):
+    """Return a vector of normally distributed numbers."""
+    return [float(number) for number in np.random.default_rng(seed).normal(0, 1, size)]
 
 
 @pytest.mark.parametrize(("name", "size"), [("prices", 16), ("far", 8), ("dots", 8)])
-def test_answers_equal_brute_force_on_the_whole_data(fleet, name, size):
+def test_answers_equal_brute_force_over_all_shards(fleet, name, size):
     client = fleet.client
-    whole = name != "dots"
+    is_complete = name != "dots"
     for seed in range(6):
-        query = vector(seed, size)
-        got = client.query_points(name, query=query, limit=7, offset=seed, with_payload=True).points
-        if whole:
-            same(got, brute(fleet.service_settings, name, query, 7, seed))
-        assert got == sorted(got, key=lambda p: (p.score if name == "far" else -p.score, p.id))
-        assert all(p.payload["goods"] for p in got)
-    if whole:
-        least = brute(fleet.service_settings, name, query, 10)[4][1]
-        least += 1e-6 if name == "far" else -1e-6
-        same(
-            client.query_points(name, query=query, limit=10, score_threshold=least).points,
-            brute(fleet.service_settings, name, query, 5),
+        query = random_vector(seed, size)
+        points = client.query_points(name, query=query, limit=7, offset=seed, with_payload=True).points
+        if is_complete:
+            assert_same_rows(points, brute_force(fleet.service_settings, name, query, 7, seed))
+        assert points == sorted(
+            points, key=lambda point: (point.score if name == "far" else -point.score, point.id)
+        )
+        assert all(point.payload["goods"] for point in points)
+    if is_complete:
+        threshold = brute_force(fleet.service_settings, name, query, 10)[4][1]
+        threshold += 1e-6 if name == "far" else -1e-6
+        assert_same_rows(
+            client.query_points(name, query=query, limit=10, score_threshold=threshold).points,
+            brute_force(fleet.service_settings, name, query, 5),
         )
         assert client.query_points(name, query=query, offset=5000, limit=10).points == []
 
 
-def test_filters_batches_and_vectors_come_as_the_client_expects(fleet):
-    client, query = fleet.client, vector(9, 16)
-    eels = models.Filter(
-        must=[
-            models.FieldCondition(key="goods", match=models.MatchAny(any=["eel", "dill"])),
-            models.FieldCondition(key="cents", range=models.Range(gte=500, lt=9000)),
-        ],
-        must_not=[models.FieldCondition(key="stall.covered", match=models.MatchValue(value=True))],
+EEL_AND_DILL_FILTER = models.Filter(
+    must=[
+        models.FieldCondition(key="goods", match=models.MatchAny(any=["eel", "dill"])),
+        models.FieldCondition(key="cents", range=models.Range(gte=500, lt=9000)),
+    ],
+    must_not=[models.FieldCondition(key="stall.covered", match=models.MatchValue(value=True))],
+)
+
+
+def matches_eel_and_dill_filter(payload):
+    """Return whether a payload meets EEL_AND_DILL_FILTER."""
+    return (
+        payload["goods"] in ("eel", "dill")
+        and 500 <= payload["cents"] < 9000
+        and not payload["stall"]["covered"]
     )
 
-    def keep(payload):
-        return (
-            payload["goods"] in ("eel", "dill")
-            and 500 <= payload["cents"] < 9000
-            and not payload["stall"]["covered"]
-        )
 
-    same(
-        client.query_points("prices", query=query, query_filter=eels, limit=6).points,
-        brute(fleet.service_settings, "prices", query, 6, keep=keep),
+def test_filters_select_points_by_payload_and_id(fleet):
+    client = fleet.client
+    query = random_vector(9, 16)
+    assert_same_rows(
+        client.query_points("prices", query=query, query_filter=EEL_AND_DILL_FILTER, limit=6).points,
+        brute_force(fleet.service_settings, "prices", query, 6, keep=matches_eel_and_dill_filter),
     )
     none = models.Filter(must=[models.FieldCondition(key="goods", match=models.MatchValue(value="gold"))])
     assert client.query_points("prices", query=query, query_filter=none).points == []
-    one = shard_of(fleet.service_settings.collections[0], 3, SHARDS)
-    rare = models.Filter(must=[models.HasIdCondition(has_id=[one.ids[5]])])  # most shards match nothing
-    [point] = client.query_points("prices", query=query, query_filter=rare, with_vectors=True).points
-    assert point.id == one.ids[5] and point.vector == pytest.approx(one.stored_vectors[5].tolist())
+    shard = shard_of(fleet.service_settings.collections[0], 3, SHARDS)
+    by_id = models.Filter(must=[models.HasIdCondition(has_id=[shard.ids[5]])])  # most shards match nothing
+    [point] = client.query_points("prices", query=query, query_filter=by_id, with_vectors=True).points
+    assert point.id == shard.ids[5] and point.vector == pytest.approx(shard.stored_vectors[5].tolist())
+
+
+def test_payload_selectors_include_and_exclude_fields(fleet):
+    client = fleet.client
+    query = random_vector(9, 16)
     for selector in (["cents"], models.PayloadSelectorInclude(include=["cents"])):
         [point] = client.query_points("prices", query=query, limit=1, with_payload=selector).points
         assert set(point.payload) == {"cents"}
@@ -225,52 +254,71 @@
         "prices", query=query, limit=1, with_payload=models.PayloadSelectorExclude(exclude=["cents"])
     ).points
     assert "goods" in point.payload and "cents" not in point.payload
-    queries = [vector(n, 16) for n in range(12)]
-    got = client.query_batch_points(
+
+
+def test_each_search_of_a_batch_has_its_own_limit_and_filter(fleet):
+    client = fleet.client
+    queries = [random_vector(number, 16) for number in range(12)]
+    answers = client.query_batch_points(
         "prices",
         requests=[
-            models.QueryRequest(query=one, limit=1 + n % 4, filter=eels if n % 3 == 0 else None)
-            for n, one in enumerate(queries)
+            models.QueryRequest(
+                query=query, limit=1 + number % 4, filter=EEL_AND_DILL_FILTER if number % 3 == 0 else None
+            )
+            for number, query in enumerate(queries)
         ],
     )
-    for n, (one, answer) in enumerate(zip(queries, got, strict=True)):
-        same(
-            answer.points,
-            brute(
-                fleet.service_settings, "prices", one, 1 + n % 4, keep=keep if n % 3 == 0 else lambda _p: True
-            ),
+    for number, (query, answer) in enumerate(zip(queries, answers, strict=True)):
+        keep = matches_eel_and_dill_filter if number % 3 == 0 else lambda _payload: True
+        assert_same_rows(
+            answer.points, brute_force(fleet.service_settings, "prices", query, 1 + number % 4, keep=keep)
         )
     assert client.query_batch_points("prices", requests=[]) == []
-    old = httpx.post(
-        f"{fleet.base}/collections/prices/points/search",
+
+
+def test_the_older_search_request_is_answered(fleet):
+    query = random_vector(9, 16)
+    response = httpx.post(
+        f"{fleet.base_url}/collections/prices/points/search",
         json={"vector": query, "limit": 2, "params": {"exact": True}},
     ).json()
-    assert [p["id"] for p in old["result"]] == [
-        p for p, _ in brute(fleet.service_settings, "prices", query, 2)
+    assert [point["id"] for point in response["result"]] == [
+        point for point, _ in brute_force(fleet.service_settings, "prices", query, 2)
     ]
+
+
+def test_collections_are_listed_and_described(fleet):
+    client = fleet.client
     assert client.collection_exists("prices") and not client.collection_exists("nope")
-    told = client.get_collection("prices")
-    assert told.points_count == SHARDS * 180 and told.config.params.vectors.size == 16
-    assert {c.name for c in client.get_collections().collections} == {"prices", "far", "dots", "rough"}
+    description = client.get_collection("prices")
+    assert description.points_count == SHARDS * 180 and description.config.params.vectors.size == 16
+    assert {collection.name for collection in client.get_collections().collections} == {
+        "prices",
+        "far",
+        "dots",
+        "rough",
+    }
 
 
-def test_an_index_says_what_recall_it_has(fleet):
-    query = vector(3, 16)
-    told = httpx.post(
-        f"{fleet.base}/collections/rough/points/query", json={"query": query, "limit": 10}
+def test_an_approximate_index_states_its_recall(fleet):
+    query = random_vector(3, 16)
+    approximate = httpx.post(
+        f"{fleet.base_url}/collections/rough/points/query", json={"query": query, "limit": 10}
     ).json()
-    assert 0.5 < told["heathwell"]["recall"] <= 1 and told["heathwell"]["whole"]
+    assert 0.5 < approximate["heathwell"]["recall"] <= 1 and approximate["heathwell"]["whole"]
     exact = httpx.post(
-        f"{fleet.base}/collections/rough/points/query",
+        f"{fleet.base_url}/collections/rough/points/query",
         json={"query": query, "limit": 10, "params": {"exact": True}},
     ).json()
-    want = [p for p, _ in brute(fleet.service_settings, "rough", query, 10)]
-    assert exact["heathwell"]["recall"] == 1 and [p["id"] for p in exact["result"]["points"]] == want
-    assert len({p["id"] for p in told["result"]["points"]} & set(want)) >= 7
+    expected = [point for point, _ in brute_force(fleet.service_settings, "rough", query, 10)]
+    assert (
+        exact["heathwell"]["recall"] == 1 and [point["id"] for point in exact["result"]["points"]] == expected
+    )
+    assert len({point["id"] for point in approximate["result"]["points"]} & set(expected)) >= 7
 
 
 @pytest.mark.parametrize(
-    ("body", "status", "word"),
+    ("body", "status", "error"),
     [
         ({"query": [1.0] * 15}, 400, "expected dim: 16, got 15"),
         ({"query": [0.0] * 16}, 400, "zero vector"),
@@ -289,162 +337,171 @@
         ({"query": [1.0] * 16, "with_payload": {"include": [], "exclude": []}}, 400, "with_payload"),
     ],
 )
-def test_bad_input_is_named_in_the_apis_own_shape(fleet, body, status, word):
-    got = httpx.post(f"{fleet.base}/collections/prices/points/query", json=body)
-    assert got.status_code == status and word in got.json()["status"]["error"]
+def test_invalid_input_is_named_in_the_error_format_of_the_api(fleet, body, status, error):
+    response = httpx.post(f"{fleet.base_url}/collections/prices/points/query", json=body)
+    assert response.status_code == status and error in response.json()["status"]["error"]
 
 
-def test_unknown_things_have_their_status_and_nan_is_no_json(fleet):
+def test_unknown_names_and_methods_and_invalid_json_have_their_status(fleet):
     client = fleet.client
     with pytest.raises(UnexpectedResponse, match="(?s)404.*nope"):
         client.query_points("nope", query=[1.0])
     with pytest.raises(UnexpectedResponse, match="(?s)403"):
         client.delete_collection("prices")
-    base = f"{fleet.base}/collections/prices/points"
-    assert httpx.get(f"{base}/query").status_code == 405
-    assert httpx.get(f"{fleet.base}/nothing").status_code == 404
-    for raw in (b'{"query": [NaN]}', b"{", b"[]"):
-        got = httpx.post(f"{base}/query", content=raw)
-        assert got.status_code == 400 and "JSON" in got.json()["status"]["error"]
-    got = httpx.post(f"{base}/query?timeout=soon", json={"query": [1.0] * 16})
-    assert got.status_code == 400 and "timeout" in got.json()["status"]["error"]
-    got = httpx.post(f"{base}/query/batch", json={"searches": [{"query": [1.0] * 16}, {"query": [1.0] * 3}]})
-    assert got.status_code == 400 and "searches[1].query" in got.json()["status"]["error"]
+    points_url = f"{fleet.base_url}/collections/prices/points"
+    assert httpx.get(f"{points_url}/query").status_code == 405
+    assert httpx.get(f"{fleet.base_url}/nothing").status_code == 404
+    for content in (b'{"query": [NaN]}', b"{", b"[]"):
+        response = httpx.post(f"{points_url}/query", content=content)
+        assert response.status_code == 400 and "JSON" in response.json()["status"]["error"]
+    response = httpx.post(f"{points_url}/query?timeout=soon", json={"query": [1.0] * 16})
+    assert response.status_code == 400 and "timeout" in response.json()["status"]["error"]
+    searches = [{"query": [1.0] * 16}, {"query": [1.0] * 3}]
+    response = httpx.post(f"{points_url}/query/batch", json={"searches": searches})
+    assert response.status_code == 400 and "searches[1].query" in response.json()["status"]["error"]
 
 
 def raw_exchange(fleet, data, pause=0.0, end=False):
-    """Send bytes as they are; what came back until the server closed or was silent."""
+    """Send bytes as they are; return the response until the server closes or sends nothing for 2 s.
+
+    With ``end`` the connection is closed after the request, and nothing is returned.
+    """
     host, port = fleet.broker.vector_address.split(":")
-    with socket.create_connection((host, int(port)), 5) as sock:
+    with socket.create_connection((host, int(port)), 5) as connection:
         for piece in data if isinstance(data, list) else [data]:
-            sock.sendall(piece)
+            connection.sendall(piece)
             time.sleep(pause)
         if end:
             return b""
-        sock.settimeout(2)
-        got = b""
+        connection.settimeout(2)
+        received = b""
         while True:
             try:
-                more = sock.recv(65_536)
+                chunk = connection.recv(65_536)
             except TimeoutError:
-                return got
-            if not more:
-                return got
-            got += more
+                return received
+            if not chunk:
+                return received
+            received += chunk
 
 
-def test_http_as_it_comes_pipelined_chunked_expecting_and_slow(fleet):
+def test_http_requests_may_be_pipelined_chunked_or_expect_continue_and_are_limited(fleet):
     body = json.dumps({"query": [1.0] * 16, "limit": 1}).encode()
     path = b"POST /collections/prices/points/query HTTP/1.1\r\nhost: x\r\n"
     sized = path + b"content-length: %d\r\n" % len(body)
     chunks = b"%x\r\n%s\r\n" % (20, body[:20]) + b"%x\r\n%s\r\n0\r\n\r\n" % (len(body) - 20, body[20:])
     last = b"GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
-    got = raw_exchange(
+    response = raw_exchange(
         fleet, sized + b"\r\n" + body + path + b"transfer-encoding: chunked\r\n\r\n" + chunks + last
     )
-    assert got.count(b"HTTP/1.1 200") == 3 and got.count(b"x-heathwell-coverage: whole=yes") == 2
-    got = raw_exchange(fleet, [sized + b"expect: 100-continue\r\nconnection: close\r\n\r\n", body], 0.05)
-    assert got.startswith(b"HTTP/1.1 100") and b"HTTP/1.1 200" in got
+    assert response.count(b"HTTP/1.1 200") == 3 and response.count(b"x-heathwell-coverage: whole=yes") == 2
+    response = raw_exchange(fleet, [sized + b"expect: 100-continue\r\nconnection: close\r\n\r\n", body], 0.05)
+    assert response.startswith(b"HTTP/1.1 100") and b"HTTP/1.1 200" in response
     too_long = path + b"content-length: 2000000\r\nexpect: 100-continue\r\n\r\n"
-    assert b"HTTP/1.1 413" in (got := raw_exchange(fleet, too_long)) and b"HTTP/1.1 100" not in got
+    assert b"HTTP/1.1 413" in (response := raw_exchange(fleet, too_long)) and b"HTTP/1.1 100" not in response
     grown = path + b"transfer-encoding: chunked\r\n\r\n" + b"100000\r\n" + b" " * 0x100000 + b"\r\n1\r\n \r\n"
     assert b"HTTP/1.1 413" in raw_exchange(fleet, grown)
     assert b"HTTP/1.1 431" in raw_exchange(fleet, path + b"x: " + b"y" * 70_000 + b"\r\n\r\n")
-    assert b"HTTP/1.1 408" in raw_exchange(fleet, path)  # a slow client is not waited for
-    taken = fleet.broker.broker.last_job
+    assert b"HTTP/1.1 408" in raw_exchange(fleet, path)  # the request is incomplete after the time limit
+    last_job = fleet.broker.broker.last_job
     raw_exchange(fleet, path + b"transfer-encoding: chunked\r\n\r\n20\r\n" + body[:10], end=True)
     assert b"HTTP/1.1 400" in raw_exchange(fleet, b"nonsense\r\n\r\n")
-    assert fleet.broker.broker.last_job == taken  # a body that was never whole asked for nothing
+    assert fleet.broker.broker.last_job == last_job  # an incomplete body starts no query
 
 
-def test_the_servers_side_keeps_pipelined_requests_in_turn():
+def test_pipelined_requests_are_served_one_after_another():
     side = ServerSide()
-    first, second = b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n", b"GET /b HTTP/1.1\r\nhost: x\r\n\r\n"
+    first = b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n"
+    second = b"GET /b HTTP/1.1\r\nhost: x\r\n\r\n"
     events = side.feed(first + second)
     assert next(events).path == "/a" and side.served == 1
     assert b"200" in side.respond(Response(200, b""))
     assert next(events).path == "/b" and side.served == 2
 
 
-def test_one_shards_hosts_all_slow_the_rest_is_answered_and_says_so():
-    with running() as one:
-        client, query = one.client, vector(1, 16)
-        client.query_points("prices", query=query)
-        one.order([0, 1, 2], "silent", seconds=20)  # all holders of shard 0 (and some of others)
-        began = time.monotonic()
-        got = httpx.post(
-            f"{one.base}/collections/prices/points/query", json={"query": query, "limit": 10}, timeout=5
+def test_a_search_without_one_shard_is_answered_in_time_and_marked_partial():
+    with running() as fleet:
+        query = random_vector(1, 16)
+        fleet.client.query_points("prices", query=query)
+        fleet.inject_faults([0, 1, 2], "silent", seconds=20)  # all replicas of shard 0, some of other shards
+        started_at = time.monotonic()
+        response = httpx.post(
+            f"{fleet.base_url}/collections/prices/points/query", json={"query": query, "limit": 10}, timeout=5
         )
-        assert time.monotonic() - began < 2.0
-        told = got.json()
-        assert got.status_code == 200 and not told["heathwell"]["whole"]
-        assert 0 in told["heathwell"]["missing"] and 0.3 < told["heathwell"]["recall"] < 1
-        assert "whole=no" in got.headers["x-heathwell-coverage"]
-        truth = dict(brute(one.service_settings, "prices", query, 10_000))
-        for point in told["result"]["points"]:
-            assert point["score"] == pytest.approx(truth[point["id"]], abs=1e-4)
-
-
-def test_a_host_with_malformed_rows_is_an_erring_host():
-    with running() as one:
-        client, query = one.client, vector(1, 16)
-        one.order([0], "spoil", seconds=20)
-        one.order([1], "spoil", seconds=20, text="many")
+        assert time.monotonic() - started_at < 2.0
+        answer = response.json()
+        assert response.status_code == 200 and not answer["heathwell"]["whole"]
+        assert 0 in answer["heathwell"]["missing"] and 0.3 < answer["heathwell"]["recall"] < 1
+        assert "whole=no" in response.headers["x-heathwell-coverage"]
+        true_scores = dict(brute_force(fleet.service_settings, "prices", query, 10_000))
+        for point in answer["result"]["points"]:
+            assert point["score"] == pytest.approx(true_scores[point["id"]], abs=1e-4)
+
+
+def test_malformed_rows_count_as_an_error_of_their_host_and_are_not_merged():
+    with running() as fleet:
+        client = fleet.client
+        query = random_vector(1, 16)
+        fleet.inject_faults([0], "spoil", seconds=20)
+        fleet.inject_faults([1], "spoil", seconds=20, text="many")
         for seed in range(12):
-            same(
-                client.query_points("prices", query=vector(seed, 16), limit=5).points,
-                brute(one.service_settings, "prices", vector(seed, 16), 5),
+            assert_same_rows(
+                client.query_points("prices", query=random_vector(seed, 16), limit=5).points,
+                brute_force(fleet.service_settings, "prices", random_vector(seed, 16), 5),
             )
-        counts = one.broker.broker.counters
+        counts = fleet.broker.broker.counters
         assert (
             counts["malformed", "near"] > 0
             and counts["attempt", "near", "error"] >= counts["malformed", "near"]
         )
-        with httpx.Client() as raw:
-            assert raw.post(f"{one.base}/collections/prices/points/query", json={"query": query}).json()[
-                "heathwell"
-            ]["whole"]
+        with httpx.Client() as http_client:
+            assert http_client.post(
+                f"{fleet.base_url}/collections/prices/points/query", json={"query": query}
+            ).json()["heathwell"]["whole"]
 
 
-def test_equal_scores_come_in_the_same_order_every_time(fleet):
+def test_equal_scores_are_returned_in_the_same_order_every_time(fleet):
     client = fleet.client
-    queries = [vector(5, 16) for _ in range(8)]
+    queries = [random_vector(5, 16) for _ in range(8)]
     answers = [
-        [(p.id, p.score) for p in client.query_points("prices", query=q, limit=40).points] for q in queries
+        [(point.id, point.score) for point in client.query_points("prices", query=query, limit=40).points]
+        for query in queries
     ]
     batch = client.query_batch_points(
-        "prices", requests=[models.QueryRequest(query=q, limit=40) for q in queries]
+        "prices", requests=[models.QueryRequest(query=query, limit=40) for query in queries]
     )
-    answers += [[(p.id, p.score) for p in one.points] for one in batch]
+    answers += [[(point.id, point.score) for point in answer.points] for answer in batch]
     assert all(answer == answers[0] for answer in answers)
     ids = [point for point, _ in answers[0]]
-    assert len(set(ids)) == 40  # what two shards hold comes once
+    assert len(set(ids)) == 40  # a point that two shards hold is returned once
 
 
-def test_parts_that_cannot_change_the_rows_are_not_waited_for():
+def test_parts_that_cannot_change_the_rows_are_superseded():
     text = DEMO_SETTINGS.replace(
         "(size 16) (points 150) (overlap 20%)", "(size 16) (points 150) (spread 5%)"
     ).replace("(work 2ms))\n(collection far", "(work 150ms))\n(collection far")
-    with running(text) as one:
-        spec = one.service_settings.collections[0]
+    with running(text) as fleet:
+        spec = fleet.service_settings.collections[0]
         query = shard_of(spec, 2, SHARDS).stored_vectors[7].tolist()
-        one.order(range(6), "stall", seconds=0.0)
+        fleet.inject_faults(range(6), "stall", seconds=0.0)
         for _ in range(6):
-            got = httpx.post(
-                f"{one.base}/collections/prices/points/query", json={"query": query, "limit": 3}
+            answer = httpx.post(
+                f"{fleet.base_url}/collections/prices/points/query", json={"query": query, "limit": 3}
             ).json()
-            assert [p["id"] for p in got["result"]["points"]] == [
-                p for p, _ in brute(one.service_settings, "prices", query, 3)
+            assert [point["id"] for point in answer["result"]["points"]] == [
+                point for point, _ in brute_force(fleet.service_settings, "prices", query, 3)
             ]
-            assert got["heathwell"]["whole"] and got["heathwell"]["weight"] == 1
-        assert one.broker.broker.counters["moot", "near"] > 0
+            assert answer["heathwell"]["whole"] and answer["heathwell"]["weight"] == 1
+        assert fleet.broker.broker.counters["moot", "near"] > 0
         time.sleep(0.5)
-        verdict = judge(from_lines(list(one.events)), slack=100_000)
+        verdict = judge(from_lines(list(fleet.events)), slack=100_000)
         assert verdict.kept, verdict.breaches[:3]
-        for event in one.events:  # had a host said that it may hold better, leaving it out would be a breach
+        for event in fleet.events:  # with a better bound of the host, superseding its part is a breach
             if event["ev"] == "bound":
                 event["best"] = [2.0]
-        assert {breach.rule for breach in judge(from_lines(list(one.events)), slack=100_000).breaches} == {5}
+        assert {breach.rule for breach in judge(from_lines(list(fleet.events)), slack=100_000).breaches} == {
+            5
+        }
 
 
 WIDE = DEMO_SETTINGS.replace("(body 1mb) (slow 400ms)", "(body 32mb)").replace(
@@ -458,26 +515,29 @@
 def wide_searches():
     """820 searches, over 16 MB as JSON."""
     searches = [
-        {"query": np.random.default_rng(n).normal(0, 1, 1024).tolist(), "limit": 3} for n in range(820)
+        {"query": np.random.default_rng(seed).normal(0, 1, 1024).tolist(), "limit": 3} for seed in range(820)
     ]
     assert len(json.dumps({"searches": searches})) > 16_000_000
     return searches
 
 
 def check_wide_answers(service_settings, searches, answer):
+    """Check the number of results, and three of them against brute force."""
     assert len(answer["result"]) == 820
-    for n in (0, 400, 819):
-        expected = brute(service_settings, "wide", searches[n]["query"], 3)
-        assert [p["id"] for p in answer["result"][n]["points"]] == [point for point, _ in expected]
+    for number in (0, 400, 819):
+        expected = brute_force(service_settings, "wide", searches[number]["query"], 3)
+        assert [point["id"] for point in answer["result"][number]["points"]] == [
+            point for point, _ in expected
+        ]
 
 
-def test_a_batch_of_16_megabytes_lets_single_gets_through(wide_searches):
+def test_single_gets_meet_their_objective_beside_a_batch_of_16_megabytes(wide_searches):
     """Virtual time: whether a chunk is in time depends on how fast hosts answer, here exactly their work."""
     world = World(text=WIDE)
     responses = []
 
     def batch():
-        responses.append((yield from posted(world, WIDE_URL, {"searches": wide_searches})))
+        responses.append((yield from post(world, WIDE_URL, {"searches": wide_searches})))
 
     def main():
         client = yield from world.client()
@@ -501,32 +561,33 @@
     world.close()
 
 
-def test_16_megabytes_over_sockets_are_searched_while_single_gets_are_answered(wide_searches):
+def test_a_batch_of_16_megabytes_is_answered_over_sockets_beside_single_gets(wide_searches):
     """Clients, hosts and broker share a process here: all objectives are so long that none of them counts."""
     text = re.sub(r"\(aim \w+\) \(limit \w+\)", "(aim 60s) (limit 60s)", WIDE)
-    with running(text) as one:
-        host, port = one.broker.address.split(":")
-        gets, done = Client((host, int(port)), timeout=60), threading.Event()
+    with running(text) as fleet:
+        host, port = fleet.broker.address.split(":")
+        memcached_client = Client((host, int(port)), timeout=60)
+        done = threading.Event()
         replies: list = []
 
-        def ask():
+        def send_gets():
             while not done.wait(0.02):
-                replies.append(json.loads(gets.get(f"sale:t{len(replies)}:7")))
+                replies.append(json.loads(memcached_client.get(f"sale:t{len(replies)}:7")))
 
-        asking = threading.Thread(target=ask)
-        asking.start()
+        get_thread = threading.Thread(target=send_gets)
+        get_thread.start()
         body = json.dumps({"searches": wide_searches})
-        got = httpx.post(f"{one.base}{WIDE_URL}", content=body, timeout=60)
+        response = httpx.post(f"{fleet.base_url}{WIDE_URL}", content=body, timeout=60)
         done.set()
-        asking.join()
-        assert got.status_code == 200, (got.text[:200], dict(one.broker.broker.counters))
-        check_wide_answers(one.service_settings, wide_searches, got.json())
+        get_thread.join()
+        assert response.status_code == 200, (response.text[:200], dict(fleet.broker.broker.counters))
+        check_wide_answers(fleet.service_settings, wide_searches, response.json())
         assert len(replies) > 5
         assert all(reply["coverage"]["parts"] == [1, 1] for reply in replies)
 
 
-def posted(world, target, body, headers=()):
-    """The response to a POST on a connection of its own, on the world's virtual time."""
+def post(world, target, body, headers=()):
+    """Return the response to a POST on a connection of its own, on virtual time."""
     stream = yield from world.net.connect(world.fleet.brokers[0].vector_address, 1_000_000, "client")
     side = ClientSide("broker")
     request = side.request("POST", target, headers, json.dumps(body).encode())
@@ -540,41 +601,44 @@
             return response
 
 
-def test_a_search_without_time_is_refused_before_it_costs_anything():
+def test_a_search_without_enough_time_is_rejected_before_any_part_is_sent():
     """Virtual time: whether a search is shed depends on how fast hosts answer, here exactly their work."""
-    slow = DEMO_SETTINGS.replace("(work 2ms))\n(collection far", "(work 80ms))\n(collection far")
-    world = World(text=slow)
-    url, query = "/collections/prices/points/query", {"query": vector(1, 16)}
+    slow_settings = DEMO_SETTINGS.replace("(work 2ms))\n(collection far", "(work 80ms))\n(collection far")
+    world = World(text=slow_settings)
+    url = "/collections/prices/points/query"
+    query = {"query": random_vector(1, 16)}
 
     def main():
         for _ in range(3):
-            assert (yield from posted(world, url, query)).status == 200
-        arrived = len(world.events_of("arrive"))
-        got = yield from posted(world, url, query, [("x-heathwell-timeout-ms", "30")])
-        assert got.status == 503 and b"no time" in got.body
-        assert len(world.events_of("arrive")) == arrived
-        # A time-out that the client chose itself leaves enough; it is no retry with what time remains.
+            assert (yield from post(world, url, query)).status == 200
+        arrival_count = len(world.events_of("arrive"))
+        response = yield from post(world, url, query, [("x-heathwell-timeout-ms", "30")])
+        assert response.status == 503 and b"no time" in response.body
+        assert len(world.events_of("arrive")) == arrival_count
+        # A timeout chosen by the client is long enough: the request is no retry in the remaining time.
         for _ in range(3):
-            got = yield from posted(world, url + "?timeout=1", query)
-            assert got.status == 200, got.body
+            response = yield from post(world, url + "?timeout=1", query)
+            assert response.status == 200, response.body
 
     world.run(main())
     world.close()
 
 
-def test_http_clients_over_their_limit_are_told():
+def test_an_http_client_over_its_connection_limit_is_rejected():
     with running(
         DEMO_SETTINGS.replace("(vector (listen", "(limits (clients-an-address 2))\n(vector (listen")
-    ) as one:
-        host, port = one.broker.vector_address.split(":")
-        kept = [socket.create_connection((host, int(port)), 5) for _ in range(2)]
+    ) as fleet:
+        host, port = fleet.broker.vector_address.split(":")
+        connections = [socket.create_connection((host, int(port)), 5) for _ in range(2)]
         time.sleep(0.1)
-        got = raw_exchange(one, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
-        assert b"HTTP/1.1 503" in got and b"too many connections" in got
-        kept.pop().close()
+        response = raw_exchange(fleet, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
+        assert b"HTTP/1.1 503" in response and b"too many connections" in response
+        connections.pop().close()
         time.sleep(0.1)
-        assert b"HTTP/1.1 200" in raw_exchange(one, b"GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
-        kept.pop().close()
+        assert b"HTTP/1.1 200" in raw_exchange(
+            fleet, b"GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
+        )
+        connections.pop().close()
 
 
 PAYLOADS = st.lists(
@@ -598,19 +662,24 @@
 
 @hypothesis_settings(max_examples=150)
 @given(PAYLOADS, st.sampled_from(["a", "n.b"]), st.sampled_from([0, 1, True, "x"]))
-def test_filters_mean_what_one_point_at_a_time_says(payloads, key, value):
-    def dig(payload):
+def test_filters_match_the_same_points_as_their_conditions_point_by_point(payloads, key, value):
+    def field_value(payload):
         for name in key.split("."):
             if not isinstance(payload, dict) or name not in payload:
                 return None
             payload = payload[name]
         return payload
 
-    def equal(one):
-        return type(one) is type(value) and one == value
+    def equals_value(candidate):
+        return type(candidate) is type(value) and candidate == value
 
-    def some(holds, found):
-        return any(map(holds, found)) if isinstance(found, list) else found is not None and holds(found)
+    def any_matches(predicate, field):
+        return (
+            any(map(predicate, field)) if isinstance(field, list) else field is not None and predicate(field)
+        )
+
+    def is_in_range(candidate):
+        return isinstance(candidate, int) and not isinstance(candidate, bool) and 1 <= candidate < 3
 
     columns = PayloadColumns(list(range(len(payloads))), payloads)
 
@@ -618,43 +687,44 @@
         check_filter({"must": condition})
         return evaluate_filter({"must": condition}, columns).tolist()
 
-    values = [dig(payload) for payload in payloads]
+    values = [field_value(payload) for payload in payloads]
     match = {"key": key, "match": {"value": value}}
-    assert mask(match) == [some(equal, v) for v in values]
-    assert evaluate_filter({"must_not": [match]}, columns).tolist() == [not some(equal, v) for v in values]
+    assert mask(match) == [any_matches(equals_value, field) for field in values]
+    assert evaluate_filter({"must_not": [match]}, columns).tolist() == [
+        not any_matches(equals_value, field) for field in values
+    ]
     if not isinstance(value, bool):
         assert mask({"key": key, "match": {"except": [value]}}) == [
-            some(lambda o: not equal(o), v) for v in values
+            any_matches(lambda candidate: not equals_value(candidate), field) for field in values
         ]
-    number = [
-        some(lambda o: isinstance(o, int) and not isinstance(o, bool) and 1 <= o < 3, v) for v in values
-    ]
-    assert mask({"key": key, "range": {"gte": 1, "lt": 3}}) == number
-    assert mask({"is_empty": {"key": key}}) == [v is None or v == [] for v in values]
+    in_range = [any_matches(is_in_range, field) for field in values]
+    assert mask({"key": key, "range": {"gte": 1, "lt": 3}}) == in_range
+    assert mask({"is_empty": {"key": key}}) == [field is None or field == [] for field in values]
     both = {"min_should": {"conditions": [match, {"key": key, "range": {"gte": 1, "lt": 3}}], "min_count": 2}}
     assert evaluate_filter(both, columns).tolist() == [
-        a and some(equal, v) for a, v in zip(number, values, strict=True)
+        is_match and any_matches(equals_value, field)
+        for is_match, field in zip(in_range, values, strict=True)
     ]
 
 
-def test_filters_are_bounded():
+def test_filters_are_limited_and_checked():
     deep: dict = {"must": []}
     for _ in range(12):
         deep = {"must": [deep]}
-    for bad, why in (
+    for condition, error in (
         (deep, "nested"),
         ({"must": [{"key": "a", "is_null": True}] * 300}, "conditions"),
         ({"must": [{"key": "a"}]}, "names one of"),
         ({"musty": []}, "musty"),
         ({"must": [{"key": "a", "match": {"value": 1.5}}]}, "match"),
     ):
-        with pytest.raises(FilterError, match=why):
-            check_filter(bad)
+        with pytest.raises(FilterError, match=error):
+            check_filter(condition)
 
 
 @hypothesis_settings(max_examples=40, deadline=None)
 @given(st.sampled_from(["cosine", "dot", "euclid"]), st.integers(0, 10_000), st.integers(1, 30))
-def test_no_row_is_better_than_its_shards_bound(distance, seed, limit):
+def test_no_row_scores_above_the_bound_of_its_shard(distance, seed, limit):
     shard = generate_shard(GeneratedCollection("bounded", 6, distance, "exact", 4, 50, 0.0, 0.3), seed % 4)
     draws = np.random.default_rng(seed)
     raw = draws.normal(0, draws.uniform(0.1, 4), (2, 6)).astype("<f4")
