--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -76,7 +76,7 @@
         assert not self.errors, self.errors
         return result
 
-    def events_of(self, event_type: str, **fields: Any) -> list[dict[str, Any]]:
+    def events_of(self, event_type: str, **fields: object) -> list[dict[str, Any]]:
         """Return the recorded events of one type that have the given field values."""
         return [
             record
@@ -89,7 +89,7 @@
         stream = yield from self.net.connect(self.fleet.brokers[broker].address, 1_000_000, "client")
         return Client(stream, self, broker)
 
-    def record_event(self, event_type: str, **fields: Any) -> None:
+    def record_event(self, event_type: str, **fields: object) -> None:
         """Append an event of the client to the recorded events."""
         self.events.append({"t": self.loop.now(), "who": "client", "ev": event_type, **fields})
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -113,7 +113,7 @@
     class FlagsRecorder:
         """A serializer that records the flags and body of each value."""
 
-        def serialize(self, key, value):
+        def serialize(self, _key, _value):
             raise AssertionError
 
         def deserialize(self, key, value, flags):
--- a/tests/test_region_reachability.py
+++ b/tests/test_region_reachability.py
@@ -50,33 +50,47 @@
     idle = [(number, 0) for number in range(400)]
     closed_at_us: dict[int, int] = {}
 
-    def wait(now_us, until_us, is_cut_off, clients):
+    def wait(now_us, until_us, clients, *, is_cut_off):
         for at_us in range(now_us, until_us, 250_000):
             drain.tick(at_us, is_cut_off=is_cut_off)
             open_clients = [IdleClient(*client) for client in clients if client[0] not in closed_at_us]
             for client in drain.take_due(at_us, open_clients):
                 closed_at_us[client] = at_us
 
-    wait(0, 750_000, True, idle)
-    wait(750_000, 6_000_000, False, idle)
+    wait(0, 750_000, idle, is_cut_off=True)
+    wait(750_000, 6_000_000, idle, is_cut_off=False)
     assert not closed_at_us
-    wait(6_000_000, 6_750_000, True, idle)
-    wait(6_750_000, 7_000_000, False, idle)  # a half-open step that failed: the same cut
-    wait(7_000_000, 7_500_000, True, idle)
+    wait(6_000_000, 6_750_000, idle, is_cut_off=True)
+    wait(6_750_000, 7_000_000, idle, is_cut_off=False)  # a half-open step that failed: the same cut
+    wait(7_000_000, 7_500_000, idle, is_cut_off=True)
     reconnected = [(1000 + number, 7_400_000) for number in range(50)]
-    wait(7_500_000, 12_000_000, True, idle + reconnected)
+    wait(7_500_000, 12_000_000, idle + reconnected, is_cut_off=True)
     assert sorted(closed_at_us) == list(range(400)) and drain.closed_count == 400
     assert max(sum(at == when for at in closed_at_us.values()) for when in closed_at_us.values()) < 90
-    wait(12_000_000, 16_000_000, False, reconnected)
-    wait(16_000_000, 20_000_000, True, reconnected)  # a new cut, of which they have not been notified
+    wait(12_000_000, 16_000_000, reconnected, is_cut_off=False)
+    # A new cut, of which the reconnected clients have not been notified.
+    wait(16_000_000, 20_000_000, reconnected, is_cut_off=True)
     assert drain.closed_count == 450
     assert not ClientDrain(0, 1).take_due(9, [IdleClient(*client) for client in idle])
 
 
+def cut_off(world, nodes):
+    """Cut the network between the broker and these nodes, both ways."""
+    for node in nodes:
+        world.net.cut("b0", node)
+        world.net.cut(node, "b0")
+
+
+def reconnect(world, nodes):
+    """Heal the network between the broker and these nodes, both ways."""
+    for node in nodes:
+        world.net.heal("b0", node)
+        world.net.heal(node, "b0")
+
+
 def test_a_broker_that_is_cut_off_reports_it_by_class_and_closes_idle_clients():
     world = World(text=TWO_REGION_SETTINGS)
     broker = world.fleet.brokers[0]
-
     remote_nodes = [leaf.name for leaf in world.fleet.leaves if leaf.zone != 0]
 
     def page(path, query=""):
@@ -92,9 +106,7 @@
             world.loop.spawn(wait_for_data(idle_client, received, number), "idle")
         active_client = yield from world.client()
         assert page("/healthz").status == 200 and page("/healthz", "class=sale-record").status == 200
-        for name in remote_nodes:
-            world.net.cut("b0", name)
-            world.net.cut(name, "b0")
+        cut_off(world, remote_nodes)
         for number in range(40):
             if not broker.broker.cut_off:
                 yield from active_client.get(f"price:t{number}")
@@ -116,9 +128,7 @@
         )
         yield from sleep(world.loop, 3_000_000)
         yield from client.get("report:t1,t2:2026-11-28")
-        for name in remote_nodes:
-            world.net.heal("b0", name)
-            world.net.heal(name, "b0")
+        reconnect(world, remote_nodes)
         yield from sleep(world.loop, 6_000_000)
         assert page("/healthz").status == 200
         for _ in range(20):  # hosts ejected during the cut are reinstated by half-open attempts
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -52,7 +52,7 @@
         node, key = attempt
         self.regions.on_attempt_ended(self.now_us, node, key, outcome, duration_ms * 1000)
 
-    def wait(self, milliseconds, local_nodes_answer=True):
+    def wait(self, milliseconds, *, local_nodes_answer=True):
         """Pass time in ticks of 25 ms, each with an answer of a local node; return the nodes to probe."""
         probed = []
         for _ in range(milliseconds // 25):
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -354,19 +354,21 @@
     limiter = ConnectionLimiter(6, maximum_per_address=4)
     busy = {0}
     for number in range(4):
-        assert limiter.admit(number, "greedy", lambda n: n not in busy) == ConnectionVerdict(True, None)
-    assert limiter.admit(4, "greedy", lambda n: True) == ConnectionVerdict(False, None)
-    assert limiter.admit(5, "a", lambda n: True) == ConnectionVerdict(True, None) and limiter.admit(
-        6, "b", lambda n: True
+        assert limiter.admit(number, "greedy", lambda number: number not in busy) == ConnectionVerdict(
+            True, None
+        )
+    assert limiter.admit(4, "greedy", lambda _number: True) == ConnectionVerdict(False, None)
+    assert limiter.admit(5, "a", lambda _number: True) == ConnectionVerdict(True, None) and limiter.admit(
+        6, "b", lambda _number: True
     ) == ConnectionVerdict(True, None)
     limiter.on_request(1)
     # Evicted is the connection idle longest of the address that holds the most.
-    assert limiter.admit(7, "c", lambda n: n not in busy) == ConnectionVerdict(True, 2)
-    assert limiter.admit(8, "d", lambda n: False) == ConnectionVerdict(False, None)  # none is idle
-    assert limiter.admit(9, "d", lambda n: n not in busy) == ConnectionVerdict(True, 3)
-    assert limiter.admit(10, "e", lambda n: n not in busy) == ConnectionVerdict(True, 1)
+    assert limiter.admit(7, "c", lambda number: number not in busy) == ConnectionVerdict(True, 2)
+    assert limiter.admit(8, "d", lambda _number: False) == ConnectionVerdict(False, None)  # none is idle
+    assert limiter.admit(9, "d", lambda number: number not in busy) == ConnectionVerdict(True, 3)
+    assert limiter.admit(10, "e", lambda number: number not in busy) == ConnectionVerdict(True, 1)
     # No address holds clearly more than the others.
-    assert limiter.admit(11, "f", lambda n: True) == ConnectionVerdict(False, None)
+    assert limiter.admit(11, "f", lambda _number: True) == ConnectionVerdict(False, None)
     for number in (0, 5, 6, 7, 9, 10, 99):
         limiter.on_closed(number)
     assert not len(limiter) and not limiter._numbers_by_address
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -154,7 +154,7 @@
         yield running_fleet
 
 
-def brute_force(service_settings, name, query, limit, offset=0, keep=lambda payload: True):
+def brute_force(service_settings, name, query, limit, offset=0, keep=lambda _payload: True):
     """Return (id, score) of the best points of all shards, scored in double precision."""
     spec = next(collection for collection in service_settings.collections if collection.name == name)
     scores = {}
@@ -361,7 +361,7 @@
     assert response.status_code == 400 and "searches[1].query" in response.json()["status"]["error"]
 
 
-def raw_exchange(fleet, data, pause=0.0, end=False):
+def raw_exchange(fleet, data, pause=0.0, *, end=False):
     """Send bytes as they are; return the response until the server closes or sends nothing for 2 s.
 
     With ``end`` the connection is closed after the request, and nothing is returned.
