--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -419,9 +419,8 @@
 
     world.run(main())
     arrivals = world.events_of("arrive")
-    assert (
-        len(arrivals) == 8 and len({arrival["node"] for arrival in arrivals}) == 6
-    )  # 12 shards on 6 hosts: two parts a call
+    # Eight parts at six hosts: some hosts receive two parts in one call.
+    assert len(arrivals) == 8 and len({arrival["node"] for arrival in arrivals}) == 6
     assert len(world.events_of("ended", outcome="ok")) == 8
     finish(world)
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -234,7 +234,7 @@
     assert not driver.regions.restrictions(driver.now_us).deprioritized
 
 
-def test_retry_times_differ_between_brokers_of_different_seeds():
+def test_jittered_intervals_differ_between_brokers_of_different_seeds():
     assert (
         len(
             {
