--- a/tests/crossings.py
+++ b/tests/event_ordering_world.py
@@ -1,8 +1,8 @@
-"""Crossings over loopback sockets: a broker, its front and scripted peers in one loop, so that order is
-forced.
+"""A broker, its front and scripted peers in one loop over loopback sockets, with a forced order of events.
 
-A peer waits for a named point of the broker (``until``) before its next byte; connects of the broker wait at
-a gate. Nothing sleeps for a time, ports are the kernel's, and what is judged is what nodes and clients saw.
+A peer waits for a named state of the broker (``wait_until``) before it writes its next byte; connects of the
+broker are held at a :class:`ConnectGate`. Nothing sleeps for a fixed time, the kernel chooses the ports, and
+the tests check what nodes and clients received.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import struct
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Final
 
 from heathwell.eventloop import ConnectError, Coro, Event, MonotonicClock, Stream, sleep, socket_loop
 from heathwell.gateway.broker import PlatformBroker
@@ -23,8 +23,8 @@
 from heathwell.testing.standins.platform_discovery import PlatformDiscovery
 from heathwell.testing.standins.platform_node import PlatformNode
 
-TURNS_MOST = 20_000  # of the loop, for a point that never comes: some seconds
-CUSTOMERS: dict[str, dict[str, Any]] = {
+MAX_LOOP_TURNS: Final = 20_000  # some seconds, for a state that is never reached
+SETTINGS_VARIANTS: dict[str, dict[str, Any]] = {
     "asked": {},
     "asked, short grace, calls of many parts, copies": {
         "classes": [
@@ -95,183 +95,186 @@
 }
 
 
-def customer(name: str, **specifics: Any) -> dict[str, Any]:
-    """A customer's settings object; keys of a table that it does not name are the common ones."""
-    setup: dict[str, Any] = platform_settings()
-    for key, value in CUSTOMERS[name].items():
-        setup[key] = {**setup[key], **value} if isinstance(value, dict) else value
-    setup["specifics"].update(specifics)
-    return setup
+def settings_variant(name: str, **specifics: Any) -> dict[str, Any]:
+    """Return a settings object of that name; keys that its tables leave out keep their default values."""
+    settings: dict[str, Any] = platform_settings()
+    for key, value in SETTINGS_VARIANTS[name].items():
+        settings[key] = {**settings[key], **value} if isinstance(value, dict) else value
+    settings["specifics"].update(specifics)
+    return settings
 
 
-class Ahead(MonotonicClock):
-    """The machine's clock and ``by_us`` more, which a test sets: the loop stalled for so long, and nobody
-    sleeps.
-    """
+class AdvancedClock(MonotonicClock):
+    """The machine's clock plus ``offset_us``, which a test sets to simulate a stall of the loop."""
 
-    by_us = 0
+    offset_us = 0
 
     def now(self) -> int:
-        return super().now() + self.by_us
+        """Return the time in microseconds."""
+        return super().now() + self.offset_us
 
 
-class Gate:
-    """The broker's net: a connect to a shut address waits, and fails with what is set for it, once each."""
+class ConnectGate:
+    """The broker's network: a connect to a held address waits; each error set for an address fails one
+    connect.
+    """
 
     def __init__(self, net: Any) -> None:
         self.net = net
-        self.shut: dict[str, Event] = {}
-        self.fails: dict[str, list[str]] = {}
-        self.asked: list[str] = []
-        self.small: set[str] = set()
+        self.held_addresses: dict[str, Event] = {}
+        self.connect_errors: dict[str, list[str]] = {}
+        self.connect_attempts: list[str] = []
+        self.small_send_buffer_addresses: set[str] = set()
 
     def connect(self, address: str, timeout_us: int) -> Coro[Stream]:
-        """As the net's, once the gate is open."""
-        self.asked.append(address)
-        if self.fails.get(address):
-            raise ConnectError(self.fails[address].pop(0))
-        if address in self.shut:
-            yield from self.shut[address].wait()
+        """Connect as the network does, once the address is no longer held."""
+        self.connect_attempts.append(address)
+        if self.connect_errors.get(address):
+            raise ConnectError(self.connect_errors[address].pop(0))
+        if address in self.held_addresses:
+            yield from self.held_addresses[address].wait()
         stream = yield from self.net.connect(address, timeout_us)
-        if address in self.small:
+        if address in self.small_send_buffer_addresses:
             stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return stream
 
     def hold(self, address: str) -> None:
-        """Connects wait from now on."""
-        self.shut[address] = Event()
+        """Let connects to an address wait from now on."""
+        self.held_addresses[address] = Event()
 
     def open(self, address: str) -> None:
-        """Those that wait go on."""
-        self.shut.pop(address).set()
+        """Let the connects that wait for an address go on."""
+        self.held_addresses.pop(address).set()
 
 
 class World:
-    """Nodes, one a cell, discovery, one broker; over sockets of the loopback."""
+    """One node per replica group, discovery and one broker over loopback sockets."""
 
     def __init__(self, name: str = "asked", *, width: int = 1, registry: bool = True, **changes: Any) -> None:
-        self.clock = Ahead()
+        self.clock = AdvancedClock()
         self.loop, self.net, self.poller = socket_loop(clock=self.clock)
         self.errors: list[tuple[str, BaseException]] = []
         self.loop.on_error = lambda task, error: self.errors.append((task, error))
-        self.gate = Gate(self.net)
+        self.connect_gate = ConnectGate(self.net)
         self.nodes = [
             PlatformNode(self.loop, self.net, "127.0.0.1:0", f"s{n}", n, work_us=1)
             for n in range(REPLICA_GROUPS)
         ]
         self.registry = PlatformDiscovery(self.loop, self.net, "127.0.0.1:0", self.nodes)
-        self.setup = customer(name, width=width)
-        self.config = read(
-            encode_config(
-                **{
-                    "listen": "127.0.0.1:0",
-                    "discovery": self.registry.address if registry else "127.0.0.1:1",
-                    "settings": self.setup,
-                    "known": {"rev": 1, "all": True, "targets": [node.entry for node in self.nodes]},
-                    **changes,
-                }
-            )
-        )
+        self.settings = settings_variant(name, width=width)
+        config_fields = {
+            "listen": "127.0.0.1:0",
+            "discovery": self.registry.address if registry else "127.0.0.1:1",
+            "settings": self.settings,
+            "known": {"rev": 1, "all": True, "targets": [node.entry for node in self.nodes]},
+            **changes,
+        }
+        self.config = read(encode_config(**config_fields))
         self.lines: list[str] = []
-        self.broker = PlatformBroker(self.loop, self.gate, self.config, log=self.log)
+        self.broker = PlatformBroker(self.loop, self.connect_gate, self.config, log=self.log)
         self.front = Front(self.broker, self.config.client_sockets, self.config.kept_clients, self.log)
         self.listener = self.net.listen("127.0.0.1:0", self.front.serve, "client")
-        self.kinds = [entry["name"] for entry in self.setup["classes"]]
+        self.class_names = [entry["name"] for entry in self.settings["classes"]]
 
     def log(self, level: str, event: str, **fields: Any) -> None:
+        """Record a log line of the broker."""
         self.lines.append(f"{level} {event} {fields}")
 
     def client(self) -> PlatformClient:
+        """Return a new client of the broker."""
         return PlatformClient(self.loop, self.net, self.listener.address)
 
-    def ask(
+    def start_query(
         self, name: str, shard: int, kind: int = 0, client: PlatformClient | None = None, **more: Any
     ) -> Any:
-        """A query of one part on its way, as a task. Its deadline is a minute: the class's own
-        limit holds.
+        """Send a query of one part and return its task. The client waits a minute, so that the timeout of
+        the query class is the one that applies.
         """
-        return self.loop.spawn(self._asked(name, shard, kind, client or self.client(), more), name)
+        return self.loop.spawn(self._send_query(name, shard, kind, client or self.client(), more), name)
 
-    def _asked(
+    def _send_query(
         self, name: str, shard: int, kind: int, client: PlatformClient, more: dict[str, Any]
     ) -> Coro[Any]:
-        key = "5c0f6e1a2b3d4c59" if self.setup["classes"][kind]["idempotency"] == "idempotency_key" else ""
+        key = "5c0f6e1a2b3d4c59" if self.settings["classes"][kind]["idempotency"] == "idempotency_key" else ""
         return (
-            yield from client.send_query(name, self.kinds[kind], [shard], timeout_ms=60_000, key=key, **more)
+            yield from client.send_query(
+                name, self.class_names[kind], [shard], timeout_ms=60_000, key=key, **more
+            )
         )
 
-    def request(self, name: str, shard: int, kind: int = 0) -> bytes:
-        """A request's bytes."""
+    def request_bytes(self, name: str, shard: int, kind: int = 0) -> bytes:
+        """Return the bytes of a request."""
         body = json.dumps({"parts": [{"id": shard, "w": 1.0}], "expr": "c41e77d0"}).encode()
         return (
-            f"POST /{self.kinds[kind]} HTTP/1.1\r\nHost: b\r\nReq-Id: {name}\r\nReq-Kind: "
-            f"{self.kinds[kind]}\r\n"
+            f"POST /{self.class_names[kind]} HTTP/1.1\r\nHost: b\r\nReq-Id: {name}\r\nReq-Kind: "
+            f"{self.class_names[kind]}\r\n"
             f"Req-Deadline: 60000m\r\nIdempotency-Key: k1\r\nContent-Length: {len(body)}\r\n\r\n"
         ).encode() + body
 
-    def raw(self) -> socket.socket:
-        """A client's bare socket, connected."""
+    def open_client_socket(self) -> socket.socket:
+        """Return a connected, non-blocking socket of a client."""
         host, port = self.listener.address.split(":")
         sock = socket.create_connection((host, int(port)))
         sock.setblocking(False)
         return sock
 
-    def until(self, point: Callable[[], Any], what: str = "") -> Coro[None]:
-        """Go on turning until the broker has reached a point."""
-        for _ in range(TURNS_MOST):
-            if point():
+    def wait_until(self, condition: Callable[[], Any], what: str = "") -> Coro[None]:
+        """Turn the loop until ``condition`` is true. Raise AssertionError if it never is."""
+        for _ in range(MAX_LOOP_TURNS):
+            if condition():
                 return
             yield from sleep(self.loop, 200)
-        raise AssertionError(f"never reached: {what or point}; {self.lines[-5:]}")
+        raise AssertionError(f"never reached: {what or condition}; {self.lines[-5:]}")
 
-    def run(self, gen: Coro[Any]) -> Any:
+    def run(self, generator: Coro[Any]) -> Any:
+        """Run a coroutine to its end and return its result; stop the broker and the loop afterwards."""
         try:
-            result = self.loop.run(self.loop.spawn(gen, "main"))
+            result = self.loop.run(self.loop.spawn(generator, "main"))
             assert not self.errors, self.errors
             return result
         finally:
             self.broker.kill()
             self.loop.shutdown()
 
-    def stalls_until(self, at_us: int) -> None:
-        """The loop's next turn is at that time (its clock's), or now where that is past."""
-        self.clock.by_us += max(at_us - self.loop.now(), 0)
+    def stall_until(self, at_us: int) -> None:
+        """Advance the loop's clock to ``at_us``, unless that is past."""
+        self.clock.offset_us += max(at_us - self.loop.now(), 0)
 
-    def put(self, node: PlatformNode, how: str) -> None:
-        """The list's word on a node."""
-        if how == "restarted":
+    def publish_change(self, node: PlatformNode, change: str) -> None:
+        """Publish a change of a node in discovery: "restarted", "draining", "gone" or a new address."""
+        if change == "restarted":
             node.booted_at_ms = int(time.time() * 1000)
             self.registry.publish(node.entry)
-        elif how == "draining":
+        elif change == "draining":
             self.registry.publish({**node.entry, "state": "draining"})
-        elif how == "gone":
+        elif change == "gone":
             self.registry.publish({**node.entry, "state": "removed"})
         else:
-            self.registry.publish({**node.entry, "endpoint": how})
-
-    def knows(self, node: PlatformNode, how: str) -> Callable[[], bool]:
-        """Whether the broker has that word."""
-        servers = self.broker.aggregator.endpoints
-        if how == "restarted":
-            return lambda: node.uid in servers and servers[node.uid].started_at_us is not None
-        if how in ("draining", "gone"):
-            return lambda: node.uid in servers and not servers[node.uid].live
-        return lambda: self.broker.addresses[node.uid] == how
-
-    def out(self, name: str) -> Callable[[], bool]:
-        """Whether a query's part is with its link."""
+            self.registry.publish({**node.entry, "endpoint": change})
+
+    def has_change(self, node: PlatformNode, change: str) -> Callable[[], bool]:
+        """Return a condition: the broker has applied that change of the node."""
+        endpoints = self.broker.aggregator.endpoints
+        if change == "restarted":
+            return lambda: node.uid in endpoints and endpoints[node.uid].started_at_us is not None
+        if change in ("draining", "gone"):
+            return lambda: node.uid in endpoints and not endpoints[node.uid].live
+        return lambda: self.broker.addresses[node.uid] == change
+
+    def part_in_flight(self, name: str) -> Callable[[], bool]:
+        """Return a condition: a part of the query is in flight at a link."""
         return lambda: any(
             key[0].startswith(f"{name}.") for link in self.broker.links.values() for key in link.in_flight
         )
 
 
 def reset(sock: socket.socket) -> None:
-    """Close a bare socket by a reset."""
+    """Close a socket with a TCP reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-LEAVES: dict[str, Callable[[socket.socket], None]] = {
+DISCONNECTS: dict[str, Callable[[socket.socket], None]] = {
     "close": lambda sock: sock.close(),
     "half-close": lambda sock: sock.shutdown(socket.SHUT_WR),
     "reset": reset,
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -1,11 +1,11 @@
-"""The platform on virtual time: a broker with its front, stand-in nodes and discovery; and its logs for the
-auditor.
+"""The platform on virtual time: a broker with its front, stand-in nodes and discovery, and the auditor's
+verdict over their event logs.
 """
 
 from __future__ import annotations
 
 from functools import partial
-from typing import Any
+from typing import Any, Final
 
 from heathwell.codec import nodeframes as nf
 from heathwell.eventloop import sleep, virtual_loop
@@ -21,17 +21,17 @@
 from heathwell.testing.standins.platform_discovery import PlatformDiscovery
 from heathwell.testing.standins.platform_node import PlatformNode
 
-UNIX_US = 1_700_000_000_000_000
-LONG_US = 1 << 50
+UNIX_US: Final = 1_700_000_000_000_000
+NO_DEADLINE_US: Final = 1 << 50
 
 
-def node_ask(part: str, seq: int, shard: int, text: bytes) -> NodeRequest:
-    """An attempt that a test hands to a link by itself; waited for without end."""
-    return NodeRequest(part, seq, partial(nf.encode_part, part, shard, text=text), LONG_US)
+def node_request(part: str, sequence: int, shard: int, text: bytes) -> NodeRequest:
+    """Return an attempt without a deadline, for tests that hand it to a link directly."""
+    return NodeRequest(part, sequence, partial(nf.encode_part, part, shard, text=text), NO_DEADLINE_US)
 
 
 class Platform:
-    """Nodes, one a cell, discovery, one broker."""
+    """One node per replica group, discovery and one broker."""
 
     def __init__(
         self,
@@ -40,23 +40,23 @@
         registry: bool = True,
         seed: int | None = None,
         limits: dict[str, Any] | None = None,
-        setup: dict[str, Any] | None = None,
+        settings: dict[str, Any] | None = None,
     ) -> None:
         self.loop, self.net = virtual_loop(seed)
         self.errors: list[tuple[str, BaseException]] = []
-        self.loop.on_error = lambda name, error: self.errors.append((name, error))
-        self.way_us = 100  # the least that bytes take from broker to node
+        self.loop.on_error = lambda task, error: self.errors.append((task, error))
+        self.minimum_transit_us = 100  # of bytes from the broker to a node
         self.lines: list[str] = []
         self.events: list[dict[str, Any]] = []
-        self.nodes = [self.node(n) for n in range(REPLICA_GROUPS)]
+        self.nodes = [self.node(number) for number in range(REPLICA_GROUPS)]
         self.registry = (
             PlatformDiscovery(self.loop, self.net.at("registry"), "registry:8500", self.nodes)
             if registry
             else None
         )
         changes: dict[str, Any] = {"limits": limits} if limits else {}
-        if setup:
-            changes["settings"] = {**platform_settings(), **setup}
+        if settings:
+            changes["settings"] = {**platform_settings(), **settings}
         if known:
             changes["known"] = {"rev": 1, "all": True, "targets": [node.entry for node in self.nodes]}
         self.config = read(encode_config(**changes))
@@ -71,78 +71,46 @@
         self.front = Front(self.broker, self.config.client_sockets, self.config.kept_clients, self.log)
         self.listener = self.net.at("broker").listen("broker:7070", self.front.serve, "client")
 
-    def node(self, number: int, cell: int | None = None) -> PlatformNode:
-        """A node of its own address."""
+    def node(self, number: int, replica_group: int | None = None) -> PlatformNode:
+        """Return a new node with an address of its own."""
         uid = f"s{number}"
         return PlatformNode(
             self.loop,
             self.net.at(uid),
             f"{uid}:7070",
             uid,
-            number if cell is None else cell,
+            number if replica_group is None else replica_group,
             events=ListEvents(self.events, uid, "host", self.loop.clock),
         )
 
     def log(self, level: str, event: str, **fields: Any) -> None:
+        """Record a log line of the broker."""
         self.lines.append(f"{level} {event} {fields}")
 
     def client(self, name: str = "client") -> PlatformClient:
+        """Return a new client of the broker."""
         return PlatformClient(self.loop, self.net.at(name), "broker:7070")
 
-    def run(self, gen: Any, errors: bool = False) -> Any:
-        result = self.loop.run(self.loop.spawn(gen, "main"))
+    def run(self, generator: Any, errors: bool = False) -> Any:
+        """Run a coroutine to its end and return its result; failed tasks are an error unless ``errors``."""
+        result = self.loop.run(self.loop.spawn(generator, "main"))
         assert errors or not self.errors, self.errors
         return result
 
     def wait(self, seconds: float) -> None:
+        """Let virtual time pass."""
         self.run(sleep(self.loop, int(seconds * 1e6)))
 
     def verdict(self) -> Any:
-        """The auditor's, over what broker and nodes noted. The wire names parts and not attempts: an arrival
-        is tied to the latest send that can have come so far, and parts are numbered as the auditor counts
-        them.
-        """
-        order: dict[str, dict[str, str]] = {}
-        sends: dict[tuple[str, str], list[tuple[int, int]]] = {}
-        arrived: dict[tuple[str, int], int] = {}
-        query_class: dict[str, str] = {}
-        lines: list[dict[str, Any]] = [{"t": 0, "who": "run", "ev": "run", "figures": self.figures()}]
-        for seen in self.events:
-            event, kind = seen, seen["ev"]
-            if kind == "take":
-                order[event["q"]] = {
-                    f"{event['q']}.{shard}": f"{event['q']}/{n}" for n, shard in enumerate(event["shards"])
-                }
-                query_class[event["q"]] = event["klass"]
-            if "p" in event:
-                query = event["p"].partition(".")[0]
-                names = order[query]
-                if event["p"].endswith(".fetch"):
-                    names.setdefault(event["p"], f"{query}/{len(names)}")
-                way = (event["p"], event["node"])
-                if kind == "send":
-                    sends.setdefault(way, []).append((event["t"], event["seq"]))
-                elif kind == "arrive":
-                    sent = max(send for send in sends[way] if send[0] <= event["t"] - self.way_us)
-                    sends[way].remove(sent)
-                    arrived[event["node"], event["n"]] = sent[1]
-                seq = event["seq"] if "seq" in event else arrived.get((event["node"], event.get("n", -1)), -1)
-                if seq < 0:
-                    continue  # a part given up: the wire does not say which attempt
-                event = {
-                    **event,
-                    "p": names[event["p"]],
-                    "seq": seq,
-                    "klass": query_class[query],
-                    "broker": "n1",
-                }
-            elif kind == "final":
-                names = order[event["q"]]
-                event = {**event, "parts": [names[p] for p in event["parts"]]}
-            lines.append(event)
+        """Return the auditor's verdict over the event logs of broker and nodes."""
+        lines: list[dict[str, Any]] = [
+            {"t": 0, "who": "run", "ev": "run", "figures": self.audit_parameters()}
+        ]
+        lines += AuditTranslator(self.minimum_transit_us).translate(self.events)
         return judge(from_lines(lines), slack=20_000)
 
-    def figures(self) -> dict[str, Any]:
+    def audit_parameters(self) -> dict[str, Any]:
+        """Return the settings that the auditor judges by, under the names of its records."""
         rules = self.config.settings
         return {
             "classes": {
@@ -171,6 +139,72 @@
         }
 
 
+class AuditTranslator:
+    """Translates events of the platform into the auditor's records.
+
+    The wire names parts and not attempts: an arrival is assigned to the latest send that can have arrived by
+    then, and parts are numbered as the auditor counts them.
+    """
+
+    def __init__(self, minimum_transit_us: int) -> None:
+        self.minimum_transit_us = minimum_transit_us
+        self.part_names: dict[str, dict[str, str]] = {}  # by query, by part
+        self.sends: dict[tuple[str, str], list[tuple[int, int]]] = {}  # by part and node: time, attempt
+        self.arrived: dict[tuple[str, int], int] = {}  # by node and arrival: attempt
+        self.query_class: dict[str, str] = {}
+
+    def translate(self, events: list[dict[str, Any]]) -> list[dict[str, Any]]:
+        """Return the records of all events that the auditor can assign to an attempt, in order."""
+        records = (self._record_of(event) for event in events)
+        return [record for record in records if record is not None]
+
+    def _record_of(self, event: dict[str, Any]) -> dict[str, Any] | None:
+        if event["ev"] == "take":
+            self._add_query(event)
+        if "p" in event:
+            return self._part_record(event)
+        if event["ev"] == "final":
+            names = self.part_names[event["q"]]
+            return {**event, "parts": [names[part] for part in event["parts"]]}
+        return event
+
+    def _add_query(self, event: dict[str, Any]) -> None:
+        query = event["q"]
+        self.part_names[query] = {
+            f"{query}.{shard}": f"{query}/{number}" for number, shard in enumerate(event["shards"])
+        }
+        self.query_class[query] = event["klass"]
+
+    def _part_record(self, event: dict[str, Any]) -> dict[str, Any] | None:
+        query = event["p"].partition(".")[0]
+        names = self.part_names[query]
+        if event["p"].endswith(".fetch"):
+            names.setdefault(event["p"], f"{query}/{len(names)}")
+        if event["ev"] == "send":
+            self.sends.setdefault((event["p"], event["node"]), []).append((event["t"], event["seq"]))
+        elif event["ev"] == "arrive":
+            self._match_arrival(event)
+        if "seq" in event:
+            sequence = event["seq"]
+        else:
+            sequence = self.arrived.get((event["node"], event.get("n", -1)), -1)
+        if sequence < 0:
+            return None  # a cancelled part: the wire does not state which attempt
+        return {
+            **event,
+            "p": names[event["p"]],
+            "seq": sequence,
+            "klass": self.query_class[query],
+            "broker": "n1",
+        }
+
+    def _match_arrival(self, event: dict[str, Any]) -> None:
+        sends = self.sends[event["p"], event["node"]]
+        latest = max(send for send in sends if send[0] <= event["t"] - self.minimum_transit_us)
+        sends.remove(latest)
+        self.arrived[event["node"], event["n"]] = latest[1]
+
+
 def settings_of() -> Any:
-    """The start settings that the tests use."""
+    """Return the start settings that the tests use."""
     return read(encode_config()).settings
--- a/tests/test_event_orderings.py
+++ b/tests/test_event_orderings.py
@@ -18,8 +18,8 @@
 from heathwell.testing.standins.platform_frames import decode_call, encode_answer
 from heathwell.testing.standins.platform_node import PlatformNode
 
-from .crossings import CUSTOMERS, LEAVES, World, customer
-from .platform import Platform, node_ask
+from .event_ordering_world import DISCONNECTS, SETTINGS_VARIANTS, World, settings_variant
+from .platform import Platform, node_request
 
 SHARD = 3  # held by node 3 alone where the width is one
 
@@ -43,7 +43,7 @@
         self.listener = world.net.listen("127.0.0.1:0", self._serve, "deaf")
         self.listener._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         self.address = self.listener.address
-        world.gate.small.add(self.address)
+        world.connect_gate.small_send_buffer_addresses.add(self.address)
         world.registry.publish({**world.nodes[number].entry, "endpoint": self.address})
 
     def _serve(self, stream):
@@ -65,7 +65,7 @@
 # Parts that wait.
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("how", ["draining", "gone", "moved"])
 @pytest.mark.parametrize("wait", ["connect", "second connect", "full socket"])
 def test_a_node_that_is_told_of_while_a_part_waits_for_it_never_sees_it(name, how, wait, trusting):
@@ -79,37 +79,37 @@
         deaf, where = None, node
         if wait == "full socket":
             deaf = Deaf(world, SHARD)
-            yield from world.until(world.knows(node, deaf.address))
+            yield from world.wait_until(world.has_change(node, deaf.address))
             link = world.broker._link(node.uid)
-            link.send([node_ask("full.0", 0, 0, b"x" * 4_000_000)])  # nobody's: it fills
-            yield from world.until(
+            link.send([node_request("full.0", 0, 0, b"x" * 4_000_000)])  # nobody's: it fills
+            yield from world.wait_until(
                 lambda: link.connections and link.connections[0].stream and link.connections[0].stream.unsent,
                 "a full socket",
             )
         else:
-            world.gate.hold(node.address)
+            world.connect_gate.hold(node.address)
             if wait == "second connect":
-                world.gate.fails[node.address] = ["ECONNRESET"]
-        asked = world.ask("q1", SHARD)
-        yield from world.until(world.out("q1"))
+                world.connect_gate.connect_errors[node.address] = ["ECONNRESET"]
+        asked = world.start_query("q1", SHARD)
+        yield from world.wait_until(world.part_in_flight("q1"))
         if wait == "second connect":
-            yield from world.until(lambda: world.gate.asked.count(node.address) == 2)
+            yield from world.wait_until(lambda: world.connect_gate.connect_attempts.count(node.address) == 2)
         other = PlatformNode(world.loop, world.net, "127.0.0.1:0", node.uid, node.replica_group, work_us=1)
         word = other.address if how == "moved" else how
-        world.put(where, word)
-        yield from world.until(world.knows(node, word))
+        world.publish_change(where, word)
+        yield from world.wait_until(world.has_change(node, word))
         yield from sleep(world.loop, 0)
         if deaf is not None:
             deaf.hears.set()
         else:
-            world.gate.open(node.address)
+            world.connect_gate.open(node.address)
         response = yield from asked.join()
         for connection in (
             list(world.broker.links[node.uid].connections) if node.uid in world.broker.links else []
         ):
             connection.close()
         if deaf is not None:
-            yield from world.until(lambda: deaf.ends)
+            yield from world.wait_until(lambda: deaf.ends)
         return response.status, other, deaf
 
     status, other, deaf = world.run(main())
@@ -120,7 +120,7 @@
     assert (status, [part.id for part in other.parts]) == ((200, ["q1.3"]) if how == "moved" else (503, []))
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("word", ["draining", "restarted"])
 def test_what_is_taken_back_is_placed_at_a_holder_that_stays_also_where_a_repeat_is_forbidden(name, word):
     """Another process at a node's address is cold: what waited for the old one is not what it was
@@ -130,18 +130,18 @@
 
     def main():
         for node in world.nodes:
-            world.gate.hold(node.address)
-        asked = world.ask("q1", SHARD)
-        yield from world.until(world.out("q1"))
+            world.connect_gate.hold(node.address)
+        asked = world.start_query("q1", SHARD)
+        yield from world.wait_until(world.part_in_flight("q1"))
         (first,) = {uid for uid, link in world.broker.links.items() if link.in_flight}
         chosen = next(node for node in world.nodes if node.uid == first)
-        world.put(chosen, word)
-        yield from world.until(world.knows(chosen, word))
-        yield from world.until(
+        world.publish_change(chosen, word)
+        yield from world.wait_until(world.has_change(chosen, word))
+        yield from world.wait_until(
             lambda: any(link.in_flight for uid, link in world.broker.links.items() if uid != first)
         )
         for node in world.nodes:
-            world.gate.open(node.address)
+            world.connect_gate.open(node.address)
         response = yield from asked.join()
         return response.status, chosen
 
@@ -150,8 +150,8 @@
     assert [part.id for node in world.nodes for part in node.parts] == ["q1.3"]  # once, by all nodes together
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
-@pytest.mark.parametrize("leaves", LEAVES)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
+@pytest.mark.parametrize("leaves", DISCONNECTS)
 @pytest.mark.parametrize("wait", ["connect", "second connect", "full socket"])
 def test_nothing_leaves_for_a_client_that_left_while_its_part_waited(name, leaves, wait, trusting):
     world = World(name)
@@ -161,31 +161,31 @@
         deaf = None
         if wait == "full socket":
             deaf = Deaf(world, SHARD)
-            yield from world.until(world.knows(node, deaf.address))
+            yield from world.wait_until(world.has_change(node, deaf.address))
             link = world.broker._link(node.uid)
-            link.send([node_ask("full.0", 0, 0, b"x" * 4_000_000)])
-            yield from world.until(
+            link.send([node_request("full.0", 0, 0, b"x" * 4_000_000)])
+            yield from world.wait_until(
                 lambda: link.connections and link.connections[0].stream and link.connections[0].stream.unsent,
                 "a full socket",
             )
         else:
-            world.gate.hold(node.address)
+            world.connect_gate.hold(node.address)
             if wait == "second connect":
-                world.gate.fails[node.address] = ["ECONNRESET"]
-        sock = world.raw()
-        sock.send(world.request("q1", SHARD))
-        yield from world.until(world.out("q1"))
-        LEAVES[leaves](sock)
-        yield from world.until(lambda: world.broker.counters["left", world.kinds[0]])
+                world.connect_gate.connect_errors[node.address] = ["ECONNRESET"]
+        sock = world.open_client_socket()
+        sock.send(world.request_bytes("q1", SHARD))
+        yield from world.wait_until(world.part_in_flight("q1"))
+        DISCONNECTS[leaves](sock)
+        yield from world.wait_until(lambda: world.broker.counters["left", world.class_names[0]])
         if deaf is not None:
             for connection in list(link.connections):
                 deaf.hears.set()
                 yield from sleep(world.loop, 0)
                 connection.close()
-            yield from world.until(lambda: deaf.ends)
+            yield from world.wait_until(lambda: deaf.ends)
             return deaf.ids
-        world.gate.open(node.address)
-        response = yield from world.ask("q2", SHARD).join()  # over the connection that q1 waited for
+        world.connect_gate.open(node.address)
+        response = yield from world.start_query("q2", SHARD).join()  # over the connection that q1 waited for
         assert response.status == 200
         return [part.id for part in node.parts]
 
@@ -193,29 +193,29 @@
     assert not [part for part in seen if part.startswith("q1")]
 
 
-@pytest.mark.parametrize("leaves", LEAVES)
+@pytest.mark.parametrize("leaves", DISCONNECTS)
 @pytest.mark.parametrize("between", ["steps", "attempts"])
 def test_no_second_step_and_no_repeat_leaves_for_a_client_that_left_before_it(leaves, between):
     """The answer that would bring it is held until the broker has seen the client's end."""
     world = World(width=3)
-    fetches = world.setup["specifics"]["class-fetch"]
+    fetches = world.settings["specifics"]["class-fetch"]
     kind = next(n for n, fetch in enumerate(fetches) if bool(fetch) == (between == "steps"))
     held = []
 
     def main():
         for node in world.nodes:
             node.responder = lambda node, stream, part: held.append((node, stream, part))
-        sock = world.raw()
-        sock.send(world.request("q1", SHARD, kind))
-        yield from world.until(lambda: held)
-        LEAVES[leaves](sock)
-        yield from world.until(lambda: world.broker.counters["left", world.kinds[kind]])
+        sock = world.open_client_socket()
+        sock.send(world.request_bytes("q1", SHARD, kind))
+        yield from world.wait_until(lambda: held)
+        DISCONNECTS[leaves](sock)
+        yield from world.wait_until(lambda: world.broker.counters["left", world.class_names[kind]])
         ((node, stream, part),) = held
         for each in world.nodes:
             each.responder = None
         if not stream.closed:
             stream.write(encode_answer(part, 200 if between == "steps" else 500))
-        return (yield from world.ask("q2", SHARD).join()).status
+        return (yield from world.start_query("q2", SHARD).join()).status
 
     assert world.run(main()) == 200
     assert [part.id for node in world.nodes for part in node.parts if part.id.startswith("q1")] == ["q1.3"]
@@ -231,17 +231,19 @@
     node.silent = True
 
     def main():
-        sock = world.raw()
-        data = b"".join(world.request(f"q{n}", SHARD) for n in range(1000))
+        sock = world.open_client_socket()
+        data = b"".join(world.request_bytes(f"q{n}", SHARD) for n in range(1000))
         sent = sock.send(data)
         assert sent > 100_000  # more than is read ahead: the rest lies unread
-        yield from world.until(world.out("q0"))
-        yield from world.until(lambda: next(iter(world.front.clients))._read_ahead_bytes > 65_536)
-        LEAVES[leaves](sock)
-        yield from world.until(lambda: world.broker.counters["left", world.kinds[0]], "the end is seen")
-        yield from world.until(lambda: not world.front.clients)
+        yield from world.wait_until(world.part_in_flight("q0"))
+        yield from world.wait_until(lambda: next(iter(world.front.clients))._read_ahead_bytes > 65_536)
+        DISCONNECTS[leaves](sock)
+        yield from world.wait_until(
+            lambda: world.broker.counters["left", world.class_names[0]], "the end is seen"
+        )
+        yield from world.wait_until(lambda: not world.front.clients)
         node.silent = False
-        response = yield from world.ask("after", SHARD).join()
+        response = yield from world.start_query("after", SHARD).join()
         return response.status
 
     assert world.run(main()) == 200
@@ -252,43 +254,45 @@
     world = World()
 
     def main():
-        sock = world.raw()
-        yield from world.until(lambda: world.front.clients)
-        sock.send(world.request("q1", SHARD))
+        sock = world.open_client_socket()
+        yield from world.wait_until(lambda: world.front.clients)
+        sock.send(world.request_bytes("q1", SHARD))
         sock.close()  # both are at hand before the broker's next turn
-        yield from world.until(lambda: not world.front.clients)
-        return (yield from world.ask("q2", SHARD).join()).status
+        yield from world.wait_until(lambda: not world.front.clients)
+        return (yield from world.start_query("q2", SHARD).join()).status
 
     assert world.run(main()) == 200
     assert [part.id for part in world.nodes[SHARD].parts] == ["q2.3"]
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_a_further_attempt_that_waits_is_not_sent_once_the_first_is_answered(name):
     world = World(name, width=3)
     kind = next(
-        n for n, entry in enumerate(world.setup["classes"]) if entry["idempotency"] != "non_idempotent"
+        n for n, entry in enumerate(world.settings["classes"]) if entry["idempotency"] != "non_idempotent"
     )
 
     def main():
         held = []
         for node in world.nodes:
             node.responder = lambda node, stream, part: held.append((stream, node, part))
-        entry = world.setup["classes"][kind]
+        entry = world.settings["classes"][kind]
         key = "k1" if entry["idempotency"] == "idempotency_key" else ""
         asked = world.loop.spawn(
             world.client().send_query("q1", entry["name"], [SHARD, 0], timeout_ms=60_000, key=key), "q1"
         )
-        yield from world.until(lambda: len(held) == 2)
+        yield from world.wait_until(lambda: len(held) == 2)
         held.sort(key=lambda one: one[2].shard != SHARD)
         first = held[0][1].uid
         for node in world.nodes:
             if node.replica_group in (3, 4, 5) and node.uid != first:
-                world.gate.hold(node.address)
+                world.connect_gate.hold(node.address)
         query = next(iter(world.broker.queries.values()))
         part = query.parts["q1.3"]
-        if world.setup["ceilings"]["second-copies"]:  # late: a copy is decided, and waits for its connection
-            yield from world.until(lambda: part.attempt_count == 2)
+        if world.settings["ceilings"][
+            "second-copies"
+        ]:  # late: a copy is decided, and waits for its connection
+            yield from world.wait_until(lambda: part.attempt_count == 2)
         else:  # no copy may be out beside it: driven by the driver's own door
             other = next(
                 node for node in world.nodes if node.uid != first and node.replica_group in (3, 4, 5)
@@ -301,19 +305,19 @@
             node.responder = None
         stream, node, called = held[0]
         node.finish_work(stream, called)
-        yield from world.until(lambda: part.data is not None)  # its query goes on: another part is out
+        yield from world.wait_until(lambda: part.data is not None)  # its query goes on: another part is out
         yield from sleep(world.loop, 0)
-        for address in list(world.gate.shut):
-            world.gate.open(address)
+        for address in list(world.connect_gate.held_addresses):
+            world.connect_gate.open(address)
         links = [
             link
             for link in world.broker.links.values()
             if link.node in ("s3", "s4", "s5") and link.node != first
         ]
-        yield from world.until(lambda: all(c.stream for link in links for c in link.connections))
+        yield from world.wait_until(lambda: all(c.stream for link in links for c in link.connections))
         for link in links:  # behind it on the connection that it waited for
-            link.send([node_ask("after.3", 0, 3, b"x")])
-        yield from world.until(
+            link.send([node_request("after.3", 0, 3, b"x")])
+        yield from world.wait_until(
             lambda: any(part.id == "after.3" for node in world.nodes for part in node.parts)
         )
         stream, node, called = held[1]
@@ -331,19 +335,19 @@
 
     def main():
         deaf = Deaf(world, SHARD)
-        yield from world.until(world.knows(world.nodes[SHARD], deaf.address))
+        yield from world.wait_until(world.has_change(world.nodes[SHARD], deaf.address))
         link = world.broker._link("s3")
         world.broker.on_attempt_result = lambda node, key, outcome, result: ended.append((key[0], outcome))
-        link.send([node_ask("q1.3", 0, 3, b"x")])
-        yield from world.until(
+        link.send([node_request("q1.3", 0, 3, b"x")])
+        yield from world.wait_until(
             lambda: link.connections[0].stream and link.connections[0].in_flight["q1.3"].frame_end
         )
-        link.send([node_ask("q2.3", 0, 3, b"x" * 4_000_000)])
-        yield from world.until(lambda: link.connections[0].stream.unsent)
+        link.send([node_request("q2.3", 0, 3, b"x" * 4_000_000)])
+        yield from world.wait_until(lambda: link.connections[0].stream.unsent)
         assert link.abandon(("q1.3", 0))
         deaf.hears.set()
-        yield from world.until(lambda: deaf.ends)
-        yield from world.until(lambda: ended)
+        yield from world.wait_until(lambda: deaf.ends)
+        yield from world.wait_until(lambda: ended)
         return deaf
 
     deaf = world.run(main())
@@ -356,8 +360,8 @@
 
 def served(world, sock):
     """One request of a bare client, answered; the connection rests then."""
-    sock.send(world.request("q1", SHARD))
-    yield from world.until(lambda: world.front.kept_alive)
+    sock.send(world.request_bytes("q1", SHARD))
+    yield from world.wait_until(lambda: world.front.kept_alive)
     sock.recv(65_536)
 
 
@@ -369,7 +373,7 @@
     world = World()
 
     def main():
-        sock = world.raw()
+        sock = world.open_client_socket()
         yield from served(world, sock)
         (client,) = world.front.clients
         if by == "its patience":
@@ -378,7 +382,7 @@
             world.front.max_kept_alive = 0
         if by == "room for another":
             world.front.max_clients = 1
-        sock.send(world.request("q2", SHARD))  # from here to the call nothing of the broker runs
+        sock.send(world.request_bytes("q2", SHARD))  # from here to the call nothing of the broker runs
         if by == "the end":
             world.front.drain()
             world.front.close_idle()
@@ -389,7 +393,7 @@
         else:
             assert not world.front._make_room()
         assert not client.stream.closed
-        yield from world.until(lambda: len(world.nodes[SHARD].parts) == 2)
+        yield from world.wait_until(lambda: len(world.nodes[SHARD].parts) == 2)
         data = b""
         while b"\r\n\r\n" not in data:
             try:
@@ -406,7 +410,7 @@
     world = World()
 
     def main():
-        sock = world.raw()
+        sock = world.open_client_socket()
         yield from served(world, sock)
         (client,) = world.front.clients
         if by == "the end":
@@ -433,7 +437,7 @@
     world = World(width=1)
 
     def main():
-        assert (yield from world.ask("q1", SHARD).join()).status == 200
+        assert (yield from world.start_query("q1", SHARD).join()).status == 200
         link = world.broker.links["s3"]
         ended = []
         world.broker.on_attempt_result = lambda node, key, outcome, result: ended.append(outcome)
@@ -444,10 +448,10 @@
 
         if first == "end":
             ends()  # on its way; the broker has not heard of it
-        link.send([node_ask("q2.3", 0, 3, b"x")])
+        link.send([node_request("q2.3", 0, 3, b"x")])
         if first == "write":
             ends()
-        yield from world.until(lambda: ended)
+        yield from world.wait_until(lambda: ended)
         return ended
 
     assert world.run(main()) == [
@@ -458,7 +462,7 @@
 # Lists.
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_the_list_is_watched_from_the_start_and_again_after_a_loss_whether_asked_or_pushed(name):
     """Where lists are pushed nothing ever asked for them, and the broker served from the list of its start
     for good.
@@ -466,17 +470,17 @@
     world = World(name)
 
     def main():
-        world.put(world.nodes[0], "draining")
-        yield from world.until(world.knows(world.nodes[0], "draining"))
+        world.publish_change(world.nodes[0], "draining")
+        yield from world.wait_until(world.has_change(world.nodes[0], "draining"))
         for stream in list(world.registry.streams):
             stream.abort()
-        world.put(world.nodes[1], "gone")
-        yield from world.until(world.knows(world.nodes[1], "gone"))
+        world.publish_change(world.nodes[1], "gone")
+        yield from world.wait_until(world.has_change(world.nodes[1], "gone"))
 
     world.run(main())
     module = world.broker.aggregator
-    told = world.setup["invariants"][
-        "must-ask-in-us" if world.setup["registry-mode"] == "ask" else "drain-grace-us"
+    told = world.settings["invariants"][
+        "must-ask-in-us" if world.settings["registry-mode"] == "ask" else "drain-grace-us"
     ]
     assert (
         module.endpoint_table._backoff_first_us == told // 10
@@ -485,7 +489,7 @@
 
 
 def test_a_discovery_that_refuses_is_not_asked_turn_after_turn_where_no_time_to_ask_is_stated():
-    world = Platform(setup={"registry-mode": "push", "invariants": {"drain-grace-us": 0}})
+    world = Platform(settings={"registry-mode": "push", "invariants": {"drain-grace-us": 0}})
     world.registry.down = True
     world.wait(1.0)
     assert 3 <= len(world.registry.queries) <= 500
@@ -502,15 +506,15 @@
     assert longest_wait(grace_us) >= 3_000_000
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_a_silence_from_the_first_byte_is_made_good_before_it_binds_with_a_slow_discovery(name):
     """On virtual time, as it takes seconds: discovery answers the watch that is opened anew in 1.4 of its 1.5
     s.
     """
-    setup = customer(name)
-    world = Platform(setup=setup)
+    settings = settings_variant(name)
+    world = Platform(settings=settings)
     registry = world.registry
-    grace = setup["invariants"]["drain-grace-us"]
+    grace = settings["invariants"]["drain-grace-us"]
     world.wait(0.01)
     wait_us = int(registry.queries[-1].partition("hold_ms=")[2]) * 1000
     silent_at = world.loop.now()
@@ -608,7 +612,7 @@
 
         listener = world.net.listen("127.0.0.1:0", serve, "indented")
         world.broker.watch.move(listener.address)
-        yield from world.until(world.knows(world.nodes[2], "draining"))
+        yield from world.wait_until(world.has_change(world.nodes[2], "draining"))
 
     world.run(main())
 
@@ -628,20 +632,22 @@
 
         listener = world.net.listen("127.0.0.1:0", serve, "old")
         if point == "connecting":
-            world.gate.hold(listener.address)
+            world.connect_gate.hold(listener.address)
         world.broker.watch.move(listener.address)
-        yield from world.until(
-            lambda: listener.address in world.gate.asked if point == "connecting" else asked
+        yield from world.wait_until(
+            lambda: (
+                listener.address in world.connect_gate.connect_attempts if point == "connecting" else asked
+            )
         )
         if point == "half an answer":
-            yield from world.until(lambda: other)
-        world.put(world.nodes[2], "draining")
+            yield from world.wait_until(lambda: other)
+        world.publish_change(world.nodes[2], "draining")
         world.broker.watch.move(world.registry.address)
         world.broker.watch.move(world.registry.address)  # twice in a row is once
-        yield from world.until(world.knows(world.nodes[2], "draining"))
+        yield from world.wait_until(world.has_change(world.nodes[2], "draining"))
         if point == "connecting":
-            world.gate.open(listener.address)
-        assert (yield from world.ask("q1", SHARD).join()).status == 200
+            world.connect_gate.open(listener.address)
+        assert (yield from world.start_query("q1", SHARD).join()).status == 200
         return len(asked)
 
     assert world.run(main()) == (0 if point == "connecting" else 1)
@@ -651,14 +657,14 @@
 # The end.
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_at_the_end_every_query_has_its_answer_before_a_sigkill_may_come(name):
     """On virtual time. A class's time may be longer than the 3 s that SIGKILL counts: it is cut then."""
-    setup = customer(name)
-    world = Platform(setup=setup)
+    settings = settings_variant(name)
+    world = Platform(settings=settings)
     for node in world.nodes:
         node.silent = True
-    kinds = {entry["name"]: entry for entry in setup["classes"]}
+    kinds = {entry["name"]: entry for entry in settings["classes"]}
     longest = max(entry["hard-limit-us"] for entry in kinds.values())
     answered = {}
 
@@ -723,6 +729,6 @@
     ],
 )
 def test_figures_that_no_settings_state_are_no_other_customers(ceilings, limits):
-    world = Platform(setup={"ceilings": {"max-attempts": 3, **ceilings}})
+    world = Platform(settings={"ceilings": {"max-attempts": 3, **ceilings}})
     figures = world.config.connections
     assert (figures.streams, figures.idle_us, figures.connect_us) == limits
--- a/tests/test_event_orderings_processes.py
+++ b/tests/test_event_orderings_processes.py
@@ -16,7 +16,7 @@
 from heathwell.testing.simulation.platform_fleet import PlatformFleet
 from heathwell.testing.standins.platform_node import PlatformNode
 
-from .crossings import CUSTOMERS, customer
+from .event_ordering_world import SETTINGS_VARIANTS, settings_variant
 
 # Signals itself once the configuration is read, before there is a listener or a loop.
 BEFORE_THE_LOOP = """
@@ -89,25 +89,27 @@
     assert world.run(main()) == 200
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_at_sigterm_what_hangs_is_answered_and_the_process_ends_by_itself(running, name):
     """All nodes hang; one customer's longest class has 4 s, more than the 3.7 s after which SIGKILL
     may come.
     """
-    setup = customer(name)
-    world = running(settings=setup)
+    settings = settings_variant(name)
+    world = running(settings=settings)
     for node in world.nodes:
         node.silent = True
 
     def main():
         tasks = [
-            world.loop.spawn(one_part(world, f"q{n}", kind), "q") for n, kind in enumerate(setup["classes"])
+            world.loop.spawn(one_part(world, f"q{n}", kind), "q")
+            for n, kind in enumerate(settings["classes"])
         ]
         yield from until(world, lambda: sum(len(node.parts) for node in world.nodes) >= len(tasks))
         world.process.send_signal(signal.SIGTERM)
         yield from world.wait_for_log("terminating")
         tasks += [
-            world.loop.spawn(one_part(world, f"r{n}", kind), "r") for n, kind in enumerate(setup["classes"])
+            world.loop.spawn(one_part(world, f"r{n}", kind), "r")
+            for n, kind in enumerate(settings["classes"])
         ]
         statuses = []
         for task in tasks:
@@ -115,7 +117,7 @@
         return statuses, (yield from world.wait_for_exit())
 
     statuses, code = world.run(main())
-    wanted = [500 if kind["idempotency"] == "non_idempotent" else 503 for kind in setup["classes"]]
+    wanted = [500 if kind["idempotency"] == "non_idempotent" else 503 for kind in settings["classes"]]
     assert (statuses, code) == (wanted * 2, 0)
     assert "open='0'" in world.log_path.read_text() and "overdue" not in world.log_path.read_text()
 
@@ -152,14 +154,14 @@
     assert data.startswith(b"HTTP/1.1 200") and code == 0
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_clients_that_go_on_sending_at_the_end_lose_nothing_that_was_sent_on(running, name):
     """Five clients send one request after another on what stays open, and connect anew while that can be, up
     to the end: whatever any node saw was answered to its client.
     """
-    setup = customer(name)
-    world = running(settings=setup)
-    kind = setup["classes"][0]
+    settings = settings_variant(name)
+    world = running(settings=settings)
+    kind = settings["classes"][0]
     answered, crossed = set(), set()
 
     def goes_on(c):
@@ -231,7 +233,7 @@
 def test_sighup_leaves_all_but_discovery_as_it_was_at_the_start_and_says_what_waits(running):
     world = running()
     other = {**world.settings["classes"][0], "name": "other", "hard-limit-us": 9_000_000}
-    setup = {**world.settings, "classes": [other]}
+    settings = {**world.settings, "classes": [other]}
 
     def main():
         world.config_path.write_bytes(
@@ -239,9 +241,9 @@
                 listen="127.0.0.1:0",
                 discovery=world.discoveries[1].address,
                 settings={
-                    **setup,
+                    **settings,
                     "specifics": {
-                        **setup["specifics"],
+                        **settings["specifics"],
                         "class-fetch": [0],
                         "class-need": [1.0],
                         "min-share": [1.0],
--- a/tests/test_event_orderings_random.py
+++ b/tests/test_event_orderings_random.py
@@ -15,7 +15,7 @@
 from heathwell import policy
 from heathwell.eventloop import ConnectError, StreamBrokenError, sleep
 
-from .crossings import CUSTOMERS, customer
+from .event_ordering_world import SETTINGS_VARIANTS, settings_variant
 from .platform import Platform
 
 SPAN_US = 6_000_000
@@ -62,8 +62,8 @@
 def play(name: str, seed: int, span_us: int = SPAN_US) -> list[dict[str, Any]]:
     """One schedule and its events; raises where a rule is broken or a request has no answer."""
     draw = random.Random(seed)
-    setup = customer(name)
-    world = Platform(seed=seed, setup=setup)
+    settings = settings_variant(name)
+    world = Platform(seed=seed, settings=settings)
     registry = world.registry
     net = world.broker.net = SlowConnects(world.loop, world.broker.net)
     left: dict[str, int] = {}
@@ -71,7 +71,7 @@
     ends: list[int] = []
 
     def one(n):
-        kind = draw.choice(setup["classes"])
+        kind = draw.choice(settings["classes"])
         safe = kind["idempotency"] == "read_like"
         shards = draw.sample(range(12), draw.choice([1, 2, 4]) if safe else 1)
         key = "k1" if kind["idempotency"] == "idempotency_key" else ""
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_drawn_crossings_break_no_rule(name, seed):
     play(name, seed)
 
@@ -179,5 +179,5 @@
 @pytest.mark.parametrize("part", range(12))
 def test_many_drawn_crossings_break_no_rule(part):
     for seed in range(100 + part, 400, 12):
-        for name in CUSTOMERS:
+        for name in SETTINGS_VARIANTS:
             play(name, seed)
--- a/tests/test_event_orderings_servers.py
+++ b/tests/test_event_orderings_servers.py
@@ -16,7 +16,7 @@
 from heathwell.settings import loads
 from heathwell.testing.simulation.local_fleet import LocalFleet
 
-from .crossings import TURNS_MOST
+from .event_ordering_world import MAX_LOOP_TURNS
 from .fleet import MARKET
 
 SEARCHES = """
@@ -71,7 +71,7 @@
         yield from self.until(lambda: len(self.new_streams) > count)
 
     def until(self, point: Callable[[], Any]):
-        for _ in range(TURNS_MOST):
+        for _ in range(MAX_LOOP_TURNS):
             if point():
                 return
             yield from sleep(self.loop, 200)
--- a/tests/test_event_orderings_timeouts.py
+++ b/tests/test_event_orderings_timeouts.py
@@ -11,18 +11,18 @@
 from heathwell.eventloop import Event, sleep
 from heathwell.testing.standins.platform_frames import encode_answer
 
-from .crossings import CUSTOMERS, World, customer
+from .event_ordering_world import SETTINGS_VARIANTS, World, settings_variant
 
 SHARD = 3
 KEYED, SAFE = "idempotency_key", "read_like"
 
 
 def kinds(name, effect):
-    return [n for n, kind in enumerate(customer(name)["classes"]) if kind["idempotency"] == effect]
+    return [n for n, kind in enumerate(settings_variant(name)["classes"]) if kind["idempotency"] == effect]
 
 
 def cases(effect):
-    return [(name, kind) for name in CUSTOMERS for kind in kinds(name, effect)]
+    return [(name, kind) for name in SETTINGS_VARIANTS for kind in kinds(name, effect)]
 
 
 def responses(sock):
@@ -58,27 +58,28 @@
     would be another one. It is taken back when the window is over, and the client hears of it then.
     """
     world = World(name, width=3)
-    window = world.setup["classes"][kind]["dedup-window-us"]
+    window = world.settings["classes"][kind]["dedup-window-us"]
     held = []
 
     def main():
         for node in world.nodes:
             node.responder = lambda node, stream, part: held.append((node, stream, part))
-        asked = world.ask("q1", SHARD, kind)
-        yield from world.until(lambda: held)
+        asked = world.start_query("q1", SHARD, kind)
+        yield from world.wait_until(lambda: held)
         node, stream, part = held[0]
         for other in world.nodes:
             if other is not node:
-                world.gate.hold(other.address)
+                world.connect_gate.hold(other.address)
         sent_at = world.loop.now()  # of the first attempt's arrival: it left before
         stream.write(encode_answer(part, 500))
         waits = {other.address for other in world.nodes if other is not node}
-        yield from world.until(
-            lambda: any(a in waits for a in world.gate.asked), "the repeat waits for its connect"
+        yield from world.wait_until(
+            lambda: any(a in waits for a in world.connect_gate.connect_attempts),
+            "the repeat waits for its connect",
         )
-        world.stalls_until(sent_at + window)
-        world.gate.open(
-            next(a for a in world.gate.asked if a in waits)
+        world.stall_until(sent_at + window)
+        world.connect_gate.open(
+            next(a for a in world.connect_gate.connect_attempts if a in waits)
         )  # up in the very turn in which it is over
         response = yield from asked.join()
         return response.status
@@ -95,39 +96,39 @@
     def main():
         for node in world.nodes:
             node.responder = lambda node, stream, part: held.append((node, stream, part))
-        asked = world.ask("q1", SHARD, kind)
-        yield from world.until(lambda: held)
+        asked = world.start_query("q1", SHARD, kind)
+        yield from world.wait_until(lambda: held)
         node, stream, part = held[0]
         for other in world.nodes:
             other.responder = None
             if other is not node:
-                world.gate.hold(other.address)
-        asked_before = len(world.gate.asked)
+                world.connect_gate.hold(other.address)
+        asked_before = len(world.connect_gate.connect_attempts)
         stream.write(encode_answer(part, 500))
-        yield from world.until(lambda: len(world.gate.asked) > asked_before)
+        yield from world.wait_until(lambda: len(world.connect_gate.connect_attempts) > asked_before)
         for other in world.nodes:
             if other is not node:
-                world.gate.open(other.address)
+                world.connect_gate.open(other.address)
         return (yield from asked.join()).status
 
     assert world.run(main()) == 200
     assert [part.id for node in world.nodes for part in node.parts] == ["q1.3", "q1.3"]
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_a_part_says_how_long_it_is_waited_for_when_it_leaves_not_when_it_was_decided(name):
     world = World(name)
-    limit = world.setup["classes"][0]["hard-limit-us"]
+    limit = world.settings["classes"][0]["hard-limit-us"]
 
     def main():
         node = world.nodes[SHARD]
-        world.gate.hold(node.address)
-        asked = world.ask("q1", SHARD)
-        yield from world.until(world.out("q1"))
+        world.connect_gate.hold(node.address)
+        asked = world.start_query("q1", SHARD)
+        yield from world.wait_until(world.part_in_flight("q1"))
         deadline = world.broker.queries["q1"].deadline_us
-        world.stalls_until(deadline - limit // 2)
+        world.stall_until(deadline - limit // 2)
         left = deadline - world.loop.now()
-        world.gate.open(node.address)
+        world.connect_gate.open(node.address)
         yield from asked.join()
         return node.parts, left
 
@@ -140,29 +141,29 @@
 
 
 @pytest.mark.parametrize("first", ["answer", "deadline"])
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_an_answer_that_crosses_the_deadline_makes_one_reply(name, first):
     """At hand when the loop wakes behind the deadline, it counts; told after the reply, it is dropped."""
     world = World(name)
     held = []
-    kind = next(n for n, fetch in enumerate(world.setup["specifics"]["class-fetch"]) if not fetch)
-    unsafe = world.setup["classes"][kind]["idempotency"] == "non_idempotent"
+    kind = next(n for n, fetch in enumerate(world.settings["specifics"]["class-fetch"]) if not fetch)
+    unsafe = world.settings["classes"][kind]["idempotency"] == "non_idempotent"
 
     def main():
         node = world.nodes[SHARD]
         node.responder = lambda node, stream, part: held.append((stream, part))
-        sock = world.raw()
-        sock.send(world.request("q1", SHARD, kind))
-        yield from world.until(lambda: held)
+        sock = world.open_client_socket()
+        sock.send(world.request_bytes("q1", SHARD, kind))
+        yield from world.wait_until(lambda: held)
         node.responder = None
         stream, part = held[0]
         if first == "answer":
             stream.write(encode_answer(part))
-        world.stalls_until(world.broker.queries["q1"].deadline_us + 1_000)
+        world.stall_until(world.broker.queries["q1"].deadline_us + 1_000)
         data = yield from told(world, sock, b"")
         if first == "deadline" and not stream.closed:
             stream.write(encode_answer(part))
-            yield from world.until(lambda: world.broker.links["s3"].late_answers)
+            yield from world.wait_until(lambda: world.broker.links["s3"].late_answers)
         sock.send(b"GET /-/ready HTTP/1.1\r\nHost: b\r\n\r\n")  # the connection is as good as before
         return (yield from told(world, sock, data, 2))
 
@@ -173,7 +174,11 @@
 @pytest.mark.parametrize("first", ["answer", "cancel"])
 @pytest.mark.parametrize(
     ("name", "kind"),
-    [(name, kind) for name, kind in cases(SAFE) if not customer(name)["specifics"]["class-fetch"][kind]],
+    [
+        (name, kind)
+        for name, kind in cases(SAFE)
+        if not settings_variant(name)["specifics"]["class-fetch"][kind]
+    ],
 )
 def test_an_answer_that_crosses_its_late_mark_is_used_once(name, kind, first):
     """At the late mark a part is called off and sent elsewhere, or copied, as the settings allow. An answer
@@ -181,27 +186,27 @@
     dropped or, of a copied part, used.
     """
     world = World(name, width=3)
-    copies, cancels = (world.setup["ceilings"][key] for key in ("second-copies", "cancelling"))
+    copies, cancels = (world.settings["ceilings"][key] for key in ("second-copies", "cancelling"))
     held = []
 
     def main():
         for node in world.nodes:
             node.responder = lambda node, stream, part: held.append((node, stream, part))
-        sock = world.raw()
-        sock.send(world.request("q1", SHARD, kind))
-        yield from world.until(lambda: held)
+        sock = world.open_client_socket()
+        sock.send(world.request_bytes("q1", SHARD, kind))
+        yield from world.wait_until(lambda: held)
         node, stream, part = held[0]
         if first == "answer":
             stream.write(encode_answer(part))
         # Half of the aim: the part is late, and its query has time.
-        world.stalls_until(world.loop.now() + world.setup["classes"][kind]["objective-us"] * 11 // 20)
+        world.stall_until(world.loop.now() + world.settings["classes"][kind]["objective-us"] * 11 // 20)
         if first == "cancel":
-            yield from world.until(lambda: len(held) == 2, "a further attempt")
+            yield from world.wait_until(lambda: len(held) == 2, "a further attempt")
             if cancels and not copies:
-                yield from world.until(lambda: node.cancelled_ids)
+                yield from world.wait_until(lambda: node.cancelled_ids)
             stream.write(encode_answer(part))
             if not copies:
-                yield from world.until(lambda: world.broker.links[node.uid].late_answers)
+                yield from world.wait_until(lambda: world.broker.links[node.uid].late_answers)
                 other, stream, part = held[1]
                 stream.write(encode_answer(part))
         return (yield from told(world, sock, b""))
@@ -210,15 +215,15 @@
     assert len([part for node in world.nodes for part in node.parts]) == (1 if first == "answer" else 2)
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("first", ["answer", "end"])
 def test_an_answer_that_crosses_its_connections_end_counts_if_it_came_first(name, first):
     """Whole and then the end, in one turn of the broker: it is an answer. Half of it and the end: it may have
     run.
     """
     world = World(name)
-    kind = next(n for n, fetch in enumerate(world.setup["specifics"]["class-fetch"]) if not fetch)
-    effect = world.setup["classes"][kind]["idempotency"]
+    kind = next(n for n, fetch in enumerate(world.settings["specifics"]["class-fetch"]) if not fetch)
+    effect = world.settings["classes"][kind]["idempotency"]
 
     def ends(node, stream, part):
         node.responder = None
@@ -229,7 +234,7 @@
     def main():
         node = world.nodes[SHARD]
         node.responder = ends
-        return (yield from world.ask("q1", SHARD, kind).join()).status
+        return (yield from world.start_query("q1", SHARD, kind).join()).status
 
     repeated = first == "end" and effect != "non_idempotent"
     assert world.run(main()) == (500 if first == "end" and not repeated else 200)
@@ -258,7 +263,7 @@
     return f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("upto", [0, 12, 60], ids=["first byte", "mid-head", "mid-body"])
 def test_a_watch_silent_at_any_byte_is_opened_anew_and_what_it_says_afterwards_changes_nothing(name, upto):
     world = World(name, registry=False)
@@ -268,31 +273,31 @@
     def main():
         script = Scripted(world)
         world.broker.watch.move(script.address)
-        yield from world.until(lambda: script.calls)
+        yield from world.wait_until(lambda: script.calls)
         stream, target = script.calls[0]
         assert target == "/api/targets"  # elsewhere: the whole list
         stream.write(listed(5, [each.entry for each in world.nodes], True))
-        yield from world.until(lambda: len(script.calls) == 2)
+        yield from world.wait_until(lambda: len(script.calls) == 2)
         stream, target = script.calls[1]
         wait_us = int(target.partition("hold_ms=")[2]) * 1000
         stream.write(old[:upto])
         yield from sleep(world.loop, 0)
-        world.stalls_until(world.loop.now() + wait_us + 1_000_000)
-        yield from world.until(lambda: len(script.calls) == 3, "opened anew")
+        world.stall_until(world.loop.now() + wait_us + 1_000_000)
+        yield from world.wait_until(lambda: len(script.calls) == 3, "opened anew")
         anew, target = script.calls[2]
         assert anew is not stream and target == "/api/targets?from=5&hold_ms=0"
         if not stream.closed:
             stream.offer(old[upto:])
         anew.write(listed(8, [{**node.entry, "state": "draining"}], False))
-        yield from world.until(world.knows(node, "draining"))
-        yield from world.until(lambda: len(script.calls) == 4)
+        yield from world.wait_until(world.has_change(node, "draining"))
+        yield from world.wait_until(lambda: len(script.calls) == 4)
         return script.calls[3][1]
 
     assert world.run(main()).startswith("/api/targets?from=8&hold_ms=")
     assert not world.broker.aggregator.endpoints["s2"].live
 
 
-@pytest.mark.parametrize("name", CUSTOMERS)
+@pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("discovery", ["answers late", "is down"])
 def test_a_new_process_sends_by_an_old_list_only_where_the_list_of_now_does_not_count_yet(name, discovery):
     """Where lists are pushed the agent's counts from a process's first moment, and ``known`` may be older: a
@@ -300,13 +305,13 @@
     is written counts, and while discovery is down nothing does.
     """
     world = World(name, registry=discovery == "answers late")
-    pushed = world.setup["registry-mode"] != "ask"
+    pushed = world.settings["registry-mode"] != "ask"
     node = world.nodes[SHARD]
     world.registry.silent = True
-    world.put(node, "draining")
+    world.publish_change(node, "draining")
 
     def ready():
-        sock = world.raw()
+        sock = world.open_client_socket()
         sock.send(b"GET /-/ready HTTP/1.1\r\nHost: b\r\n\r\n")
         (status,) = statuses((yield from told(world, sock, b"")))
         sock.close()
@@ -314,17 +319,17 @@
 
     def main():
         if discovery == "answers late":
-            yield from world.until(lambda: world.registry.queries)
+            yield from world.wait_until(lambda: world.registry.queries)
         waits = pushed and discovery == "answers late"
         if discovery == "is down":
-            yield from world.until(lambda: world.broker.counters["news", "failed"] or not pushed)
+            yield from world.wait_until(lambda: world.broker.counters["news", "failed"] or not pushed)
         assert (yield from ready()) == (503 if waits else 200)
-        asked = world.ask("q1", SHARD)
-        yield from world.until(lambda: world.front.counts["requests"])
+        asked = world.start_query("q1", SHARD)
+        yield from world.wait_until(lambda: world.front.counts["requests"])
         if waits:
             yield from sleep(world.loop, 1_000)
             world.registry.silent = False
-            yield from world.until(world.knows(node, "draining"))
+            yield from world.wait_until(world.has_change(node, "draining"))
             assert (yield from ready()) == 200
         return (yield from asked.join()).status, waits
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -14,7 +14,7 @@
 from heathwell.testing.standins.platform_frames import encode_answer, generate_result
 
 from .conftest import Driver, make_settings, of
-from .platform import UNIX_US, Platform, node_ask
+from .platform import UNIX_US, Platform, node_request
 
 
 def ask(world, *args, **more):
@@ -173,10 +173,10 @@
     world.broker.on_attempt_result = lambda node, key, outcome, result: ended.append((key, outcome))
     late = []
     node.responder = lambda node, stream, part: late.append((stream, part))
-    link.send([node_ask("q1.3", 0, 3, b"x")])
+    link.send([node_request("q1.3", 0, 3, b"x")])
     world.wait(0.05)
     assert link.abandon(("q1.3", 0))
-    link.send([node_ask("q1.3", 1, 3, b"x")])
+    link.send([node_request("q1.3", 1, 3, b"x")])
     world.wait(0.05)
     assert len(late) == 2 and late[0][0] is not late[1][0]  # another connection: an id goes over one once
     stream, part = late[0]
--- a/tests/test_gateway_faults.py
+++ b/tests/test_gateway_faults.py
@@ -20,7 +20,7 @@
 from heathwell.testing.standins.platform_discovery import PublishedEntry
 from heathwell.testing.standins.platform_frames import encode_answer, generate_result
 
-from .platform import Platform, node_ask
+from .platform import Platform, node_request
 
 
 def spoils(data):
@@ -121,11 +121,11 @@
 
     def main():
         world.net.heal("broker", "s3")
-        link.send([node_ask("q.1", 0, 3, b"x")])
+        link.send([node_request("q.1", 0, 3, b"x")])
         yield from sleep(world.loop, 50_000)
         world.net.cut("broker", "s3")  # the carrier takes a window's worth and no more
         for n in range(2, 16):
-            link.send([node_ask(f"q.{n}", 0, 3, b"x" * 32_000)])
+            link.send([node_request(f"q.{n}", 0, 3, b"x" * 32_000)])
         yield from sleep(world.loop, 1_000)
         for stream in list(node.streams):
             stream.abort()
@@ -139,7 +139,7 @@
 
 def test_a_drain_told_while_a_send_waits_for_its_connection_keeps_the_grace():
     world = Platform()
-    slow, world.way_us = world.net.delay, 80_000
+    slow, world.minimum_transit_us = world.net.delay, 80_000
     world.net.delay = lambda a, b: 80_000 if "broker" in (a, b) and "s" in (a[0], b[0]) else slow(a, b)
     assert world.registry is not None
 
