--- a/tests/event_ordering_world.py
+++ b/tests/event_ordering_world.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import dataclasses
 import json
 import socket
 import struct
@@ -147,6 +148,15 @@
         self.held_addresses.pop(address).set()
 
 
+@dataclasses.dataclass(frozen=True)
+class HeldPart:
+    """A part that a node has received and leaves unanswered."""
+
+    node: PlatformNode
+    stream: Stream
+    part: Any
+
+
 class World:
     """One node per replica group, discovery and one broker over loopback sockets."""
 
@@ -185,32 +195,50 @@
         return PlatformClient(self.loop, self.net, self.listener.address)
 
     def start_query(
-        self, name: str, shard: int, kind: int = 0, client: PlatformClient | None = None, **more: Any
+        self, name: str, shard: int, class_index: int = 0, client: PlatformClient | None = None, **more: Any
     ) -> Any:
         """Send a query of one part and return its task. The client waits a minute, so that the timeout of
         the query class is the one that applies.
         """
-        return self.loop.spawn(self._send_query(name, shard, kind, client or self.client(), more), name)
+        generator = self._send_query(name, shard, class_index, client or self.client(), more)
+        return self.loop.spawn(generator, name)
 
     def _send_query(
-        self, name: str, shard: int, kind: int, client: PlatformClient, more: dict[str, Any]
+        self, name: str, shard: int, class_index: int, client: PlatformClient, more: dict[str, Any]
     ) -> Coro[Any]:
-        key = "5c0f6e1a2b3d4c59" if self.settings["classes"][kind]["idempotency"] == "idempotency_key" else ""
+        entry = self.settings["classes"][class_index]
+        key = "5c0f6e1a2b3d4c59" if entry["idempotency"] == "idempotency_key" else ""
         return (
-            yield from client.send_query(
-                name, self.class_names[kind], [shard], timeout_ms=60_000, key=key, **more
-            )
+            yield from client.send_query(name, entry["name"], [shard], timeout_ms=60_000, key=key, **more)
         )
 
-    def request_bytes(self, name: str, shard: int, kind: int = 0) -> bytes:
+    def request_bytes(self, name: str, shard: int, class_index: int = 0) -> bytes:
         """Return the bytes of a request."""
         body = json.dumps({"parts": [{"id": shard, "w": 1.0}], "expr": "c41e77d0"}).encode()
         return (
-            f"POST /{self.class_names[kind]} HTTP/1.1\r\nHost: b\r\nReq-Id: {name}\r\nReq-Kind: "
-            f"{self.class_names[kind]}\r\n"
+            f"POST /{self.class_names[class_index]} HTTP/1.1\r\nHost: b\r\nReq-Id: {name}\r\nReq-Kind: "
+            f"{self.class_names[class_index]}\r\n"
             f"Req-Deadline: 60000m\r\nIdempotency-Key: k1\r\nContent-Length: {len(body)}\r\n\r\n"
         ).encode() + body
 
+    def send_request(self, name: str, shard: int, class_index: int = 0) -> socket.socket:
+        """Send a request over a new connection and return its socket."""
+        sock = self.open_client_socket()
+        sock.send(self.request_bytes(name, shard, class_index))
+        return sock
+
+    def hold_parts(self) -> list[HeldPart]:
+        """Let all nodes leave received parts unanswered; return the list to which these are added."""
+        held: list[HeldPart] = []
+        for node in self.nodes:
+            node.responder = lambda node, stream, part: held.append(HeldPart(node, stream, part))
+        return held
+
+    def answer_parts(self) -> None:
+        """Let all nodes answer the parts that they receive from now on."""
+        for node in self.nodes:
+            node.responder = None
+
     def open_client_socket(self) -> socket.socket:
         """Return a connected, non-blocking socket of a client."""
         host, port = self.listener.address.split(":")
--- a/tests/test_event_orderings.py
+++ b/tests/test_event_orderings.py
@@ -1,11 +1,12 @@
-"""What comes between two lines: parts that wait, clients that leave, idle ends, lists and signals; order is
-forced.
+"""Concurrent events in a forced order: parts that wait to be sent, clients that disconnect, idle connections,
+updates of the endpoint list, and shutdown.
 """
 
 from __future__ import annotations
 
 import json
 import socket
+from typing import Final
 
 import pytest
 
@@ -21,25 +22,27 @@
 from .event_ordering_world import DISCONNECTS, SETTINGS_VARIANTS, World, settings_variant
 from .platform import Platform, node_request
 
-SHARD = 3  # held by node 3 alone where the width is one
+SHARD: Final = 3  # node 3 is its only replica where the width is one
+NEVER_US: Final = 1 << 50
+LONG_AGO_US: Final = -(1 << 60)
 
 
 @pytest.fixture
-def trusting(monkeypatch):
-    """However slow the machine: a connection that says nothing is not given up for another while a test is
-    on.
-    """
+def without_silence_timeout(monkeypatch):
+    """Keep silent connections open for the whole test, however slow the machine."""
     for timeout_limit in ("MIN_SILENCE_TIMEOUT_US", "MAX_SILENCE_TIMEOUT_US"):
-        monkeypatch.setattr(node_pool, timeout_limit, 1 << 50)
+        monkeypatch.setattr(node_pool, timeout_limit, NEVER_US)
 
 
-class Deaf:
-    """A node's listener that reads nothing until it is told to; then the ids of the parts that come, in
-    order.
+class PausedReader:
+    """A node's listener that reads nothing until ``resume`` is set, then collects the ids of received parts
+    in order. ``ends`` holds how each connection ended: "end" or "reset".
     """
 
     def __init__(self, world, number):
-        self.loop, self.hears, self.ids, self.ends = world.loop, Event(), [], []
+        self.resume = Event()
+        self.ids = []
+        self.ends = []
         self.listener = world.net.listen("127.0.0.1:0", self._serve, "deaf")
         self.listener._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         self.address = self.listener.address
@@ -47,7 +50,7 @@
         world.registry.publish({**world.nodes[number].entry, "endpoint": self.address})
 
     def _serve(self, stream):
-        yield from self.hears.wait()
+        yield from self.resume.wait()
         data = b""
         try:
             while more := (yield from stream.read()):
@@ -56,93 +59,109 @@
         except StreamBrokenError:
             self.ends.append("reset")
         finally:
-            while len(data) >= 5 and len(data) >= 4 + (size := int.from_bytes(data[:4], "big")):
-                if data[4:5] == nf.CALL:
-                    self.ids += [part.id for part in decode_call(data[5 : 4 + size])]
-                data = data[4 + size :]
+            self._read_calls(data)
+
+    def _read_calls(self, data):
+        """Collect the part ids of all complete call frames."""
+        while len(data) >= 5 and len(data) >= 4 + (size := int.from_bytes(data[:4], "big")):
+            if data[4:5] == nf.CALL:
+                self.ids += [part.id for part in decode_call(data[5 : 4 + size])]
+            data = data[4 + size :]
+
+
+def fill_socket(world, node):
+    """Move a node to a paused reader, fill the socket of its link, and return the reader."""
+    reader = PausedReader(world, SHARD)
+    yield from world.wait_until(world.has_change(node, reader.address))
+    link = world.broker._link(node.uid)
+    link.send([node_request("full.0", 0, 0, b"x" * 4_000_000)])  # a part of no query
+    yield from world.wait_until(
+        lambda: link.connections and link.connections[0].stream and link.connections[0].stream.unsent,
+        "a full socket",
+    )
+    return reader
+
+
+def block_sends(world, node, wait):
+    """Let what is sent to a node wait for its "connect", a "second connect" or a "full socket".
+
+    Return the paused reader behind a full socket, else None.
+    """
+    if wait == "full socket":
+        return (yield from fill_socket(world, node))
+    world.connect_gate.hold(node.address)
+    if wait == "second connect":
+        world.connect_gate.connect_errors[node.address] = ["ECONNRESET"]
+    return None
 
 
-# Parts that wait.
+# Parts that wait to be sent.
 
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
-@pytest.mark.parametrize("how", ["draining", "gone", "moved"])
+@pytest.mark.parametrize("change", ["draining", "gone", "moved"])
 @pytest.mark.parametrize("wait", ["connect", "second connect", "full socket"])
-def test_a_node_that_is_told_of_while_a_part_waits_for_it_never_sees_it(name, how, wait, trusting):
-    """The grace runs to the first byte: a part that waits for a connect (up to twice its time) left
-    after it.
-    """
+def test_a_waiting_part_is_not_sent_to_a_node_that_drains_is_removed_or_moves(
+    name, change, wait, without_silence_timeout
+):
+    """The drain grace applies to a part's first byte, and a wait for a connect may outlast the grace."""
     world = World(name)
     node = world.nodes[SHARD]
 
     def main():
-        deaf, where = None, node
-        if wait == "full socket":
-            deaf = Deaf(world, SHARD)
-            yield from world.wait_until(world.has_change(node, deaf.address))
-            link = world.broker._link(node.uid)
-            link.send([node_request("full.0", 0, 0, b"x" * 4_000_000)])  # nobody's: it fills
-            yield from world.wait_until(
-                lambda: link.connections and link.connections[0].stream and link.connections[0].stream.unsent,
-                "a full socket",
-            )
-        else:
-            world.connect_gate.hold(node.address)
-            if wait == "second connect":
-                world.connect_gate.connect_errors[node.address] = ["ECONNRESET"]
-        asked = world.start_query("q1", SHARD)
+        reader = yield from block_sends(world, node, wait)
+        query_task = world.start_query("q1", SHARD)
         yield from world.wait_until(world.part_in_flight("q1"))
         if wait == "second connect":
             yield from world.wait_until(lambda: world.connect_gate.connect_attempts.count(node.address) == 2)
         other = PlatformNode(world.loop, world.net, "127.0.0.1:0", node.uid, node.replica_group, work_us=1)
-        word = other.address if how == "moved" else how
-        world.publish_change(where, word)
-        yield from world.wait_until(world.has_change(node, word))
+        published = other.address if change == "moved" else change
+        world.publish_change(node, published)
+        yield from world.wait_until(world.has_change(node, published))
         yield from sleep(world.loop, 0)
-        if deaf is not None:
-            deaf.hears.set()
+        if reader is not None:
+            reader.resume.set()
         else:
             world.connect_gate.open(node.address)
-        response = yield from asked.join()
-        for connection in (
-            list(world.broker.links[node.uid].connections) if node.uid in world.broker.links else []
-        ):
+        response = yield from query_task.join()
+        link = world.broker.links.get(node.uid)
+        for connection in list(link.connections) if link is not None else []:
             connection.close()
-        if deaf is not None:
-            yield from world.wait_until(lambda: deaf.ends)
-        return response.status, other, deaf
+        if reader is not None:
+            yield from world.wait_until(lambda: reader.ends)
+        return response.status, other, reader
 
-    status, other, deaf = world.run(main())
-    seen = deaf.ids if deaf is not None else [part.id for part in node.parts]
+    status, other, reader = world.run(main())
+    seen = reader.ids if reader is not None else [part.id for part in node.parts]
     assert not [part for part in seen if part.startswith("q1")]
-    # Where it moved it is asked at the new address; else nobody holds the shard, and the client hears that at
-    # once or at its time, as the class allows: nothing has run, so a repeat is harmless.
-    assert (status, [part.id for part in other.parts]) == ((200, ["q1.3"]) if how == "moved" else (503, []))
+    # A moved node receives the part at its new address. Else the shard has no replica: the query is rejected,
+    # and 503 states that nothing has run, so that a retry is safe.
+    assert (status, [part.id for part in other.parts]) == (
+        (200, ["q1.3"]) if change == "moved" else (503, [])
+    )
 
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
-@pytest.mark.parametrize("word", ["draining", "restarted"])
-def test_what_is_taken_back_is_placed_at_a_holder_that_stays_also_where_a_repeat_is_forbidden(name, word):
-    """Another process at a node's address is cold: what waited for the old one is not what it was
-    chosen for.
-    """
+@pytest.mark.parametrize("change", ["draining", "restarted"])
+def test_a_withdrawn_unsent_part_is_sent_to_another_replica_even_if_non_idempotent(name, change):
+    """A restarted node is in slow start: it is not the endpoint for which a waiting part was chosen."""
     world = World(name, width=3)
 
     def main():
         for node in world.nodes:
             world.connect_gate.hold(node.address)
-        asked = world.start_query("q1", SHARD)
+        query_task = world.start_query("q1", SHARD)
         yield from world.wait_until(world.part_in_flight("q1"))
         (first,) = {uid for uid, link in world.broker.links.items() if link.in_flight}
         chosen = next(node for node in world.nodes if node.uid == first)
-        world.publish_change(chosen, word)
-        yield from world.wait_until(world.has_change(chosen, word))
+        world.publish_change(chosen, change)
+        yield from world.wait_until(world.has_change(chosen, change))
         yield from world.wait_until(
             lambda: any(link.in_flight for uid, link in world.broker.links.items() if uid != first)
         )
         for node in world.nodes:
             world.connect_gate.open(node.address)
-        response = yield from asked.join()
+        response = yield from query_task.join()
         return response.status, chosen
 
     status, chosen = world.run(main())
@@ -151,39 +170,28 @@
 
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
-@pytest.mark.parametrize("leaves", DISCONNECTS)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("wait", ["connect", "second connect", "full socket"])
-def test_nothing_leaves_for_a_client_that_left_while_its_part_waited(name, leaves, wait, trusting):
+def test_a_waiting_part_is_not_sent_after_its_client_disconnected(
+    name, disconnect, wait, without_silence_timeout
+):
+    """Neither after a connect nor from the buffer of a full socket."""
     world = World(name)
     node = world.nodes[SHARD]
 
     def main():
-        deaf = None
-        if wait == "full socket":
-            deaf = Deaf(world, SHARD)
-            yield from world.wait_until(world.has_change(node, deaf.address))
-            link = world.broker._link(node.uid)
-            link.send([node_request("full.0", 0, 0, b"x" * 4_000_000)])
-            yield from world.wait_until(
-                lambda: link.connections and link.connections[0].stream and link.connections[0].stream.unsent,
-                "a full socket",
-            )
-        else:
-            world.connect_gate.hold(node.address)
-            if wait == "second connect":
-                world.connect_gate.connect_errors[node.address] = ["ECONNRESET"]
-        sock = world.open_client_socket()
-        sock.send(world.request_bytes("q1", SHARD))
+        reader = yield from block_sends(world, node, wait)
+        sock = world.send_request("q1", SHARD)
         yield from world.wait_until(world.part_in_flight("q1"))
-        DISCONNECTS[leaves](sock)
+        DISCONNECTS[disconnect](sock)
         yield from world.wait_until(lambda: world.broker.counters["left", world.class_names[0]])
-        if deaf is not None:
-            for connection in list(link.connections):
-                deaf.hears.set()
+        if reader is not None:
+            for connection in list(world.broker.links[node.uid].connections):
+                reader.resume.set()
                 yield from sleep(world.loop, 0)
                 connection.close()
-            yield from world.wait_until(lambda: deaf.ends)
-            return deaf.ids
+            yield from world.wait_until(lambda: reader.ends)
+            return reader.ids
         world.connect_gate.open(node.address)
         response = yield from world.start_query("q2", SHARD).join()  # over the connection that q1 waited for
         assert response.status == 200
@@ -193,38 +201,34 @@
     assert not [part for part in seen if part.startswith("q1")]
 
 
-@pytest.mark.parametrize("leaves", DISCONNECTS)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("between", ["steps", "attempts"])
-def test_no_second_step_and_no_repeat_leaves_for_a_client_that_left_before_it(leaves, between):
-    """The answer that would bring it is held until the broker has seen the client's end."""
+def test_no_second_step_and_no_retry_is_sent_after_the_client_disconnected(disconnect, between):
+    """The response that would lead to it is held until the broker has noticed the disconnect."""
     world = World(width=3)
     fetches = world.settings["specifics"]["class-fetch"]
-    kind = next(n for n, fetch in enumerate(fetches) if bool(fetch) == (between == "steps"))
-    held = []
+    class_index = next(index for index, fetch in enumerate(fetches) if bool(fetch) == (between == "steps"))
 
     def main():
-        for node in world.nodes:
-            node.responder = lambda node, stream, part: held.append((node, stream, part))
-        sock = world.open_client_socket()
-        sock.send(world.request_bytes("q1", SHARD, kind))
+        held = world.hold_parts()
+        sock = world.send_request("q1", SHARD, class_index)
         yield from world.wait_until(lambda: held)
-        DISCONNECTS[leaves](sock)
-        yield from world.wait_until(lambda: world.broker.counters["left", world.class_names[kind]])
-        ((node, stream, part),) = held
-        for each in world.nodes:
-            each.responder = None
-        if not stream.closed:
-            stream.write(encode_answer(part, 200 if between == "steps" else 500))
+        DISCONNECTS[disconnect](sock)
+        yield from world.wait_until(lambda: world.broker.counters["left", world.class_names[class_index]])
+        (call,) = held
+        world.answer_parts()
+        if not call.stream.closed:
+            call.stream.write(encode_answer(call.part, 200 if between == "steps" else 500))
         return (yield from world.start_query("q2", SHARD).join()).status
 
     assert world.run(main()) == 200
     assert [part.id for node in world.nodes for part in node.parts if part.id.startswith("q1")] == ["q1.3"]
 
 
-@pytest.mark.parametrize("leaves", ["close", "reset"])
-def test_a_client_that_left_is_noticed_behind_more_than_is_read_ahead(leaves):
-    """Bad clients send hundreds of requests at once and go: what they sent filled the bound of what is read
-    ahead, the end behind it was not seen, and one request after another was sent on for nobody.
+@pytest.mark.parametrize("disconnect", ["close", "reset"])
+def test_a_disconnect_is_noticed_behind_more_requests_than_are_read_ahead(disconnect):
+    """A client may pipeline hundreds of requests and disconnect. None of those behind the first is sent to a
+    node, though the bound of read-ahead bytes keeps the broker from reading up to the end of the stream.
     """
     world = World()
     node = world.nodes[SHARD]
@@ -234,10 +238,10 @@
         sock = world.open_client_socket()
         data = b"".join(world.request_bytes(f"q{n}", SHARD) for n in range(1000))
         sent = sock.send(data)
-        assert sent > 100_000  # more than is read ahead: the rest lies unread
+        assert sent > 100_000  # more than is read ahead: the rest stays in the socket
         yield from world.wait_until(world.part_in_flight("q0"))
         yield from world.wait_until(lambda: next(iter(world.front.clients))._read_ahead_bytes > 65_536)
-        DISCONNECTS[leaves](sock)
+        DISCONNECTS[disconnect](sock)
         yield from world.wait_until(
             lambda: world.broker.counters["left", world.class_names[0]], "the end is seen"
         )
@@ -250,14 +254,15 @@
     assert [part.id for part in node.parts] == ["q0.3", "after.3"]
 
 
-def test_a_request_that_comes_together_with_its_clients_end_is_not_sent_on():
+def test_a_request_received_together_with_its_clients_disconnect_is_not_sent():
+    """Request and end of stream are both in the socket before the broker reads."""
     world = World()
 
     def main():
         sock = world.open_client_socket()
         yield from world.wait_until(lambda: world.front.clients)
         sock.send(world.request_bytes("q1", SHARD))
-        sock.close()  # both are at hand before the broker's next turn
+        sock.close()  # both arrive before the loop's next turn
         yield from world.wait_until(lambda: not world.front.clients)
         return (yield from world.start_query("q2", SHARD).join()).status
 
@@ -265,77 +270,77 @@
     assert [part.id for part in world.nodes[SHARD].parts] == ["q2.3"]
 
 
+def start_repeatable_query(world, shards):
+    """Send a query of the first class that is not non-idempotent and return its task."""
+    entry = next(each for each in world.settings["classes"] if each["idempotency"] != "non_idempotent")
+    key = "k1" if entry["idempotency"] == "idempotency_key" else ""
+    return world.loop.spawn(
+        world.client().send_query("q1", entry["name"], shards, timeout_ms=60_000, key=key), "q1"
+    )
+
+
+def send_second_attempt(world, query, part, node):
+    """Send a part's second attempt through the driver, where the settings allow no hedges."""
+    part.attempt_count = 2
+    query.in_flight[part.id, 1] = node.uid
+    world.broker._link(node.uid).send([world.broker.attempt_request(query, part, 1, 100_000)])
+
+
+def send_part_after(world, nodes):
+    """Once the links to the nodes are connected, send a part over each and wait until one is received."""
+    links = [link for link in world.broker.links.values() if link.node in nodes]
+    yield from world.wait_until(
+        lambda: all(connection.stream for link in links for connection in link.connections)
+    )
+    for link in links:
+        link.send([node_request("after.3", 0, 3, b"x")])
+    yield from world.wait_until(
+        lambda: any(part.id == "after.3" for node in world.nodes for part in node.parts)
+    )
+
+
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
-def test_a_further_attempt_that_waits_is_not_sent_once_the_first_is_answered(name):
+def test_a_waiting_additional_attempt_is_not_sent_once_the_first_is_answered(name):
+    """A part after it on the same connection shows that the connection is usable."""
     world = World(name, width=3)
-    kind = next(
-        n for n, entry in enumerate(world.settings["classes"]) if entry["idempotency"] != "non_idempotent"
-    )
 
     def main():
-        held = []
-        for node in world.nodes:
-            node.responder = lambda node, stream, part: held.append((stream, node, part))
-        entry = world.settings["classes"][kind]
-        key = "k1" if entry["idempotency"] == "idempotency_key" else ""
-        asked = world.loop.spawn(
-            world.client().send_query("q1", entry["name"], [SHARD, 0], timeout_ms=60_000, key=key), "q1"
-        )
+        held = world.hold_parts()
+        query_task = start_repeatable_query(world, [SHARD, 0])
         yield from world.wait_until(lambda: len(held) == 2)
-        held.sort(key=lambda one: one[2].shard != SHARD)
-        first = held[0][1].uid
-        for node in world.nodes:
-            if node.replica_group in (3, 4, 5) and node.uid != first:
-                world.connect_gate.hold(node.address)
+        held.sort(key=lambda call: call.part.shard != SHARD)
+        first = held[0].node
+        others = [node for node in world.nodes if node.replica_group in (3, 4, 5) and node is not first]
+        for node in others:
+            world.connect_gate.hold(node.address)
         query = next(iter(world.broker.queries.values()))
         part = query.parts["q1.3"]
-        if world.settings["ceilings"][
-            "second-copies"
-        ]:  # late: a copy is decided, and waits for its connection
-            yield from world.wait_until(lambda: part.attempt_count == 2)
-        else:  # no copy may be out beside it: driven by the driver's own door
-            other = next(
-                node for node in world.nodes if node.uid != first and node.replica_group in (3, 4, 5)
-            )
-            key = (part.id, 1)
-            part.attempt_count = 2
-            query.in_flight[key] = other.uid
-            world.broker._link(other.uid).send([world.broker.attempt_request(query, part, 1, 100_000)])
-        for node in world.nodes:
-            node.responder = None
-        stream, node, called = held[0]
-        node.finish_work(stream, called)
-        yield from world.wait_until(lambda: part.data is not None)  # its query goes on: another part is out
+        if world.settings["ceilings"]["second-copies"]:
+            yield from world.wait_until(lambda: part.attempt_count == 2)  # the hedge of a late part
+        else:
+            send_second_attempt(world, query, part, others[0])
+        world.answer_parts()
+        first.finish_work(held[0].stream, held[0].part)
+        yield from world.wait_until(lambda: part.data is not None)  # the query's other part is in flight
         yield from sleep(world.loop, 0)
         for address in list(world.connect_gate.held_addresses):
             world.connect_gate.open(address)
-        links = [
-            link
-            for link in world.broker.links.values()
-            if link.node in ("s3", "s4", "s5") and link.node != first
-        ]
-        yield from world.wait_until(lambda: all(c.stream for link in links for c in link.connections))
-        for link in links:  # behind it on the connection that it waited for
-            link.send([node_request("after.3", 0, 3, b"x")])
-        yield from world.wait_until(
-            lambda: any(part.id == "after.3" for node in world.nodes for part in node.parts)
-        )
-        stream, node, called = held[1]
-        node.finish_work(stream, called)
-        return (yield from asked.join()).status
+        yield from send_part_after(world, {node.uid for node in others})
+        held[1].node.finish_work(held[1].stream, held[1].part)
+        return (yield from query_task.join()).status
 
     assert world.run(main()) == 200
     assert [part.id for node in world.nodes for part in node.parts if part.id == "q1.3"] == ["q1.3"]
 
 
-def test_what_is_given_up_behind_a_full_socket_ends_with_its_connection(trusting):
-    """A frame that gives up an attempt and can't leave gives up nothing, while the part is sent elsewhere."""
+def test_cancelling_an_attempt_behind_a_full_socket_resets_the_connection(without_silence_timeout):
+    """A CANCEL frame that can't be sent cancels nothing, while the part is sent to another replica."""
     world = World()
     ended = []
 
     def main():
-        deaf = Deaf(world, SHARD)
-        yield from world.wait_until(world.has_change(world.nodes[SHARD], deaf.address))
+        reader = PausedReader(world, SHARD)
+        yield from world.wait_until(world.has_change(world.nodes[SHARD], reader.address))
         link = world.broker._link("s3")
         world.broker.on_attempt_result = lambda node, key, outcome, result: ended.append((key[0], outcome))
         link.send([node_request("q1.3", 0, 3, b"x")])
@@ -345,50 +350,50 @@
         link.send([node_request("q2.3", 0, 3, b"x" * 4_000_000)])
         yield from world.wait_until(lambda: link.connections[0].stream.unsent)
         assert link.abandon(("q1.3", 0))
-        deaf.hears.set()
-        yield from world.wait_until(lambda: deaf.ends)
+        reader.resume.set()
+        yield from world.wait_until(lambda: reader.ends)
         yield from world.wait_until(lambda: ended)
-        return deaf
+        return reader
 
-    deaf = world.run(main())
-    assert deaf.ends == ["reset"] and "q2.3" not in deaf.ids
-    assert ended == [("q2.3", policy.Outcome.NEVER_SENT)]  # it was not written whole
+    reader = world.run(main())
+    assert reader.ends == ["reset"] and "q2.3" not in reader.ids
+    assert ended == [("q2.3", policy.Outcome.NEVER_SENT)]  # it was not written completely
 
 
-# Idle ends.
+# Idle connections.
 
 
-def served(world, sock):
-    """One request of a bare client, answered; the connection rests then."""
+def serve_one_request(world, sock):
+    """Send a request, read its response and leave the connection idle."""
     sock.send(world.request_bytes("q1", SHARD))
     yield from world.wait_until(lambda: world.front.kept_alive)
     sock.recv(65_536)
 
 
-@pytest.mark.parametrize("by", ["the end", "its patience", "too many at rest", "room for another"])
-def test_a_request_at_hand_when_its_idle_connection_is_to_close_is_served(by):
-    """The kernel holds its bytes, the broker has not read them: closed then, the client would have to come
-    again (and, at the end, to somebody else).
+@pytest.mark.parametrize("cause", ["the end", "its patience", "too many at rest", "room for another"])
+def test_a_request_in_the_socket_as_its_idle_connection_is_to_close_is_served(cause):
+    """The broker has not read the request yet: if it closed the connection, the client would have to retry
+    (during shutdown, at another broker).
     """
     world = World()
 
     def main():
         sock = world.open_client_socket()
-        yield from served(world, sock)
+        yield from serve_one_request(world, sock)
         (client,) = world.front.clients
-        if by == "its patience":
-            client.since_us = -(1 << 60)
-        if by == "too many at rest":
+        if cause == "its patience":
+            client.since_us = LONG_AGO_US
+        if cause == "too many at rest":
             world.front.max_kept_alive = 0
-        if by == "room for another":
+        if cause == "room for another":
             world.front.max_clients = 1
-        sock.send(world.request_bytes("q2", SHARD))  # from here to the call nothing of the broker runs
-        if by == "the end":
+        sock.send(world.request_bytes("q2", SHARD))  # the broker does not run between here and the close
+        if cause == "the end":
             world.front.drain()
             world.front.close_idle()
-        elif by == "its patience":
+        elif cause == "its patience":
             world.front._check_timeouts()
-        elif by == "too many at rest":
+        elif cause == "too many at rest":
             world.front.on_answered(client)
         else:
             assert not world.front._make_room()
@@ -405,20 +410,21 @@
     assert world.run(main()).startswith(b"HTTP/1.1 200")
 
 
-@pytest.mark.parametrize("by", ["the end", "its patience", "too many at rest", "room for another"])
-def test_an_idle_connection_with_nothing_at_hand_is_closed(by):
+@pytest.mark.parametrize("cause", ["the end", "its patience", "too many at rest", "room for another"])
+def test_an_idle_connection_with_nothing_in_its_socket_is_closed(cause):
+    """By the same four causes."""
     world = World()
 
     def main():
         sock = world.open_client_socket()
-        yield from served(world, sock)
+        yield from serve_one_request(world, sock)
         (client,) = world.front.clients
-        if by == "the end":
+        if cause == "the end":
             world.front.close_idle()
-        elif by == "its patience":
-            client.since_us = -(1 << 60)
+        elif cause == "its patience":
+            client.since_us = LONG_AGO_US
             world.front._check_timeouts()
-        elif by == "too many at rest":
+        elif cause == "too many at rest":
             world.front.max_kept_alive = 0
             world.front.on_answered(client)
         else:
@@ -430,9 +436,9 @@
 
 
 @pytest.mark.parametrize("first", ["write", "end"])
-def test_a_node_that_closes_in_the_instant_of_a_write_is_no_word_on_the_node(first):
-    """Bytes given to the kernel are not bytes unsent: they may have run. What the kernel refused provably
-    never left; but it was told as a node that can't be met, and the node was ejected and fed as cold.
+def test_a_connection_that_ends_during_a_write_does_not_make_its_node_unreachable(first):
+    """A part that the kernel accepted may have run: the connection was lost. One that the kernel rejected was
+    never sent.
     """
     world = World(width=1)
 
@@ -442,15 +448,15 @@
         ended = []
         world.broker.on_attempt_result = lambda node, key, outcome, result: ended.append(outcome)
 
-        def ends():
+        def abort_connections():
             for stream in list(world.nodes[SHARD].streams):
                 stream.abort()
 
         if first == "end":
-            ends()  # on its way; the broker has not heard of it
+            abort_connections()  # the broker has not noticed it yet
         link.send([node_request("q2.3", 0, 3, b"x")])
         if first == "write":
-            ends()
+            abort_connections()
         yield from world.wait_until(lambda: ended)
         return ended
 
@@ -459,14 +465,12 @@
     ]
 
 
-# Lists.
+# Endpoint list.
 
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
-def test_the_list_is_watched_from_the_start_and_again_after_a_loss_whether_asked_or_pushed(name):
-    """Where lists are pushed nothing ever asked for them, and the broker served from the list of its start
-    for good.
-    """
+def test_the_endpoint_list_is_watched_from_the_start_and_after_a_lost_connection_in_each_mode(name):
+    """Also where lists are pushed: the broker does not stay with the list of its start."""
     world = World(name)
 
     def main():
@@ -479,16 +483,16 @@
 
     world.run(main())
     module = world.broker.aggregator
-    told = world.settings["invariants"][
-        "must-ask-in-us" if world.settings["registry-mode"] == "ask" else "drain-grace-us"
-    ]
+    is_polled = world.settings["registry-mode"] == "ask"
+    freshness_us = world.settings["invariants"]["must-ask-in-us" if is_polled else "drain-grace-us"]
     assert (
-        module.endpoint_table._backoff_first_us == told // 10
-        and module.endpoint_table._backoff_maximum_us <= told // 2
+        module.endpoint_table._backoff_first_us == freshness_us // 10
+        and module.endpoint_table._backoff_maximum_us <= freshness_us // 2
     )
 
 
-def test_a_discovery_that_refuses_is_not_asked_turn_after_turn_where_no_time_to_ask_is_stated():
+def test_a_rejecting_discovery_is_polled_with_backoff_where_no_poll_interval_is_set():
+    """A backoff of zero would call discovery in each turn of the loop."""
     world = Platform(settings={"registry-mode": "push", "invariants": {"drain-grace-us": 0}})
     world.registry.down = True
     world.wait(1.0)
@@ -496,10 +500,10 @@
 
 
 @pytest.mark.parametrize("grace_us", [0, 250_000, 400_000, 999_999, 1_000_000, 3_000_000])
-def test_a_watch_waits_no_longer_than_a_silence_can_be_made_good(grace_us):
-    """The page's times added up: silence as the call begins, noticed a second after its wait, half a second
-    to connect, one and a half for the answer; told after six seconds or two past the wait, binding a grace
-    later.
+def test_a_watch_call_is_short_enough_to_recover_from_silence_before_a_drain_is_binding(grace_us):
+    """The platform's times: a silence that begins with the call is noticed one second after its hold time,
+    the connect takes half a second, the response one and a half. A drain counts as announced after six
+    seconds, or two after the hold time, and is binding a grace later.
     """
     for wait in (longest_wait(grace_us), longest_wait(grace_us) // 2):
         assert wait + 1_000_000 + 500_000 + 1_500_000 <= max(6_000_000, wait + 2_000_000) + grace_us
@@ -507,10 +511,8 @@
 
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
-def test_a_silence_from_the_first_byte_is_made_good_before_it_binds_with_a_slow_discovery(name):
-    """On virtual time, as it takes seconds: discovery answers the watch that is opened anew in 1.4 of its 1.5
-    s.
-    """
+def test_a_watch_silent_from_its_first_byte_recovers_before_a_drain_is_binding(name):
+    """Discovery takes 1.4 of the allowed 1.5 s to answer the reopened watch. Virtual time."""
     settings = settings_variant(name)
     world = Platform(settings=settings)
     registry = world.registry
@@ -519,44 +521,43 @@
     wait_us = int(registry.queries[-1].partition("hold_ms=")[2]) * 1000
     silent_at = world.loop.now()
     registry.mute_connections()
-    registry.entry_work_us = 700_000  # a call and its line
+    registry.entry_work_us = 700_000  # for the call and for its entry
     registry.publish({**world.nodes[4].entry, "state": "draining"})
-    told = max(silent_at + 6_000_000, registry.last_request_at_us + wait_us + 2_000_000)
-    world.wait((told + grace - world.loop.now()) / 1e6)
+    announced_at = max(silent_at + 6_000_000, registry.last_request_at_us + wait_us + 2_000_000)
+    world.wait((announced_at + grace - world.loop.now()) / 1e6)
     assert not world.broker.aggregator.endpoints["s4"].live
 
 
 @pytest.mark.parametrize("draw", [0.0, 0.5, 1.0])
 @pytest.mark.parametrize("failing", ["refused", "503"])
-def test_a_failure_of_the_watch_opened_anew_is_made_good_before_it_binds(failing, draw):
-    """Discovery is back a moment after the change counts as told. The module alone asks one to two seconds
-    after a failure, then two to four: after the grace, by its shorter and its middle draws.
+def test_a_failed_reopened_watch_recovers_before_a_drain_is_binding(failing, draw):
+    """Discovery recovers just after the drain counts as announced. The module's own backoff, of one to two
+    seconds and then two to four, would end after the grace at its shorter and middle draws.
     """
     world = Platform()
     world.broker.aggregator.random.uniform = lambda low, high: low + draw * (high - low)
     registry = world.registry
     world.wait(0.01)
     wait_us = int(registry.queries[-1].partition("hold_ms=")[2]) * 1000
-    silent_at, called = world.loop.now(), registry.last_request_at_us
+    silent_at = world.loop.now()
+    called_at = registry.last_request_at_us
     registry.mute_connections()
     registry.publish({**world.nodes[4].entry, "state": "draining"})
     if failing == "503":
         registry.down = True
     else:
-        kept = world.net.listeners.pop("registry:8500")
-    told = max(silent_at + 6_000_000, called + wait_us + 2_000_000)
-    world.wait((told + 50_000 - world.loop.now()) / 1e6)
+        listener = world.net.listeners.pop("registry:8500")
+    announced_at = max(silent_at + 6_000_000, called_at + wait_us + 2_000_000)
+    world.wait((announced_at + 50_000 - world.loop.now()) / 1e6)
     registry.down = False
     if failing == "refused":
-        world.net.listeners["registry:8500"] = kept
-    world.wait(0.85)  # a grace of one second: one call every 0.8 s at the most
+        world.net.listeners["registry:8500"] = listener
+    world.wait(0.85)  # within the grace of one second; calls are at most 0.8 s apart
     assert not world.broker.aggregator.endpoints["s4"].live
 
 
-def test_discovery_that_moved_is_asked_again_soon_however_long_the_old_one_failed():
-    """The module's waits had grown to 4.5 s while the old address failed; what the new one has counts after 4
-    s.
-    """
+def test_discovery_at_a_new_address_is_polled_without_the_backoff_of_the_old_one():
+    """The backoff reaches 4.5 s while the old address fails; changes at the new one are binding after 4 s."""
     world = Platform()
     registry = world.registry
     registry.down = True
@@ -571,11 +572,9 @@
     assert not world.broker.aggregator.endpoints["s4"].live
 
 
-@pytest.mark.parametrize("rev", [1, 2, 50])
-def test_a_discovery_that_comes_back_with_an_older_an_equal_or_a_newer_version_is_taken_as_it_is(rev):
-    """On virtual time: that a version went back shows only once the wait of the first call after it
-    is over.
-    """
+@pytest.mark.parametrize("revision", [1, 2, 50])
+def test_a_restarted_discovery_is_followed_at_an_older_an_equal_or_a_newer_revision(revision):
+    """An older revision shows only after the hold time of the first call, hence the virtual time."""
     world = Platform(known=False)
     registry = world.registry
     world.wait(0.1)
@@ -585,20 +584,21 @@
     registry.down = True
     registry.notify_watches()
     world.wait(0.5)
-    registry.revision = rev
-    registry.entries["s2"] = PublishedEntry(rev, {**world.nodes[2].entry, "state": "draining"})
-    if rev == 2:  # ours was 3: the whole list comes once more
+    registry.revision = revision
+    registry.entries["s2"] = PublishedEntry(revision, {**world.nodes[2].entry, "state": "draining"})
+    if revision == 2:  # the broker has 3: the complete list is sent once more
         registry.entries = {
-            uid: PublishedEntry(min(published.revision, rev), published.entry)
+            uid: PublishedEntry(min(published.revision, revision), published.entry)
             for uid, published in registry.entries.items()
         }
     registry.down = False
     world.wait(12.0)
     assert not world.broker.aggregator.endpoints["s2"].live and world.broker.aggregator.endpoints["s5"].live
-    assert world.broker.watch.rev == rev
+    assert world.broker.watch.rev == revision
 
 
-def test_lists_may_come_indented():
+def test_an_endpoint_list_may_be_indented_json():
+    """The format of the JSON text does not matter."""
     world = World(registry=False)
     body = json.dumps(
         {"rev": 2, "all": False, "targets": [{**world.nodes[2].entry, "state": "draining"}]}, indent=4
@@ -617,104 +617,115 @@
     world.run(main())
 
 
-@pytest.mark.parametrize("point", ["connecting", "half an answer", "waiting"])
-def test_discovery_moves_whatever_its_watch_is_about_and_an_old_answer_changes_nothing(point):
+@pytest.mark.parametrize("phase", ["connecting", "half an answer", "waiting"])
+def test_discovery_moves_in_each_phase_of_its_watch_and_a_response_of_the_old_one_has_no_effect(phase):
+    """The old address is connecting, has sent half a response, or holds the call."""
     world = World(registry=False)
-    asked, other = [], []
+    requests = []
+    half_answered = []
 
     def main():
         def serve(stream):
-            asked.append((yield from stream.read()))
-            if point == "half an answer":
+            requests.append((yield from stream.read()))
+            if phase == "half an answer":
                 stream.write(b'HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n{"rev": 9, ')
-                other.append(stream)
+                half_answered.append(stream)
             yield from stream.read()
 
         listener = world.net.listen("127.0.0.1:0", serve, "old")
-        if point == "connecting":
+        if phase == "connecting":
             world.connect_gate.hold(listener.address)
         world.broker.watch.move(listener.address)
         yield from world.wait_until(
             lambda: (
-                listener.address in world.connect_gate.connect_attempts if point == "connecting" else asked
+                listener.address in world.connect_gate.connect_attempts if phase == "connecting" else requests
             )
         )
-        if point == "half an answer":
-            yield from world.wait_until(lambda: other)
+        if phase == "half an answer":
+            yield from world.wait_until(lambda: half_answered)
         world.publish_change(world.nodes[2], "draining")
         world.broker.watch.move(world.registry.address)
-        world.broker.watch.move(world.registry.address)  # twice in a row is once
+        world.broker.watch.move(world.registry.address)  # a repeated move has no effect
         yield from world.wait_until(world.has_change(world.nodes[2], "draining"))
-        if point == "connecting":
+        if phase == "connecting":
             world.connect_gate.open(listener.address)
         assert (yield from world.start_query("q1", SHARD).join()).status == 200
-        return len(asked)
+        return len(requests)
 
-    assert world.run(main()) == (0 if point == "connecting" else 1)
+    assert world.run(main()) == (0 if phase == "connecting" else 1)
     assert world.broker.watch.rev == world.registry.revision
 
 
-# The end.
+# Shutdown.
 
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
-def test_at_the_end_every_query_has_its_answer_before_a_sigkill_may_come(name):
-    """On virtual time. A class's time may be longer than the 3 s that SIGKILL counts: it is cut then."""
+def test_every_query_is_answered_before_the_shutdown_deadline(name):
+    """Also where the timeout of a class is longer than the 3 s after which SIGKILL may follow: it is cut
+    then. Virtual time.
+    """
     settings = settings_variant(name)
     world = Platform(settings=settings)
     for node in world.nodes:
         node.silent = True
-    kinds = {entry["name"]: entry for entry in settings["classes"]}
-    longest = max(entry["hard-limit-us"] for entry in kinds.values())
+    classes = {entry["name"]: entry for entry in settings["classes"]}
+    longest_timeout_us = max(entry["hard-limit-us"] for entry in classes.values())
     answered = {}
 
-    def one(kind, n):
-        key = "k1" if kinds[kind]["idempotency"] == "idempotency_key" else ""
-        response = yield from world.client(f"c{n}").send_query(f"q{n}", kind, [3], timeout_ms=60_000, key=key)
-        answered[n] = (world.loop.now(), response.status, kind)
+    def send_query(class_name, number):
+        key = "k1" if classes[class_name]["idempotency"] == "idempotency_key" else ""
+        client = world.client(f"c{number}")
+        response = yield from client.send_query(f"q{number}", class_name, [3], timeout_ms=60_000, key=key)
+        answered[number] = (world.loop.now(), response.status, class_name)
 
     def main():
-        tasks = [world.loop.spawn(one(kind, n), "q") for n, kind in enumerate(kinds)]
+        tasks = [world.loop.spawn(send_query(name, index), "q") for index, name in enumerate(classes)]
         yield from sleep(world.loop, 100_000)
-        began = world.loop.now()
-        until = began + min(longest, 3_000_000) + 500_000
-        world.broker.start_shutdown(until)
+        deadline_us = world.loop.now() + min(longest_timeout_us, 3_000_000) + 500_000
+        world.broker.start_shutdown(deadline_us)
         yield from sleep(world.loop, 300_000)
-        tasks += [world.loop.spawn(one(kind, 10 + n), "q") for n, kind in enumerate(kinds)]
+        tasks += [world.loop.spawn(send_query(name, 10 + index), "q") for index, name in enumerate(classes)]
         for task in tasks:
             yield from task.join()
-        return until
+        return deadline_us
 
-    until = world.run(main())
-    assert len(answered) == 2 * len(kinds) and max(at for at, _, _ in answered.values()) <= until + 1000
-    unsafe = {kind for kind, entry in kinds.items() if entry["idempotency"] == "non_idempotent"}
-    assert all(status == (500 if kind in unsafe else 503) for _, status, kind in answered.values())
+    deadline_us = world.run(main())
+    assert (
+        len(answered) == 2 * len(classes) and max(at for at, _, _ in answered.values()) <= deadline_us + 1000
+    )
+    non_idempotent = {name for name, entry in classes.items() if entry["idempotency"] == "non_idempotent"}
+    assert all(
+        status == (500 if class_name in non_idempotent else 503)
+        for _, status, class_name in answered.values()
+    )
     assert not any("overdue" in line for line in world.lines)
 
 
 # Settings.
 
 
-def test_an_owner_is_known_by_the_settings_accounts():
+def test_a_tenant_is_identified_by_the_settings_accounts():
+    """A query without an account belongs to no tenant: it can't be over a tenant's quota."""
     world = World("pushed, unsafe, no cancels, tenants")
-    seen, handle = [], world.broker.aggregator.handle
+    seen = []
+    handle = world.broker.aggregator.handle
 
-    def noted(now, events):
+    def record_tenants(now_us, events):
         seen.extend(event.tenant for event in events if isinstance(event, policy.QueryArrived))
-        return handle(now, events)
+        return handle(now_us, events)
 
-    world.broker.aggregator.handle = noted
+    world.broker.aggregator.handle = record_tenants
 
     def main():
-        for n, owner in enumerate(("valley", "harbour", "nobody", None)):
+        for number, owner in enumerate(("valley", "harbour", "nobody", None)):
             client = world.client()
-            headers = [("Req-Id", f"q{n}"), ("Req-Kind", "visit-note"), ("Req-Deadline", "60000m")]
+            headers = [("Req-Id", f"q{number}"), ("Req-Kind", "visit-note"), ("Req-Deadline", "60000m")]
             headers += [("Req-Owner", owner)] if owner else []
             body = json.dumps({"parts": [{"id": SHARD, "w": 1.0}], "expr": "c41e77d0"}).encode()
             assert (yield from client.post("/visit-note", headers, body)).status == 200
 
     world.run(main())
-    assert seen == [0, 1, 2, 2]  # two accounts: whoever is none of them is over nobody's share
+    assert seen == [0, 1, 2, 2]  # 2 stands for none of the two accounts
 
 
 @pytest.mark.parametrize(
@@ -728,7 +739,8 @@
         ),
     ],
 )
-def test_figures_that_no_settings_state_are_no_other_customers(ceilings, limits):
+def test_connection_limits_that_the_settings_leave_out_have_safe_defaults(ceilings, limits):
+    """A limit that is absent or zero."""
     world = Platform(settings={"ceilings": {"max-attempts": 3, **ceilings}})
-    figures = world.config.connections
-    assert (figures.streams, figures.idle_us, figures.connect_us) == limits
+    connections = world.config.connections
+    assert (connections.streams, connections.idle_us, connections.connect_us) == limits
