--- a/tests/test_event_orderings_timeouts.py
+++ b/tests/test_event_orderings_timeouts.py
@@ -1,32 +1,42 @@
-"""Crossings with a time that is up: the loop's clock is set ahead at a named point, so that order
-is forced.
+"""Events that coincide with an expired timeout: the clock of the loop is advanced at a named state of the
+broker, so that the order is forced.
 """
 
 from __future__ import annotations
 
 import json
+from typing import Final
 
 import pytest
 
-from heathwell.eventloop import Event, sleep
+from heathwell.eventloop import sleep
 from heathwell.testing.standins.platform_frames import encode_answer
 
 from .event_ordering_world import SETTINGS_VARIANTS, World, settings_variant
 
-SHARD = 3
-KEYED, SAFE = "idempotency_key", "read_like"
+SHARD: Final = 3
+KEYED: Final = "idempotency_key"
+IDEMPOTENT: Final = "read_like"
 
 
-def kinds(name, effect):
-    return [n for n, kind in enumerate(settings_variant(name)["classes"]) if kind["idempotency"] == effect]
+def cases(idempotency):
+    """Return the settings variants with the indexes of their classes of this idempotency."""
+    return [
+        (name, index)
+        for name in SETTINGS_VARIANTS
+        for index, entry in enumerate(settings_variant(name)["classes"])
+        if entry["idempotency"] == idempotency
+    ]
 
 
-def cases(effect):
-    return [(name, kind) for name in SETTINGS_VARIANTS for kind in kinds(name, effect)]
+def one_step_class(world):
+    """Return the index of the first class that has no second step."""
+    second_step_parts = world.settings["specifics"]["class-fetch"]
+    return next(index for index, parts in enumerate(second_step_parts) if not parts)
 
 
-def responses(sock):
-    """What a bare client has been sent so far."""
+def received(sock):
+    """Return the bytes that a client's socket has received so far."""
     data = b""
     while True:
         try:
@@ -38,134 +48,136 @@
         data += more
 
 
-def told(world, sock, data, count=1):
+def read_responses(world, sock, data, count=1):
+    """Read until ``data`` and what follows hold ``count`` responses, and return all of it."""
     while data.count(b"HTTP/1.1 ") < count:
-        data += responses(sock)
+        data += received(sock)
         yield from sleep(world.loop, 200)
     return data
 
 
 def statuses(data):
+    """Return the status codes of the responses in ``data``."""
     return [int(piece[:3]) for piece in data.split(b"HTTP/1.1 ")[1:]]
 
 
-# Repeats that wait.
+def start_unanswered_query(world, class_index):
+    """Start a query whose first part is left unanswered; return its task and the part."""
+    held = world.hold_parts()
+    query_task = world.start_query("q1", SHARD, class_index)
+    yield from world.wait_until(lambda: held)
+    return query_task, held[0]
 
 
-@pytest.mark.parametrize(("name", "kind"), cases(KEYED))
-def test_a_keyed_repeat_that_waits_for_its_connect_does_not_leave_after_the_window(name, kind):
-    """The repeat is decided within the window of repeats; its connect comes up behind it, and its effect
-    would be another one. It is taken back when the window is over, and the client hears of it then.
+def send_unanswered_request(world, class_index):
+    """Send a request whose parts are left unanswered; return its socket and the list of these parts."""
+    held = world.hold_parts()
+    sock = world.send_request("q1", SHARD, class_index)
+    yield from world.wait_until(lambda: held)
+    return sock, held
+
+
+# Retries that wait to be sent.
+
+
+@pytest.mark.parametrize(("name", "class_index"), cases(KEYED))
+def test_a_keyed_retry_that_waits_for_its_connect_is_not_sent_after_the_idempotency_window(name, class_index):
+    """The retry is decided within the idempotency window and its connect succeeds after it, when the effect
+    would be applied again. It is withdrawn as the window ends, and the client is answered then.
     """
     world = World(name, width=3)
-    window = world.settings["classes"][kind]["dedup-window-us"]
-    held = []
+    window_us = world.settings["classes"][class_index]["dedup-window-us"]
 
     def main():
-        for node in world.nodes:
-            node.responder = lambda node, stream, part: held.append((node, stream, part))
-        asked = world.start_query("q1", SHARD, kind)
-        yield from world.wait_until(lambda: held)
-        node, stream, part = held[0]
-        for other in world.nodes:
-            if other is not node:
-                world.connect_gate.hold(other.address)
-        sent_at = world.loop.now()  # of the first attempt's arrival: it left before
-        stream.write(encode_answer(part, 500))
-        waits = {other.address for other in world.nodes if other is not node}
+        query_task, first = yield from start_unanswered_query(world, class_index)
+        others = [node.address for node in world.nodes if node is not first.node]
+        for address in others:
+            world.connect_gate.hold(address)
+        sent_at_us = world.loop.now()  # when the first attempt has arrived: it was sent before
+        first.stream.write(encode_answer(first.part, 500))
+        attempts = world.connect_gate.connect_attempts
         yield from world.wait_until(
-            lambda: any(a in waits for a in world.connect_gate.connect_attempts),
-            "the repeat waits for its connect",
+            lambda: any(address in others for address in attempts), "the retry waits for its connect"
         )
-        world.stall_until(sent_at + window)
-        world.connect_gate.open(
-            next(a for a in world.connect_gate.connect_attempts if a in waits)
-        )  # up in the very turn in which it is over
-        response = yield from asked.join()
+        world.stall_until(sent_at_us + window_us)
+        # The connect succeeds in the very turn in which the window ends.
+        world.connect_gate.open(next(address for address in attempts if address in others))
+        response = yield from query_task.join()
         return response.status
 
     assert world.run(main()) == 503
     assert [part.id for node in world.nodes for part in node.parts] == ["q1.3"]
 
 
-@pytest.mark.parametrize(("name", "kind"), cases(KEYED))
-def test_a_keyed_repeat_whose_connect_comes_up_within_the_window_leaves(name, kind):
+@pytest.mark.parametrize(("name", "class_index"), cases(KEYED))
+def test_a_keyed_retry_whose_connect_succeeds_within_the_idempotency_window_is_sent(name, class_index):
+    """A repeated key within its window has no second effect."""
     world = World(name, width=3)
-    held = []
 
     def main():
-        for node in world.nodes:
-            node.responder = lambda node, stream, part: held.append((node, stream, part))
-        asked = world.start_query("q1", SHARD, kind)
-        yield from world.wait_until(lambda: held)
-        node, stream, part = held[0]
-        for other in world.nodes:
-            other.responder = None
-            if other is not node:
-                world.connect_gate.hold(other.address)
-        asked_before = len(world.connect_gate.connect_attempts)
-        stream.write(encode_answer(part, 500))
-        yield from world.wait_until(lambda: len(world.connect_gate.connect_attempts) > asked_before)
-        for other in world.nodes:
-            if other is not node:
-                world.connect_gate.open(other.address)
-        return (yield from asked.join()).status
+        query_task, first = yield from start_unanswered_query(world, class_index)
+        world.answer_parts()
+        others = [node.address for node in world.nodes if node is not first.node]
+        for address in others:
+            world.connect_gate.hold(address)
+        attempts_before = len(world.connect_gate.connect_attempts)
+        first.stream.write(encode_answer(first.part, 500))
+        yield from world.wait_until(lambda: len(world.connect_gate.connect_attempts) > attempts_before)
+        for address in others:
+            world.connect_gate.open(address)
+        return (yield from query_task.join()).status
 
     assert world.run(main()) == 200
     assert [part.id for node in world.nodes for part in node.parts] == ["q1.3", "q1.3"]
 
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
-def test_a_part_says_how_long_it_is_waited_for_when_it_leaves_not_when_it_was_decided(name):
+def test_a_part_carries_the_remaining_time_of_when_it_is_sent_not_of_when_it_was_decided(name):
+    """A part may wait for its connect in between."""
     world = World(name)
-    limit = world.settings["classes"][0]["hard-limit-us"]
+    timeout_us = world.settings["classes"][0]["hard-limit-us"]
 
     def main():
         node = world.nodes[SHARD]
         world.connect_gate.hold(node.address)
-        asked = world.start_query("q1", SHARD)
+        query_task = world.start_query("q1", SHARD)
         yield from world.wait_until(world.part_in_flight("q1"))
-        deadline = world.broker.queries["q1"].deadline_us
-        world.stall_until(deadline - limit // 2)
-        left = deadline - world.loop.now()
+        deadline_us = world.broker.queries["q1"].deadline_us
+        world.stall_until(deadline_us - timeout_us // 2)
+        remaining_us = deadline_us - world.loop.now()
         world.connect_gate.open(node.address)
-        yield from asked.join()
-        return node.parts, left
+        yield from query_task.join()
+        return node.parts, remaining_us
 
-    parts, left = world.run(main())
+    parts, remaining_us = world.run(main())
     assert [part.id for part in parts] == ["q1.3"]
-    assert 0 < int(parts[0].fields["d"]) * 1000 <= left
+    assert 0 < int(parts[0].fields["d"]) * 1000 <= remaining_us
 
 
-# Answers.
+# Responses.
 
 
 @pytest.mark.parametrize("first", ["answer", "deadline"])
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
-def test_an_answer_that_crosses_the_deadline_makes_one_reply(name, first):
-    """At hand when the loop wakes behind the deadline, it counts; told after the reply, it is dropped."""
+def test_a_response_that_coincides_with_the_deadline_leads_to_one_reply(name, first):
+    """One in the socket when the loop wakes after the deadline counts; one after the reply is dropped."""
     world = World(name)
-    held = []
-    kind = next(n for n, fetch in enumerate(world.settings["specifics"]["class-fetch"]) if not fetch)
-    unsafe = world.settings["classes"][kind]["idempotency"] == "non_idempotent"
+    class_index = one_step_class(world)
+    unsafe = world.settings["classes"][class_index]["idempotency"] == "non_idempotent"
 
     def main():
-        node = world.nodes[SHARD]
-        node.responder = lambda node, stream, part: held.append((stream, part))
-        sock = world.open_client_socket()
-        sock.send(world.request_bytes("q1", SHARD, kind))
-        yield from world.wait_until(lambda: held)
-        node.responder = None
-        stream, part = held[0]
+        sock, held = yield from send_unanswered_request(world, class_index)
+        world.answer_parts()
+        stream = held[0].stream
         if first == "answer":
-            stream.write(encode_answer(part))
+            stream.write(encode_answer(held[0].part))
         world.stall_until(world.broker.queries["q1"].deadline_us + 1_000)
-        data = yield from told(world, sock, b"")
+        data = yield from read_responses(world, sock, b"")
         if first == "deadline" and not stream.closed:
-            stream.write(encode_answer(part))
+            stream.write(encode_answer(held[0].part))
             yield from world.wait_until(lambda: world.broker.links["s3"].late_answers)
-        sock.send(b"GET /-/ready HTTP/1.1\r\nHost: b\r\n\r\n")  # the connection is as good as before
-        return (yield from told(world, sock, data, 2))
+        sock.send(b"GET /-/ready HTTP/1.1\r\nHost: b\r\n\r\n")  # the connection remains usable
+        return (yield from read_responses(world, sock, data, 2))
 
     assert statuses(world.run(main())) == [200 if first == "answer" else 500 if unsafe else 503, 200]
     assert [part.id for part in world.nodes[SHARD].parts] == ["q1.3"]
@@ -173,43 +185,39 @@
 
 @pytest.mark.parametrize("first", ["answer", "cancel"])
 @pytest.mark.parametrize(
-    ("name", "kind"),
+    ("name", "class_index"),
     [
-        (name, kind)
-        for name, kind in cases(SAFE)
-        if not settings_variant(name)["specifics"]["class-fetch"][kind]
+        (name, index)
+        for name, index in cases(IDEMPOTENT)
+        if not settings_variant(name)["specifics"]["class-fetch"][index]
     ],
 )
-def test_an_answer_that_crosses_its_late_mark_is_used_once(name, kind, first):
-    """At the late mark a part is called off and sent elsewhere, or copied, as the settings allow. An answer
-    at hand in that very turn comes first, and nothing is sent; one on its way meets the attempt's end, and is
-    dropped or, of a copied part, used.
+def test_a_response_that_coincides_with_its_part_becoming_late_is_used_once(name, class_index, first):
+    """A late part is hedged, or cancelled and sent to another replica, as the settings allow. A response in
+    the socket in that very turn counts first, and nothing is sent. A later one is used if the part was
+    hedged, and dropped if its attempt was cancelled.
     """
     world = World(name, width=3)
-    copies, cancels = (world.settings["ceilings"][key] for key in ("second-copies", "cancelling"))
-    held = []
+    hedges = world.settings["ceilings"]["second-copies"]
+    cancels = world.settings["ceilings"]["cancelling"]
+    objective_us = world.settings["classes"][class_index]["objective-us"]
 
     def main():
-        for node in world.nodes:
-            node.responder = lambda node, stream, part: held.append((node, stream, part))
-        sock = world.open_client_socket()
-        sock.send(world.request_bytes("q1", SHARD, kind))
-        yield from world.wait_until(lambda: held)
-        node, stream, part = held[0]
+        sock, held = yield from send_unanswered_request(world, class_index)
+        late = held[0]
         if first == "answer":
-            stream.write(encode_answer(part))
-        # Half of the aim: the part is late, and its query has time.
-        world.stall_until(world.loop.now() + world.settings["classes"][kind]["objective-us"] * 11 // 20)
+            late.stream.write(encode_answer(late.part))
+        # After half of its objective the part is late, and its query has time.
+        world.stall_until(world.loop.now() + objective_us * 11 // 20)
         if first == "cancel":
-            yield from world.wait_until(lambda: len(held) == 2, "a further attempt")
-            if cancels and not copies:
-                yield from world.wait_until(lambda: node.cancelled_ids)
-            stream.write(encode_answer(part))
-            if not copies:
-                yield from world.wait_until(lambda: world.broker.links[node.uid].late_answers)
-                other, stream, part = held[1]
-                stream.write(encode_answer(part))
-        return (yield from told(world, sock, b""))
+            yield from world.wait_until(lambda: len(held) == 2, "an additional attempt")
+            if cancels and not hedges:
+                yield from world.wait_until(lambda: late.node.cancelled_ids)
+            late.stream.write(encode_answer(late.part))
+            if not hedges:
+                yield from world.wait_until(lambda: world.broker.links[late.node.uid].late_answers)
+                held[1].stream.write(encode_answer(held[1].part))
+        return (yield from read_responses(world, sock, b""))
 
     assert statuses(world.run(main())) == [200]
     assert len([part for node in world.nodes for part in node.parts]) == (1 if first == "answer" else 2)
@@ -217,39 +225,35 @@
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("first", ["answer", "end"])
-def test_an_answer_that_crosses_its_connections_end_counts_if_it_came_first(name, first):
-    """Whole and then the end, in one turn of the broker: it is an answer. Half of it and the end: it may have
-    run.
-    """
+def test_a_response_followed_by_the_end_of_its_connection_counts_if_it_is_complete(name, first):
+    """After an incomplete response the part may have run: it is retried unless non-idempotent."""
     world = World(name)
-    kind = next(n for n, fetch in enumerate(world.settings["specifics"]["class-fetch"]) if not fetch)
-    effect = world.settings["classes"][kind]["idempotency"]
+    class_index = one_step_class(world)
+    idempotency = world.settings["classes"][class_index]["idempotency"]
 
-    def ends(node, stream, part):
+    def respond_and_close(node, stream, part):
         node.responder = None
-        whole = encode_answer(part)
-        stream.write(whole if first == "answer" else whole[:-3])
+        response = encode_answer(part)
+        stream.write(response if first == "answer" else response[:-3])
         stream.close()
 
     def main():
-        node = world.nodes[SHARD]
-        node.responder = ends
-        return (yield from world.start_query("q1", SHARD, kind).join()).status
+        world.nodes[SHARD].responder = respond_and_close
+        return (yield from world.start_query("q1", SHARD, class_index).join()).status
 
-    repeated = first == "end" and effect != "non_idempotent"
-    assert world.run(main()) == (500 if first == "end" and not repeated else 200)
-    assert [part.id for part in world.nodes[SHARD].parts] == ["q1.3"] * (2 if repeated else 1)
+    retried = first == "end" and idempotency != "non_idempotent"
+    assert world.run(main()) == (500 if first == "end" and not retried else 200)
+    assert [part.id for part in world.nodes[SHARD].parts] == ["q1.3"] * (2 if retried else 1)
 
 
-# Lists.
+# Endpoint list.
 
 
-class Scripted:
-    """Discovery whose answers are written by a test: each call's stream, in order."""
+class ScriptedDiscovery:
+    """Discovery whose responses a test writes; ``calls`` holds the stream and target of each call."""
 
     def __init__(self, world):
         self.calls = []
-        self.never = Event()
         self.listener = world.net.listen("127.0.0.1:0", self._serve, "scripted")
         self.address = self.listener.address
 
@@ -258,40 +262,42 @@
             self.calls.append((stream, data.split(b" ")[1].decode()))
 
 
-def listed(rev, entries, whole):
-    body = json.dumps({"rev": rev, "all": whole, "targets": entries}).encode()
+def list_response(revision, entries, *, is_complete):
+    """Return an HTTP response with an endpoint list or with changes of one."""
+    body = json.dumps({"rev": revision, "all": is_complete, "targets": entries}).encode()
     return f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("upto", [0, 12, 60], ids=["first byte", "mid-head", "mid-body"])
-def test_a_watch_silent_at_any_byte_is_opened_anew_and_what_it_says_afterwards_changes_nothing(name, upto):
+def test_a_watch_silent_after_any_byte_is_reopened_and_its_late_response_has_no_effect(name, upto):
+    """The reopened watch continues from the revision of the last complete response."""
     world = World(name, registry=False)
     node = world.nodes[2]
-    old = listed(9, [{**node.entry, "state": "up"}], False)
+    old = list_response(9, [{**node.entry, "state": "up"}], is_complete=False)
 
     def main():
-        script = Scripted(world)
-        world.broker.watch.move(script.address)
-        yield from world.wait_until(lambda: script.calls)
-        stream, target = script.calls[0]
-        assert target == "/api/targets"  # elsewhere: the whole list
-        stream.write(listed(5, [each.entry for each in world.nodes], True))
-        yield from world.wait_until(lambda: len(script.calls) == 2)
-        stream, target = script.calls[1]
+        discovery = ScriptedDiscovery(world)
+        world.broker.watch.move(discovery.address)
+        yield from world.wait_until(lambda: discovery.calls)
+        stream, target = discovery.calls[0]
+        assert target == "/api/targets"  # at a new address: the complete list
+        stream.write(list_response(5, [each.entry for each in world.nodes], is_complete=True))
+        yield from world.wait_until(lambda: len(discovery.calls) == 2)
+        stream, target = discovery.calls[1]
         wait_us = int(target.partition("hold_ms=")[2]) * 1000
         stream.write(old[:upto])
         yield from sleep(world.loop, 0)
         world.stall_until(world.loop.now() + wait_us + 1_000_000)
-        yield from world.wait_until(lambda: len(script.calls) == 3, "opened anew")
-        anew, target = script.calls[2]
-        assert anew is not stream and target == "/api/targets?from=5&hold_ms=0"
+        yield from world.wait_until(lambda: len(discovery.calls) == 3, "reopened")
+        reopened, target = discovery.calls[2]
+        assert reopened is not stream and target == "/api/targets?from=5&hold_ms=0"
         if not stream.closed:
             stream.offer(old[upto:])
-        anew.write(listed(8, [{**node.entry, "state": "draining"}], False))
+        reopened.write(list_response(8, [{**node.entry, "state": "draining"}], is_complete=False))
         yield from world.wait_until(world.has_change(node, "draining"))
-        yield from world.wait_until(lambda: len(script.calls) == 4)
-        return script.calls[3][1]
+        yield from world.wait_until(lambda: len(discovery.calls) == 4)
+        return discovery.calls[3][1]
 
     assert world.run(main()).startswith("/api/targets?from=8&hold_ms=")
     assert not world.broker.aggregator.endpoints["s2"].live
@@ -299,10 +305,10 @@
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("discovery", ["answers late", "is down"])
-def test_a_new_process_sends_by_an_old_list_only_where_the_list_of_now_does_not_count_yet(name, discovery):
-    """Where lists are pushed the agent's counts from a process's first moment, and ``known`` may be older: a
-    request that came before its answer went to a node that had long been announced as leaving. Elsewhere what
-    is written counts, and while discovery is down nothing does.
+def test_a_new_process_uses_its_configured_list_until_the_current_one_is_binding(name, discovery):
+    """Where lists are pushed, the current one is binding from the start of a process and ``known`` may be
+    older: a query waits for the first response, lest a part is sent to a draining node. In poll mode, and
+    while discovery is down, the configured list applies.
     """
     world = World(name, registry=discovery == "answers late")
     pushed = world.settings["registry-mode"] != "ask"
@@ -310,10 +316,10 @@
     world.registry.silent = True
     world.publish_change(node, "draining")
 
-    def ready():
+    def ready_status():
         sock = world.open_client_socket()
         sock.send(b"GET /-/ready HTTP/1.1\r\nHost: b\r\n\r\n")
-        (status,) = statuses((yield from told(world, sock, b"")))
+        (status,) = statuses((yield from read_responses(world, sock, b"")))
         sock.close()
         return status
 
@@ -323,15 +329,15 @@
         waits = pushed and discovery == "answers late"
         if discovery == "is down":
             yield from world.wait_until(lambda: world.broker.counters["news", "failed"] or not pushed)
-        assert (yield from ready()) == (503 if waits else 200)
-        asked = world.start_query("q1", SHARD)
+        assert (yield from ready_status()) == (503 if waits else 200)
+        query_task = world.start_query("q1", SHARD)
         yield from world.wait_until(lambda: world.front.counts["requests"])
         if waits:
             yield from sleep(world.loop, 1_000)
             world.registry.silent = False
             yield from world.wait_until(world.has_change(node, "draining"))
-            assert (yield from ready()) == 200
-        return (yield from asked.join()).status, waits
+            assert (yield from ready_status()) == 200
+        return (yield from query_task.join()).status, waits
 
     status, waits = world.run(main())
     assert status == (503 if waits else 200)
