--- a/tests/test_event_orderings_processes.py
+++ b/tests/test_event_orderings_processes.py
@@ -1,11 +1,13 @@
-"""Signals at each point of a broker's life, on processes of `run`; what clients and nodes saw is judged."""
+"""Signals in each phase of a broker, with processes of `run`; what clients and nodes received is checked."""
 
 from __future__ import annotations
 
+import itertools
 import json
 import signal
 import socket
 import threading
+from typing import Final
 
 import pytest
 
@@ -18,7 +20,10 @@
 
 from .event_ordering_world import SETTINGS_VARIANTS, settings_variant
 
-# Signals itself once the configuration is read, before there is a listener or a loop.
+MAX_WAIT_TURNS: Final = 30_000  # of 2 ms
+ONE_PART: Final = json.dumps({"parts": [{"id": 3, "w": 1.0}], "expr": "c41e77d0"}).encode()
+
+# A program that signals itself once it has read its configuration, before it has a listener or a loop.
 BEFORE_THE_LOOP = """
 import os, runpy, signal, sys
 import heathwell.gateway.process as process
@@ -37,6 +42,7 @@
 
 @pytest.fixture
 def running(tmp_path):
+    """Return a function that starts a fleet with a broker process; all are closed after the test."""
     worlds = []
 
     def build(**more):
@@ -50,14 +56,32 @@
         world.close()
 
 
-def one_part(world, name, kind, client=None):
-    key = "k1" if kind["idempotency"] == "idempotency_key" else ""
-    return (client or world.client()).send_query(name, kind["name"], [3], timeout_ms=60_000, key=key)
+def send_one_part(world, name, query_class, client=None):
+    """Send a query of one part; ``query_class`` is the class's entry in the settings."""
+    key = "k1" if query_class["idempotency"] == "idempotency_key" else ""
+    return (client or world.client()).send_query(name, query_class["name"], [3], timeout_ms=60_000, key=key)
+
+
+def send_to_all_classes(world, prefix):
+    """Start a query of one part for each class and return their tasks."""
+    return [
+        world.loop.spawn(send_one_part(world, f"{prefix}{index}", query_class), prefix)
+        for index, query_class in enumerate(world.settings["classes"])
+    ]
+
+
+def raw_request(name, body):
+    """Return the bytes of a price-search request."""
+    return (
+        f"POST /price-search HTTP/1.1\r\nHost: b\r\nReq-Id: {name}\r\nReq-Kind: price-search\r\n"
+        f"Req-Deadline: 500m\r\nContent-Length: {len(body)}\r\n\r\n"
+    ).encode() + body
 
 
-def until(world, point):
-    for _ in range(30_000):  # a minute and more: a point that never comes is a failure, not a hang
-        if point():
+def wait_until(world, condition):
+    """Turn the loop until ``condition`` is true. Raise AssertionError if it is not within a minute or so."""
+    for _ in range(MAX_WAIT_TURNS):
+        if condition():
             return
         yield from sleep(world.loop, 2_000)
     raise AssertionError(f"never reached: {world.log_path.read_text()}")
@@ -72,14 +96,16 @@
         [signal.SIGTERM, signal.SIGHUP],
     ],
 )
-def test_signals_between_the_configuration_and_the_listener_are_carried_out(running, numbers):
+def test_signals_before_the_listener_exists_are_carried_out(running, numbers):
+    """A SIGTERM in this phase ends the process with exit code 0."""
     code = BEFORE_THE_LOOP.format(numbers=[int(number) for number in numbers])
     world = running(program=("-c", code), wait_until_ready=False)
     assert world.run(world.wait_for_exit()) == 0
     assert "ended" in world.log_path.read_text() and "Traceback" not in world.log_path.read_text()
 
 
-def test_a_hangup_before_the_listener_is_carried_out_and_it_serves(running):
+def test_a_sighup_before_the_listener_exists_is_carried_out_and_the_broker_serves(running):
+    """The configuration is read again, and the start goes on."""
     world = running(program=("-c", BEFORE_THE_LOOP.format(numbers=[int(signal.SIGHUP)])))
 
     def main():
@@ -90,52 +116,42 @@
 
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
-def test_at_sigterm_what_hangs_is_answered_and_the_process_ends_by_itself(running, name):
-    """All nodes hang; one customer's longest class has 4 s, more than the 3.7 s after which SIGKILL
-    may come.
-    """
+def test_after_sigterm_queries_to_unresponsive_nodes_are_answered_and_the_process_exits(running, name):
+    """The longest timeout in one variant is 4 s, more than the 3.7 s after which SIGKILL may follow."""
     settings = settings_variant(name)
     world = running(settings=settings)
     for node in world.nodes:
         node.silent = True
 
     def main():
-        tasks = [
-            world.loop.spawn(one_part(world, f"q{n}", kind), "q")
-            for n, kind in enumerate(settings["classes"])
-        ]
-        yield from until(world, lambda: sum(len(node.parts) for node in world.nodes) >= len(tasks))
+        tasks = send_to_all_classes(world, "q")
+        yield from wait_until(world, lambda: sum(len(node.parts) for node in world.nodes) >= len(tasks))
         world.process.send_signal(signal.SIGTERM)
         yield from world.wait_for_log("terminating")
-        tasks += [
-            world.loop.spawn(one_part(world, f"r{n}", kind), "r")
-            for n, kind in enumerate(settings["classes"])
-        ]
+        tasks += send_to_all_classes(world, "r")
         statuses = []
         for task in tasks:
             statuses.append((yield from task.join()).status)
         return statuses, (yield from world.wait_for_exit())
 
     statuses, code = world.run(main())
-    wanted = [500 if kind["idempotency"] == "non_idempotent" else 503 for kind in settings["classes"]]
-    assert (statuses, code) == (wanted * 2, 0)
+    expected = [
+        500 if query_class["idempotency"] == "non_idempotent" else 503 for query_class in settings["classes"]
+    ]
+    assert (statuses, code) == (expected * 2, 0)
     assert "open='0'" in world.log_path.read_text() and "overdue" not in world.log_path.read_text()
 
 
-def test_a_request_half_read_when_the_listener_closes_is_finished_and_answered(running):
+def test_a_request_half_read_when_the_listener_closes_is_completed_and_answered(running):
+    """After SIGTERM, on a connection that was accepted before."""
     world = running()
-    body = json.dumps({"parts": [{"id": 3, "w": 1.0}], "expr": "c41e77d0"}).encode()
-    request = (
-        f"POST /price-search HTTP/1.1\r\nHost: b\r\nReq-Id: q1\r\nReq-Kind: price-search\r\n"
-        f"Req-Deadline: 500m\r\nContent-Length: {len(body)}\r\n\r\n"
-    ).encode() + body
+    request = raw_request("q1", ONE_PART)
 
     def main():
         stream = yield from world.net.connect(world.address, 1_000_000)
         stream.write(request[:50])
-        assert (
-            yield from world.client().send_query("q0", "price-search", [3])
-        ).status == 200  # the half is read by now
+        # Once this is answered, the broker has read the first half of the request.
+        assert (yield from world.client().send_query("q0", "price-search", [3])).status == 200
         world.process.send_signal(signal.SIGTERM)
         while True:
             try:
@@ -155,37 +171,37 @@
 
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
-def test_clients_that_go_on_sending_at_the_end_lose_nothing_that_was_sent_on(running, name):
-    """Five clients send one request after another on what stays open, and connect anew while that can be, up
-    to the end: whatever any node saw was answered to its client.
+def test_during_shutdown_each_query_that_reached_a_node_is_answered(running, name):
+    """Five clients send one request after another and reconnect while the broker accepts connections, up to
+    its exit.
     """
     settings = settings_variant(name)
     world = running(settings=settings)
-    kind = settings["classes"][0]
-    answered, crossed = set(), set()
-
-    def goes_on(c):
-        client, n = world.client(), 0
-        while True:
-            n += 1
-            query = f"c{c}-{n}"
+    query_class = settings["classes"][0]
+    answered = set()
+    disconnected = set()
+
+    def send_until_exit(client_number):
+        client = world.client()
+        for number in itertools.count(1):
+            query = f"c{client_number}-{number}"
             try:
-                response = yield from one_part(world, query, kind, client)
+                response = yield from send_one_part(world, query, query_class, client)
             except StreamBrokenError:
-                crossed.add(query)
+                disconnected.add(query)
                 client = world.client()
                 continue
             except ConnectError:
                 return
             answered.add(query)
-            if not client.side.reusable:  # the answer said that it closes
+            if not client.side.reusable:  # the response announced a close
                 client = world.client()
             assert response.status in (200, 503)
             yield from sleep(world.loop, 3_000)
 
     def main():
-        tasks = [world.loop.spawn(goes_on(c), "client") for c in range(5)]
-        yield from until(world, lambda: len(answered) > 20)
+        tasks = [world.loop.spawn(send_until_exit(number), "client") for number in range(5)]
+        yield from wait_until(world, lambda: len(answered) > 20)
         world.process.send_signal(signal.SIGTERM)
         for task in tasks:
             yield from task.join()
@@ -193,17 +209,18 @@
 
     assert world.run(main()) == 0
     seen = {part.id.partition(".")[0] for node in world.nodes for part in node.parts}
-    assert len(seen) > 20 and not (seen - answered), (seen - answered, crossed)
+    assert len(seen) > 20 and not (seen - answered), (seen - answered, disconnected)
 
 
-@pytest.mark.parametrize("point", ["connecting", "half an answer", "twice", "while it ends"])
-def test_sighup_at_any_point_of_the_watch_moves_it_and_ends_nothing(running, point):
+@pytest.mark.parametrize("phase", ["connecting", "half an answer", "twice", "while it ends"])
+def test_sighup_in_each_phase_of_the_watch_moves_it_and_ends_nothing(running, phase):
+    """The broker goes on serving; a shutdown in progress is completed."""
     world = running(has_discovery=False)
-    heard = []
+    requests = []
 
     def serve(stream):
-        heard.append((yield from stream.read()))
-        if point == "half an answer":
+        requests.append((yield from stream.read()))
+        if phase == "half an answer":
             stream.write(b'HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n{"rev": 9, ')
         yield from stream.read()
 
@@ -211,18 +228,18 @@
         old = world.net.listen("127.0.0.1:0", serve, "old")
         world.write_config(old.address)
         world.process.send_signal(signal.SIGHUP)
-        if point != "connecting":
-            yield from until(world, lambda: heard)
+        if phase != "connecting":
+            yield from wait_until(world, lambda: requests)
         world.write_config(world.discoveries[1].address)
-        if point == "while it ends":
+        if phase == "while it ends":
             world.process.send_signal(signal.SIGTERM)
             yield from world.wait_for_log("terminating")
         world.process.send_signal(signal.SIGHUP)
-        if point == "twice":
+        if phase == "twice":
             world.process.send_signal(signal.SIGHUP)
-        yield from until(world, lambda: world.discoveries[1].queries)
+        yield from wait_until(world, lambda: world.discoveries[1].queries)
         status = (yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])).status
-        if point != "while it ends":
+        if phase != "while it ends":
             assert world.process.poll() is None
             world.process.send_signal(signal.SIGTERM)
         return status, (yield from world.wait_for_exit())
@@ -230,44 +247,36 @@
     assert world.run(main()) == (200, 0)
 
 
-def test_sighup_leaves_all_but_discovery_as_it_was_at_the_start_and_says_what_waits(running):
+def test_sighup_applies_a_new_discovery_address_alone_and_logs_what_needs_a_restart(running):
+    """The classes remain those of the start."""
     world = running()
-    other = {**world.settings["classes"][0], "name": "other", "hard-limit-us": 9_000_000}
-    settings = {**world.settings, "classes": [other]}
+    changed_class = {**world.settings["classes"][0], "name": "other", "hard-limit-us": 9_000_000}
+    specifics = {
+        **world.settings["specifics"],
+        "class-fetch": [0],
+        "class-need": [1.0],
+        "min-share": [1.0],
+        "incomplete-worth": [0.9],
+    }
+    settings = {**world.settings, "classes": [changed_class], "specifics": specifics}
 
     def main():
+        discovery = world.discoveries[1].address
         world.config_path.write_bytes(
-            encode_config(
-                listen="127.0.0.1:0",
-                discovery=world.discoveries[1].address,
-                settings={
-                    **settings,
-                    "specifics": {
-                        **settings["specifics"],
-                        "class-fetch": [0],
-                        "class-need": [1.0],
-                        "min-share": [1.0],
-                        "incomplete-worth": [0.9],
-                    },
-                },
-            )
+            encode_config(listen="127.0.0.1:0", discovery=discovery, settings=settings)
         )
         world.process.send_signal(signal.SIGHUP)
-        yield from until(world, lambda: world.discoveries[1].queries)
+        yield from wait_until(world, lambda: world.discoveries[1].queries)
         yield from world.wait_for_log("from_the_next_start='settings'")
-        one = yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])
-        other = yield from world.client().send_query("q2", "other", [0])
-        return one.status, other.status
+        known = yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])
+        unknown = yield from world.client().send_query("q2", "other", [0])
+        return known.status, unknown.status
 
     assert world.run(main()) == (200, 404)
 
 
-def test_what_waits_in_the_backlog_when_the_listener_closes_is_served_before_the_end():
-    """In one process, as the kernel's queue is filled between two lines: connected and asked, and the broker
-    has accepted nothing of it yet. Its end was looked for in the same turn, before their tasks had begun.
-    """
-    loop, net, _ = socket_loop()
-    node = PlatformNode(loop, net, "127.0.0.1:0", "s3", 3, work_us=1)
+def terminating_process(node):
+    """Return a broker process in this interpreter that has a listener and has received SIGTERM."""
     config = read(
         encode_config(
             listen="127.0.0.1:0",
@@ -279,28 +288,32 @@
     process.listener = process.net.listen(config.listen, process.front.serve, "client", 64)
     process.loop.turn()
     process.terminate()
+    return process
+
+
+def test_connections_in_the_backlog_when_the_listener_closes_are_served_before_the_exit():
+    """The clients have connected and sent their requests, and the broker has accepted none yet. It must not
+    exit in the same turn, before the tasks of these connections have begun. All in one process, so that the
+    kernel's queue is filled just before the listener closes.
+    """
+    loop, net, _ = socket_loop()
+    node = PlatformNode(loop, net, "127.0.0.1:0", "s3", 3, work_us=1)
+    process = terminating_process(node)
     host, port = process.listener.address.split(":")
-    body = json.dumps({"parts": [{"id": 3, "w": 1.0}], "expr": "c41e77d0"}).encode()
     socks = []
 
-    def crosses():
-        for n in range(3):
+    def fill_backlog_and_close():
+        for number in range(3):
             socks.append(socket.create_connection((host, int(port))))
-            socks[-1].send(
-                (
-                    f"POST /price-search HTTP/1.1\r\nHost: b\r\nReq-Id: q{n}\r\nReq-Kind: price-search\r\n"
-                    f"Req-Deadline: 500m\r\nContent-Length: {len(body)}\r\n\r\n"
-                ).encode()
-                + body
-            )
+            socks[-1].send(raw_request(f"q{number}", ONE_PART))
         process._stop_accepting()
 
-    process.loop.call_soon(crosses)
-    beside = threading.Thread(target=loop.run, daemon=True)
-    beside.start()
+    process.loop.call_soon(fill_backlog_and_close)
+    node_thread = threading.Thread(target=loop.run, daemon=True)
+    node_thread.start()
     process.loop.run()
     loop.call_threadsafe(loop.stop)
-    beside.join(60)
+    node_thread.join(60)
     for sock in socks:
         sock.settimeout(60)
         assert sock.recv(4096).startswith(b"HTTP/1.1 200")
--- a/tests/test_event_orderings_servers.py
+++ b/tests/test_event_orderings_servers.py
@@ -1,14 +1,14 @@
-"""Crossings at the client protocols: an idle connection is to be closed as its next request arrives.
+"""The client protocols when an idle connection is about to be closed as its next request arrives.
 
-Broker, front and bare client sockets share one loop, so that the order is forced: the request's bytes are in
-the socket before the closer runs, and nothing of the broker runs between the two.
+Broker, servers and client sockets share one loop, so that the order is forced: the bytes of the request are
+in the socket before the close, and the broker does not run between the two.
 """
 
 from __future__ import annotations
 
 import socket
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Final
 
 import pytest
 
@@ -25,12 +25,13 @@
 (vector (listen 127.0.0.1:0) (idle 60s))
 """
 MARKET_WITH_LIMITS = MARKET.replace("(limits (attempts 4)", "(limits (clients 3) (attempts 4)") + SEARCHES
-GET = b"get sale:anna:17\r\n"
-COLLECTIONS = b"GET /collections HTTP/1.1\r\nHost: b\r\n\r\n"
+LONG_AGO_US: Final = -(1 << 60)
+GET: Final = b"get sale:anna:17\r\n"
+COLLECTIONS: Final = b"GET /collections HTTP/1.1\r\nHost: b\r\n\r\n"
 
 
 class Servers:
-    """One broker with its memcached and its vector front, on sockets."""
+    """One broker with its memcached and vector search servers, on sockets."""
 
     def __init__(self) -> None:
         self.loop, self.net, _ = socket_loop()
@@ -42,6 +43,7 @@
         self.new_streams: list[Any] = []
 
     def run(self, generator) -> None:
+        """Run a coroutine to its end; close the clients' sockets and the loop afterwards."""
         try:
             self.loop.run(self.loop.spawn(generator, "main"))
             assert not self.errors, self.errors
@@ -51,7 +53,7 @@
             self.loop.shutdown()
 
     def connect(self, address: str, host: str = "127.0.0.1") -> socket.socket:
-        """A client's bare socket; `host` is the address that it comes from."""
+        """Return a connected, non-blocking client socket with ``host`` as its source address."""
         target, port = address.split(":")
         sock = socket.create_connection((target, int(port)), source_address=(host, 0))
         sock.setblocking(False)
@@ -59,7 +61,7 @@
         return sock
 
     def accept_one_elsewhere(self, host: str):
-        """Take a connection that no front has seen yet, into `new_streams`."""
+        """Accept a connection that no server has handled yet and add it to ``new_streams``."""
         count = len(self.new_streams)
 
         def keep(stream):
@@ -68,17 +70,18 @@
 
         listener = self.net.listen("127.0.0.1:0", keep, "elsewhere")
         self.connect(listener.address, host)
-        yield from self.until(lambda: len(self.new_streams) > count)
+        yield from self.wait_until(lambda: len(self.new_streams) > count)
 
-    def until(self, point: Callable[[], Any]):
+    def wait_until(self, condition: Callable[[], Any]):
+        """Turn the loop until ``condition`` is true. Raise AssertionError if it never is."""
         for _ in range(MAX_LOOP_TURNS):
-            if point():
+            if condition():
                 return
             yield from sleep(self.loop, 200)
         raise AssertionError("never reached")
 
     def received(self, sock: socket.socket, end: bytes):
-        """What the client reads until `end`; less where its connection is closed before."""
+        """Return what a client reads up to ``end``, or up to the close of its connection, marked as such."""
         data = b""
         while not data.endswith(end):
             try:
@@ -95,110 +98,119 @@
 
 
 class Memcached:
-    """The memcached front as the script needs it."""
+    """The memcached server, its request and the causes by which it closes idle connections."""
 
-    request, end = GET, b"END\r\n"
-    closers = ("cut off", "room for another", "the end")
+    request = GET
+    end = b"END\r\n"
+    causes = ("cut off", "room for another", "the end")
 
     def __init__(self, servers: Servers) -> None:
         self.servers = servers
-        self.front, self.address = servers.running.memcached_server, servers.running.address
+        self.server = servers.running.memcached_server
+        self.address = servers.running.address
 
     def connections(self) -> list[Any]:
-        return list(self.front.connections)
+        """Return the open client connections."""
+        return list(self.server.connections)
 
-    def close(self, by: str) -> None:
-        if by == "the end":
-            self.front.hand_over()
+    def close(self, cause: str) -> None:
+        """Close idle connections for a cause other than a new client."""
+        if cause == "the end":
+            self.server.hand_over()
             return
         now = self.servers.loop.now()
-        drain = self.front.broker.client_drain
+        drain = self.server.broker.client_drain
         drain.spread_us = 1
         drain.tick(now - 5_000_000, is_cut_off=True)
         drain.tick = lambda _now_us, is_cut_off: None
         for connection in self.connections():
             connection.opened_at_us = now - 6_000_000
-        self.front._drain_idle_clients()
+        self.server._drain_idle_clients()
 
 
 class Vector:
-    """The vector front as the script needs it."""
+    """The vector search server, its request and the causes by which it closes idle connections."""
 
-    request, end = COLLECTIONS, b"}"
-    closers = ("its patience", "room for another")
+    request = COLLECTIONS
+    end = b"}"
+    causes = ("its patience", "room for another")
 
     def __init__(self, servers: Servers) -> None:
         self.servers = servers
-        self.front, self.address = servers.running.vector_server, servers.running.vector_address
+        self.server = servers.running.vector_server
+        self.address = servers.running.vector_address
 
     def connections(self) -> list[Any]:
-        return list(self.front.clients.connections.values())
+        """Return the open client connections."""
+        return list(self.server.clients.connections.values())
 
-    def close(self, by: str) -> None:
-        assert by == "its patience"
+    def close(self, cause: str) -> None:
+        """Close idle connections for a cause other than a new client."""
+        assert cause == "its patience"
         for connection in self.connections():
-            connection._quiet_since_us = -(1 << 60)
+            connection._quiet_since_us = LONG_AGO_US
             connection._check_timeouts()
 
 
-CASES = [(front, by) for front in (Memcached, Vector) for by in front.closers]
+CASES = [(protocol, cause) for protocol in (Memcached, Vector) for cause in protocol.causes]
 
 
-def three_idle_clients(servers, front):
-    """As many clients as there may be, all of one address, each answered once."""
-    socks = [servers.connect(front.address) for _ in range(3)]
+def three_idle_clients(servers, clients):
+    """Connect the maximum of clients, all from one address, each answered once; return their sockets."""
+    socks = [servers.connect(clients.address) for _ in range(3)]
     for sock in socks:
-        sock.send(front.request)
-        data = yield from servers.received(sock, front.end)
-        assert data.endswith(front.end), data
-    yield from servers.until(lambda: all(connection.is_idle for connection in front.connections()))
+        sock.send(clients.request)
+        data = yield from servers.received(sock, clients.end)
+        assert data.endswith(clients.end), data
+    yield from servers.wait_until(lambda: all(connection.is_idle for connection in clients.connections()))
     return socks
 
 
-def close_by(servers, front, by):
-    """Let the closer run; for a new client it is the one that the front makes room for."""
-    if by == "room for another":
-        servers.loop.spawn(front.front.serve(servers.new_streams.pop()), "another client")
+def close_by(servers, clients, cause):
+    """Close idle connections for that cause; a new client takes the place of an idle one."""
+    if cause == "room for another":
+        servers.loop.spawn(clients.server.serve(servers.new_streams.pop()), "another client")
     else:
-        front.close(by)
+        clients.close(cause)
 
 
 @pytest.mark.parametrize("times", [1, 2])
-@pytest.mark.parametrize(("front", "by"), CASES)
-def test_a_request_in_the_socket_as_its_idle_connection_is_to_close_is_answered(front, by, times):
-    """Also where two closers run, one after the other, before the task that reads."""
+@pytest.mark.parametrize(("protocol", "cause"), CASES)
+def test_a_request_in_the_socket_as_its_idle_connection_is_to_close_is_answered(protocol, cause, times):
+    """Also where two closes are attempted, one after the other, before the task that reads."""
     servers = Servers()
-    front = front(servers)
+    clients = protocol(servers)
 
     def main():
-        socks = yield from three_idle_clients(servers, front)
+        socks = yield from three_idle_clients(servers, clients)
         for _ in range(times):
             yield from servers.accept_one_elsewhere("127.0.0.2")
         for sock in socks:
-            sock.send(front.request)  # from here to the closer nothing of the broker runs
+            sock.send(clients.request)  # the broker does not run between here and the close
         for _ in range(times):
-            close_by(servers, front, by)
+            close_by(servers, clients, cause)
         for sock in socks:
-            data = yield from servers.received(sock, front.end)
-            assert data.endswith(front.end), data
+            data = yield from servers.received(sock, clients.end)
+            assert data.endswith(clients.end), data
 
     servers.run(main())
 
 
-@pytest.mark.parametrize(("front", "by"), CASES)
-def test_an_idle_connection_with_nothing_in_its_socket_is_closed(front, by):
+@pytest.mark.parametrize(("protocol", "cause"), CASES)
+def test_an_idle_connection_with_nothing_in_its_socket_is_closed(protocol, cause):
+    """All of them, or the first where a new client needs its place."""
     servers = Servers()
-    front = front(servers)
+    clients = protocol(servers)
 
     def main():
-        socks = yield from three_idle_clients(servers, front)
+        socks = yield from three_idle_clients(servers, clients)
         yield from servers.accept_one_elsewhere("127.0.0.2")
-        connections = front.connections()
-        close_by(servers, front, by)
+        connections = clients.connections()
+        close_by(servers, clients, cause)
         yield from sleep(servers.loop, 0)
         closed = [connection.stream.closed for connection in connections]
-        assert closed == ([True, False, False] if by == "room for another" else [True] * 3)
-        data = yield from servers.received(socks[0], front.end)
+        assert closed == ([True, False, False] if cause == "room for another" else [True] * 3)
+        data = yield from servers.received(socks[0], clients.end)
         assert data == b"<closed>"
 
     servers.run(main())
