--- a/tests/test_event_orderings_random.py
+++ b/tests/test_event_orderings_random.py
@@ -1,27 +1,29 @@
-"""Drawn schedules of crossings on virtual time, under three customers' settings, judged by the auditor.
+"""Random schedules of concurrent events under three settings variants, checked by the auditor.
 
-Virtual time, as hours of seconds are played; the order of tasks within a turn is drawn as well. The longer
-run stands behind `make test-fleet`.
+They run on virtual time; the order of tasks within a turn of the loop is drawn as well. The longer run is
+part of `make test-fleet`.
 """
 
 from __future__ import annotations
 
 import contextlib
 import random
-from typing import Any
+from collections.abc import Callable
+from typing import Any, Final
 
 import pytest
 
 from heathwell import policy
 from heathwell.eventloop import ConnectError, StreamBrokenError, sleep
+from heathwell.testing.standins.platform_node import PlatformNode
 
 from .event_ordering_world import SETTINGS_VARIANTS, settings_variant
 from .platform import Platform
 
-SPAN_US = 6_000_000
-WAY_US = 2_000  # bytes take 100 us, a turn of the broker's nothing
-LEFT_US = 300_000  # the users' bar: nothing is sent on later for a client that has left
-KINDS = (
+SPAN_US: Final = 6_000_000
+TRANSIT_US: Final = 2_000  # bytes take 100 us
+DISCONNECT_GRACE_US: Final = 300_000  # nothing is sent later for a client that has disconnected
+EVENTS: Final = (
     "drain",
     "remove",
     "return",
@@ -38,123 +40,152 @@
 
 
 class SlowConnects:
-    """The broker's net: connects to a node take so long more; bytes don't, so that arrivals are told from
-    attempts.
+    """The broker's network with delayed connects to some addresses.
+
+    The transit time of bytes is unchanged, so that arrivals can be assigned to attempts.
     """
 
     def __init__(self, loop, net):
-        self.loop, self.net, self.more = loop, net, {}
+        self.loop = loop
+        self.net = net
+        self.delays_us: dict[str, int] = {}
 
     def connect(self, address, timeout_us):
-        """As the net's."""
-        more = self.more.get(address, 0)
-        yield from sleep(self.loop, min(more, timeout_us))
-        if more >= timeout_us:
+        """Connect after the delay of that address. Raise ConnectError if that takes ``timeout_us``."""
+        delay_us = self.delays_us.get(address, 0)
+        yield from sleep(self.loop, min(delay_us, timeout_us))
+        if delay_us >= timeout_us:
             raise ConnectError("no connection in time")
         return (yield from self.net.connect(address, timeout_us))
 
 
-def noise(node, stream, part):
+def respond_with_noise(node, stream, part):
+    """Answer one part with bytes that are no frame."""
     node.responder = None
     stream.write(b"\x00noise" * 9)
 
 
-def play(name: str, seed: int, span_us: int = SPAN_US) -> list[dict[str, Any]]:
-    """One schedule and its events; raises where a rule is broken or a request has no answer."""
-    draw = random.Random(seed)
-    settings = settings_variant(name)
-    world = Platform(seed=seed, settings=settings)
-    registry = world.registry
-    net = world.broker.net = SlowConnects(world.loop, world.broker.net)
-    left: dict[str, int] = {}
-    answered: set[str] = set()
-    ends: list[int] = []
-
-    def one(n):
-        kind = draw.choice(settings["classes"])
-        safe = kind["idempotency"] == "read_like"
-        shards = draw.sample(range(12), draw.choice([1, 2, 4]) if safe else 1)
-        key = "k1" if kind["idempotency"] == "idempotency_key" else ""
-        query, client = f"q{n}", world.client(f"c{n}")
-        leaves = draw.random() < 0.3
-        asks = client.send_query(
-            query, kind["name"], shards, timeout_ms=draw.choice([80, 300, 60_000]), key=key
-        )
-        task = world.loop.spawn(asks, query)
-        if leaves:
-            yield from sleep(world.loop, draw.choice([1, 300, 20_000, 120_000, 350_000]))
+class RandomSchedule:
+    """One schedule of queries and events between them, drawn from a seed."""
+
+    def __init__(self, name: str, seed: int, span_us: int) -> None:
+        self.draw = random.Random(seed)
+        self.span_us = span_us
+        self.settings = settings_variant(name)
+        self.world = Platform(seed=seed, settings=self.settings)
+        self.net = SlowConnects(self.world.loop, self.world.broker.net)
+        self.world.broker.net = self.net
+        self.left: dict[str, int] = {}  # when the client of a query disconnected
+        self.answered: set[str] = set()
+        self.shutdown_deadlines_us: list[int] = []  # one at most
+        self.event_handlers: dict[str, Callable[[PlatformNode], None]] = {
+            "drain": lambda node: self.world.registry.publish({**node.entry, "state": "draining"}),
+            "remove": lambda node: self.world.registry.publish({**node.entry, "state": "removed"}),
+            "return": lambda node: self.world.registry.publish(node.entry),
+            "reset": lambda node: abort_all(node.streams),
+            "mute": self._toggle_silence,
+            "slow connects": self._slow_connects,
+            "watch silent": lambda _node: self.world.registry.mute_connections(),
+            "watch reset": lambda _node: abort_all(self.world.registry.streams),
+            "discovery down": self._toggle_discovery,
+            "older list": self._reset_revision,
+            "spoil": self._answer_with_noise,
+            "end": self._start_shutdown,
+        }
+
+    def run(self) -> None:
+        """Play the schedule on virtual time."""
+        self.world.run(self._main())
+
+    def _main(self):
+        loop = self.world.loop
+        began_us = loop.now()
+        count = 0
+        tasks = []
+        while loop.now() < began_us + self.span_us:
+            for _ in range(self.draw.choice([0, 1, 1, 3])):
+                count += 1
+                tasks.append(loop.spawn(self._query(count), "one"))
+            if self.draw.random() < 0.25:
+                event = self.draw.choice(EVENTS)
+                self._inject(event, self.draw.choice(self.world.nodes))
+            yield from sleep(loop, self.draw.choice([1, 500, 20_000, 60_000]))
+        for task in tasks:
+            yield from task.join()
+
+    def _query(self, number):
+        """Send a query; its client may disconnect. Raise AssertionError if it is left unanswered."""
+        query_class = self.draw.choice(self.settings["classes"])
+        is_idempotent = query_class["idempotency"] == "read_like"
+        shards = self.draw.sample(range(12), self.draw.choice([1, 2, 4]) if is_idempotent else 1)
+        key = "k1" if query_class["idempotency"] == "idempotency_key" else ""
+        query = f"q{number}"
+        client = self.world.client(f"c{number}")
+        disconnects = self.draw.random() < 0.3
+        timeout_ms = self.draw.choice([80, 300, 60_000])
+        request = client.send_query(query, query_class["name"], shards, timeout_ms=timeout_ms, key=key)
+        task = self.world.loop.spawn(request, query)
+        if disconnects:
+            yield from sleep(self.world.loop, self.draw.choice([1, 300, 20_000, 120_000, 350_000]))
             if client.stream is not None and not task.done:
-                left[query] = world.loop.now()
-                draw.choice([client.stream.close, client.stream.abort, client.stream.end])()
+                self.left[query] = self.world.loop.now()
+                self.draw.choice([client.stream.close, client.stream.abort, client.stream.end])()
         with contextlib.suppress(StreamBrokenError, ConnectError):
             yield from task.join()
-            answered.add(query)
-        if query not in answered and query not in left and not ends:
+            self.answered.add(query)
+        if query not in self.answered and query not in self.left and not self.shutdown_deadlines_us:
             raise AssertionError(f"{query} has no answer")
 
-    def crosses(what, node):
-        if what == "drain":
-            registry.publish({**node.entry, "state": "draining"})
-        elif what == "remove":
-            registry.publish({**node.entry, "state": "removed"})
-        elif what == "return":
-            registry.publish(node.entry)
-        elif what == "reset":
-            for stream in list(node.streams):
-                stream.abort()
-        elif what == "mute":
-            node.silent = not node.silent
-        elif what == "slow connects":
-            net.more[node.address] = draw.choice([0, 60_000, 120_000, 240_000, 600_000])
-            crosses("reset", node)  # so that there is something to connect for
-            world.loop.call_at(
-                world.loop.now() + draw.choice([20_000, 100_000, 200_000]),
-                crosses,
-                draw.choice(["drain", "remove", "return", "return"]),
-                node,
-            )
-        elif what == "watch silent":
-            registry.mute_connections()
-        elif what == "watch reset":
-            for stream in list(registry.streams):
-                stream.abort()
-        elif what == "discovery down":
-            registry.down = not registry.down
-            registry.notify_watches()
-        elif what == "older list":
-            registry.revision = max(1, registry.revision - 2)
-        elif what == "spoil":
-            node.responder = noise
-        elif what == "end" and not ends and draw.random() < 0.3:
-            ends.append(world.loop.now() + 2_000_000)
-            world.broker.start_shutdown(ends[0])
-
-    def main():
-        began, n, tasks = world.loop.now(), 0, []
-        while world.loop.now() < began + span_us:
-            for _ in range(draw.choice([0, 1, 1, 3])):
-                n += 1
-                tasks.append(world.loop.spawn(one(n), "one"))
-            if draw.random() < 0.25:
-                crosses(draw.choice(KINDS), draw.choice(world.nodes))
-            yield from sleep(world.loop, draw.choice([1, 500, 20_000, 60_000]))
-        for task in tasks:
-            yield from task.join()
+    def _inject(self, event: str, node: PlatformNode) -> None:
+        self.event_handlers[event](node)
 
-    world.run(main())
-    verdict = world.verdict()
-    assert verdict.kept, (name, seed, verdict)
-    late = [
-        (event["p"], event["t"] - left[query])
-        for event in world.events
+    def _toggle_silence(self, node: PlatformNode) -> None:
+        node.silent = not node.silent
+
+    def _slow_connects(self, node: PlatformNode) -> None:
+        self.net.delays_us[node.address] = self.draw.choice([0, 60_000, 120_000, 240_000, 600_000])
+        abort_all(node.streams)  # so that the broker connects again
+        at_us = self.world.loop.now() + self.draw.choice([20_000, 100_000, 200_000])
+        event = self.draw.choice(["drain", "remove", "return", "return"])
+        self.world.loop.call_at(at_us, self._inject, event, node)
+
+    def _toggle_discovery(self, _node: PlatformNode) -> None:
+        self.world.registry.down = not self.world.registry.down
+        self.world.registry.notify_watches()
+
+    def _reset_revision(self, _node: PlatformNode) -> None:
+        self.world.registry.revision = max(1, self.world.registry.revision - 2)
+
+    def _answer_with_noise(self, node: PlatformNode) -> None:
+        node.responder = respond_with_noise
+
+    def _start_shutdown(self, _node: PlatformNode) -> None:
+        if not self.shutdown_deadlines_us and self.draw.random() < 0.3:
+            self.shutdown_deadlines_us.append(self.world.loop.now() + 2_000_000)
+            self.world.broker.start_shutdown(self.shutdown_deadlines_us[0])
+
+
+def abort_all(streams) -> None:
+    """Reset all of a peer's connections."""
+    for stream in list(streams):
+        stream.abort()
+
+
+def arrivals_after_disconnect(schedule: RandomSchedule) -> list[tuple[str, int]]:
+    """Return the parts that reached a node too long after their client had disconnected, and how long."""
+    return [
+        (event["p"], event["t"] - schedule.left[query])
+        for event in schedule.world.events
         if event["ev"] == "arrive"
-        and (query := event["p"].partition(".")[0]) in left
-        and event["t"] > left[query] + LEFT_US
+        and (query := event["p"].partition(".")[0]) in schedule.left
+        and event["t"] > schedule.left[query] + DISCONNECT_GRACE_US
     ]
-    assert not late, (name, seed, late)
-    # What has not left when the broker learns of a leaving node never does: stricter than the grace.
+
+
+def check_draining_nodes(events: list[dict[str, Any]], name: str, seed: int) -> None:
+    """Check that nothing is sent once the broker has the drain of a node: stricter than the drain grace."""
     leaving: dict[str, int] = {}
-    for event in world.events:
+    for event in events:
         if event["ev"] == "news":
             for node, state in event["hosts"].items():
                 if state == policy.EndpointState.LIVE:
@@ -162,8 +193,21 @@
                 else:
                     leaving.setdefault(node, event["t"])
         elif event["ev"] == "arrive":
-            assert event["t"] <= leaving.get(event["node"], event["t"]) + WAY_US, (name, seed, event)
-    # In time at the end: nothing is answered after the process said that it ends.
+            assert event["t"] <= leaving.get(event["node"], event["t"]) + TRANSIT_US, (name, seed, event)
+
+
+def play(name: str, seed: int, span_us: int = SPAN_US) -> list[dict[str, Any]]:
+    """Play one schedule and return its events. Raise AssertionError where a rule is broken."""
+    schedule = RandomSchedule(name, seed, span_us)
+    schedule.run()
+    world = schedule.world
+    ends = schedule.shutdown_deadlines_us
+    verdict = world.verdict()
+    assert verdict.kept, (name, seed, verdict)
+    late = arrivals_after_disconnect(schedule)
+    assert not late, (name, seed, late)
+    check_draining_nodes(world.events, name, seed)
+    # No reply is sent after the shutdown deadline.
     finals = [event["t"] for event in world.events if event["ev"] == "final"]
     assert not ends or max(finals) <= ends[0] + 1000 or max(finals) < ends[0] + span_us
     return world.events
@@ -171,13 +215,15 @@
 
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
-def test_drawn_crossings_break_no_rule(name, seed):
+def test_random_concurrent_events_break_no_rule(name, seed):
+    """Each query is answered, in time, and the auditor finds no breach."""
     play(name, seed)
 
 
 @pytest.mark.fleet
 @pytest.mark.parametrize("part", range(12))
-def test_many_drawn_crossings_break_no_rule(part):
+def test_many_random_schedules_break_no_rule(part):
+    """The same over 300 seeds, in twelve parts."""
     for seed in range(100 + part, 400, 12):
         for name in SETTINGS_VARIANTS:
             play(name, seed)
