--- a/tests/platform.py
+++ b/tests/platform.py
@@ -97,6 +97,19 @@
         assert errors or not self.errors, self.errors
         return result
 
+    def respond_with(self, responder: Any) -> None:
+        """Let all nodes handle received parts by ``responder``; None restores their usual responses."""
+        for node in self.nodes:
+            node.responder = responder
+
+    def query(self, *args: Any, **more: Any) -> Any:
+        """Send a query from a new client, run it to its end and return the response."""
+
+        def main() -> Any:
+            return (yield from self.client().send_query(*args, **more))
+
+        return self.run(main())
+
     def wait(self, seconds: float) -> None:
         """Let virtual time pass."""
         self.run(sleep(self.loop, int(seconds * 1e6)))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The platform's way in and out, on virtual time against the stand-ins."""
+"""Client requests and node connections of the platform's broker, on virtual time against stand-ins."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import gc
 import json
 import weakref
+from typing import Final
 
 from heathwell import policy
 from heathwell.eventloop import StreamBrokenError, sleep
@@ -16,20 +17,38 @@
 from .conftest import Driver, make_settings, of
 from .platform import UNIX_US, Platform, node_request
 
+FOUR_SHARDS: Final = [0, 1, 2, 3]
 
-def ask(world, *args, **more):
-    def main():
-        response = yield from world.client().send_query(*args, **more)
-        return response
 
-    response = world.run(main())
+def query(world, *args, **more):
+    """Send a query to its end; return its status, and its body, decoded where the status is 200."""
+    response = world.query(*args, **more)
     return response.status, json.loads(response.body) if response.status == 200 else response.body
 
 
-def test_a_query_is_answered_from_the_nodes_values():
+def start_query(world, name, client=None, **more):
+    """Start a price search over four shards and return its task."""
+    client = client or world.client()
+    return world.loop.spawn(client.send_query(name, "price-search", FOUR_SHARDS, **more), "q")
+
+
+def delay_nodes(world, delay_us):
+    """Delay what passes between the broker and the nodes."""
+    usual_delay = world.net.delay
+
+    def delay(source, target):
+        if "broker" in (source, target) and "s" in (source[0], target[0]):
+            return delay_us
+        return usual_delay(source, target)
+
+    world.net.delay = delay
+
+
+def test_a_query_is_answered_from_the_results_of_the_nodes():
+    """The parts go to replicas of their shards, with the query's text and at most its remaining time."""
     world = Platform()
-    status, body = ask(world, "q1", "price-search", [0, 1, 2, 3])
-    assert status == 200 and body["exact"] and len(body["rows"]) == 3  # any three of four make it whole
+    status, body = query(world, "q1", "price-search", FOUR_SHARDS)
+    assert status == 200 and body["exact"] and len(body["rows"]) == 3  # any three of four make it complete
     assert {row["id"]: row["data"] for row in body["rows"]} == {
         row["id"]: generate_result(row["id"], b"c41e77d0").decode() for row in body["rows"]
     }
@@ -45,9 +64,10 @@
     assert world.verdict().kept
 
 
-def test_a_second_step_goes_to_the_highest_scores_and_names_what_was_in():
+def test_a_second_step_goes_to_the_highest_scores_and_names_the_parts_of_the_first():
+    """It states from which shards the scores came, and whether that was all of them."""
     world = Platform()
-    status, body = ask(world, "q2", "day-report", [4, 5, 6, 7])
+    status, body = query(world, "q2", "day-report", [4, 5, 6, 7])
     scores = {shard: int(generate_result(shard, b"c41e77d0"), 16) % 1000 for shard in (4, 5, 6, 7)}
     best = sorted(scores, key=lambda shard: -scores[shard])[:2]
     assert status == 200 and body["exact"] and sorted(row["id"] for row in body["rows"]) == sorted(best)
@@ -60,139 +80,136 @@
     assert world.verdict().kept
 
 
-def test_a_keyed_part_carries_its_key():
+def test_a_part_of_a_keyed_class_carries_its_idempotency_key():
+    """The key reaches the node unchanged."""
     world = Platform()
-    status, _ = ask(world, "q3", "sale-record", [3], key="5c0f6e1a2b3d4c59")
+    status, _ = query(world, "q3", "sale-record", [3], key="5c0f6e1a2b3d4c59")
     assert status == 200
     (part,) = [part for node in world.nodes for part in node.parts]
     assert part.fields["k"] == "5c0f6e1a2b3d4c59" and part.id == "q3.3"
 
 
-def test_a_connection_that_breaks_does_not_eject_its_node():
+def test_a_lost_connection_does_not_eject_its_node():
+    """The parts may have run, and the node accepts connections."""
     world = Platform()
 
-    def breaks(node, stream, part):
+    def abort_once(node, stream, part):
         node.responder = None
         stream.abort()
 
-    for node in world.nodes:
-        node.responder = breaks
-    status, _ = ask(world, "q1", "price-search", [0, 1, 2, 3])
+    world.respond_with(abort_once)
+    status, _ = query(world, "q1", "price-search", FOUR_SHARDS)
     assert status == 200
-    assert (
-        world.broker.counters["attempt", "price-search", policy.Outcome.CONNECTION_LOST] >= 3
-    )  # it may have run; the node is there
+    assert world.broker.counters["attempt", "price-search", policy.Outcome.CONNECTION_LOST] >= 3
     assert not world.broker.counters["attempt", "price-search", policy.Outcome.BROKEN]
     assert all(
-        server.slow_start_from_us is None
-        and "no connection" not in [ejection.disconnect_reason for ejection in server.ejections.values()]
-        for server in world.broker.aggregator.endpoints.values()
+        endpoint.slow_start_from_us is None
+        and "no connection" not in [ejection.disconnect_reason for ejection in endpoint.ejections.values()]
+        for endpoint in world.broker.aggregator.endpoints.values()
     )
 
 
-def test_a_node_that_dies_is_told_as_lost():
+def test_a_terminated_node_breaks_its_attempts_and_is_ejected():
+    """Its connections end and new ones are rejected."""
     world = Platform()
-    victims = []
+    terminated = []
 
-    def dies(node, stream, part):
-        victims.append(node.uid)
+    def terminate(node, stream, part):
+        terminated.append(node.uid)
         node.kill()
-        for other in world.nodes:
-            other.responder = None
+        world.respond_with(None)
 
-    for node in world.nodes:
-        node.responder = dies
-    status, _ = ask(world, "q1", "price-search", [0, 1, 2, 3])
+    world.respond_with(terminate)
+    status, _ = query(world, "q1", "price-search", FOUR_SHARDS)
     assert status == 200 and world.broker.counters["attempt", "price-search", policy.Outcome.BROKEN] >= 1
-    assert world.broker.aggregator.endpoints[victims[0]].ejections
+    assert world.broker.aggregator.endpoints[terminated[0]].ejections
 
 
-def test_what_had_not_left_when_a_connection_broke_never_ran():
+def test_a_part_that_was_not_sent_is_reported_as_unreachable_not_as_broken():
+    """Unlike after a broken attempt, it is certain that the part has not run."""
     world = Platform()
     for node in world.nodes:
         node.kill()  # new connections are refused
-    status, _ = ask(world, "q1", "sale-record", [3], key="k1")
+    status, _ = query(world, "q1", "sale-record", [3], key="k1")
     assert status == 503
     assert set(world.broker.counters) & {("attempt", "sale-record", policy.Outcome.UNREACHABLE)}
     assert not world.broker.counters["attempt", "sale-record", policy.Outcome.BROKEN]
 
 
-def test_a_node_that_closes_after_each_answer_gets_one_part_a_connection():
+def send_pairs(world, count):
+    """Send two queries at a time, ``count`` times."""
+    for number in range(count):
+        first = start_query(world, f"a{number}")
+        second = start_query(world, f"b{number}")
+        yield from first.join()
+        yield from second.join()
+
+
+def send_together(world, count):
+    """Send ``count`` queries at the same time and wait for their ends."""
+    tasks = [start_query(world, f"c{number}") for number in range(count)]
+    for task in tasks:
+        yield from task.join()
+
+
+def test_a_node_that_closes_after_each_response_gets_one_part_per_connection():
+    """Until it keeps its connections open again."""
     world = Platform()
 
-    def closes(node, stream, part):
+    def respond_and_close(node, stream, part):
         node.log_end(part)
         stream.write(encode_answer(part))
         stream.close()
 
-    for node in world.nodes:
-        node.responder = closes
-
-    def main():
-        for n in range(30):
-            client = world.client()
-            first = world.loop.spawn(client.send_query(f"a{n}", "price-search", [0, 1, 2, 3]), "a")
-            second = world.loop.spawn(world.client().send_query(f"b{n}", "price-search", [0, 1, 2, 3]), "b")
-            yield from first.join()
-            yield from second.join()
-
-    world.run(main())
+    world.respond_with(respond_and_close)
+    world.run(send_pairs(world, 30))
     links = [link for link in world.broker.links.values() if link.connects > SINGLE_PART_AFTER_CLOSES]
     assert links and all(link.is_single_part for link in links)
     before = sum(link.breaks for link in links)
+    world.run(send_together(world, 12))
+    assert sum(link.breaks for link in links) == before  # no close broke the attempt of another part
 
-    def more():
-        tasks = [
-            world.loop.spawn(world.client().send_query(f"c{n}", "price-search", [0, 1, 2, 3]), "c")
-            for n in range(12)
-        ]
-        for task in tasks:
-            yield from task.join()
-
-    world.run(more())
-    assert sum(link.breaks for link in links) == before  # no answer's close took another part with it
-
-    def keeps():
-        for node in world.nodes:
-            node.responder = None
-        for n in range(8):
-            yield from world.client().send_query(f"d{n}", "price-search", [0, 1, 2, 3])
+    def send_to_open_connections():
+        world.respond_with(None)
+        for number in range(8):
+            yield from world.client().send_query(f"d{number}", "price-search", FOUR_SHARDS)
             yield from sleep(world.loop, 100_000)
 
-    world.run(keeps())
+    world.run(send_to_open_connections())
     assert not any(link.is_single_part for link in links if link.up)
 
 
-def test_an_answer_to_what_was_given_up_is_not_taken_for_a_later_attempt():
+def test_a_response_to_a_cancelled_attempt_is_not_taken_for_that_of_a_later_one():
+    """Attempts of the same part use different connections, as the wire states the part alone."""
     world = Platform()
-    link_of = world.broker._link
     world.wait(0.1)
     node = world.nodes[3]
     ended = []
-    link = link_of("s3")
+    link = world.broker._link("s3")
     world.broker.on_attempt_result = lambda node, key, outcome, result: ended.append((key, outcome))
-    late = []
-    node.responder = lambda node, stream, part: late.append((stream, part))
+    held = []
+    node.responder = lambda node, stream, part: held.append((stream, part))
     link.send([node_request("q1.3", 0, 3, b"x")])
     world.wait(0.05)
     assert link.abandon(("q1.3", 0))
     link.send([node_request("q1.3", 1, 3, b"x")])
     world.wait(0.05)
-    assert len(late) == 2 and late[0][0] is not late[1][0]  # another connection: an id goes over one once
-    stream, part = late[0]
-    stream.write(encode_answer(part, 503))  # of the first, which was given up
+    assert len(held) == 2 and held[0][0] is not held[1][0]
+    stream, part = held[0]
+    stream.write(encode_answer(part, 503))  # to the cancelled attempt
     world.wait(0.01)
     assert not ended and link.late_answers == 1
-    stream, part = late[1]
+    stream, part = held[1]
     stream.write(encode_answer(part))
     world.wait(0.01)
     assert ended == [(("q1.3", 1), policy.Outcome.OK)]
     assert node.cancelled_ids == ["q1.3"]
 
 
-def test_a_silent_connection_is_not_trusted_with_a_probe():
+def test_a_probe_uses_a_new_connection_after_a_silent_one():
+    """A probe that timed out on the old connection is no evidence against the node."""
     world = Platform()
-    ask(world, "q1", "price-search", [0, 1, 2, 3])
+    query(world, "q1", "price-search", FOUR_SHARDS)
     uid, link = next((uid, link) for uid, link in world.broker.links.items() if link.up)
     node = next(node for node in world.nodes if node.uid == uid)
     world.net.cut(uid, "broker")
@@ -201,52 +218,52 @@
     assert world.broker.counters["probe", policy.Outcome.TIMED_OUT] == 1
     world.net.heal(uid, "broker")
     node.silent = False
-    held = list(node.streams)
+    old_streams = list(node.streams)
     link.probe()
     world.wait(0.2)
     assert world.broker.counters["probe", policy.Outcome.OK] == 1
-    assert any(stream not in held for stream in node.streams)
+    assert any(stream not in old_streams for stream in node.streams)
 
 
-def test_a_connection_that_falls_silent_is_told_from_its_node():
+def test_a_connection_that_becomes_silent_does_not_count_against_its_node():
+    """Queries are served over new connections, and no node is put in slow start."""
     world = Platform()
-    ask(world, "q0", "price-search", list(range(12)))
-    dead = {stream for node in world.nodes for stream in node.streams}
+    query(world, "q0", "price-search", list(range(12)))
+    silent_streams = {stream for node in world.nodes for stream in node.streams}
 
-    def mute(node, stream, part):
-        if stream not in dead:
+    def respond_on_new_connections(node, stream, part):
+        if stream not in silent_streams:
             node.log_end(part)
             stream.write(encode_answer(part))
 
-    for node in world.nodes:
-        node.responder = mute
+    world.respond_with(respond_on_new_connections)
 
     def main():
         statuses = []
-        for n in range(60):
-            response = yield from world.client().send_query(f"q{n + 1}", "price-search", [0, 1, 2, 3])
+        for number in range(60):
+            response = yield from world.client().send_query(f"q{number + 1}", "price-search", FOUR_SHARDS)
             statuses.append(response.status)
             yield from sleep(world.loop, 20_000)
         return statuses
 
     statuses = world.run(main())
-    module = world.broker.aggregator
+    aggregator = world.broker.aggregator
     assert statuses.count(200) >= 58 and statuses[20:] == [200] * 40
-    assert all(module.slow_start_fraction(server) == 1.0 for server in module.endpoints.values())
+    assert all(aggregator.slow_start_fraction(endpoint) == 1.0 for endpoint in aggregator.endpoints.values())
     assert world.broker.counters["attempt", "price-search", policy.Outcome.TIMED_OUT] >= 1
     assert not world.broker.counters["probe", policy.Outcome.TIMED_OUT]
     assert world.verdict().kept
 
 
-def test_nothing_leaves_for_a_query_that_has_its_answer_while_it_waits_for_its_connection():
+def test_no_part_is_sent_for_a_query_that_is_answered_while_its_parts_wait_for_a_connection():
+    """All connects take longer than the query's timeout."""
     world = Platform()
     for node in world.nodes:
         node.silent = True
-    slow = world.net.delay
-    world.net.delay = lambda a, b: 60_000 if "broker" in (a, b) and "s" in (a[0], b[0]) else slow(a, b)
+    delay_nodes(world, 60_000)
 
     def main():
-        response = yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3], timeout_ms=120)
+        response = yield from world.client().send_query("q1", "price-search", FOUR_SHARDS, timeout_ms=120)
         yield from sleep(world.loop, 1_000_000)
         return response.status
 
@@ -254,58 +271,60 @@
     assert not any(node.parts for node in world.nodes)
     assert world.broker.counters["attempt", "price-search", policy.Outcome.NEVER_SENT] >= 3
     assert not world.broker.parts and not any(
-        server.in_flight for server in world.broker.aggregator.endpoints.values()
+        endpoint.in_flight for endpoint in world.broker.aggregator.endpoints.values()
     )
 
 
-def test_a_stall_of_the_loop_past_the_deadline_lets_the_module_answer_first():
+def test_after_a_stall_past_the_deadline_the_module_rejects_the_query_before_the_driver_ends_it():
+    """The driver's own end of an overdue query is logged and must not occur."""
     world = Platform()
     for node in world.nodes:
         node.silent = True
 
     def main():
-        task = world.loop.spawn(
-            world.client().send_query("q1", "price-search", [0, 1, 2, 3], timeout_ms=300), "q"
-        )
+        task = start_query(world, "q1", timeout_ms=300)
         yield from sleep(world.loop, 200_000)
-        world.loop.clock.advance(world.loop.now() + 300_000)  # nothing ran for so long
+        world.loop.clock.advance(world.loop.now() + 300_000)  # the stall
         return (yield from task.join())
 
     response = world.run(main())
-    assert response.status == 503  # the module's refusal, not the driver's own end
+    assert response.status == 503  # the module's rejection, not the driver's end
     assert not any("overdue" in line for line in world.lines)
 
 
-def test_starts_of_nodes_are_moved_to_the_brokers_clock():
+def test_start_times_of_nodes_are_converted_to_the_clock_of_the_broker():
+    """Discovery states them as Unix time."""
     world = Platform()
     assert world.registry is not None
-    began = world.loop.now()
+    began_us = world.loop.now()
     world.registry.publish({**world.nodes[2].entry, "boot_ms": UNIX_US // 1000 + 5000})
     world.wait(0.5)
-    assert world.broker.aggregator.endpoints["s2"].started_at_us == began + 5_000_000
+    assert world.broker.aggregator.endpoints["s2"].started_at_us == began_us + 5_000_000
     assert world.broker.aggregator.endpoints["s1"].started_at_us is None
 
 
-def test_a_last_try_with_all_the_time_left_does_not_make_first_tries_look_cut():
-    d = Driver(make_settings())
+def test_a_last_attempt_with_more_time_does_not_make_first_attempts_look_like_retries():
+    """The objective of a retry counts from its client's first attempt."""
+    driver = Driver(make_settings())
     for _ in range(20):
-        (send,) = of(d.query(0, [0], limit=1_500_000), policy.Send)
-        d.end(send)
-    d.query(0, [0], limit=1_990_000)  # a client's last try may have more time than its first
-    query = d.agg.queries[f"q{d.jobs + 1 - 1}"]
-    assert query.objective_at_us == d.now + 1_000_000
-    d.query(0, [1], limit=1_500_000)
-    assert d.agg.queries[f"q{d.jobs}"].objective_at_us == d.now + 1_000_000
-    d.query(0, [2], limit=700_000)  # a retry that is cut short still tells when its client first asked
-    assert d.agg.queries[f"q{d.jobs}"].objective_at_us == d.now - 300_000
-
-
-def test_a_client_that_closes_has_left():
+        (send,) = of(driver.query(0, [0], limit=1_500_000), policy.Send)
+        driver.end(send)
+    driver.query(0, [0], limit=1_990_000)  # a client's last attempt may have more time than its first
+    arrived = driver.agg.queries[f"q{driver.jobs + 1 - 1}"]
+    assert arrived.objective_at_us == driver.now + 1_000_000
+    driver.query(0, [1], limit=1_500_000)
+    assert driver.agg.queries[f"q{driver.jobs}"].objective_at_us == driver.now + 1_000_000
+    driver.query(0, [2], limit=700_000)  # a retry with less time: its client sent the query before
+    assert driver.agg.queries[f"q{driver.jobs}"].objective_at_us == driver.now - 300_000
+
+
+def test_the_query_of_a_client_that_disconnects_is_abandoned():
+    """It is counted, and its place in the table is free again."""
     world = Platform()
 
     def main():
         client = world.client()
-        task = world.loop.spawn(client.send_query("q1", "price-search", [0, 1, 2, 3]), "q")
+        task = start_query(world, "q1", client)
         yield from sleep(world.loop, 10_000)
         client.stream.close()
         with contextlib.suppress(StreamBrokenError):
@@ -316,48 +335,53 @@
     assert world.broker.counters["left", "price-search"] == 1 and not world.broker.queries
 
 
-def test_what_is_kept_stands_still_while_thousands_of_nodes_and_clients_come_and_go():
+def table_sizes(world):
+    """Return the sizes of all tables of broker, module, front and loop."""
+    broker = world.broker
+    aggregator = broker.aggregator
+    tables = (
+        aggregator.endpoints,
+        aggregator.context._topics,
+        aggregator.context.timers,
+        aggregator.attempts_in_flight,
+        broker.links,
+        broker.addresses,
+        broker.queries,
+        broker.parts,
+        broker._sent_at_us,
+        broker.counters,
+        world.front.clients,
+        world.loop.tasks,
+        world.loop._timers,
+    )
+    return [len(table) for table in tables]
+
+
+def test_tables_do_not_grow_while_thousands_of_nodes_and_clients_are_replaced():
+    """Each of 2,000 rounds replaces a node and has a new client."""
     world = Platform()
     assert world.registry is not None
     sizes = []
 
     def main():
         nodes = list(world.nodes)
-        for n in range(2000):
-            old, cell = nodes[n % 6], n % 6
+        for number in range(2000):
+            replica_group = number % 6
+            old = nodes[replica_group]
             world.registry.publish({**old.entry, "state": "removed"})
-            nodes[cell] = world.node(1000 + n, cell)
-            world.registry.publish({**nodes[cell].entry, "boot_ms": 1 + n})
+            nodes[replica_group] = world.node(1000 + number, replica_group)
+            world.registry.publish({**nodes[replica_group].entry, "boot_ms": 1 + number})
             yield from sleep(world.loop, 100_000)
             old.kill()
-            client = world.client(f"c{n}")
-            response = yield from client.send_query(f"q{n}", "price-search", [(n + k) % 12 for k in range(4)])
+            client = world.client(f"c{number}")
+            shards = [(number + offset) % 12 for offset in range(4)]
+            response = yield from client.send_query(f"q{number}", "price-search", shards)
             assert response.status in (200, 503)
             client.stream.close()
             world.events.clear()
             world.lines.clear()
-            if n in (500, 1999):
-                broker, module = world.broker, world.broker.aggregator
-                sizes.append(
-                    [
-                        len(kept)
-                        for kept in (
-                            module.endpoints,
-                            module.context._topics,
-                            module.context.timers,
-                            module.attempts_in_flight,
-                            broker.links,
-                            broker.addresses,
-                            broker.queries,
-                            broker.parts,
-                            broker._sent_at_us,
-                            broker.counters,
-                            world.front.clients,
-                            world.loop.tasks,
-                            world.loop._timers,
-                        )
-                    ]
-                )
+            if number in (500, 1999):
+                sizes.append(table_sizes(world))
 
     world.run(main())
     early, late = sizes
@@ -365,65 +389,65 @@
     assert late[0] < 120 and late[4] < 30
 
 
-def test_a_server_that_left_is_forgotten_only_once_it_would_be_warm(drive):
-    d = drive()
-    d.step(
-        0,
-        policy.EndpointUpdate(
-            policy.UpdateKind.INCREMENTAL, (policy.EndpointEntry("s1", 1, policy.EndpointState.GONE),)
-        ),
-    )
-    d.step(5_000_000, policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL, ()))
-    assert "s1" in d.agg.endpoints and not d.agg.endpoints["s1"].live
-    d.step(16_000_000, policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL, ()))
-    assert "s1" not in d.agg.endpoints
-    d.step(
-        0,
-        policy.EndpointUpdate(
-            policy.UpdateKind.INCREMENTAL, (policy.EndpointEntry("s1", 1, started_at_us=d.now),)
-        ),
-    )
-    assert d.agg.slow_start_fraction(d.agg.endpoints["s1"]) < 1.0
+def incremental_update(*entries):
+    """Return a watch event with these changes."""
+    return policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL, entries)
 
 
-def test_parts_lost_with_their_connections_shed_nothing_and_eject_nobody(drive):
-    d = drive()
+def test_a_removed_endpoint_is_forgotten_only_after_the_time_of_a_slow_start(drive):
+    """When it returns after that, it is in slow start again."""
+    driver = drive()
+    driver.step(0, incremental_update(policy.EndpointEntry("s1", 1, policy.EndpointState.GONE)))
+    driver.step(5_000_000, incremental_update())
+    assert "s1" in driver.agg.endpoints and not driver.agg.endpoints["s1"].live
+    driver.step(16_000_000, incremental_update())
+    assert "s1" not in driver.agg.endpoints
+    driver.step(0, incremental_update(policy.EndpointEntry("s1", 1, started_at_us=driver.now)))
+    assert driver.agg.slow_start_fraction(driver.agg.endpoints["s1"]) < 1.0
+
+
+def test_lost_connections_neither_shed_queries_nor_eject_endpoints(drive):
+    """Each lost part is retried once at another replica, outside of the retry budget."""
+    driver = drive()
     first = None
     for _ in range(40):
-        for send in of(d.query(0, [0, 1, 2, 3]), policy.Send):
+        for send in of(driver.query(0, FOUR_SHARDS), policy.Send):
             first = first or send
-            again = of(d.end(send, policy.Outcome.CONNECTION_LOST, after=1000, took=10_000), policy.Send)
-            assert (
-                len(again) == 1 and again[0].node != send.node
-            )  # outside of the own budget, at another holder
-            d.end(again[0], after=1000, seq=1)
-    assert not any(server.ejections or server.penalty.value for server in d.agg.endpoints.values())
-    assert d.agg.retry_budget.bucket.tokens >= 1
-
-
-def test_a_keyed_part_that_was_lost_is_sent_again_within_its_window_only(drive):
-    d = drive()
-    (send,) = of(d.query(3, [0]), policy.Send)
-    assert of(d.end(send, policy.Outcome.CONNECTION_LOST, after=100_000), policy.Send)
-    (send,) = of(d.query(3, [0]), policy.Send)
-    assert not of(d.end(send, policy.Outcome.CONNECTION_LOST, after=750_000), policy.Send)
-    (send,) = of(d.query(4, [0]), policy.Send)
-    assert not of(
-        d.end(send, policy.Outcome.CONNECTION_LOST, after=1000), policy.Send
-    )  # an unsafe one may have run
-
-
-def test_connections_of_both_sides_go_without_the_collector():
-    world, seen = Platform(), []
+            retries = of(
+                driver.end(send, policy.Outcome.CONNECTION_LOST, after=1000, took=10_000), policy.Send
+            )
+            assert len(retries) == 1 and retries[0].node != send.node
+            driver.end(retries[0], after=1000, seq=1)
+    assert not any(endpoint.ejections or endpoint.penalty.value for endpoint in driver.agg.endpoints.values())
+    assert driver.agg.retry_budget.bucket.tokens >= 1
+
+
+def test_a_lost_keyed_part_is_retried_within_its_idempotency_window_only(drive):
+    """A lost non-idempotent part is never retried, as it may have run."""
+    driver = drive()
+    (send,) = of(driver.query(3, [0]), policy.Send)
+    assert of(driver.end(send, policy.Outcome.CONNECTION_LOST, after=100_000), policy.Send)
+    (send,) = of(driver.query(3, [0]), policy.Send)
+    assert not of(driver.end(send, policy.Outcome.CONNECTION_LOST, after=750_000), policy.Send)
+    (send,) = of(driver.query(4, [0]), policy.Send)
+    assert not of(driver.end(send, policy.Outcome.CONNECTION_LOST, after=1000), policy.Send)
+
+
+def test_closed_connections_of_clients_and_nodes_are_freed_without_the_garbage_collector():
+    """They are in no reference cycle."""
+    world = Platform()
+    seen = []
 
     def main():
-        for n in range(20):
-            client = world.client(f"c{n}")
-            yield from client.send_query(f"q{n}", "price-search", [0, 1, 2, 3])
-            connections = [c for link in world.broker.links.values() for c in link.connections]
-            seen.extend(weakref.ref(thing) for thing in (*connections, *world.front.clients))
+        for number in range(20):
+            client = world.client(f"c{number}")
+            yield from client.send_query(f"q{number}", "price-search", FOUR_SHARDS)
+            connections = [
+                connection for link in world.broker.links.values() for connection in link.connections
+            ]
+            seen.extend(weakref.ref(connection) for connection in (*connections, *world.front.clients))
             client.stream.close()
-            for node in world.nodes:  # each query meets new connections
+            for node in world.nodes:  # so that each query uses new connections
                 for stream in list(node.streams):
                     stream.abort()
             yield from sleep(world.loop, 20_000)
@@ -437,9 +461,10 @@
     assert len(seen) >= 60 and not alive
 
 
-def test_the_trace_prints_beliefs_state_and_changed_counters_once_a_second(capsys):
+def test_the_trace_prints_endpoint_states_table_sizes_and_changed_counters_once_a_second(capsys):
+    """A counter that has not changed is left out."""
     world = Platform()
-    ask(world, "q1", "price-search", [0, 1, 2, 3])
+    query(world, "q1", "price-search", FOUR_SHARDS)
     Trace(world.broker, world.front)
     world.wait(1.0)
     lines = capsys.readouterr().err.splitlines()
@@ -452,9 +477,10 @@
     assert " connects=" not in lines[1] and " lag_us=0 " in lines[1]
 
 
-def test_a_link_counts_by_the_names_that_the_trace_prints():
+def test_the_statistics_of_a_link_have_the_names_that_the_trace_prints():
+    """The printed names are an interface and stay."""
     world = Platform()
-    ask(world, "q1", "price-search", [0, 1, 2, 3])
+    query(world, "q1", "price-search", FOUR_SHARDS)
     link = next(link for link in world.broker.links.values() if link.up)
     link.late_answers = 3
     assert link.statistics() == {"connects": 1, "breaks": 0, "late": 3, "spoilt": 0, "ended_soon": 0}
