--- a/tests/test_gateway_faults.py
+++ b/tests/test_gateway_faults.py
@@ -1,5 +1,5 @@
-"""Hard cases of nodes and discovery through the whole gateway, and a bad day that the auditor judges; virtual
-time.
+"""Faults of nodes and discovery through the whole gateway, single and at random, on virtual time; the auditor
+checks the rules.
 """
 
 from __future__ import annotations
@@ -7,6 +7,7 @@
 import contextlib
 import json
 import random
+from typing import Final
 
 import pytest
 from hypothesis import given
@@ -22,19 +23,22 @@
 
 from .platform import Platform, node_request
 
+FOUR_SHARDS: Final = [0, 1, 2, 3]
 
-def spoils(data):
-    """A node that answers like this once, and well from then on."""
 
-    def behave(node, stream, part):
+def respond_once_with(data):
+    """Return a responder that sends ``data`` for one part, after which its node responds as usual."""
+
+    def respond(node, stream, part):
         node.responder = None
         stream.write(data(part) if callable(data) else data)
 
-    return behave
+    return respond
 
 
-def sound(part, **more):
-    return encode_answer(part, **more)
+def start_query(world, name, query_class="price-search", shards=FOUR_SHARDS, **more):
+    """Start a query from a new client and return its task."""
+    return world.loop.spawn(world.client().send_query(name, query_class, shards, **more), "q")
 
 
 @pytest.mark.parametrize(
@@ -50,15 +54,11 @@
         lambda part: b"\0\0\0\0",
     ],
 )
-def test_a_spoilt_answer_is_a_failed_attempt_and_the_client_is_served_elsewhere(data):
+def test_a_malformed_response_is_a_failed_attempt_and_its_part_is_retried(data):
+    """The reply is complete, and no node counts as unreachable."""
     world = Platform()
-    for node in world.nodes:
-        node.responder = spoils(data)
-
-    def main():
-        return (yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3]))
-
-    response = world.run(main())
+    world.respond_with(respond_once_with(data))
+    response = world.query("q1", "price-search", FOUR_SHARDS)
     rows = json.loads(response.body)["rows"]
     assert response.status == 200
     assert all(row["data"].encode() == generate_result(row["id"], b"c41e77d0") for row in rows)
@@ -67,65 +67,66 @@
     assert sum(link.invalid_answers for link in world.broker.links.values()) >= 3
 
 
-@pytest.mark.parametrize("behind", [b"\xde\xad", b"noise that is longer than a length", None])
-def test_what_rides_behind_a_good_answer_costs_it_nothing(behind):
+@pytest.mark.parametrize("trailing", [b"\xde\xad", b"noise that is longer than a length", None])
+def test_bytes_after_a_valid_response_do_not_fail_its_attempt(trailing):
+    """Noise, or the same response again."""
     world = Platform()
 
-    def rides(node, stream, part):
-        stream.write(encode_answer(part) + (encode_answer(part) if behind is None else behind))
+    def respond(node, stream, part):
+        stream.write(encode_answer(part) + (encode_answer(part) if trailing is None else trailing))
 
-    for node in world.nodes:
-        node.responder = rides
+    world.respond_with(respond)
 
     def main():
-        for n in range(6):
-            response = yield from world.client().send_query(f"q{n}", "price-search", [0, 1, 2, 3])
+        for number in range(6):
+            response = yield from world.client().send_query(f"q{number}", "price-search", FOUR_SHARDS)
             assert response.status == 200
             yield from sleep(world.loop, 50_000)
 
     world.run(main())
     assert set(key[2] for key in world.broker.counters if key[0] == "attempt") == {policy.Outcome.OK}
-    assert not any(server.ejections for server in world.broker.aggregator.endpoints.values())
+    assert not any(endpoint.ejections for endpoint in world.broker.aggregator.endpoints.values())
 
 
-def test_an_answer_in_single_bytes_is_whole_and_one_that_stops_short_is_replaced():
+def test_a_response_may_arrive_in_single_bytes_and_an_incomplete_one_is_retried():
+    """Of two neighbouring replicas one sends incomplete responses."""
     world = Platform()
 
-    def drips(node, stream, part):
-        def run():
+    def respond_in_single_bytes(node, stream, part):
+        def write():
             for byte in encode_answer(part):
                 stream.write(bytes([byte]))
                 yield from sleep(world.loop, 500)
 
-        world.loop.spawn(run(), "drips")
-
-    for node in world.nodes:
-        node.responder = drips
+        world.loop.spawn(write(), "drips")
 
-    def main(name):
-        return (yield from world.client().send_query(name, "price-search", [0, 1, 2, 3]))
+    def send_price_search(name):
+        return (yield from world.client().send_query(name, "price-search", FOUR_SHARDS))
 
-    assert world.run(main("q1")).status == 200
-    for node in world.nodes:
-        node.responder = lambda node, stream, part: stream.write(encode_answer(part)[:9])
-    world.nodes[1].responder = world.nodes[3].responder = world.nodes[5].responder = None
-    assert world.run(main("q2")).status == 200
+    world.respond_with(respond_in_single_bytes)
+    assert world.run(send_price_search("q1")).status == 200
+    world.respond_with(lambda node, stream, part: stream.write(encode_answer(part)[:9]))
+    for index in (1, 3, 5):
+        world.nodes[index].responder = None
+    assert world.run(send_price_search("q2")).status == 200
 
 
-def test_what_was_not_written_whole_never_ran_and_the_rest_may_have():
+def test_after_a_reset_parts_not_written_completely_are_unreachable_and_others_lost():
+    """An unreachable part has not run; a lost one may have."""
     world = Platform()
-    node, ended = world.nodes[3], {}
+    node = world.nodes[3]
+    ended = {}
     world.broker.on_attempt_result = lambda node, key, outcome, result: ended.update({key[0]: outcome})
     link = world.broker._link("s3")
-    world.net.cut("broker", "s3")  # opens once healed; what is written then fills the way
+    world.net.cut("broker", "s3")  # connects once healed; what is written after the next cut fills the link
 
     def main():
         world.net.heal("broker", "s3")
         link.send([node_request("q.1", 0, 3, b"x")])
         yield from sleep(world.loop, 50_000)
-        world.net.cut("broker", "s3")  # the carrier takes a window's worth and no more
-        for n in range(2, 16):
-            link.send([node_request(f"q.{n}", 0, 3, b"x" * 32_000)])
+        world.net.cut("broker", "s3")  # the network accepts one window and no more
+        for number in range(2, 16):
+            link.send([node_request(f"q.{number}", 0, 3, b"x" * 32_000)])
         yield from sleep(world.loop, 1_000)
         for stream in list(node.streams):
             stream.abort()
@@ -137,33 +138,40 @@
     assert set(ended.values()) >= {policy.Outcome.UNREACHABLE} and len(ended) == 15
 
 
-def test_a_drain_told_while_a_send_waits_for_its_connection_keeps_the_grace():
+def test_a_drain_announced_while_a_part_waits_for_its_connection_keeps_the_grace():
+    """Nothing new is sent to the draining nodes after it."""
     world = Platform()
-    slow, world.minimum_transit_us = world.net.delay, 80_000
-    world.net.delay = lambda a, b: 80_000 if "broker" in (a, b) and "s" in (a[0], b[0]) else slow(a, b)
+    usual_delay = world.net.delay
+    world.minimum_transit_us = 80_000
+
+    def delay(source, target):
+        if "broker" in (source, target) and "s" in (source[0], target[0]):
+            return 80_000
+        return usual_delay(source, target)
+
+    world.net.delay = delay
     assert world.registry is not None
 
     def main():
-        task = world.loop.spawn(
-            world.client().send_query("q1", "day-report", [0, 1, 2, 3], timeout_ms=900), "q"
-        )
+        task = start_query(world, "q1", "day-report", timeout_ms=900)
         yield from sleep(world.loop, 30_000)
         for node in world.nodes[:3]:
             node.draining = True
             world.registry.publish(node.entry)
         yield from task.join()
         yield from sleep(world.loop, 2_000_000)
-        told = {node.uid: len(node.parts) for node in world.nodes[:3]}
-        for n in range(6):
-            yield from world.client().send_query(f"r{n}", "price-search", [0, 1, 2, 3])
-        return told
+        part_counts = {node.uid: len(node.parts) for node in world.nodes[:3]}
+        for number in range(6):
+            yield from world.client().send_query(f"r{number}", "price-search", FOUR_SHARDS)
+        return part_counts
 
-    told = world.run(main())
-    assert told == {node.uid: len(node.parts) for node in world.nodes[:3]}  # nothing new after the word
+    part_counts = world.run(main())
+    assert part_counts == {node.uid: len(node.parts) for node in world.nodes[:3]}
     assert world.verdict().kept
 
 
-def test_a_cold_node_is_fed_slowly():
+def test_a_restarted_node_receives_fewer_parts_during_its_slow_start():
+    """Less than two thirds of the average of the others."""
     world = Platform()
     assert world.registry is not None
     world.wait(0.2)
@@ -172,31 +180,28 @@
 
     def main():
         tasks = []
-        for n in range(120):
-            shards = [(n + k) % 12 for k in range(4)]
-            tasks.append(
-                world.loop.spawn(
-                    world.client().send_query(f"q{n}", "price-search", shards, work_hint_us=40_000), "q"
-                )
-            )
+        for number in range(120):
+            shards = [(number + offset) % 12 for offset in range(4)]
+            tasks.append(start_query(world, f"q{number}", shards=shards, work_hint_us=40_000))
             yield from sleep(world.loop, 10_000)
         for task in tasks:
             yield from task.join()
 
     world.run(main())
-    cold, *warm = (len(node.parts) for node in world.nodes)
-    assert 0 < cold < sum(warm) / len(warm) / 1.5 and world.verdict().kept
+    restarted, *others = (len(node.parts) for node in world.nodes)
+    assert 0 < restarted < sum(others) / len(others) / 1.5 and world.verdict().kept
 
 
-def test_discovery_may_be_down_at_the_start_stale_later_and_silent():
+def test_queries_are_served_while_discovery_is_down_and_its_changes_apply_once_it_recovers():
+    """Down at the start, then recovered, then silent."""
     world = Platform()
     registry = world.registry
     assert registry is not None
     registry.down = True
 
     def main():
-        response = yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])
-        assert response.status == 200  # from the list as it was last known
+        response = yield from world.client().send_query("q1", "price-search", FOUR_SHARDS)
+        assert response.status == 200  # by the configured list
         yield from sleep(world.loop, 1_000_000)
         assert world.broker.counters["news", policy.UpdateKind.FAILED] >= 1
         registry.down = False
@@ -208,9 +213,8 @@
         failures = world.broker.watch.failures
         registry.silent = True
         yield from sleep(world.loop, world.config.hold_us + 3_500_000)
-        assert (
-            world.broker.watch.failures > failures
-        )  # within a hold and a call's time, and that of one opened anew
+        # Within a hold time and the time of a call, and that of the reopened one.
+        assert world.broker.watch.failures > failures
         registry.silent = False
         world.nodes[2].draining = True
         registry.publish(world.nodes[2].entry)
@@ -220,7 +224,8 @@
     assert not world.broker.aggregator.endpoints["s2"].live
 
 
-def test_a_watch_goes_on_from_the_version_it_had_and_takes_changes_only():
+def test_a_watch_continues_from_its_revision_and_receives_changes_only():
+    """The configuration has a complete list."""
     world = Platform()
     registry = world.registry
     assert registry is not None
@@ -229,39 +234,32 @@
     world.wait(2.0)
     holds = [call.partition("&hold_ms=") for call in registry.queries]
     assert [start for start, _, _ in holds] == ["from=1", "from=2"]
-    # Held as long as an ask may be late, less a draw that keeps brokers apart.
+    # Held as long as a poll may be late, less a random part that keeps brokers apart.
     assert all(7_500 <= int(hold) <= 10_000 for _, _, hold in holds) and holds[0] != holds[1]
-    assert not world.broker.counters[
-        "news", policy.UpdateKind.FULL
-    ]  # the configuration's list was whole already
+    assert not world.broker.counters["news", policy.UpdateKind.FULL]
     assert not world.broker.aggregator.endpoints["s4"].live and world.broker.aggregator.endpoints["s3"].live
 
 
 @pytest.mark.parametrize("after", [0.2, 1.6, 2.9, 4.3, 6.0, 7.3])
-def test_what_a_silent_watch_misses_is_known_before_it_counts_as_told(after):
-    """Six seconds after it fell silent, or two after its wait (join+mass, seed 3: 36 sends to nodes whose
-    drain counted as told).
-    """
+def test_a_drain_that_a_silent_watch_missed_is_applied_before_it_counts_as_announced(after):
+    """That is six seconds after the silence began, or two after the hold time."""
     world = Platform()
     registry = world.registry
     assert registry is not None
     world.wait(after)
     wait_us = int(registry.queries[-1].partition("hold_ms=")[2]) * 1_000
-    told_us = max(world.loop.now() + 6_000_000, registry.last_request_at_us + wait_us + 2_000_000)
+    announced_at_us = max(world.loop.now() + 6_000_000, registry.last_request_at_us + wait_us + 2_000_000)
     registry.mute_connections()
     registry.publish({**world.nodes[4].entry, "state": "draining"})
-    world.wait(
-        (told_us - world.loop.now()) / 1e6 - 0.5
-    )  # half a second is left to a busy discovery, and the grace
+    # Half a second is left for a busy discovery, and the grace.
+    world.wait((announced_at_us - world.loop.now()) / 1e6 - 0.5)
     assert not world.broker.aggregator.endpoints["s4"].live
-    assert (
-        world.broker.watch.failures == 0
-    )  # it was opened anew at once, so the module had no failure to wait after
+    assert world.broker.watch.failures == 0  # reopened at once: the module has no failure to back off from
 
 
-def test_after_a_failed_call_only_what_has_changed_is_asked_for():
-    """A line is work for discovery, which serves all brokers in turn: full lists asked for anew by each that
-    failed kept it from serving any (herd+mass: no list came through after second 5).
+def test_after_a_failed_call_only_changes_are_requested():
+    """Each entry costs discovery time and it serves the brokers in turn: complete lists for all whose call
+    failed would keep it from serving any.
     """
     world = Platform()
     registry = world.registry
@@ -277,7 +275,8 @@
     assert "" not in registry.queries and not world.broker.aggregator.endpoints["s4"].live
 
 
-def test_where_no_list_is_held_or_discovery_has_moved_the_whole_one_is_asked_for():
+def test_the_complete_list_is_requested_without_a_list_and_after_a_move_of_discovery():
+    """Otherwise changes since a revision are."""
     world = Platform(known=False)
     assert world.registry is not None
     world.wait(0.5)
@@ -287,13 +286,14 @@
     assert world.registry.queries.count("") == 2
 
 
-def test_changes_of_an_older_list_lead_to_a_whole_one():
+def test_changes_of_an_older_revision_lead_to_a_request_of_the_complete_list():
+    """Discovery has lost revisions."""
     world = Platform()
     registry = world.registry
     assert registry is not None
     registry.revision = 50
     world.wait(0.5)
-    registry.revision = 7  # discovery came back with what it had before
+    registry.revision = 7  # discovery recovered with an older list
     registry.entries = {
         uid: PublishedEntry(7, published.entry) for uid, published in registry.entries.items()
     }
@@ -302,65 +302,119 @@
     assert registry.queries.count("") == 1 and world.broker.watch.rev == 7
 
 
-def test_a_node_that_moves_is_met_at_its_new_address():
+def test_a_node_that_moves_is_reached_at_its_new_address():
+    """It stays the same endpoint."""
     world = Platform()
     assert world.registry is not None
 
-    def main(name):
+    def send_sale_record(name):
         return (yield from world.client().send_query(name, "sale-record", [3], key="k"))
 
-    assert world.run(main("q1")).status == 200
+    assert world.run(send_sale_record("q1")).status == 200
     for number, old in enumerate(list(world.nodes)):
         moved = world.nodes[number] = world.node(100 + number, number)
         world.registry.publish({**moved.entry, "uid": old.uid})
         old.kill()
     world.wait(0.3)
-    assert world.run(main("q2")).status == 200
+    assert world.run(send_sale_record("q2")).status == 200
     assert any(node.parts for node in world.nodes) and len(world.broker.aggregator.endpoints) == 6
 
 
 @given(st.data())
-def test_a_request_cut_anywhere_is_the_same_request(data):
+def test_a_request_is_parsed_the_same_however_it_is_split(data):
+    """The parser is incremental."""
     body = b'{"parts":[{"id":1,"w":1.0}],"expr":"c4"}'
     stream = (
         b"POST /price-search?key=7f HTTP/1.1\r\nHost: b\r\nReq-Id: q1\r\nContent-Length: %d\r\n\r\n"
         % len(body)
         + body
     )
-    side, got = ServerSide(), []
+    side = ServerSide()
+    requests = []
     while stream:
-        cut = data.draw(st.integers(1, len(stream)))
-        got += side.feed(stream[:cut])
-        stream = stream[cut:]
-    (request,) = got
+        length = data.draw(st.integers(1, len(stream)))
+        requests += side.feed(stream[:length])
+        stream = stream[length:]
+    (request,) = requests
     assert isinstance(request, Request) and request.body == body and request.query == "key=7f"
     assert request.headers["req-id"] == "q1"
 
 
 @given(st.binary(max_size=400))
-def test_noise_from_a_client_is_no_request(data):
+def test_noise_from_a_client_is_an_error_or_a_request_with_a_path(data):
+    """Whatever a client sends, the parser does not fail."""
     side = ServerSide(4096, 4096)
-    for whole in side.feed(data + b"\r\n\r\n"):
-        assert not isinstance(whole, Request) or whole.path
+    for message in side.feed(data + b"\r\n\r\n"):
+        assert not isinstance(message, Request) or message.path
 
 
-@pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_bad_day_keeps_every_rule(seed):
-    """Breaks, silences, spoilt answers, errors, refusals, deaths and returns, drains and clients
-    that leave.
-    """
-    world = Platform(seed=seed)
-    draw = random.Random(seed)
-    registry = world.registry
-    assert registry is not None
-    dead: set = set()
+class RandomFaults:
+    """Queries to nodes that fail at random, beside scripted faults of single nodes."""
+
+    def __init__(self, seed: int) -> None:
+        self.draw = random.Random(seed)
+        self.world = Platform(seed=seed)
+        self.statuses: list[int] = []  # of the queries whose client stayed
+        self.silent_streams: set = set()
+        self.world.respond_with(self._respond)
 
-    def behave(node, stream, part):
-        fate = draw.random()
+    def run(self, count: int) -> None:
+        """Send ``count`` queries at random intervals and wait for their ends."""
+        self.world.run(self._main(count))
+
+    def _main(self, count):
+        loop = self.world.loop
+        tasks = []
+        for number in range(count):
+            tasks.append(loop.spawn(self._query(number), f"q{number}"))
+            yield from sleep(loop, self.draw.randrange(10_000, 40_000))
+            self._inject_fault(number)
+        for task in tasks:
+            yield from task.join()
+        yield from sleep(loop, 1_500_000)
+
+    def _inject_fault(self, number: int) -> None:
+        """Inject the scripted fault that follows the query of that number, if any."""
+        nodes = self.world.nodes
+        if number == 100:
+            nodes[1].draining = True
+            self.world.registry.publish(nodes[1].entry)
+        if number == 150:
+            nodes[4].kill()
+        if number == 200:
+            self.world.net.cut("s2", "broker")
+        if number == 240:
+            self.world.net.heal("s2", "broker")
+
+    def _query(self, number):
+        query_class, shards, key = [
+            ("price-search", [0, 1, 2, 3], ""),
+            ("day-report", [4, 5, 6], ""),
+            ("sale-record", [number % 12], f"k{number}"),
+        ][number % 3]
+        client = self.world.client(f"c{number}")
+        if number % 17 == 0:
+            request = client.send_query(f"q{number}", query_class, shards, key=key)
+            yield from self._disconnect_early(client, request)
+            return
+        response = yield from client.send_query(f"q{number}", query_class, shards, key=key)
+        self.statuses.append(response.status)
+        client.stream.close()
+
+    def _disconnect_early(self, client, request):
+        task = self.world.loop.spawn(request, "leaves")
+        yield from sleep(self.world.loop, 15_000)
+        client.stream.abort()
+        with contextlib.suppress(StreamBrokenError):  # it may have been rejected before
+            yield from task.join()
+
+    def _respond(self, node, stream, part):
+        """Respond to a part as drawn: reset, silence, noise, an error, a rejection or a result."""
+        fate = self.draw.random()
         if fate < 0.03:
             stream.abort()
         elif fate < 0.05:
-            dead.add(stream)
+            self.silent_streams.add(stream)
         elif fate < 0.07:
             stream.write(b"\x00\x00\x00\x09Ogarbage!")
         elif fate < 0.10:
@@ -369,56 +423,26 @@
         elif fate < 0.13:
             node.log_end(part, PartOutcome.REJECTED)
             stream.write(encode_answer(part, 503))
-        elif stream not in dead:
+        elif stream not in self.silent_streams:
             node.log_end(part)
             stream.write(encode_answer(part))
             if fate > 0.95:
                 stream.close()
 
-    for node in world.nodes:
-        node.responder = behave
-    told = []
-
-    def one(n):
-        kind, shards, key = [
-            ("price-search", [0, 1, 2, 3], ""),
-            ("day-report", [4, 5, 6], ""),
-            ("sale-record", [n % 12], f"k{n}"),
-        ][n % 3]
-        client = world.client(f"c{n}")
-        if n % 17 == 0:
-            task = world.loop.spawn(client.send_query(f"q{n}", kind, shards, key=key), "leaves")
-            yield from sleep(world.loop, 15_000)
-            client.stream.abort()
-            with contextlib.suppress(StreamBrokenError):  # it may have been refused before
-                yield from task.join()
-            return
-        response = yield from client.send_query(f"q{n}", kind, shards, key=key)
-        told.append(response.status)
-        client.stream.close()
 
-    def main():
-        tasks = []
-        for n in range(300):
-            tasks.append(world.loop.spawn(one(n), f"q{n}"))
-            yield from sleep(world.loop, draw.randrange(10_000, 40_000))
-            if n == 100:
-                world.nodes[1].draining = True
-                registry.publish(world.nodes[1].entry)
-            if n == 150:
-                world.nodes[4].kill()
-            if n == 200:
-                world.net.cut("s2", "broker")
-            if n == 240:
-                world.net.heal("s2", "broker")
-        for task in tasks:
-            yield from task.join()
-        yield from sleep(world.loop, 1_500_000)
-
-    world.run(main())
+@pytest.mark.parametrize("seed", [1, 2, 3])
+def test_random_faults_break_no_rule(seed):
+    """Resets, silent connections, malformed responses, errors, rejections, a terminated node, drains and
+    clients that disconnect.
+    """
+    faults = RandomFaults(seed)
+    world = faults.world
+    registry = world.registry
+    assert registry is not None
+    faults.run(300)
+    statuses = faults.statuses
     verdict = world.verdict()
     assert verdict.kept, [str(breach) for breach in verdict.breaches[:5]]
-    # Of eight seeds 223 to 244 are answered; 212 to 249 while the whole list came first: the order of all
-    # draws.
-    assert verdict.counts["queries"] == 300 and told.count(200) > 205
+    # The count of complete replies varies with the order of all draws.
+    assert verdict.counts["queries"] == 300 and statuses.count(200) > 205
     assert not world.broker.queries and not world.broker.parts and not world.broker._sent_at_us
