--- a/tests/test_gateway_front.py
+++ b/tests/test_gateway_front.py
@@ -1,10 +1,9 @@
-"""Clients that can't be read, don't finish or say nothing, beside usual ones: all get an error or a close in
-time.
-"""
+"""Malformed, incomplete and absent requests beside valid ones: clients get an error or a close in time."""
 
 from __future__ import annotations
 
 import json
+from typing import Final
 
 import pytest
 from hypothesis import given
@@ -17,26 +16,31 @@
 
 from .platform import Platform, settings_of
 
-PART = {"id": 1, "w": 0.5}
-GOOD = {"parts": [PART, {"id": 2, "w": 0.5, "hint": 9000, "tag": "7f3a9c21e0b4d655"}], "expr": "c41e77d0"}
-HEAD = {"req-id": "q1", "req-kind": "price-search", "req-deadline": "480m"}
+PART: Final = {"id": 1, "w": 0.5}
+VALID_BODY: Final = {
+    "parts": [PART, {"id": 2, "w": 0.5, "hint": 9000, "tag": "7f3a9c21e0b4d655"}],
+    "expr": "c41e77d0",
+}
+VALID_HEADERS: Final = {"req-id": "q1", "req-kind": "price-search", "req-deadline": "480m"}
 
 
 def request(head=None, body=None, path="/price-search", method="POST", query=""):
-    data = body if isinstance(body, bytes) else json.dumps(GOOD if body is None else body).encode()
-    return Request(method, path, query, {**HEAD, **(head or {})}, data)
+    """Return a valid request with these changes."""
+    data = body if isinstance(body, bytes) else json.dumps(VALID_BODY if body is None else body).encode()
+    return Request(method, path, query, {**VALID_HEADERS, **(head or {})}, data)
 
 
-def test_a_good_request_is_taken_as_it_says():
-    wanted = RequestChecker(settings_of()).check(request(query="key=7f3a9c21e0b4d655"))
-    assert (wanted.id, wanted.query_class, wanted.wait_us, wanted.text) == ("q1", 0, 480_000, b"c41e77d0")
-    assert [(part.shard, part.weight, part.hint_us) for part in wanted.parts] == [
+def test_a_valid_request_is_accepted_with_its_values():
+    """Its deadline is limited by the timeout of its class."""
+    checked = RequestChecker(settings_of()).check(request(query="key=7f3a9c21e0b4d655"))
+    assert (checked.id, checked.query_class, checked.wait_us, checked.text) == ("q1", 0, 480_000, b"c41e77d0")
+    assert [(part.shard, part.weight, part.hint_us) for part in checked.parts] == [
         (1, 0.5, None),
         (2, 0.5, 9000),
     ]
     assert (
         RequestChecker(settings_of()).check(request({"req-deadline": "90000000u"})).wait_us == 600_000
-    )  # the class's
+    )  # the timeout of its class
 
 
 @pytest.mark.parametrize(
@@ -73,13 +77,15 @@
         ({}, b"[" * 5000, "body"),
     ],
 )
-def test_what_is_wrong_is_named(head, body, word):
+def test_the_error_names_what_is_wrong_with_a_request(head, body, word):
+    """With a status of 4xx."""
     with pytest.raises(BadRequestError, match=word) as caught:
         RequestChecker(settings_of()).check(request(head, body))
     assert 400 <= caught.value.status < 500
 
 
-def test_a_keyed_class_needs_its_key():
+def test_a_request_of_a_keyed_class_needs_a_valid_idempotency_key():
+    """A key can't have the separators of the node protocol."""
     checker = RequestChecker(settings_of())
     head = {"req-kind": "sale-record"}
     with pytest.raises(BadRequestError, match="Idempotency-Key"):
@@ -90,49 +96,57 @@
 
 
 @given(st.lists(st.integers(0, 11), min_size=1, max_size=12, unique=True), st.integers(2, 5))
-def test_rounded_weights_add_up_to_one_once_taken(shards, digits):
+def test_rounded_weights_are_normalised_to_a_sum_of_one(shards, digits):
+    """A client may round the weights of its parts."""
     weights = [round(1 / len(shards), max(digits, 4))] * len(shards)
-    body = {"parts": [{"id": s, "w": w} for s, w in zip(shards, weights, strict=True)], "expr": "x"}
-    wanted = RequestChecker(settings_of()).check(request(body=body))
-    assert abs(sum(part.weight for part in wanted.parts) - 1) < 1e-9
+    body = {
+        "parts": [{"id": shard, "w": weight} for shard, weight in zip(shards, weights, strict=True)],
+        "expr": "x",
+    }
+    checked = RequestChecker(settings_of()).check(request(body=body))
+    assert abs(sum(part.weight for part in checked.parts) - 1) < 1e-9
 
 
-RAW = (
+RAW_HEAD: Final = (
     b"POST /price-search HTTP/1.1\r\nHost: b\r\nReq-Id: %s\r\n"
     b"Req-Kind: price-search\r\nReq-Deadline: 400m\r\n"
 )
-BODY = json.dumps(GOOD).encode()
+RAW_BODY: Final = json.dumps(VALID_BODY).encode()
 
 
-def whole(name, body=BODY, more=b""):
-    return RAW % name + more + b"Content-Length: %d\r\n\r\n" % len(body) + body
+def raw_request(name, body=RAW_BODY, more=b""):
+    """Return the bytes of a request; ``more`` are additional header lines."""
+    return RAW_HEAD % name + more + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
-def told(world, pieces, gap_us=0, patience=3_500_000):
-    """What a raw client is told, and after how long (us); pieces are written one after another."""
+def exchange(world, pieces, gap_us=0, timeout_us=3_500_000):
+    """Write pieces one after another; return what is received up to the close, and the time to it (us).
 
-    def main():
-        stream = yield from world.net.connect("broker:7070", 1_000_000, "bad")
-        began, got = world.loop.now(), bytearray()
-        timer = world.loop.call_at(began + patience, stream.abort)
+    The time is None where the connection is not closed within ``timeout_us``, or is reset.
+    """
 
-        def writes():
-            for piece in pieces:
-                stream.write(piece)
-                yield from stream.drain()
-                yield from sleep(world.loop, gap_us)
+    def write_pieces(stream):
+        for piece in pieces:
+            stream.write(piece)
+            yield from stream.drain()
+            yield from sleep(world.loop, gap_us)
 
-        writer = world.loop.spawn(writes(), "writes")
-        ended = None
+    def main():
+        stream = yield from world.net.connect("broker:7070", 1_000_000, "bad")
+        began_us = world.loop.now()
+        received = bytearray()
+        timer = world.loop.call_at(began_us + timeout_us, stream.abort)
+        writer = world.loop.spawn(write_pieces(stream), "writes")
+        duration_us = None
         try:
             while data := (yield from stream.read()):
-                got += data
-            ended = world.loop.now() - began
+                received += data
+            duration_us = world.loop.now() - began_us
         except StreamBrokenError:
             pass
         timer.cancel()
         writer.cancel()
-        return bytes(got), ended
+        return bytes(received), duration_us
 
     return world.run(main(), errors=True)
 
@@ -142,58 +156,63 @@
     [
         ([b"\x00\x01\x02\x03 what\r\n\r\n"], b"400"),
         ([b"GET / HTTP/1.1\r\nHost: b\r\nX: " + b"a" * 20_000], b"431"),
-        ([whole(b"q1", more=b"Transfer-Encoding: chunked\r\n")], b"400"),
-        ([RAW % b"q1" + b"Content-Length: -5\r\n\r\n"], b"400"),
-        ([RAW % b"q1" + b"Content-Length: 5\r\nContent-Length: 6\r\n\r\n"], b"400"),
-        ([RAW % b"q1" + b"Content-Length: 60000000\r\n\r\n"], b"413"),
+        ([raw_request(b"q1", more=b"Transfer-Encoding: chunked\r\n")], b"400"),
+        ([RAW_HEAD % b"q1" + b"Content-Length: -5\r\n\r\n"], b"400"),
+        ([RAW_HEAD % b"q1" + b"Content-Length: 5\r\nContent-Length: 6\r\n\r\n"], b"400"),
+        ([RAW_HEAD % b"q1" + b"Content-Length: 60000000\r\n\r\n"], b"413"),
         (
             [
-                RAW % b"q1" + b"Transfer-Encoding: chunked\r\n\r\n",
+                RAW_HEAD % b"q1" + b"Transfer-Encoding: chunked\r\n\r\n",
                 b"ffff\r\n" + b"a" * 65_535 + b"\r\n" + b"ff\r\n" + b"a" * 255 + b"\r\n",
             ],
             b"413",
         ),
-        ([RAW % b"q1" + b'Content-Length: 100\r\n\r\n{"parts"'], b"408"),
+        ([RAW_HEAD % b"q1" + b'Content-Length: 100\r\n\r\n{"parts"'], b"408"),
         ([b"POST /pri"], b"408"),
-        ([whole(b"")], b"400"),
+        ([raw_request(b"")], b"400"),
         ([b"DELETE /price-search HTTP/1.1\r\nHost: b\r\nReq-Kind: price-search\r\n\r\n"], b"405"),
         ([b"GET /nowhere HTTP/1.1\r\nHost: b\r\n\r\n"], b"400"),
     ],
 )
-def test_bad_input_is_answered_and_closed_within_three_seconds(pieces, status):
+def test_malformed_input_is_answered_with_an_error_and_closed_within_three_seconds(pieces, status):
+    """No part of it reaches a node."""
     world = Platform()
-    got, ended = told(world, pieces)
-    assert got.startswith(b"HTTP/1.1 " + status) and ended is not None and ended < 3_000_000
-    assert b"connection: close" in got.lower()
-    world.wait(1.1)  # the end lingers, so that the error is read first
+    received, duration_us = exchange(world, pieces)
+    assert received.startswith(b"HTTP/1.1 " + status) and duration_us is not None and duration_us < 3_000_000
+    assert b"connection: close" in received.lower()
+    world.wait(1.1)  # the connection lingers, so that the client can read the error
     assert not any(node.parts for node in world.nodes) and not world.front.clients
 
 
-def test_what_hides_behind_a_request_of_two_lengths_is_not_read():
+def test_a_request_smuggled_behind_one_with_two_lengths_is_not_read():
+    """Content-Length and Transfer-Encoding together are an error."""
     world = Platform()
-    hidden = whole(b"hidden")
+    hidden = raw_request(b"hidden")
     body = b"0\r\n\r\n" + hidden
-    got, _ = told(world, [whole(b"q1", body, b"Transfer-Encoding: chunked\r\n")])
-    assert got.count(b"HTTP/1.1") == 1 and not any(node.parts for node in world.nodes)
+    received, _ = exchange(world, [raw_request(b"q1", body, b"Transfer-Encoding: chunked\r\n")])
+    assert received.count(b"HTTP/1.1") == 1 and not any(node.parts for node in world.nodes)
 
 
-def test_who_says_nothing_is_closed_and_a_drip_does_not_help():
+def test_a_client_without_a_complete_request_is_closed_also_if_it_sends_single_bytes():
+    """Bytes do not extend the time for a request."""
     world = Platform()
-    _, ended = told(world, [])
-    assert ended is not None and 2_000_000 <= ended < 3_000_000
-    got, ended = told(world, [b"P", b"O", b"S", b"T", b" "], gap_us=600_000)
-    assert got.startswith(b"HTTP/1.1 408") and ended is not None and ended < 3_500_000
+    _, duration_us = exchange(world, [])
+    assert duration_us is not None and 2_000_000 <= duration_us < 3_000_000
+    received, duration_us = exchange(world, [b"P", b"O", b"S", b"T", b" "], gap_us=600_000)
+    assert received.startswith(b"HTTP/1.1 408") and duration_us is not None and duration_us < 3_500_000
 
 
-def test_an_answer_is_read_though_sixty_megabytes_are_on_their_way():
+def test_the_error_to_a_too_large_body_is_readable_while_its_client_still_sends():
+    """Of sixty megabytes."""
     world = Platform()
-    pieces = [RAW % b"q1" + b"Content-Length: 60000000\r\n\r\n"] + [b"a" * 65_536] * 900
-    got, _ = told(world, pieces)
-    assert got.startswith(b"HTTP/1.1 413")
+    pieces = [RAW_HEAD % b"q1" + b"Content-Length: 60000000\r\n\r\n"] + [b"a" * 65_536] * 900
+    received, _ = exchange(world, pieces)
+    assert received.startswith(b"HTTP/1.1 413")
     assert world.loop.now() < 4_000_000 + 1_000_000
 
 
-def test_the_id_of_an_open_request_is_not_taken_again():
+def test_the_id_of_a_request_in_flight_is_rejected():
+    """With 409; the request in flight is served."""
     world = Platform()
 
     def main():
@@ -207,59 +226,71 @@
     assert len([part for node in world.nodes for part in node.parts]) == 3
 
 
-def test_hundreds_of_silent_connections_do_not_keep_usual_clients_out():
+def test_hundreds_of_silent_connections_do_not_lock_out_other_clients():
+    """An idle connection is closed where a new one needs its place."""
     world = Platform(limits={"sockets": 128, "memory_mb": 64, "cores": 0.4})
-    most = world.config.client_sockets
+    maximum = world.config.client_sockets
 
     def main():
-        for n in range(400):
-            yield from world.net.connect("broker:7070", 1_000_000, f"silent{n}")
-            if n % 40 == 0:
-                response = yield from world.client().send_query(f"q{n}", "price-search", [0, 1, 2, 3])
+        for number in range(400):
+            yield from world.net.connect("broker:7070", 1_000_000, f"silent{number}")
+            if number % 40 == 0:
+                response = yield from world.client().send_query(f"q{number}", "price-search", [0, 1, 2, 3])
                 assert response.status == 200
-            assert len(world.front.clients) <= most
+            assert len(world.front.clients) <= maximum
 
     world.run(main())
     assert world.front.counts["closed for another"] > 200
 
 
-def test_a_kept_connection_is_used_again_and_requests_behind_one_another_are_answered_in_turn():
+def test_pipelined_requests_on_one_connection_are_all_answered():
+    """The last one asks for a close."""
     world = Platform()
-    got, _ = told(world, [whole(b"q1") + whole(b"q2") + whole(b"q3", more=b"Connection: close\r\n")])
-    assert got.count(b"HTTP/1.1 200") == 3
+    received, _ = exchange(
+        world, [raw_request(b"q1") + raw_request(b"q2") + raw_request(b"q3", more=b"Connection: close\r\n")]
+    )
+    assert received.count(b"HTTP/1.1 200") == 3
     value = generate_result(1, b"c41e77d0")
-    assert got.count(value) <= 3 and world.front.counts["requests"] == 3
+    assert received.count(value) <= 3 and world.front.counts["requests"] == 3
 
 
-def test_clients_that_ask_once_and_keep_their_connection_leave_room_for_others():
-    """Clients may hold a third of the descriptors between them; those at rest must not take all of it."""
+def test_idle_client_connections_leave_capacity_for_new_clients():
+    """Clients have a third of the descriptors together; idle connections must not use all of them, and the
+    most recently used stay open.
+    """
     world = Platform(limits={"sockets": 192, "memory_mb": 64, "cores": 0.4})
-    may_hold, asked = world.config.sockets // 3, 0
+    maximum = world.config.sockets // 3
+    served = 0
     streams = []
 
     def main():
-        nonlocal asked
-        for n in range(3 * may_hold):
+        nonlocal served
+        for number in range(3 * maximum):
             streams[:] = [stream for stream in streams if not stream.closed and not stream.inbox.ended]
-            if len(streams) < may_hold:  # else no client has a connection left to ask on
-                stream = yield from world.net.connect("broker:7070", 1_000_000, f"kept{n}")
-                stream.write(whole(b"q%d" % n))
+            if len(streams) < maximum:  # else the clients have no descriptor for another connection
+                stream = yield from world.net.connect("broker:7070", 1_000_000, f"kept{number}")
+                stream.write(raw_request(b"q%d" % number))
                 assert (yield from stream.read()).startswith(b"HTTP/1.1 200")
                 streams.append(stream)
-                asked += 1
+                served += 1
             yield from sleep(world.loop, 5_000)
-        last = streams[-1]  # those that asked last are still there
-        last.write(whole(b"again"))
+        last = streams[-1]  # the most recently used connection is still open
+        last.write(raw_request(b"again"))
         assert (yield from last.read()).startswith(b"HTTP/1.1 200")
 
     world.run(main())
-    assert asked == 3 * may_hold and world.front.counts["let go"] > may_hold
+    assert served == 3 * maximum and world.front.counts["let go"] > maximum
 
 
-def test_who_floods_behind_a_request_that_was_taken_is_answered_first():
+def test_a_request_is_answered_before_the_error_to_the_noise_behind_it():
+    """The client does not count as disconnected."""
     world = Platform()
     for node in world.nodes:
         node.work_us = 60_000
-    got, ended = told(world, [whole(b"q1"), b"x" * 65_536, b"x" * 65_536, b"x" * 65_536])
-    assert got.count(b"HTTP/1.1 200") == 1 and got.count(b"HTTP/1.1 4") == 1 and ended is not None
+    received, duration_us = exchange(world, [raw_request(b"q1"), b"x" * 65_536, b"x" * 65_536, b"x" * 65_536])
+    assert (
+        received.count(b"HTTP/1.1 200") == 1
+        and received.count(b"HTTP/1.1 4") == 1
+        and duration_us is not None
+    )
     assert not world.broker.counters["left", "price-search"]
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -1,6 +1,4 @@
-"""The broker's process: its start, signals and how little it holds, on loopback with ports that the kernel
-chooses.
-"""
+"""The broker process: its start, signals and use of resources, over loopback with free ports."""
 
 from __future__ import annotations
 
@@ -11,6 +9,7 @@
 import subprocess
 import sys
 from pathlib import Path
+from typing import Final
 
 import pytest
 
@@ -21,8 +20,8 @@
 
 from .loaded_modules import among, loaded_modules, missing_modules
 
-ROOT = Path(__file__).resolve().parent.parent
-HEAVY = (
+ROOT: Final = Path(__file__).resolve().parent.parent
+MODULES_NOT_LOADED: Final = (
     "numpy",
     "usearch",
     "lark",
@@ -50,12 +49,14 @@
 
 
 def without(field):
+    """Return a configuration that lacks a field."""
     table = json.loads(encode_config())
     del table[field]
     return json.dumps(table).encode()
 
 
 def settings(**changes):
+    """Return a configuration with these changes of its settings."""
     table = json.loads(encode_config())
     table["settings"].update(changes)
     return json.dumps(table).encode()
@@ -84,12 +85,14 @@
         (settings(ceilings={"max-attempts": 3, "conn-idle-us": "x"}), "conn-idle-us"),
     ],
 )
-def test_what_is_wrong_in_the_configuration_is_named(data, word):
+def test_the_error_names_what_is_wrong_with_a_configuration(data, word):
+    """Its message has the field."""
     with pytest.raises(ConfigError, match=re.escape(word)):
         read(data)
 
 
 def start(environment):
+    """Run the broker with this environment and return the completed process."""
     return subprocess.run(
         [sys.executable, "-m", "heathwell.gateway"],
         cwd=ROOT,
@@ -101,7 +104,8 @@
     )
 
 
-def test_a_start_that_cant_be_is_exit_code_2_and_one_line(tmp_path):
+def test_a_start_with_invalid_configuration_exits_with_2_and_one_line_on_stderr(tmp_path):
+    """The line names the variable or the field."""
     base = {"PATH": os.environ["PATH"], "PYTHONDONTWRITEBYTECODE": "1"}
     path = tmp_path / "config.json"
     path.write_bytes(without("discovery"))
@@ -110,23 +114,25 @@
         ({**base, "GW_CONFIG": str(tmp_path / "none")}, "GW_CONFIG"),
         ({**base, "GW_CONFIG": str(path)}, "discovery"),
     ):
-        done = start(environment)
-        assert done.returncode == 2 and word in done.stderr and done.stderr.count("\n") == 1
+        completed = start(environment)
+        assert completed.returncode == 2 and word in completed.stderr and completed.stderr.count("\n") == 1
     path.write_bytes(encode_config())
     for variable, value in (("GW_NAME", "other"), ("GW_LISTEN", "a:1"), ("GW_DISCOVERY", "nowhere")):
-        done = start({**base, "GW_CONFIG": str(path), variable: value})
-        assert done.returncode == 2 and variable in done.stderr
+        completed = start({**base, "GW_CONFIG": str(path), variable: value})
+        assert completed.returncode == 2 and variable in completed.stderr
 
 
-def test_the_start_imports_nothing_heavy():
-    assert not missing_modules(HEAVY)
+def test_the_broker_process_does_not_import_optional_parts():
+    """Neither libraries that it does not need nor packages of the service broker."""
+    assert not missing_modules(MODULES_NOT_LOADED)
     loaded = loaded_modules("heathwell.gateway.process")
     assert "heathwell.gateway.process" in loaded
-    assert not among(loaded, HEAVY)
+    assert not among(loaded, MODULES_NOT_LOADED)
 
 
 @pytest.fixture
 def running(tmp_path):
+    """Return a function that starts a fleet with a broker process; all are closed after the test."""
     worlds = []
 
     def build(**more):
@@ -138,7 +144,8 @@
         world.close()
 
 
-def test_it_serves_with_discovery_down_in_one_thread_and_few_descriptors(running):
+def test_the_broker_serves_without_discovery_in_one_thread_with_few_descriptors(running):
+    """By the configured endpoint list."""
     world = running(has_discovery=False)
 
     def main():
@@ -151,29 +158,31 @@
     assert len(os.listdir(f"/proc/{pid}/fd")) < 24
 
 
-def test_sigterm_serves_who_still_comes_and_finishes_a_second_step_that_is_out(running):
+def test_after_sigterm_new_clients_are_served_and_a_second_step_in_flight_is_completed(running):
+    """A second SIGTERM has no effect."""
     world = running()
     for node in world.nodes:
         node.work_us = 200_000
 
     def main():
         yield from world.wait_for_log("ready")
-        client, late = world.client(), world.client()
-        first = world.loop.spawn(client.send_query("q1", "day-report", [0, 1, 2, 3]), "first")
+        late_client = world.client()
+        first_task = world.loop.spawn(world.client().send_query("q1", "day-report", [0, 1, 2, 3]), "first")
         while not any(part.id.endswith(".fetch") for node in world.nodes for part in node.parts):
             yield from sleep(world.loop, 5_000)
         world.process.send_signal(signal.SIGTERM)
         world.process.send_signal(signal.SIGTERM)
         yield from world.wait_for_log("terminating")
-        second = yield from late.send_query("q2", "price-search", [0, 1, 2, 3])
-        one = yield from first.join()
-        code = yield from world.wait_for_exit()
-        return one.status, second.status, code
+        second = yield from late_client.send_query("q2", "price-search", [0, 1, 2, 3])
+        first = yield from first_task.join()
+        exit_code = yield from world.wait_for_exit()
+        return first.status, second.status, exit_code
 
     assert world.run(main()) == (200, 200, 0)
 
 
-def test_sighup_moves_discovery_and_refuses_a_broken_file(running):
+def test_sighup_moves_discovery_and_rejects_an_invalid_configuration(running):
+    """After a rejected configuration the former one applies."""
     world = running()
 
     def main():
@@ -183,21 +192,22 @@
         world.config_path.write_bytes(b'{"name": "n1"')
         world.process.send_signal(signal.SIGHUP)
         yield from world.wait_for_log("refused")
-        one = yield from client.send_query("q1", "price-search", [0, 1, 2, 3])
+        first = yield from client.send_query("q1", "price-search", [0, 1, 2, 3])
         assert not world.discoveries[1].queries
         world.write_config(world.discoveries[1].address)
         world.process.send_signal(signal.SIGHUP)
         while not world.discoveries[1].queries:
             yield from sleep(world.loop, 5_000)
-        two = yield from client.send_query("q2", "price-search", [0, 1, 2, 3])
-        return one.status, two.status
+        second = yield from client.send_query("q2", "price-search", [0, 1, 2, 3])
+        return first.status, second.status
 
     assert world.run(main()) == (200, 200)
     assert world.process.poll() is None
 
 
-def test_the_demo_starts_asks_and_ends():
-    done = subprocess.run(
+def test_the_demo_starts_sends_queries_of_each_class_and_exits():
+    """The `platform` command."""
+    completed = subprocess.run(
         [sys.executable, "-m", "heathwell", "platform", "--seconds", "0.2"],
         cwd=ROOT,
         text=True,
@@ -205,7 +215,7 @@
         timeout=60,
         check=False,
     )
-    assert done.returncode == 0, done.stderr
-    for kind in ("price-search", "day-report", "sale-record"):
-        assert f'{kind}: 200 {{"exact":true' in done.stdout
-    assert "exit code 0" in done.stdout
+    assert completed.returncode == 0, completed.stderr
+    for class_name in ("price-search", "day-report", "sale-record"):
+        assert f'{class_name}: 200 {{"exact":true' in completed.stdout
+    assert "exit code 0" in completed.stdout
