--- a/tests/event_ordering_world.py
+++ b/tests/event_ordering_world.py
@@ -186,7 +186,7 @@
         self.listener = self.net.listen("127.0.0.1:0", self.front.serve, "client")
         self.class_names = [entry["name"] for entry in self.settings["classes"]]
 
-    def log(self, level: str, event: str, **fields: Any) -> None:
+    def log(self, level: str, event: str, **fields: object) -> None:
         """Record a log line of the broker."""
         self.lines.append(f"{level} {event} {fields}")
 
@@ -243,7 +243,7 @@
         """Return a connected, non-blocking socket of a client."""
         host, port = self.listener.address.split(":")
         sock = socket.create_connection((host, int(port)))
-        sock.setblocking(False)
+        sock.settimeout(0)
         return sock
 
     def wait_until(self, condition: Callable[[], Any], what: str = "") -> Coro[None]:
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -83,7 +83,7 @@
             events=ListEvents(self.events, uid, "host", self.loop.clock),
         )
 
-    def log(self, level: str, event: str, **fields: Any) -> None:
+    def log(self, level: str, event: str, **fields: object) -> None:
         """Record a log line of the broker."""
         self.lines.append(f"{level} {event} {fields}")
 
@@ -91,7 +91,7 @@
         """Return a new client of the broker."""
         return PlatformClient(self.loop, self.net.at(name), "broker:7070")
 
-    def run(self, generator: Any, errors: bool = False) -> Any:
+    def run(self, generator: Any, *, errors: bool = False) -> Any:
         """Run a coroutine to its end and return its result; failed tasks are an error unless ``errors``."""
         result = self.loop.run(self.loop.spawn(generator, "main"))
         assert errors or not self.errors, self.errors
--- a/tests/test_event_orderings.py
+++ b/tests/test_event_orderings.py
@@ -101,9 +101,8 @@
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("change", ["draining", "gone", "moved"])
 @pytest.mark.parametrize("wait", ["connect", "second connect", "full socket"])
-def test_a_waiting_part_is_not_sent_to_a_node_that_drains_is_removed_or_moves(
-    name, change, wait, without_silence_timeout
-):
+@pytest.mark.usefixtures("without_silence_timeout")
+def test_a_waiting_part_is_not_sent_to_a_node_that_drains_is_removed_or_moves(name, change, wait):
     """The drain grace applies to a part's first byte, and a wait for a connect may outlast the grace."""
     world = World(name)
     node = world.nodes[SHARD]
@@ -172,9 +171,8 @@
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("wait", ["connect", "second connect", "full socket"])
-def test_a_waiting_part_is_not_sent_after_its_client_disconnected(
-    name, disconnect, wait, without_silence_timeout
-):
+@pytest.mark.usefixtures("without_silence_timeout")
+def test_a_waiting_part_is_not_sent_after_its_client_disconnected(name, disconnect, wait):
     """Neither after a connect nor from the buffer of a full socket."""
     world = World(name)
     node = world.nodes[SHARD]
@@ -333,7 +331,8 @@
     assert [part.id for node in world.nodes for part in node.parts if part.id == "q1.3"] == ["q1.3"]
 
 
-def test_cancelling_an_attempt_behind_a_full_socket_resets_the_connection(without_silence_timeout):
+@pytest.mark.usefixtures("without_silence_timeout")
+def test_cancelling_an_attempt_behind_a_full_socket_resets_the_connection():
     """A CANCEL frame that can't be sent cancels nothing, while the part is sent to another replica."""
     world = World()
     ended = []
@@ -342,7 +341,7 @@
         reader = PausedReader(world, SHARD)
         yield from world.wait_until(world.has_change(world.nodes[SHARD], reader.address))
         link = world.broker._link("s3")
-        world.broker.on_attempt_result = lambda node, key, outcome, result: ended.append((key[0], outcome))
+        world.broker.on_attempt_result = lambda _node, key, outcome, _result: ended.append((key[0], outcome))
         link.send([node_request("q1.3", 0, 3, b"x")])
         yield from world.wait_until(
             lambda: link.connections[0].stream and link.connections[0].in_flight["q1.3"].frame_end
@@ -446,7 +445,7 @@
         assert (yield from world.start_query("q1", SHARD).join()).status == 200
         link = world.broker.links["s3"]
         ended = []
-        world.broker.on_attempt_result = lambda node, key, outcome, result: ended.append(outcome)
+        world.broker.on_attempt_result = lambda _node, _key, outcome, _result: ended.append(outcome)
 
         def abort_connections():
             for stream in list(world.nodes[SHARD].streams):
--- a/tests/test_event_orderings_random.py
+++ b/tests/test_event_orderings_random.py
@@ -59,7 +59,7 @@
         return (yield from self.net.connect(address, timeout_us))
 
 
-def respond_with_noise(node, stream, part):
+def respond_with_noise(node, stream, _part):
     """Answer one part with bytes that are no frame."""
     node.responder = None
     stream.write(b"\x00noise" * 9)
--- a/tests/test_event_orderings_servers.py
+++ b/tests/test_event_orderings_servers.py
@@ -56,7 +56,7 @@
         """Return a connected, non-blocking client socket with ``host`` as its source address."""
         target, port = address.split(":")
         sock = socket.create_connection((target, int(port)), source_address=(host, 0))
-        sock.setblocking(False)
+        sock.settimeout(0)
         self.sockets.append(sock)
         return sock
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -93,7 +93,7 @@
     """The parts may have run, and the node accepts connections."""
     world = Platform()
 
-    def abort_once(node, stream, part):
+    def abort_once(node, stream, _part):
         node.responder = None
         stream.abort()
 
@@ -114,7 +114,7 @@
     world = Platform()
     terminated = []
 
-    def terminate(node, stream, part):
+    def terminate(node, _stream, _part):
         terminated.append(node.uid)
         node.kill()
         world.respond_with(None)
@@ -186,9 +186,9 @@
     node = world.nodes[3]
     ended = []
     link = world.broker._link("s3")
-    world.broker.on_attempt_result = lambda node, key, outcome, result: ended.append((key, outcome))
+    world.broker.on_attempt_result = lambda _node, key, outcome, _result: ended.append((key, outcome))
     held = []
-    node.responder = lambda node, stream, part: held.append((stream, part))
+    node.responder = lambda _node, stream, part: held.append((stream, part))
     link.send([node_request("q1.3", 0, 3, b"x")])
     world.wait(0.05)
     assert link.abandon(("q1.3", 0))
--- a/tests/test_gateway_faults.py
+++ b/tests/test_gateway_faults.py
@@ -47,11 +47,11 @@
         b"\x00noise" * 9,
         lambda part: nf.encode_frame(b"Q", f"{part.id} 200 5 -\n0123456789abcdef".encode()),
         lambda part: nf.encode_frame(nf.ANSWER, f"{part.id} 201 5 -\n0123456789abcdef".encode()),
-        lambda part: nf.encode_frame(nf.ANSWER, b"nobody.7 200 5 -\n0123456789abcdef"),
+        lambda _part: nf.encode_frame(nf.ANSWER, b"nobody.7 200 5 -\n0123456789abcdef"),
         lambda part: nf.encode_frame(nf.ANSWER, f"{part.id} 200 5 -".encode() + b"a" * 900),
         lambda part: nf.encode_frame(nf.ANSWER, f"{part.id} 200 5 -\nnot what nodes give".encode()),
         lambda part: b"\xb2\xd0\x5e\x00" + f"O{part.id} 200 5 -\n".encode() + b"a" * 60_000,
-        lambda part: b"\0\0\0\0",
+        lambda _part: b"\0\0\0\0",
     ],
 )
 def test_a_malformed_response_is_a_failed_attempt_and_its_part_is_retried(data):
@@ -72,7 +72,7 @@
     """Noise, or the same response again."""
     world = Platform()
 
-    def respond(node, stream, part):
+    def respond(_node, stream, part):
         stream.write(encode_answer(part) + (encode_answer(part) if trailing is None else trailing))
 
     world.respond_with(respond)
@@ -92,7 +92,7 @@
     """Of two neighbouring replicas one sends incomplete responses."""
     world = Platform()
 
-    def respond_in_single_bytes(node, stream, part):
+    def respond_in_single_bytes(_node, stream, part):
         def write():
             for byte in encode_answer(part):
                 stream.write(bytes([byte]))
@@ -105,7 +105,7 @@
 
     world.respond_with(respond_in_single_bytes)
     assert world.run(send_price_search("q1")).status == 200
-    world.respond_with(lambda node, stream, part: stream.write(encode_answer(part)[:9]))
+    world.respond_with(lambda _node, stream, part: stream.write(encode_answer(part)[:9]))
     for index in (1, 3, 5):
         world.nodes[index].responder = None
     assert world.run(send_price_search("q2")).status == 200
@@ -116,7 +116,7 @@
     world = Platform()
     node = world.nodes[3]
     ended = {}
-    world.broker.on_attempt_result = lambda node, key, outcome, result: ended.update({key[0]: outcome})
+    world.broker.on_attempt_result = lambda _node, key, outcome, _result: ended.update({key[0]: outcome})
     link = world.broker._link("s3")
     world.net.cut("broker", "s3")  # connects once healed; what is written after the next cut fills the link
 
