--- a/tests/platform.py
+++ b/tests/platform.py
@@ -110,6 +110,17 @@
 
         return self.run(main())
 
+    def delay_nodes(self, delay_us: int) -> None:
+        """Delay what passes between the broker and the nodes."""
+        usual_delay = self.net.delay
+
+        def delay(source: str, target: str) -> int:
+            if "broker" in (source, target) and "s" in (source[0], target[0]):
+                return delay_us
+            return usual_delay(source, target)
+
+        self.net.delay = delay
+
     def wait(self, seconds: float) -> None:
         """Let virtual time pass."""
         self.run(sleep(self.loop, int(seconds * 1e6)))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -32,18 +32,6 @@
     return world.loop.spawn(client.send_query(name, "price-search", FOUR_SHARDS, **more), "q")
 
 
-def delay_nodes(world, delay_us):
-    """Delay what passes between the broker and the nodes."""
-    usual_delay = world.net.delay
-
-    def delay(source, target):
-        if "broker" in (source, target) and "s" in (source[0], target[0]):
-            return delay_us
-        return usual_delay(source, target)
-
-    world.net.delay = delay
-
-
 def test_a_query_is_answered_from_the_results_of_the_nodes():
     """The parts go to replicas of their shards, with the query's text and at most its remaining time."""
     world = Platform()
@@ -260,7 +248,7 @@
     world = Platform()
     for node in world.nodes:
         node.silent = True
-    delay_nodes(world, 60_000)
+    world.delay_nodes(60_000)
 
     def main():
         response = yield from world.client().send_query("q1", "price-search", FOUR_SHARDS, timeout_ms=120)
--- a/tests/test_gateway_faults.py
+++ b/tests/test_gateway_faults.py
@@ -141,15 +141,8 @@
 def test_a_drain_announced_while_a_part_waits_for_its_connection_keeps_the_grace():
     """Nothing new is sent to the draining nodes after it."""
     world = Platform()
-    usual_delay = world.net.delay
     world.minimum_transit_us = 80_000
-
-    def delay(source, target):
-        if "broker" in (source, target) and "s" in (source[0], target[0]):
-            return 80_000
-        return usual_delay(source, target)
-
-    world.net.delay = delay
+    world.delay_nodes(80_000)
     assert world.registry is not None
 
     def main():
