--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,6 +1,6 @@
 """Rollouts: transitions, stages, preflight checks, and the canary analysis of good and bad releases.
 
-Pure, or on simulated brokers.
+The decisions are tested by themselves, without I/O, or on simulated brokers.
 """
 
 import ast
@@ -37,47 +37,77 @@
 from heathwell.testing.simulation.release_experiment import Policy, ReleaseExperiment, run_release
 from heathwell.testing.simulation.release_fleet import CLASSES, DEFECTS, WINDOW_US, Defect
 
-S = 1_000_000
+SECOND_US = 1_000_000
 ROOT = Path(__file__).parent.parent
 ZONES = {f"b{n}": f"z{n % 3}" for n in range(12)}
-PLAN = Plan((Stage(0.0, 4 * S, 8 * S), Stage(0.25, 4 * S, 8 * S), Stage(1.0, 4 * S, 8 * S)))
+PLAN = Plan(
+    (
+        Stage(0.0, 4 * SECOND_US, 8 * SECOND_US),
+        Stage(0.25, 4 * SECOND_US, 8 * SECOND_US),
+        Stage(1.0, 4 * SECOND_US, 8 * SECOND_US),
+    )
+)
+
+
+def new_controller(plan=PLAN):
+    """Return a controller that is to roll out version "new" to twelve brokers in three zones."""
+    return RolloutController("c1", "old", "new", dict(ZONES), plan)
+
+
+def started_controller(plan=PLAN):
+    """Return a controller whose rollout has passed the preflight checks."""
+    controller = new_controller(plan)
+    controller.apply_event(RolloutEvent.STARTED)
+    controller.apply_event(RolloutEvent.PREFLIGHT_PASSED)
+    return controller
 
 
-def new_controller(**more):
-    return RolloutController("c1", "old", "new", dict(ZONES), PLAN, **more)
+def initial_versions():
+    """Return the version that each broker runs before the rollout."""
+    return dict.fromkeys(ZONES, "old")
 
 
-def deploy(controller, runs, at=None):
+def deploy(controller, versions, at=None):
     """Carry out batches until nothing is left; ``at`` is a number of replacements after which to stop."""
     done = 0
-    while batch := controller.next_updates(runs, set()):
+    while batch := controller.next_updates(versions, set()):
         for name, version in batch.items():
             if at is not None and done >= at:
                 return done
-            runs[name] = version
+            versions[name] = version
             done += 1
     return done
 
 
-def windows(controller, runs, goodput=1.0, canary_goodput=1.0, queries=20):
+def deploy_and_observe(controller, versions):
+    """Replace all brokers of the stage and pass the controller the versions that they run then."""
+    deploy(controller, versions)
+    controller.observe_versions(versions)
+
+
+def windows(controller, versions, goodput=1.0, canary_goodput=1.0, queries=20):
+    """Return a window of each broker, in which the goodput of updated brokers may differ from the others'."""
     return [
         BrokerWindow(
             name,
             zone,
-            runs[name] != "old",
-            {"one": QueryStatistics(queries, queries * (canary_goodput if runs[name] != "old" else goodput))},
+            versions[name] != "old",
+            {
+                "one": QueryStatistics(
+                    queries, queries * (canary_goodput if versions[name] != "old" else goodput)
+                )
+            },
             cpu_us=1000,
         )
         for name, zone in controller.zones.items()
     ]
 
 
-def complete(controller, runs, most=200):
-    """To its end where nothing is wrong."""
-    for _ in range(most):
-        deploy(controller, runs)
-        controller.observe_versions(runs)
-        controller.observe_window(windows(controller, runs))
+def complete(controller, versions, max_windows=200):
+    """Run the rollout to a final state with healthy windows."""
+    for _ in range(max_windows):
+        deploy_and_observe(controller, versions)
+        controller.observe_window(windows(controller, versions))
         if controller.state in FINAL_STATES:
             return
     raise AssertionError(controller.state)
@@ -88,12 +118,13 @@
 
 def test_each_state_reaches_a_final_state_and_those_lead_only_to_a_rollback():
     for state in TRANSITIONS:
-        reached, front = {state}, [state]
-        while front:
-            front = [
-                after for before in front for after in TRANSITIONS[before].values() if after not in reached
+        reached = {state}
+        frontier = [state]
+        while frontier:
+            frontier = [
+                after for before in frontier for after in TRANSITIONS[before].values() if after not in reached
             ]
-            reached |= set(front)
+            reached |= set(frontier)
         assert reached & set(FINAL_STATES) and set(TRANSITIONS[state].values()) <= set(TRANSITIONS)
     assert TRANSITIONS[RolloutState.ROLLED_BACK] == {} and set(TRANSITIONS[RolloutState.DONE].values()) == {
         RolloutState.ROLLING_BACK
@@ -105,67 +136,60 @@
     )
 
 
-def test_a_good_change_goes_through_its_stages_to_the_end():
-    controller, runs = new_controller(), dict.fromkeys(ZONES, "old")
-    controller.apply_event(RolloutEvent.STARTED)
-    controller.apply_event(RolloutEvent.PREFLIGHT_PASSED)
-    complete(controller, runs)
+def test_a_good_version_passes_all_stages():
+    controller = started_controller()
+    versions = initial_versions()
+    complete(controller, versions)
     assert controller.state == RolloutState.DONE and {
-        version.rstrip(RESTART_SUFFIX) for version in runs.values()
+        version.rstrip(RESTART_SUFFIX) for version in versions.values()
     } == {"new"}
     assert [step.stage for step in controller.history if step.after == RolloutState.OBSERVING] == [0, 1, 2]
 
 
 @pytest.mark.parametrize("event", [RolloutEvent.HOLD, RolloutEvent.UNDO])
-def test_an_operators_command_is_taken_at_each_step(event):
+def test_an_operators_hold_or_undo_takes_effect_after_any_step(event):
     for steps in range(1, 30):
-        controller, runs = new_controller(), dict.fromkeys(ZONES, "old")
-        controller.apply_event(RolloutEvent.STARTED)
-        controller.apply_event(RolloutEvent.PREFLIGHT_PASSED)
+        controller = started_controller()
+        versions = initial_versions()
         for _ in range(steps):
-            deploy(controller, runs, at=1)
-            controller.observe_versions(runs)
-            controller.observe_window(windows(controller, runs))
-        before = dict(runs)
+            deploy(controller, versions, at=1)
+            controller.observe_versions(versions)
+            controller.observe_window(windows(controller, versions))
+        before = dict(versions)
         if controller.apply_event(event) is None:
             assert controller.state == RolloutState.DONE and event is RolloutEvent.HOLD
             continue
         if event is RolloutEvent.HOLD:
             assert (
                 controller.state == RolloutState.HELD
-                and not controller.next_updates(runs, set())
-                and runs == before
+                and not controller.next_updates(versions, set())
+                and versions == before
             )
             controller.apply_event(RolloutEvent.RESUME)
-            complete(controller, runs)
+            complete(controller, versions)
             assert controller.state == RolloutState.DONE
         else:
-            deploy(controller, runs)
-            controller.observe_versions(runs)
-            assert controller.state == RolloutState.ROLLED_BACK and set(runs.values()) == {"old"}
+            deploy_and_observe(controller, versions)
+            assert controller.state == RolloutState.ROLLED_BACK and set(versions.values()) == {"old"}
 
 
-def test_restored_after_any_step_the_rollout_ends_the_same():
-    """Killed between any two steps: the record of before the step, and what brokers run by then, lead to one
-    end.
-    """
+def test_a_rollout_restored_after_any_step_ends_the_same():
+    """The restored record may be older than the versions that the brokers run."""
     for killed_after in range(1, 25):
-        controller, runs = new_controller(), dict.fromkeys(ZONES, "old")
-        controller.apply_event(RolloutEvent.STARTED)
-        controller.apply_event(RolloutEvent.PREFLIGHT_PASSED)
+        controller = started_controller()
+        versions = initial_versions()
         for step in itertools.count():
             record = controller.to_record()
-            deploy(controller, runs, at=1)
+            deploy(controller, versions, at=1)
             if step == killed_after:
-                fresh = new_controller()
-                fresh.restore(record, term=2)
-                controller = fresh
-            controller.observe_versions(runs)
-            controller.observe_window(windows(controller, runs))
+                controller = new_controller()
+                controller.restore(record, term=2)
+            controller.observe_versions(versions)
+            controller.observe_window(windows(controller, versions))
             if controller.state in FINAL_STATES:
                 break
         assert controller.state == RolloutState.DONE and {
-            version.rstrip(RESTART_SUFFIX) for version in runs.values()
+            version.rstrip(RESTART_SUFFIX) for version in versions.values()
         } == {"new"}
 
 
@@ -175,22 +199,19 @@
         other.restore(new_controller().to_record(), 2)
 
 
-def test_a_rollback_goes_on_beside_an_unreachable_broker_and_waits_for_it():
-    controller, runs = new_controller(), dict.fromkeys(ZONES, "old")
-    controller.apply_event(RolloutEvent.STARTED)
-    controller.apply_event(RolloutEvent.PREFLIGHT_PASSED)
-    deploy(controller, runs)
-    controller.observe_versions(runs)
-    gone = sorted(controller.updated_brokers())[0]
+def test_a_rollback_continues_without_an_unreachable_broker_and_waits_for_it():
+    controller = started_controller()
+    versions = initial_versions()
+    deploy_and_observe(controller, versions)
+    unreachable = sorted(controller.updated_brokers())[0]
     controller.apply_event(RolloutEvent.UNDO)
-    seen = {name: version for name, version in runs.items() if name != gone}
-    deploy(controller, seen)
-    controller.observe_versions(seen)
-    assert controller.state == RolloutState.ROLLING_BACK and set(seen.values()) == {"old"}
-    back = {**seen, gone: runs[gone]}  # it comes back with the new version
-    assert controller.next_updates(back, set()) == {gone: "old"}
-    deploy(controller, back)
-    controller.observe_versions(back)
+    reported = {name: version for name, version in versions.items() if name != unreachable}
+    deploy_and_observe(controller, reported)
+    assert controller.state == RolloutState.ROLLING_BACK and set(reported.values()) == {"old"}
+    # The broker is reachable again and versions the new version.
+    all_reported = {**reported, unreachable: versions[unreachable]}
+    assert controller.next_updates(all_reported, set()) == {unreachable: "old"}
+    deploy_and_observe(controller, all_reported)
     assert controller.state == RolloutState.ROLLED_BACK
 
 
@@ -198,33 +219,39 @@
 
 
 @given(st.integers(1, 60), st.integers(1, 9), st.floats(0.1, 1.0))
-def test_stages_grow_and_leave_each_zone_a_baseline(brokers, zones, share):
+def test_stages_grow_and_leave_each_zone_a_baseline(brokers, zones, fraction):
     names = {f"b{n:02}": f"z{n % zones}" for n in range(brokers)}
-    plan, before = Plan(max_zone_fraction=share), set()
-    sizes = Counter(names.values())
+    plan = Plan(max_zone_fraction=fraction)
+    previous = set()
+    zone_sizes = Counter(names.values())
     for stage in range(len(plan.stages)):
-        now = select_brokers(plan, stage, names)
-        assert before <= set(now) and len(now) <= max(len(before), plan.stages[stage].broker_count(brokers))
+        selected = select_brokers(plan, stage, names)
+        assert previous <= set(selected) and len(selected) <= max(
+            len(previous), plan.stages[stage].broker_count(brokers)
+        )
         if stage < len(plan.stages) - 1:
-            taken = Counter(names[name] for name in now)
+            updated = Counter(names[name] for name in selected)
             assert all(
-                taken[zone] <= max(1, share * size) and (taken[zone] < size or share == 1)
-                for zone, size in sizes.items()
-                if taken[zone]
+                updated[zone] <= max(1, fraction * size) and (updated[zone] < size or fraction == 1)
+                for zone, size in zone_sizes.items()
+                if updated[zone]
             )
-        before = set(now)
-    assert before == set(names)
+        previous = set(selected)
+    assert previous == set(names)
 
 
 @given(st.integers(1, 40), st.integers(1, 5), st.floats(0.05, 1.0), st.integers(1, 8))
-def test_no_more_of_a_zone_than_its_fraction_is_replaced_at_once(brokers, zones, share, at_once):
+def test_no_more_of_a_zone_than_its_fraction_is_replaced_at_once(brokers, zones, fraction, max_concurrent):
     names = {f"b{n:02}": f"z{n % zones}" for n in range(brokers)}
-    plan = Plan(max_zone_fraction=share, max_concurrent=at_once)
+    plan = Plan(max_zone_fraction=fraction, max_concurrent=max_concurrent)
     batch = next_batch(plan, sorted(names), set(), names)
-    sizes, taken = Counter(names.values()), Counter(names[name] for name in batch)
-    assert 1 <= len(batch) <= at_once and all(taken[zone] <= max(1, share * sizes[zone]) for zone in taken)
-    again = next_batch(plan, sorted(names), set(batch), names)
-    assert not set(again) & set(batch) and len(batch) + len(again) <= at_once
+    zone_sizes = Counter(names.values())
+    replaced = Counter(names[name] for name in batch)
+    assert 1 <= len(batch) <= max_concurrent and all(
+        replaced[zone] <= max(1, fraction * zone_sizes[zone]) for zone in replaced
+    )
+    following = next_batch(plan, sorted(names), set(batch), names)
+    assert not set(following) & set(batch) and len(batch) + len(following) <= max_concurrent
 
 
 @pytest.mark.parametrize("stages", [(), (Stage(0.5),), (Stage(0.5), Stage(0.2), Stage(1.0))])
@@ -236,26 +263,27 @@
 # The analysis.
 
 
-def test_insufficient_data_is_reported():
-    controller, runs = new_controller(), dict.fromkeys(ZONES, "old")
-    controller.apply_event(RolloutEvent.STARTED)
-    controller.apply_event(RolloutEvent.PREFLIGHT_PASSED)
-    deploy(controller, runs)
-    controller.observe_versions(runs)
+def test_a_stage_with_insufficient_data_ends_and_its_reason_reports_it():
+    controller = started_controller()
+    versions = initial_versions()
+    deploy_and_observe(controller, versions)
     while controller.state == RolloutState.OBSERVING:
-        controller.observe_window(windows(controller, runs, queries=1))
+        controller.observe_window(windows(controller, versions, queries=1))
     assert controller.state == RolloutState.DEPLOYING and "too little" in controller.reason
 
 
 def test_a_stage_that_requires_proof_is_held_without_evidence():
-    plan = Plan((Stage(0.25, 4 * S, 8 * S, require_proof=True), Stage(1.0, 4 * S, 8 * S)))
-    controller, runs = RolloutController("c1", "old", "new", dict(ZONES), plan), dict.fromkeys(ZONES, "old")
-    controller.apply_event(RolloutEvent.STARTED)
-    controller.apply_event(RolloutEvent.PREFLIGHT_PASSED)
-    deploy(controller, runs)
-    controller.observe_versions(runs)
+    plan = Plan(
+        (
+            Stage(0.25, 4 * SECOND_US, 8 * SECOND_US, require_proof=True),
+            Stage(1.0, 4 * SECOND_US, 8 * SECOND_US),
+        )
+    )
+    controller = started_controller(plan)
+    versions = initial_versions()
+    deploy_and_observe(controller, versions)
     while controller.state == RolloutState.OBSERVING:
-        controller.observe_window(windows(controller, runs, queries=1))
+        controller.observe_window(windows(controller, versions, queries=1))
     assert (
         controller.state == RolloutState.HELD
         and "too little" in controller.reason
@@ -264,88 +292,84 @@
 
 
 def test_a_fault_on_both_sides_holds_the_rollout_until_it_is_over():
-    plan = Plan((Stage(0.25, 40 * S, 80 * S), Stage(1.0, 4 * S, 8 * S)))
-    controller, runs = RolloutController("c1", "old", "new", dict(ZONES), plan), dict.fromkeys(ZONES, "old")
-    controller.apply_event(RolloutEvent.STARTED)
-    controller.apply_event(RolloutEvent.PREFLIGHT_PASSED)
-    deploy(controller, runs)
-    controller.observe_versions(runs)
+    plan = Plan((Stage(0.25, 40 * SECOND_US, 80 * SECOND_US), Stage(1.0, 4 * SECOND_US, 8 * SECOND_US)))
+    controller = started_controller(plan)
+    versions = initial_versions()
+    deploy_and_observe(controller, versions)
     for _ in range(4):
-        controller.observe_window(windows(controller, runs))
+        controller.observe_window(windows(controller, versions))
     for _ in range(20):
-        controller.observe_window(windows(controller, runs, goodput=0.5, canary_goodput=0.5))
+        controller.observe_window(windows(controller, versions, goodput=0.5, canary_goodput=0.5))
         if controller.state == RolloutState.HELD:
             break
     assert (
         controller.state == RolloutState.HELD and controller.held_for_fault and "trouble" in controller.reason
     )
     for _ in range(6):
-        controller.observe_window(windows(controller, runs))
+        controller.observe_window(windows(controller, versions))
     assert controller.state == RolloutState.DEPLOYING
-    complete(controller, runs)
+    complete(controller, versions)
     assert controller.state == RolloutState.DONE
 
 
-@pytest.mark.parametrize("more", [{"unexpected_exits": 1}, {"silent": True}])
-def test_exits_and_silence_of_the_canary_alone_make_the_version_worse(more):
-    analysis, word = CanaryAnalysis(AnalysisLimits(), 20), ""
+@pytest.mark.parametrize("symptom", [{"unexpected_exits": 1}, {"silent": True}])
+def test_exits_and_silence_of_the_canary_alone_make_the_version_worse(symptom):
+    analysis = CanaryAnalysis(AnalysisLimits(), 20)
+    kind = ""
     for _ in range(4):
-        word = analysis.observe(
+        kind = analysis.observe(
             [
-                BrokerWindow("a", "z", True, {}, **more),
+                BrokerWindow("a", "z", True, {}, **symptom),
                 BrokerWindow("b", "z", False, {"one": QueryStatistics(9, 9)}),
             ]
         ).kind
-        if word == VerdictKind.WORSE:
+        if kind == VerdictKind.WORSE:
             break
-    assert word == VerdictKind.WORSE
-    both = CanaryAnalysis(AnalysisLimits(), 20)
+    assert kind == VerdictKind.WORSE
+    both_sides = CanaryAnalysis(AnalysisLimits(), 20)
     assert all(
-        both.observe(
-            [BrokerWindow("a", "z", True, {}, **more), BrokerWindow("b", "z", False, {}, **more)]
+        both_sides.observe(
+            [BrokerWindow("a", "z", True, {}, **symptom), BrokerWindow("b", "z", False, {}, **symptom)]
         ).kind
         != VerdictKind.WORSE
         for _ in range(6)
     )
 
 
-def test_exits_between_stages_count_as_those_within():
-    """A version that dies each 5 s did so as the next stage was put up, and went to all (simulated,
-    processes).
-    """
-    controller, runs = new_controller(), dict.fromkeys(ZONES, "old")
-    controller.apply_event(RolloutEvent.STARTED)
-    controller.apply_event(RolloutEvent.PREFLIGHT_PASSED)
+def test_unexpected_exits_between_stages_count_like_those_within_a_stage():
+    """A version that crashes every 5 s may do so while the next stage is deployed."""
+    controller = started_controller()
+    versions = initial_versions()
     assert (
         controller.observe_exits(1, 0) is None
         and controller.observe_exits(2, 1) is None
         and controller.state == RolloutState.DEPLOYING
     )
     assert controller.observe_exits(2, 0) is not None and controller.state == RolloutState.ROLLING_BACK
-    deploy(controller, runs)
+    deploy(controller, versions)
     assert controller.observe_exits(9, 0) is None
 
 
 def test_a_broker_with_more_queries_does_not_outweigh_its_zone():
-    """Goodput differs by zone, and the canary is mostly in the worse one: no reason to stop."""
+    """Goodput differs by zone, and the canary is mostly in the worse one: the rollout continues."""
     analysis = CanaryAnalysis(AnalysisLimits(), 60)
-    for n in range(60):
-        bad = 0.8 + 0.02 * (n % 3)
+    for window in range(60):
+        worse_goodput = 0.8 + 0.02 * (window % 3)
         cases = (
-            ("a", "bad", True, 90, bad),
-            ("b", "bad", False, 9, bad),
+            ("a", "bad", True, 90, worse_goodput),
+            ("b", "bad", False, 9, worse_goodput),
             ("c", "good", True, 5, 1.0),
             ("d", "good", False, 80, 1.0),
         )
-        rows = [
+        broker_windows = [
             BrokerWindow(name, zone, is_canary, {"one": QueryStatistics(queries, queries * goodput)})
             for name, zone, is_canary, queries, goodput in cases
         ]
-        assert analysis.observe(rows).kind != VerdictKind.WORSE
+        assert analysis.observe(broker_windows).kind != VerdictKind.WORSE
 
 
 def test_good_releases_pass_and_bad_ones_are_stopped():
-    """The large figures are `benchmarks/releases.py`'s; these seeds go the same way each time."""
+    """These seeds are reproducible; `benchmarks/releases.py` measures the rates over many."""
     good = [run_release(seed) for seed in range(12)]
     assert sum(outcome.stopped for outcome in good) == 0
     for defect in DEFECTS:
@@ -354,13 +378,15 @@
 
 
 def test_a_loss_in_one_small_class_is_found_where_a_threshold_misses_it():
-    """Seeds 0 to 4 go the same way each time. Over 200 seeds the judge misses some of the smallest class: the
-    rate is `benchmarks/class_regression.py`'s, in docs/measurements.md.
+    """Seeds 0 to 4 are reproducible. Over 200 seeds the analysis misses some losses in the smallest class:
+    `benchmarks/class_regression.py` measures the rate, see docs/measurements.md.
     """
     seeds = (0, 1, 2, 3, 4)
-    judged = [run_release(seed, Defect.WORSE_CLASS) for seed in seeds]
+    analyzed = [run_release(seed, Defect.WORSE_CLASS) for seed in seeds]
     thresholds = [run_release(seed, Defect.WORSE_CLASS, Policy.THRESHOLDS) for seed in seeds]
-    assert all(outcome.stopped for outcome in judged) and sum(outcome.stopped for outcome in thresholds) <= 3
+    assert (
+        all(outcome.stopped for outcome in analyzed) and sum(outcome.stopped for outcome in thresholds) <= 3
+    )
 
 
 def test_the_same_seed_gives_the_same_release():
@@ -369,10 +395,10 @@
 
 
 def test_the_sum_of_all_classes_is_named_before_a_single_class():
-    """Both are worse alike; which one is named must not depend on the hash seed."""
+    """The sum and the classes are equally worse; which one is named must not depend on the hash seed."""
     analysis = CanaryAnalysis(AnalysisLimits(), 12)
     for window in range(60):
-        rows = [
+        broker_windows = [
             BrokerWindow(
                 f"{zone}{is_canary}",
                 zone,
@@ -385,7 +411,7 @@
             for zone in ("z0", "z1")
             for is_canary in (True, False)
         ]
-        verdict = analysis.observe(rows)
+        verdict = analysis.observe(broker_windows)
         if verdict.kind != VerdictKind.CONTINUE:
             break
     assert verdict.kind == VerdictKind.WORSE and verdict.reason.startswith("all classes: goodput -")
@@ -431,7 +457,7 @@
                 assert not module.startswith("heathwell") or module.startswith("heathwell.fleet.rollout")
 
 
-def test_the_printed_status_of_a_rollout():
+def test_the_printed_status_of_a_rollout_names_what_each_broker_runs():
     broker = {"zone": "a", "runs": "v2", "state": "serving", "wanted": "v2", "failed": "", "fresh": True}
     record = {
         "id": "v1-v2",
