--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -208,7 +208,7 @@
     reported = {name: version for name, version in versions.items() if name != unreachable}
     deploy_and_observe(controller, reported)
     assert controller.state == RolloutState.ROLLING_BACK and set(reported.values()) == {"old"}
-    # The broker is reachable again and versions the new version.
+    # The broker is reachable again and runs the new version.
     all_reported = {**reported, unreachable: versions[unreachable]}
     assert controller.next_updates(all_reported, set()) == {unreachable: "old"}
     deploy_and_observe(controller, all_reported)
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -71,7 +71,7 @@
     )
 
 
-def roll_out_settings(fleet, text):
+def apply_settings(fleet, text):
     """Roll out settings of the given text in short stages and return how the rollout ended."""
     path = fleet.folder / "new.sx"
     path.write_text(text)
@@ -142,7 +142,7 @@
 def test_settings_are_applied_under_load_without_a_restart_and_each_query_has_one_version(fleet):
     fleet.begin_load()
     time.sleep(2)
-    result = roll_out_settings(fleet, fleet.config.read_text().replace("(attempts 4)", "(attempts 3)"))
+    result = apply_settings(fleet, fleet.config.read_text().replace("(attempts 4)", "(attempts 3)"))
     assert result.exit_code == 0 and fleet.wait_for_version("s2"), result.output
     # One broker is restarted, to observe how its process ends.
     assert all(status.run <= 2 for status in fleet.broker_statuses().values())
@@ -351,7 +351,7 @@
 def test_well_formed_settings_that_fail_the_preflight_checks_are_rejected(fleet, old, new, message):
     text = fleet.config.read_text()
     assert old in text
-    result = roll_out_settings(fleet, text.replace(old, new))
+    result = apply_settings(fleet, text.replace(old, new))
     assert (
         result.exit_code == 1
         and message in result.record["why"]
