--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: records from S-expressions, and every error with its place."""
+"""Settings: records read from S-expressions, and errors that name their place."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from heathwell.settings import SettingsError, load, loads, schema_page
 
 ROOT = Path(__file__).parent.parent
-GOOD = (ROOT / "examples/market.sx").read_text()
+EXAMPLE = (ROOT / "examples/market.sx").read_text()
 
 
 def problems(text: str) -> list[str]:
+    """Return the error messages of a settings file, one for each error."""
     with pytest.raises(SettingsError) as caught:
         loads(text, "f.sx")
     return str(caught.value).splitlines()
 
 
-def test_the_example_reads_with_its_units():
+def test_values_of_the_example_are_read_by_their_units():
     service_settings = load(ROOT / "examples/market.sx")
     price = service_settings.classes[0]
     assert (price.name, price.latency_objective_us, price.required_fraction, price.priority_weight) == (
@@ -34,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("edit", "message"),
     [
         (("(aim 1s)", "(aim 1)"), "f.sx:4:3: class[0].aim: must be"),
         (("(aim 1s)", "(aim 1)"), ""),
@@ -53,26 +54,26 @@
         (("(must-ask 10s)", "(must-ask 1s)"), "at least twice discovery's timeout"),
     ],
 )
-def test_an_error_names_file_place_key_and_what_was_expected(change, said):
-    assert change[0] in GOOD
-    lines = problems(GOOD.replace(*change, 1))
-    if said.startswith("f.sx:4:3"):
+def test_an_error_names_file_place_key_and_what_was_expected(edit, message):
+    assert edit[0] in EXAMPLE
+    lines = problems(EXAMPLE.replace(*edit, 1))
+    if message.startswith("f.sx:4:3"):
         assert lines[0].startswith("f.sx:4:8: class[0].aim: a time with its unit")
         return
     assert all(line.startswith("f.sx:") and line.split(":")[1].isdigit() for line in lines)
-    assert said in "\n".join(lines)
+    assert message in "\n".join(lines)
 
 
-def test_all_errors_of_a_file_come_in_one_go_in_its_order():
+def test_all_errors_of_a_file_are_reported_together_in_its_order():
     lines = problems(
-        GOOD.replace("(aim 1s)", "(aim 1)").replace("(slots 4)", "(slots x)").replace("(width 3)", "")
+        EXAMPLE.replace("(aim 1s)", "(aim 1)").replace("(slots 4)", "(slots x)").replace("(width 3)", "")
     )
     assert len(lines) == 3
     assert [line.split(": ")[1] for line in lines] == ["class[0].aim", "fleet.width", "leaf.slots"]
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("(class a (aim 1s)", "1:1: file: this bracket is never closed"),
         ("(log))", "1:6: file: a closing bracket too many"),
@@ -81,9 +82,9 @@
         ("(" * 30 + ")" * 30, "nested more than"),
     ],
 )
-def test_text_that_does_not_parse_names_the_place(text, said):
-    assert said in problems(text)[0]
+def test_an_error_of_the_syntax_names_its_place(text, message):
+    assert message in problems(text)[0]
 
 
-def test_the_page_of_settings_is_the_one_made_from_the_records():
+def test_the_page_of_settings_is_generated_from_the_records():
     assert (ROOT / "docs/settings.md").read_text() == schema_page()
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Which settings a running broker takes, and how it names those that need a restart."""
+"""Which changes of settings a running broker applies, and how it names those that need a restart."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     ("old", "new"),
     [("(aim 1s)", "(aim 900ms)"), ("(work 3ms)", "(work 4ms)"), ("(transit 20ms)", "(transit 30ms)")],
 )
-def test_objectives_costs_and_plain_limits_change_while_the_broker_runs(old, new):
+def test_objectives_costs_and_plain_limits_may_change_while_the_broker_runs(old, new):
     check_settings_change(loads(SETTINGS), loads(SETTINGS.replace(old, new)))
 
 
@@ -41,7 +41,7 @@
         ),
     ],
 )
-def test_a_change_that_needs_a_restart_is_named(old, new, message):
+def test_a_change_that_needs_a_restart_is_rejected_and_named(old, new, message):
     with pytest.raises(SettingsChangeError) as raised:
         check_settings_change(loads(SETTINGS), loads(SETTINGS.replace(old, new)))
     assert str(raised.value) == message
--- a/tests/test_state_file.py
+++ b/tests/test_state_file.py
@@ -34,16 +34,16 @@
 )
 
 
-def test_the_layout_on_disk_stays(tmp_path):
+def test_a_state_is_stored_in_the_layout_that_other_versions_read(tmp_path):
     save_agent_state(tmp_path, STATE)
     assert (tmp_path / "agent.json").read_text() == STORED
     assert [path.name for path in tmp_path.iterdir()] == ["agent.json"]
 
 
-def test_what_is_stored_is_read_again(tmp_path):
+def test_a_stored_state_is_loaded(tmp_path):
     (tmp_path / "agent.json").write_text(STORED)
     assert load_agent_state(tmp_path) == STATE
 
 
-def test_without_a_file_there_is_no_state(tmp_path):
+def test_without_a_file_no_state_is_loaded(tmp_path):
     assert load_agent_state(tmp_path) is None
