--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The link's stand-in on sockets and in memory: delay, rate, cut and heal, one way, resets, flaps."""
+"""The relay that injects network faults: delay, rate, partitions, resets and flapping."""
 
 from __future__ import annotations
 
@@ -11,121 +11,138 @@
 
 
 def echo(stream):
+    """Write back what is received until the end of the stream."""
     while data := (yield from stream.read()):
         stream.write(data)
         yield from stream.drain()
 
 
-def world():
-    loop, net = virtual_loop(4)
-    errors = []
-    loop.on_error = lambda name, error: errors.append((name, error))
-    host = net.listen("127.0.0.1:0", echo, "echo")
-    relay = Relay(loop, net.at("127.0.0.1"), [host.address])
-    relay.start()
-    return loop, RoutedNet(net, relay.routes), relay, host.address, errors
+class RelayedEcho:
+    """An echo server behind a relay, on virtual time."""
+
+    def __init__(self):
+        self.loop, network = virtual_loop(4)
+        self.errors = []
+        self.loop.on_error = lambda name, error: self.errors.append((name, error))
+        server = network.listen("127.0.0.1:0", echo, "echo")
+        self.address = server.address
+        self.relay = Relay(self.loop, network.at("127.0.0.1"), [server.address])
+        self.relay.start()
+        self.network = RoutedNet(network, self.relay.routes)
+
+    def connect(self, timeout_us=1_000_000):
+        """Connect to the server through the relay."""
+        return self.network.connect(self.address, timeout_us)
+
+    def run(self, steps):
+        """Run a coroutine to its end and check that no task of the loop failed."""
+        self.loop.run(self.loop.spawn(steps, "main"))
+        errors = self.errors
+        assert not errors, errors
 
 
 def order(relay, kind, value=0.0, seconds=0.0):
+    """Inject a fault at the relay."""
     assert relay.order(frames.FaultCommand(kind, value, int(seconds * 1e6))) is None
 
 
-def ask(loop, stream, data=b"hi"):
-    began, got = loop.now(), b""
+def round_trip_us(loop, stream, data=b"hi"):
+    """Send data and return how long its echo takes; raise StreamBrokenError where the stream ends before."""
+    sent_at_us = loop.now()
+    received = b""
     stream.write(data)
-    while len(got) < len(data):
-        more = yield from stream.read()
-        if not more:
+    while len(received) < len(data):
+        chunk = yield from stream.read()
+        if not chunk:
             raise StreamBrokenError("end")
-        got += more
-    assert got == data
-    return loop.now() - began
-
-
-def run(loop, gen, errors):
-    loop.run(loop.spawn(gen, "main"))
-    assert not errors, errors
+        received += chunk
+    assert received == data
+    return loop.now() - sent_at_us
 
 
-def test_delay_is_paid_each_way_and_ends():
-    loop, net, relay, address, errors = world()
+def test_a_delay_is_added_in_each_direction_until_it_ends():
+    echo_server = RelayedEcho()
+    loop = echo_server.loop
 
     def main():
-        stream = yield from net.connect(address, 1_000_000)
-        assert (yield from ask(loop, stream)) < 5_000
-        order(relay, "delay", 0.1, 2.0)
-        assert 170_000 < (yield from ask(loop, stream)) < 240_000
+        stream = yield from echo_server.connect()
+        assert (yield from round_trip_us(loop, stream)) < 5_000
+        order(echo_server.relay, "delay", 0.1, 2.0)
+        assert 170_000 < (yield from round_trip_us(loop, stream)) < 240_000
         yield from sleep(loop, 2_500_000)
-        assert (yield from ask(loop, stream)) < 5_000
+        assert (yield from round_trip_us(loop, stream)) < 5_000
 
-    run(loop, main(), errors)
+    echo_server.run(main())
 
 
-def test_a_rate_limits_what_is_carried():
-    loop, net, relay, address, errors = world()
+def test_a_rate_limits_the_throughput():
+    echo_server = RelayedEcho()
+    loop = echo_server.loop
 
     def main():
-        stream = yield from net.connect(address, 1_000_000)
-        order(relay, "rate", 100_000.0, 60.0)
-        assert 900_000 < (yield from ask(loop, stream, b"x" * 100_000)) < 2_500_000
+        stream = yield from echo_server.connect()
+        order(echo_server.relay, "rate", 100_000.0, 60.0)
+        assert 900_000 < (yield from round_trip_us(loop, stream, b"x" * 100_000)) < 2_500_000
 
-    run(loop, main(), errors)
+    echo_server.run(main())
 
 
 @pytest.mark.parametrize("kind", ["cut", "oneway", "flap"])
-def test_what_a_cut_holds_goes_on_after_it_in_order(kind):
-    loop, net, relay, address, errors = world()
+def test_data_held_by_a_partition_is_delivered_in_order_after_it(kind):
+    echo_server = RelayedEcho()
+    loop = echo_server.loop
 
     def main():
-        stream = yield from net.connect(address, 1_000_000)
-        yield from ask(loop, stream)
-        order(relay, kind, 2.0 if kind == "flap" else 0.0, 2.0)
-        assert (yield from ask(loop, stream, bytes(range(200)))) >= 1_990_000
+        stream = yield from echo_server.connect()
+        yield from round_trip_us(loop, stream)
+        order(echo_server.relay, kind, 2.0 if kind == "flap" else 0.0, 2.0)
+        assert (yield from round_trip_us(loop, stream, bytes(range(200)))) >= 1_990_000
         if kind == "cut":
-            order(relay, kind, 0.0, 2.0)
-            other = yield from net.connect(address, 500_000)  # the door itself is near: taken, and silent
+            order(echo_server.relay, kind, 0.0, 2.0)
+            other = yield from echo_server.connect(500_000)  # accepted by the relay, but no data passes
             other.write(b"x")
             yield from sleep(loop, 1_000_000)
             other.abort()
 
-    run(loop, main(), errors)
+    echo_server.run(main())
 
 
-def test_a_reset_breaks_all_and_new_connections_pass():
-    loop, net, relay, address, errors = world()
+def test_a_reset_breaks_open_connections_and_new_ones_are_relayed():
+    echo_server = RelayedEcho()
+    loop = echo_server.loop
 
     def main():
-        stream = yield from net.connect(address, 1_000_000)
-        yield from ask(loop, stream)
-        order(relay, "reset")
+        stream = yield from echo_server.connect()
+        yield from round_trip_us(loop, stream)
+        order(echo_server.relay, "reset")
         with pytest.raises(StreamBrokenError):
-            yield from ask(loop, stream)
-        again = yield from net.connect(address, 1_000_000)
-        assert (yield from ask(loop, again)) < 5_000
+            yield from round_trip_us(loop, stream)
+        reconnected = yield from echo_server.connect()
+        assert (yield from round_trip_us(loop, reconnected)) < 5_000
 
-    run(loop, main(), errors)
+    echo_server.run(main())
     with pytest.raises(UnknownFaultError, match="unknown trouble"):
-        relay.order(frames.FaultCommand("nonsense"))
+        echo_server.relay.order(frames.FaultCommand("nonsense"))
 
 
-def test_over_real_sockets():
-    loop, net, _ = socket_loop()
-    host = net.listen("127.0.0.1:0", echo, "echo")
-    relay = Relay(loop, net, [host.address])
+def test_over_sockets_a_cut_delays_data_and_a_closed_server_ends_connections():
+    loop, network, _ = socket_loop()
+    host = network.listen("127.0.0.1:0", echo, "echo")
+    relay = Relay(loop, network, [host.address])
     relay.start()
-    routed = RoutedNet(net, relay.routes)
+    routed = RoutedNet(network, relay.routes)
 
     def main():
         stream = yield from routed.connect(host.address, 1_000_000)
-        yield from ask(loop, stream, bytes(range(256)) * 2000)
+        yield from round_trip_us(loop, stream, bytes(range(256)) * 2000)
         order(relay, "cut", 0.0, 0.3)
-        assert (yield from ask(loop, stream)) >= 290_000
+        assert (yield from round_trip_us(loop, stream)) >= 290_000
         stream.end()
         assert (yield from stream.read()) == b""
         host.close()
         refused = yield from routed.connect(host.address, 1_000_000)
         with pytest.raises((StreamBrokenError, ConnectError)):
-            yield from ask(loop, refused)
+            yield from round_trip_us(loop, refused)
 
     loop.run(loop.spawn(main(), "main"))
     loop.shutdown()
