--- a/tests/test_version_compatibility.py
+++ b/tests/test_version_compatibility.py
@@ -1,21 +1,23 @@
-"""What the version before the rename wrote is read as it was, and the same day is played.
+"""Compatibility with the version before the rename.
+
+Its frames, files and settings are read as before, and the same seeds give the same events.
 
 The files in ``tests/files/before_rename`` come from commit ba17013, the last one before the rename. They were
 made by running that commit's own code, imported from a checkout of it:
 
 - ``frames.hex``: one line for each type of its ``codec.frames.Any_``, built from the type's fields with a
   value unlike the default in each of them (also in nested records), and encoded by its ``encode``;
-- ``rollout.json``: ``Course.record()`` after six events, which end in a hold for trouble on both sides;
-- ``agent.json``: the notes of a machine agent with two brokers, one of which replaces its process;
-  ``agent_restored.json``: what a second agent of that commit made of those notes, with both processes alive
-  by a stubbed ``start_of``: its encoded view, the processes that it ended, and the notes it wrote itself;
+- ``rollout.json``: ``Course.record()`` after six events, which end in a hold for a fault on both sides;
+- ``agent.json``: the state file of a node agent with two brokers, one of which replaces its process;
+  ``agent_restored.json``: what a second agent of that commit restored from it, with both processes alive by a
+  stubbed ``start_of``: its encoded view, the processes that it ended, and the state file that it wrote;
 - ``day.sx``, ``day.jsonl.gz``: the settings and all events of ``SimulatedScenario(settings, 11,
   duration_seconds=6.0, use_tokens=True)``, one sorted JSON object a line; ``fleet_day.sx``,
-  ``fleet_day.jsonl.xz``: those of a day with keepers, budgets, evacuation of zones and ages of answers,
-  played as in ``DAYS`` below;
+  ``fleet_day.jsonl.xz``: those of a scenario with coordinators, budgets, zone evacuation and ages of answers,
+  run as in ``SCENARIOS`` below;
 - ``day_verdicts.json``, ``fleet_day_verdicts.json``: its auditors' verdicts on these events, and on the same
   ones without every 97th line; ``day_metrics.txt``, ``fleet_day_metrics.txt``: type, name and label names of
-  each sample that the admin pages of the day's brokers held at its end;
+  each sample on the admin pages of the scenario's brokers at its end;
 - ``schema.txt``: ``schema_page()``; ``examples.json``: each file of ``examples``, loaded and turned into
   built-in types by ``msgspec.to_builtins``, which uses the encoded names;
 - ``platform_config.json``: a platform's configuration with three known targets; ``platform_settings.json``:
@@ -60,18 +62,20 @@
 EXAMPLES = Path(__file__).parent.parent / "examples"
 FRAMES = [bytes.fromhex(line) for line in (FILES / "frames.hex").read_text().split()]
 LENGTH_BYTES = 4
-DAY_SECONDS = 6.0
-DAMAGED_EVERY = 97
+SCENARIO_SECONDS = 6.0
+DAMAGED_EVERY = 97  # events whose index is a multiple of it are missing in a damaged log
 OLD_REASON = "attempts tell too little"
 PRESENT_REASON = "attempts are too few to judge"
 LIVE_PROCESSES = {999999991: 4242, 999999992: 4343}  # start times by process id, as in agent.json
 
 
 def read_json(name: str) -> Any:
+    """Return the content of a JSON file of the old version."""
     return json.loads((FILES / name).read_text())
 
 
 def tag_of(frame: bytes) -> str:
+    """Return the tag of a frame's message type."""
     return msgspec.msgpack.decode(frame[LENGTH_BYTES:])["type"]
 
 
@@ -98,7 +102,7 @@
 
 
 def assert_no_defaults(record: msgspec.Struct) -> None:
-    """An encoded name that was changed would leave its field at the default."""
+    """Check that each field was set: one whose encoded name was changed would have its default."""
     for info in msgspec.structs.fields(record):
         value = getattr(record, info.name)
         assert value not in (info.default, None, [], {}), info.name
@@ -122,15 +126,15 @@
     assert json.dumps(rollout.to_record()) == text
 
 
-def test_the_old_notes_of_a_machine_agent_are_restored_and_written_the_same(
+def test_the_old_state_file_of_a_node_agent_is_restored_and_written_the_same(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    ended: list[list[int]] = []
+    signals: list[list[int]] = []
     for module in (broker_process, node_agent):
         monkeypatch.setattr(module, "process_start_ticks", lambda pid: LIVE_PROCESSES.get(pid, 0))
-        monkeypatch.setattr(module, "send_signal", lambda pid, number: ended.append([pid, int(number)]))
-    notes = tmp_path / STATE_FILE_NAME
-    notes.write_text((FILES / STATE_FILE_NAME).read_text())
+        monkeypatch.setattr(module, "send_signal", lambda pid, number: signals.append([pid, int(number)]))
+    state_file = tmp_path / STATE_FILE_NAME
+    state_file.write_text((FILES / STATE_FILE_NAME).read_text())
     brokers = [
         broker_process.supervise_broker("b0", 0, "127.0.0.1:1", ["--x"]),
         broker_process.supervise_broker("b1", 2, "127.0.0.1:2", []),
@@ -143,17 +147,17 @@
     agent._save_state()
 
     expected = read_json("agent_restored.json")
-    assert ended == expected["killed"]
+    assert signals == expected["killed"]
     assert frames.encode(agent.view()).hex() == expected["view"]
-    assert notes.read_text() == expected["written"]
+    assert state_file.read_text() == expected["written"]
 
 
 # Event logs and metrics.
 
 
 @dataclass(frozen=True)
-class SeededDay:
-    """How a day of the fixtures was played and judged; its files begin with its name."""
+class SeededScenario:
+    """How a scenario of the fixtures was run and audited; its files begin with its name."""
 
     name: str
     log_suffix: str
@@ -165,12 +169,13 @@
 
 
 def judge_rules(events: list[Event]) -> Verdict:
+    """Return the verdict on the six rules, with 20 ms of tolerance."""
     return judge(events, slack=20_000)
 
 
-DAYS = [
-    SeededDay("day", "gz", gzip.decompress, 11, 30.0, HOST_FAULTS, {"rules": judge_rules}),
-    SeededDay(
+SCENARIOS = [
+    SeededScenario("day", "gz", gzip.decompress, 11, 30.0, HOST_FAULTS, {"rules": judge_rules}),
+    SeededScenario(
         "fleet_day",
         "xz",
         lzma.decompress,
@@ -183,58 +188,63 @@
 
 
 @dataclass(frozen=True)
-class PlayedDay:
-    """A day of the fixtures: its old events, and the day as it is played now."""
+class ScenarioRun:
+    """A scenario of the fixtures: its old events, and its run by the present version."""
 
-    spec: SeededDay
+    spec: SeededScenario
     old_events: list[dict[str, Any]]
     simulated: SimulatedScenario
 
     def verdicts(self, events: list[dict[str, Any]]) -> dict[str, Any]:
+        """Return the verdicts of the scenario's auditors on events, as JSON would hold them."""
         lines = from_lines(events)
         found = {name: dataclasses.asdict(auditor(lines)) for name, auditor in self.spec.auditors.items()}
         return json.loads(json.dumps(found))
 
     def old_verdicts(self) -> Any:
+        """Return the verdicts of the old version's auditors."""
         return read_json(f"{self.spec.name}_verdicts.json")
 
 
-@pytest.fixture(scope="module", params=DAYS, ids=lambda spec: spec.name)
-def day(request: pytest.FixtureRequest) -> PlayedDay:
-    spec: SeededDay = request.param
+@pytest.fixture(scope="module", params=SCENARIOS, ids=lambda spec: spec.name)
+def scenario_run(request: pytest.FixtureRequest) -> ScenarioRun:
+    """Run a scenario of the fixtures and return it with its old events."""
+    spec: SeededScenario = request.param
     log = spec.decompress((FILES / f"{spec.name}.jsonl.{spec.log_suffix}").read_bytes())
     settings = loads((FILES / f"{spec.name}.sx").read_text())
     simulated = SimulatedScenario(
         settings,
         spec.seed,
-        duration_seconds=DAY_SECONDS,
+        duration_seconds=SCENARIO_SECONDS,
         arrival_rate=spec.rate,
         faults=spec.faults,
         use_tokens=True,
     )
-    return PlayedDay(spec, [json.loads(line) for line in log.decode().splitlines()], simulated.run())
+    return ScenarioRun(spec, [json.loads(line) for line in log.decode().splitlines()], simulated.run())
 
 
-def test_the_auditors_give_the_old_verdicts_on_the_old_events(day: PlayedDay) -> None:
-    assert day.verdicts(day.old_events) == day.old_verdicts()["whole"]
+def test_the_auditors_give_the_old_verdicts_on_the_old_events(scenario_run: ScenarioRun) -> None:
+    assert scenario_run.verdicts(scenario_run.old_events) == scenario_run.old_verdicts()["whole"]
 
 
-def test_the_auditors_find_the_old_breaches_in_damaged_logs(day: PlayedDay) -> None:
-    damaged = [event for index, event in enumerate(day.old_events) if index == 0 or index % DAMAGED_EVERY]
-    expected = day.old_verdicts()["damaged"]
+def test_the_auditors_find_the_old_breaches_in_damaged_logs(scenario_run: ScenarioRun) -> None:
+    damaged = [
+        event for index, event in enumerate(scenario_run.old_events) if index == 0 or index % DAMAGED_EVERY
+    ]
+    expected = scenario_run.old_verdicts()["damaged"]
     assert all(verdict["breaches"] for verdict in expected.values())
-    assert day.verdicts(damaged) == expected
+    assert scenario_run.verdicts(damaged) == expected
 
 
-def in_present_words(event: dict[str, Any]) -> dict[str, Any]:
-    """An old event with the one reason that is worded otherwise now, of ``zones`` events alone."""
+def with_present_reason(event: dict[str, Any]) -> dict[str, Any]:
+    """Return an old event with the one reason of ``zones`` events that has another text now."""
     if event["ev"] != "zones" or "why" not in event:
         return event
     return event | {"why": event["why"].replace(OLD_REASON, PRESENT_REASON)}
 
 
 def without_added_fields(event: dict[str, Any]) -> dict[str, Any]:
-    """A present event without the field that was added: why a query ended, or an attempt was sent."""
+    """Return a present event without the field that was added: why a query ended, or an attempt was sent."""
     if event["ev"] not in ("final", "send") or "reason" not in event:
         return event
     if event["ev"] == "final":
@@ -247,9 +257,9 @@
 
 
 def in_stated_order(events: list[dict[str, Any]]) -> list[str]:
-    """Events as text, ``holds`` events in a row of one broker at one instant sorted.
+    """Return events as text, consecutive ``holds`` events of one broker at one instant sorted.
 
-    The old code noted these in the order of a set of strings, which differed from process to process.
+    The old code recorded these in the order of a set of strings, which differed from process to process.
     """
     lines: list[str] = []
     for (kind, *_), group in groupby(events, key=lambda event: (event["ev"], event["t"], event["who"])):
@@ -258,44 +268,45 @@
     return lines
 
 
-def test_the_same_seed_plays_the_old_day(day: PlayedDay) -> None:
-    played = in_stated_order([without_added_fields(event) for event in day.simulated.events])
-    old = in_stated_order([in_present_words(event) for event in day.old_events])
-    for event, old_event in zip(played, old, strict=True):
+def test_the_same_seed_gives_the_old_events(scenario_run: ScenarioRun) -> None:
+    present = in_stated_order([without_added_fields(event) for event in scenario_run.simulated.events])
+    old = in_stated_order([with_present_reason(event) for event in scenario_run.old_events])
+    for event, old_event in zip(present, old, strict=True):
         assert event == old_event
 
 
-def test_metrics_have_their_old_names_and_labels(day: PlayedDay) -> None:
-    rows = set()
-    for broker in day.simulated.fleet.brokers:
+def test_metrics_keep_their_names_and_labels(scenario_run: ScenarioRun) -> None:
+    samples = set()
+    for broker in scenario_run.simulated.fleet.brokers:
         page = generate_latest(broker.admin_server._metrics.registry).decode()
         for family in text_string_to_metric_families(page):
             for sample in family.samples:
-                rows.add(" ".join([family.type, sample.name, *sorted(sample.labels)]))
-    assert sorted(rows) == (FILES / f"{day.spec.name}_metrics.txt").read_text().splitlines()
+                samples.add(" ".join([family.type, sample.name, *sorted(sample.labels)]))
+    assert sorted(samples) == (FILES / f"{scenario_run.spec.name}_metrics.txt").read_text().splitlines()
 
 
 # Settings.
 
 
-def test_the_schema_page_is_the_old_one() -> None:
+def test_the_schema_page_is_unchanged() -> None:
     assert schema_page() == (FILES / "schema.txt").read_text()
 
 
 def load_example(path: Path) -> Any:
+    """Return an example's settings, or its fault script."""
     if path.name.startswith("market"):
         return load(path)
     return loads_as(Script, (), path.read_text(), path.name)
 
 
 @pytest.mark.parametrize("name", sorted(read_json("examples.json")))
-def test_an_example_is_read_to_the_old_settings(name: str) -> None:
+def test_an_example_is_read_as_the_old_settings(name: str) -> None:
     settings = msgspec.to_builtins(load_example(EXAMPLES / name), str_keys=True)
     assert json.loads(json.dumps(settings)) == read_json("examples.json")[name]
 
 
 def by_position(value: Any) -> Any:
-    """Records as lists of their values, so that names of fields don't matter."""
+    """Return records as lists of their values, without the names of the fields."""
     if isinstance(value, Enum):
         return value.value
     if dataclasses.is_dataclass(value):
@@ -308,7 +319,7 @@
     return value
 
 
-def test_a_platform_configuration_is_read_to_the_old_settings() -> None:
+def test_a_platform_configuration_is_read_as_the_old_settings() -> None:
     config = platform_config.read((FILES / "platform_config.json").read_bytes())
     assert len(config.known.targets) == 3
     assert by_position(config) == read_json("platform_settings.json")
