--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -98,14 +98,14 @@
         return self.controller.zones[zone].state
 
 
-def usual_loss(source, target, query_class):
+def usual_loss(_source, _target, _query_class):
     """Return the loss of a healthy fleet."""
     return USUAL_LOSS
 
 
 def loss_at(*zones):
     """Return the loss of a fleet in which all attempts to these zones fail."""
-    return lambda source, target, query_class: 1.0 if target in zones else USUAL_LOSS
+    return lambda _source, target, _query_class: 1.0 if target in zones else USUAL_LOSS
 
 
 def fleet_with_load(load):
@@ -201,13 +201,13 @@
 
 def test_a_fifth_of_a_zones_hosts_failing_does_not_evacuate_it():
     fleet = SimulatedFleet()
-    fleet.loss = lambda source, target, query_class: 0.2 if target == "b" else USUAL_LOSS
+    fleet.loss = lambda _source, target, _query_class: 0.2 if target == "b" else USUAL_LOSS
     assert fleet.run(30).controller.decision.number == 0
 
 
 def test_a_path_unhealthy_from_one_zone_alone_does_not_evacuate_its_target():
     fleet = SimulatedFleet()
-    fleet.loss = lambda source, target, query_class: 1.0 if (source, target) == ("a", "b") else USUAL_LOSS
+    fleet.loss = lambda source, target, _query_class: 1.0 if (source, target) == ("a", "b") else USUAL_LOSS
     fleet.run(20)
     assert (
         fleet.controller.decision.number == 0
@@ -252,13 +252,15 @@
 
 def test_reports_of_a_zones_own_brokers_do_not_evacuate_it():
     fleet = SimulatedFleet()
-    fleet.loss = lambda source, target, query_class: 1.0 if source == "b" else USUAL_LOSS
+    fleet.loss = lambda source, _target, _query_class: 1.0 if source == "b" else USUAL_LOSS
     assert fleet.run(20).controller.decision.number == 0
 
 
 def test_a_partitioned_zone_that_serves_itself_is_evacuated_by_the_others():
     fleet = SimulatedFleet()
-    fleet.loss = lambda source, target, query_class: 1.0 if (source == "b") != (target == "b") else USUAL_LOSS
+    fleet.loss = lambda source, target, _query_class: (
+        1.0 if (source == "b") != (target == "b") else USUAL_LOSS
+    )
     fleet.run(8)
     assert fleet.state("b") == ZoneState.EVACUATED and all(
         fleet.state(zone) == ZoneState.SERVING for zone in "ac"
@@ -267,7 +269,7 @@
 
 def test_only_the_unhealthy_query_class_of_a_zone_is_evacuated():
     fleet = SimulatedFleet()
-    fleet.loss = lambda source, target, query_class: (
+    fleet.loss = lambda _source, target, query_class: (
         1.0 if (target, query_class) == ("b", "report") else USUAL_LOSS
     )
     fleet.run(8)
@@ -307,7 +309,7 @@
 def test_a_query_class_evacuated_alone_is_restored_alone_and_in_steps():
     """The zone's other class, which is healthy, keeps all of its traffic during the restore."""
     fleet = SimulatedFleet()
-    fleet.loss = lambda source, target, query_class: (
+    fleet.loss = lambda _source, target, query_class: (
         1.0 if (target, query_class) == ("b", "report") else USUAL_LOSS
     )
     fleet.run(8)
@@ -373,7 +375,7 @@
     make a suspected zone healthy.
     """
     fleet = SimulatedFleet()
-    fleet.loss = lambda source, target, query_class: (
+    fleet.loss = lambda source, target, _query_class: (
         1.0 if target in ("b", "c") and source != target else USUAL_LOSS
     )
     traffic_share = fleet.traffic_share
@@ -498,7 +500,7 @@
 def test_a_drill_that_costs_too_much_elsewhere_is_cancelled_and_restores():
     simulated = SimulatedDrill(seconds=60)
     fleet = simulated.fleet
-    fleet.loss = lambda source, target, query_class: (
+    fleet.loss = lambda _source, target, _query_class: (
         0.3 if target != "b" and fleet.traffic_share("b") < 0.5 else USUAL_LOSS
     )
     simulated.run()
@@ -537,7 +539,7 @@
     fleet.loss = loss_at("b")
     fleet.run(8)
     # The zone has capacity for half of its traffic.
-    fleet.loss = lambda source, target, query_class: (
+    fleet.loss = lambda _source, target, _query_class: (
         USUAL_LOSS if target != "b" or fleet.traffic_share("b") < 0.5 else 0.6
     )
     fleet.run(60)
--- a/tests/test_evacuation_processes.py
+++ b/tests/test_evacuation_processes.py
@@ -496,7 +496,8 @@
 
 
 @pytest.mark.fleet
-def test_false_reports_of_three_members_of_nine_cause_no_evacuation(running, false_reporters):
+@pytest.mark.usefixtures("false_reporters")
+def test_false_reports_of_three_members_of_nine_cause_no_evacuation(running):
     """The coordinators receive the false reports, as their status shows."""
     running.wait_until_decided()
     deadline = time.monotonic() + 20
