--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,7 +1,7 @@
-"""The fleet's control as processes of the program, with faults between them: budgets judged from logs alone.
+"""Quotas and membership over processes, with faults between them: budgets are audited from event logs alone.
 
-Six brokers, three keepers, six hosts and clients; every way goes through a relay. The short cases run in
-`make test`, the others by `make test-fleet`. Nothing here is judged by how long the machine took.
+Six brokers, three coordinators, six hosts and clients; each connection passes through a relay. The short
+cases run in `make test`, the others by `make test-fleet`. No check depends on how long the machine took.
 """
 
 from __future__ import annotations
@@ -27,176 +27,210 @@
 from .loaded_modules import among, loaded_modules, missing_modules
 
 ROOT = Path(__file__).resolve().parent.parent
-MARKET = (ROOT / "examples/market-fleet.sx").read_text()
+EXAMPLE_SETTINGS = (ROOT / "examples/market-fleet.sx").read_text()
 SLOW = "(at 100ms slow (to leaf0 leaf1 leaf2) (span 14s) (value 6))"
 CLOCKS = "(clock b1 1.02) (clock b2 0.98) (clock b3 1.02) (clock k0 0.98) (clock k1 1.02) (clock k2 0.98)"
-Seen = list[Event]
+Events = list[Event]
+FLEET_COMMAND = (sys.executable, "-m", "heathwell", "fleet")
+COMMAND_TIMEOUT_SECONDS = 30
 
 
 @dataclass(frozen=True)
 class Case:
-    """Faults, and what the logs must show of them besides no overshoot and no broken rule."""
+    """Faults, and the check of the event logs besides those of the budgets and rules.
+
+    ``load_options`` are added to the script's load; ``settings_edits`` are replacements in the settings.
+    """
 
     steps: str
-    shows: Callable[[Seen], object]
+    check: Callable[[Events], object]
     seconds: int = 10
-    more: str = ""
-    swaps: dict[str, str] = field(default_factory=dict)
+    load_options: str = ""
+    settings_edits: dict[str, str] = field(default_factory=dict)
 
 
-def of(seen: Seen, ev: str, **fields: object) -> Seen:
+def of(events: Events, kind: str, **fields: object) -> Events:
+    """Return the events of a kind whose fields have the given values."""
     return [
         event
-        for event in seen
-        if event.ev == ev and all(event.fields.get(key) == value for key, value in fields.items())
+        for event in events
+        if event.ev == kind and all(event.fields.get(key) == value for key, value in fields.items())
     ]
 
 
-def states(seen: Seen, name: str) -> set[str]:
-    """What keepers had a broker as."""
-    return {event["after"] for event in of(seen, "member", name=name)}
+def states(events: Events, name: str) -> set[str]:
+    """Return the states that coordinators had a broker in."""
+    return {event["after"] for event in of(events, "member", name=name)}
 
 
-def lent(seen: Seen, who: str, budget: str = "further") -> int:
-    """The most that a broker's run held of a budget beyond its own minimum."""
+def largest_grant(events: Events, who: str, budget: str = "further") -> int:
+    """Return the largest quota of a budget that a broker's run was granted beyond its own minimum."""
     return max(
         (
             sum(amount for _, amount, *_ in event["held"])
-            for event in of(seen, "holds", budget=budget)
+            for event in of(events, "holds", budget=budget)
             if event.who == who
         ),
         default=0,
     )
 
 
-def killed_with_most(seen: Seen) -> None:
-    whole = 12_000 * 0.6
-    assert lent(seen, "b0r0") > 0.5 * whole  # it alone was asked anything
-    assert "dead" in states(seen, "b0")  # that incarnation
-    assert lent(seen, "b0r1") > 0.3 * whole  # its next incarnation was given anew
+def check_killed_holder_is_granted_anew(events: Events) -> None:
+    """Check that the broker with all of the load is granted most, dies, and its next run is granted anew."""
+    grantable = 12_000 * 0.6
+    assert largest_grant(events, "b0r0") > 0.5 * grantable
+    assert "dead" in states(events, "b0")
+    assert largest_grant(events, "b0r1") > 0.3 * grantable
 
 
-def stopped(seen: Seen) -> None:
-    back = of(seen, "paused", name="b1")[0]
-    until = back.t + back["span"]
-    mine = [event for event in seen if event.who == "b1r0" and event.t >= until - 1_000]
-    assert [event.ev for event in mine if event.ev in ("dies", "holds", "spends", "send")][0] == "dies"
-    assert "stopped for" in of(mine, "dies")[0]["why"]
-    fresh = next(event.t for event in mine if event.ev == "holds" and event["held"])
-    early = [event for event in mine if event.ev == "spends" and event.t < fresh]
-    assert len(early) <= 2  # of its own minimum, 0.6 a second and 2 s of it saved up, nothing more
+def check_paused_broker_ends_its_incarnation(events: Events) -> None:
+    """Check that after a pause longer than its lease a broker uses only its minimum until a new grant."""
+    paused = of(events, "paused", name="b1")[0]
+    resumed_at_us = paused.t + paused["span"]
+    after_pause = [event for event in events if event.who == "b1r0" and event.t >= resumed_at_us - 1_000]
+    assert [event.ev for event in after_pause if event.ev in ("dies", "holds", "spends", "send")][0] == "dies"
+    assert "stopped for" in of(after_pause, "dies")[0]["why"]
+    granted_at_us = next(event.t for event in after_pause if event.ev == "holds" and event["held"])
+    before_grant = [event for event in after_pause if event.ev == "spends" and event.t < granted_at_us]
+    assert len(before_grant) <= 2  # of its own minimum: 0.6/s, with a burst of 2 s
 
 
-def unheard(seen: Seen) -> None:
-    assert "dead" in states(seen, "b0") and "alive" in states(seen, "b0")
-    assert of(seen, "dies", why=of(seen, "dies")[0]["why"])[0]["why"].startswith(
-        "127.0.0.1"
-    )  # a keeper told it
+def check_broker_without_reports_is_dead(events: Events) -> None:
+    """Check that a broker whose reports are lost is dead, and learns it from a coordinator's reply."""
+    assert "dead" in states(events, "b0") and "alive" in states(events, "b0")
+    assert of(events, "dies", why=of(events, "dies")[0]["why"])[0]["why"].startswith("127.0.0.1")
 
 
-def deaf(seen: Seen) -> None:
-    """It reports and hears nothing: suspected, not dead, and nothing more is given to it."""
-    suspected = [event for event in of(seen, "member", name="b0", after="suspect")]
-    assert suspected and "dead" not in states(seen, "b0")
+def check_broker_without_replies_is_suspected(events: Events) -> None:
+    """Check that a broker that reports but receives no reply is suspected and not dead."""
+    suspected = [event for event in of(events, "member", name="b0", after="suspect")]
+    assert suspected and "dead" not in states(events, "b0")
 
 
-def answers_lost(seen: Seen) -> None:
-    assert len({event.t for event in of(seen, "holds", budget="further") if event.who == "b0r0"}) > 3
-    assert "dead" not in states(seen, "b0")
+def check_lost_replies_are_borne(events: Events) -> None:
+    """Check that a broker whose replies are lost now and then is granted quotas and stays alive."""
+    assert len({event.t for event in of(events, "holds", budget="further") if event.who == "b0r0"}) > 3
+    assert "dead" not in states(events, "b0")
 
 
-def keeper_forgets(seen: Seen) -> None:
-    """A run that remembers nothing gives nothing while a promise of the run before may last."""
-    killed = max(event.t for event in seen if event.who == "k0r0")
-    given = [event.t for event in of(seen, "gives") if event.who == "k0r1"]
-    owned = [event for event in of(seen, "owns") if event.who == "k0r1" and event["fractions"]]
-    assert given and min(given) - killed >= 2_500_000 and owned  # of 3 s, less a claim's age
-    # Its own fraction came back to it before the others' patience was over, or one of them lent it meanwhile.
-    assert {event["fraction"] for event in of(seen, "gives") if event.t > killed} == {0, 1, 2}
+def check_restarted_coordinator_waits_for_leases(events: Events) -> None:
+    """Check that a restarted coordinator grants nothing while a lease of its previous run may last."""
+    killed_at_us = max(event.t for event in events if event.who == "k0r0")
+    granted_at_us = [event.t for event in of(events, "gives") if event.who == "k0r1"]
+    owned = [event for event in of(events, "owns") if event.who == "k0r1" and event["fractions"]]
+    # A lease of 3 s, less the age of its request.
+    assert granted_at_us and min(granted_at_us) - killed_at_us >= 2_500_000 and owned
+    # Its fraction's lease was renewed before the others requested it, or one of them granted of it meanwhile.
+    assert {event["fraction"] for event in of(events, "gives") if event.t > killed_at_us} == {0, 1, 2}
 
 
-def given_on(seen: Seen) -> None:
-    """Each run of a keeper names itself, and budgets are lent by later ones too."""
-    assert {event.who for event in of(seen, "opened", role="keeper")} >= {"k0r2", "k1r1", "k2r1"}
-    last = max(event.t for event in of(seen, "opened", role="keeper"))
-    assert [event for event in of(seen, "gives") if event.t > last]
+def check_later_runs_grant_quotas(events: Events) -> None:
+    """Check that each run of a coordinator has a name of its own, and later runs grant quotas as well."""
+    assert {event.who for event in of(events, "opened", role="keeper")} >= {"k0r2", "k1r1", "k2r1"}
+    last_start_at_us = max(event.t for event in of(events, "opened", role="keeper"))
+    assert [event for event in of(events, "gives") if event.t > last_start_at_us]
 
 
-def half_cut(seen: Seen) -> None:
-    """Those that can't reach one keeper go on by the others."""
-    cut = {event["to"] for event in of(seen, "gives") if event.who == "k0r0"}
-    assert cut == {f"b{n}" for n in range(6)}
-    for n in range(3):
-        assert [event for event in of(seen, "gives", to=f"b{n}") if event.who in ("k1r0", "k2r0")]
+def check_partitioned_brokers_use_other_coordinators(events: Events) -> None:
+    """Check that brokers that can't reach one coordinator are granted quotas by the others."""
+    granted_by_first = {event["to"] for event in of(events, "gives") if event.who == "k0r0"}
+    assert granted_by_first == {f"b{n}" for n in range(6)}
+    for number in range(3):
+        assert [event for event in of(events, "gives", to=f"b{number}") if event.who in ("k1r0", "k2r0")]
 
 
-def all_restarted(seen: Seen) -> None:
-    assert {event.who for event in of(seen, "joins")} >= {f"b{n}r1" for n in range(6)}
-    incarnations = {n: [event["inc"] for event in of(seen, "joins", name=f"b{n}")] for n in range(6)}
-    assert all(incs == sorted(set(incs)) and len(incs) == 2 for incs in incarnations.values())
+def check_each_broker_has_two_incarnations(events: Events) -> None:
+    """Check that each restarted broker joins again under a later incarnation."""
+    assert {event.who for event in of(events, "joins")} >= {f"b{n}r1" for n in range(6)}
+    incarnations = {n: [event["inc"] for event in of(events, "joins", name=f"b{n}")] for n in range(6)}
+    assert all(joined == sorted(set(joined)) and len(joined) == 2 for joined in incarnations.values())
 
 
-def left_open(seen: Seen) -> None:
-    """The host did not see the broker's end: it closed what was silent, by its own clock."""
-    assert [event for event in of(seen, "quiet") if event["peer"].startswith("b2r0")]
+def check_host_closes_silent_connection(events: Events) -> None:
+    """Check that a host that receives no end of a connection closes it after its own timeout."""
+    assert [event for event in of(events, "quiet") if event["peer"].startswith("b2r0")]
 
 
-def shrunk(seen: Seen) -> None:
-    cuts = of(seen, "resized", budget="further", whole=8_000)
-    assert {event.who for event in cuts} == {"k0r0", "k1r0", "k2r0"}
-    last = max(event.t for event in cuts) + 4_000_000
-    late = [event for event in of(seen, "holds", budget="further") if event.t > last]
-    assert late and all(sum(amount for _, amount, *_ in event["held"]) <= 8_000 - 4_800 for event in late)
+def check_smaller_budget_is_kept(events: Events) -> None:
+    """Check that all coordinators apply the smaller total, and grants are within it four seconds later."""
+    resized = of(events, "resized", budget="further", whole=8_000)
+    assert {event.who for event in resized} == {"k0r0", "k1r0", "k2r0"}
+    in_effect_at_us = max(event.t for event in resized) + 4_000_000
+    later = [event for event in of(events, "holds", budget="further") if event.t > in_effect_at_us]
+    assert later and all(sum(amount for _, amount, *_ in event["held"]) <= 8_000 - 4_800 for event in later)
 
 
-def no_keeper(seen: Seen) -> None:
-    """Shares ran out; each broker goes on by its own minimum, which was set aside."""
-    gone = max(event.t for event in seen if event.who.startswith("k"))
-    late = [event for event in of(seen, "spends", budget="further") if event.t > gone + 2_500_000]
-    assert late and not [event for event in of(seen, "holds") if event.t > gone + 2_500_000 and event["held"]]
+def check_brokers_use_their_minimum(events: Events) -> None:
+    """Check that once all grants have expired each broker uses its reserved minimum."""
+    stopped_at_us = max(event.t for event in events if event.who.startswith("k"))
+    used = [event for event in of(events, "spends", budget="further") if event.t > stopped_at_us + 2_500_000]
+    assert used and not [
+        event for event in of(events, "holds") if event.t > stopped_at_us + 2_500_000 and event["held"]
+    ]
 
 
-def joined(seen: Seen) -> None:
-    assert len({event["name"] for event in of(seen, "joins")}) > 60
-    assert len({event["name"] for event in of(seen, "member", after="left")}) > 30
+def check_brokers_join_and_leave(events: Events) -> None:
+    """Check that many brokers join and leave."""
+    assert len({event["name"] for event in of(events, "joins")}) > 60
+    assert len({event["name"] for event in of(events, "member", after="left")}) > 30
 
 
 CASES = {
     "a broker killed while it holds most": Case(
-        "(at 6s kill (to b0) (span 500ms))", killed_with_most, 12, "(ask b0)"
+        "(at 6s kill (to b0) (span 500ms))", check_killed_holder_is_granted_anew, 12, "(ask b0)"
+    ),
+    "a broker stopped past its lease": Case(
+        "(at 5s pause (to b1) (span 2600ms))", check_paused_broker_ends_its_incarnation
+    ),
+    "a broker whose reports are lost": Case(
+        "(at 4s cut-out (from b0) (to k*) (span 4s))", check_broker_without_reports_is_dead, 12
+    ),
+    "a broker that receives no replies": Case(
+        "(at 4s cut-back (from b0) (to k*) (span 1300ms))", check_broker_without_replies_is_suspected
     ),
-    "a broker stopped past its lease": Case("(at 5s pause (to b1) (span 2600ms))", stopped),
-    "a broker that keepers don't hear": Case("(at 4s cut-out (from b0) (to k*) (span 4s))", unheard, 12),
-    "a broker that does not hear keepers": Case("(at 4s cut-back (from b0) (to k*) (span 1300ms))", deaf),
-    "answers to renewals lost": Case(
+    "replies to renewals lost": Case(
         " ".join(
             f"(at {4000 + 700 * n}ms cut-back (from b0) (to k*) (span 250ms)) "
             f"(at {4240 + 700 * n}ms way-reset (from b0) (to k*))"
             for n in range(6)
         ),
-        answers_lost,
+        check_lost_replies_are_borne,
     ),
-    "keepers killed as they give": Case(
-        " ".join(f"(at {4500 + 900 * n}ms kill (to k{n % 3}) (span 100ms))" for n in range(7)), given_on, 14
+    "coordinators killed while they grant quotas": Case(
+        " ".join(f"(at {4500 + 900 * n}ms kill (to k{n % 3}) (span 100ms))" for n in range(7)),
+        check_later_runs_grant_quotas,
+        14,
     ),
-    "a keeper back with nothing remembered": Case("(at 4s kill (to k0) (span 300ms))", keeper_forgets, 12),
-    "a keeper cut off with half of the brokers": Case(
-        "(at 5s cut (from b0 b1 b2 k1 k2) (to k0) (span 4s))", half_cut, 12
+    "a keeper back with nothing remembered": Case(
+        "(at 4s kill (to k0) (span 300ms))", check_restarted_coordinator_waits_for_leases, 12
+    ),
+    "a coordinator partitioned from half of the brokers": Case(
+        "(at 5s cut (from b0 b1 b2 k1 k2) (to k0) (span 4s))",
+        check_partitioned_brokers_use_other_coordinators,
+        12,
+    ),
+    "all brokers restarted within a second": Case(
+        "(at 5s restart-all (span 900ms))", check_each_broker_has_two_incarnations, 10
     ),
-    "all brokers restarted within a second": Case("(at 5s restart-all (span 900ms))", all_restarted, 10),
     "a broker dies with connections open at its hosts": Case(
-        "(at 4900ms cut (from b2) (to leaf*) (span 3s)) (at 5s kill (to b2) (span 4s))", left_open, 10
+        "(at 4900ms cut (from b2) (to leaf*) (span 3s)) (at 5s kill (to b2) (span 4s))",
+        check_host_closes_silent_connection,
+        10,
     ),
-    "a budget made smaller while all is given out": Case(
-        "(at 5s resize (budget further) (value 8))", shrunk, 11
+    "a budget made smaller while all of it is granted": Case(
+        "(at 5s resize (budget further) (value 8))", check_smaller_budget_is_kept, 11
     ),
-    "all keepers gone": Case("(at 5s kill (to k*) (span 60s))", no_keeper, 11),
+    "all coordinators down": Case("(at 5s kill (to k*) (span 60s))", check_brokers_use_their_minimum, 11),
     "a broker joins each 100 ms for a minute": Case(
         "(at 1s join (span 60s) (value 0.1))",
-        joined,
+        check_brokers_join_and_leave,
         62,
-        "(ask b0 b1 b2 b3 b4 b5)",  # who leaves closes on its clients
-        swaps={"(most 8)": "(most 240)", "(whole 14)": "(whole 246)", "(aside 40%) (burst 2s)": "(aside 0)"},
+        "(ask b0 b1 b2 b3 b4 b5)",  # a broker that leaves closes its clients' connections
+        settings_edits={
+            "(most 8)": "(most 240)",
+            "(whole 14)": "(whole 246)",
+            "(aside 40%) (burst 2s)": "(aside 0)",
+        },
     ),
 }
 QUICK = (
@@ -212,100 +246,97 @@
 )
 def test_no_budget_is_overshot_and_no_rule_broken(name, tmp_path):
     case = CASES[name]
-    text = MARKET
-    for old, new in case.swaps.items():
+    text = EXAMPLE_SETTINGS
+    for old, new in case.settings_edits.items():
         assert old in text
         text = text.replace(old, new)
     (tmp_path / "market.sx").write_text(re.sub(r"\(level info\)", "(level error)", text))
-    asked = case.more or ""
     (tmp_path / "day.sx").write_text(
         f'(market "market.sx") (seconds {case.seconds}) (seed 3) (wires yes) {CLOCKS} '
-        f"(load (rate 30) (clients 48) {asked} (mix price (share 3)) (mix report) (mix sale (share 2)))\n"
+        f"(load (rate 30) (clients 48) {case.load_options} "
+        f"(mix price (share 3)) (mix report) (mix sale (share 2)))\n"
         f"{SLOW}\n{case.steps}\n"
     )
     script, service_settings, config = load_script(str(tmp_path / "day.sx"))
-    told: list[str] = []
-    day = FaultScenario(script, service_settings, config, tmp_path / "out", told.append)
-    verdict = day.run()
-    found = judge_budgets(day.logged)
-    assert not day.injection_errors, (
-        day.injection_errors
-    )  # a fault that was not made must not pass for one that was borne
+    scenario = FaultScenario(script, service_settings, config, tmp_path / "out", lambda _text: None)
+    verdict = scenario.run()
+    found = judge_budgets(scenario.logged)
+    # A fault that was not injected must not count as one that was tolerated.
+    assert not scenario.injection_errors, scenario.injection_errors
     assert found.kept, found.breaches[:5]
     assert verdict.kept, verdict.breaches[:5]
     assert found.uses > 20 and found.nearest["further"] > 0.5
-    case.shows(day.logged)
+    case.check(scenario.logged)
+
+
+def read_members_and_budgets(
+    scenario: FaultScenario, config: str
+) -> dict[str, subprocess.CompletedProcess[str]]:
+    """Run ``heathwell fleet members`` and ``fleet budgets``, each as a table and as JSON."""
+    coordinators = ",".join(scenario.fleet.members[f"k{n}"].address for n in range(3))
+    views = {
+        "members": [],
+        "budgets": [],
+        "members json": ["--json"],
+        "budgets json": ["--json"],
+    }
+    return {
+        view: subprocess.run(
+            [*FLEET_COMMAND, view.split()[0], "--config", config, "--keepers", coordinators, *options],
+            capture_output=True,
+            text=True,
+            timeout=COMMAND_TIMEOUT_SECONDS,
+            check=False,
+        )
+        for view, options in views.items()
+    }
 
 
-def test_an_operator_sees_members_and_budgets(tmp_path):
-    """Asked of running keepers, as a table and as JSON; one keeper that is gone is named."""
-    (tmp_path / "market.sx").write_text(MARKET)
+def test_the_fleet_commands_show_members_and_budgets_of_running_coordinators(tmp_path):
+    """One of the three coordinators is down, and is named as one that does not reply."""
+    (tmp_path / "market.sx").write_text(EXAMPLE_SETTINGS)
     script = tmp_path / "day.sx"
     script.write_text(
         '(market "market.sx") (seconds 6) (wires yes) (load (rate 20) (clients 16) (mix price)) '
         f"{SLOW} (at 3s kill (to k2) (span 60s))"
     )
-    read, service_settings, config = load_script(str(script))
-    day = FaultScenario(read, service_settings, config, tmp_path / "out", lambda _text: None)
-    seen: dict[str, subprocess.CompletedProcess[str]] = {}
-    plain = day.wait_until
-
-    def wait(until: float) -> None:
-        plain(until)
-        if len(day.fleet.deaths) and not seen:
-            where = ",".join(day.fleet.members[f"k{n}"].address for n in range(3))
-            for name, more in (
-                ("members", []),
-                ("budgets", []),
-                ("members json", ["--json"]),
-                ("budgets json", ["--json"]),
-            ):
-                seen[name] = subprocess.run(
-                    [
-                        sys.executable,
-                        "-m",
-                        "heathwell",
-                        "fleet",
-                        name.split()[0],
-                        "--config",
-                        config,
-                        "--keepers",
-                        where,
-                        *more,
-                    ],
-                    capture_output=True,
-                    text=True,
-                    timeout=30,
-                    check=False,
-                )
-
-    day.wait_until = wait  # type: ignore[method-assign]
-    day.run()
-    assert {run.returncode for run in seen.values()} == {0}, seen
-    table = seen["members"].stdout.splitlines()
+    parsed_script, service_settings, config = load_script(str(script))
+    scenario = FaultScenario(parsed_script, service_settings, config, tmp_path / "out", lambda _text: None)
+    views: dict[str, subprocess.CompletedProcess[str]] = {}
+    wait_until = scenario.wait_until
+
+    def wait_and_read_views(until: float) -> None:
+        wait_until(until)
+        if len(scenario.fleet.deaths) and not views:
+            views.update(read_members_and_budgets(scenario, config))
+
+    scenario.wait_until = wait_and_read_views  # type: ignore[method-assign]
+    scenario.run()
+    assert {run.returncode for run in views.values()} == {0}, views
+    table = views["members"].stdout.splitlines()
     assert table[0].split()[:3] == ["name", "state", "zone"] and len(table) == 7
-    rows = json.loads(seen["members json"].stdout)["members"]
+    rows = json.loads(views["members json"].stdout)["members"]
     assert [row["name"] for row in rows] == [f"b{n}" for n in range(6)]
     assert all(
         row["state"] in ("alive", "suspect") and row["views"] in ("1/2", "2/2") and row["settings"]
         for row in rows
     )
-    budgets = json.loads(seen["budgets json"].stdout)
-    assert len(budgets["silent"]) == 1 and "says nothing" in seen["budgets"].stderr
+    budgets = json.loads(views["budgets json"].stdout)
+    assert len(budgets["silent"]) == 1 and "says nothing" in views["budgets"].stderr
     further = next(row for row in budgets["budgets"] if row["budget"] == "further")
     assert further["whole"] == 12 and 0 < further["given"] <= 7.2 and further["holders"]
-    assert "further (rate): whole 12" in seen["budgets"].stdout
+    assert "further (rate): whole 12" in views["budgets"].stdout
 
 
-def test_keepers_refuse_who_is_of_another_fleet():
-    """An address can come to be another fleet's keeper's: its roll and budgets must not mix with ours."""
+def test_a_coordinator_rejects_brokers_of_another_fleet():
+    """An address may be reused by a coordinator of another fleet, whose members and budgets are its own."""
     from heathwell.fleet.control.fleet_agent import FleetAgent  # noqa: PLC0415
     from heathwell.fleet.control.quota_coordinator import QuotaCoordinatorServer  # noqa: PLC0415
 
     loop, net = virtual_loop(1)
-    keeper = QuotaCoordinator(0, "k0.1", 1, (), loop.now())
+    coordinator = QuotaCoordinator(0, "k0.1", 1, (), loop.now())
     server = QuotaCoordinatorServer(
-        loop, net.at("k0"), keeper, {}, seed=1, log=lambda *_a, **_k: None, fleet="ours"
+        loop, net.at("k0"), coordinator, {}, seed=1, log=lambda *_a, **_k: None, fleet="ours"
     )
     server.start("k0:1")
     agents = [
@@ -324,7 +355,11 @@
         for name, fleet in (("b0", "ours"), ("b1", "theirs"))
     ]
     loop.run(loop.spawn(sleep(loop, 3_000_000), "wait"))
-    assert set(keeper.membership.entries) == {"b0"} and server.counts["other fleet",] > 0 and len(agents) == 2
+    assert (
+        set(coordinator.membership.entries) == {"b0"}
+        and server.counts["other fleet",] > 0
+        and len(agents) == 2
+    )
 
 
 FLEET_PACKAGES = (
