--- a/tests/test_client_population.py
+++ b/tests/test_client_population.py
@@ -43,10 +43,12 @@
 
     @property
     def address(self):
+        """Return HOST:PORT."""
         host, port = self.server_address
         return f"{host}:{port}"
 
     def next_entry(self):
+        """Return the next entry of the script; the last one is repeated."""
         return self.script.pop(0) if len(self.script) > 1 else self.script[0]
 
 
@@ -54,6 +56,7 @@
     """One client's connection."""
 
     def handle(self):
+        """Reply to each line by the script."""
         while line := self.rfile.readline():
             keys = line.decode().split()[1:]
             self.server.received.append(keys)
@@ -158,7 +161,7 @@
     assert [outcome.kind for outcome in outcomes] == [OutcomeKind.NO_BROKER] and events == []
 
 
-def test_a_request_that_starts_late_is_counted_as_off_its_schedule(tmp_path):
+def test_a_request_that_starts_late_is_counted_as_off_its_schedule():
     with scripted([COMPLETE]) as brokers:
         population = ClientPopulation(
             Load(rate=1.0, clients=1), SETTINGS, lambda: [BrokerAddress("b0", brokers[0].address)], None
--- a/tests/test_event_orderings_servers.py
+++ b/tests/test_event_orderings_servers.py
@@ -124,7 +124,7 @@
         drain = self.server.broker.client_drain
         drain.spread_us = 1
         drain.tick(now - 5_000_000, is_cut_off=True)
-        drain.tick = lambda _now_us, is_cut_off: None
+        drain.tick = lambda _now_us, **_state: None
         for connection in self.connections():
             connection.opened_at_us = now - 6_000_000
         self.server._drain_idle_clients()
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -155,7 +155,7 @@
     assert world.run(main()) == 200
     pid = world.process.pid
     assert "Threads:\t1\n" in Path(f"/proc/{pid}/status").read_text()
-    assert len(os.listdir(f"/proc/{pid}/fd")) < 24
+    assert len(list(Path(f"/proc/{pid}/fd").iterdir())) < 24
 
 
 def test_after_sigterm_new_clients_are_served_and_a_second_step_in_flight_is_completed(running):
--- a/tests/test_standin_parts.py
+++ b/tests/test_standin_parts.py
@@ -224,12 +224,15 @@
         self.steps = []
 
     def __call__(self, event, **_fields):
+        """Note the event."""
         self.steps.append(event)
 
     def flush(self):
+        """Note that the log was written."""
         self.steps.append("flush")
 
     def send(self, _stream, _frame):
+        """Note that a frame was sent."""
         self.steps.append("send")
 
 
