--- a/heathwell/servers/answer_age.py
+++ b/heathwell/servers/answer_age.py
@@ -7,6 +7,7 @@
 import msgspec
 
 from heathwell.broker.replies import Age
+from heathwell.servers.durations import milliseconds_rounded_up
 
 
 class AgeFields(msgspec.Struct, frozen=True):
@@ -22,7 +23,7 @@
 def age_fields(age: Age) -> dict[str, Any]:
     """Return the fields of :class:`AgeFields`, to be merged into the object that a protocol sends."""
     fields = AgeFields(
-        age_ms=None if age.bound_us is None else -(-age.bound_us // 1000),
+        age_ms=None if age.bound_us is None else milliseconds_rounded_up(age.bound_us),
         stale=age.stale,
         token=age.token,
         consistent=msgspec.UNSET if age.consistent else False,
--- a/heathwell/servers/memcached_replies.py
+++ b/heathwell/servers/memcached_replies.py
@@ -20,6 +20,7 @@
 from heathwell.broker.replies import Reply, ReplyKind
 from heathwell.codec import memcached as protocol
 from heathwell.servers.answer_age import age_fields
+from heathwell.servers.durations import milliseconds_rounded_up
 from heathwell.service.coverage import encode_cover
 
 _encoder = msgspec.json.Encoder()
@@ -62,7 +63,7 @@
         if self.failed:
             words.append(f"failed={format_ranges(self.failed)}")
         if self.retry_after_us:
-            words.append(f"retry-after-ms={_milliseconds(self.retry_after_us)}")
+            words.append(f"retry-after-ms={milliseconds_rounded_up(self.retry_after_us)}")
         return protocol.server_error("heathwell " + " ".join(words))
 
 
@@ -101,7 +102,7 @@
     body: dict[str, Any] = {
         "whole": False,
         _kind_name(reply): True,
-        "retry_after_ms": _milliseconds(reply.retry_after_us),
+        "retry_after_ms": milliseconds_rounded_up(reply.retry_after_us),
     }
     if reply.reason:
         body["why"] = reply.reason
@@ -159,8 +160,3 @@
 
 def _kind_name(reply: Reply) -> str:
     return ReplyKind.FAILED if reply.kind == ReplyKind.FAILED else ReplyKind.REFUSED
-
-
-def _milliseconds(duration_us: int) -> int:
-    """Return a duration in milliseconds, rounded up."""
-    return -(-duration_us // 1000)
--- a/heathwell/servers/vector_answers.py
+++ b/heathwell/servers/vector_answers.py
@@ -12,6 +12,7 @@
 from heathwell.broker.replies import Age, Reply
 from heathwell.codec.http import Response
 from heathwell.servers.answer_age import age_fields
+from heathwell.servers.durations import milliseconds_rounded_up, seconds_rounded_up
 from heathwell.servers.vector_api import ApiError
 from heathwell.service.merging import MergedRows
 from heathwell.service.reply_merging import merged_rows
@@ -132,8 +133,8 @@
     headers: tuple[tuple[str, str], ...] = ()
     if error.retry_after_us:
         headers = (
-            ("retry-after", str(max(1, -(-error.retry_after_us // 1_000_000)))),
-            ("x-heathwell-retry-after-ms", str(-(-error.retry_after_us // 1000))),
+            ("retry-after", str(max(1, seconds_rounded_up(error.retry_after_us)))),
+            ("x-heathwell-retry-after-ms", str(milliseconds_rounded_up(error.retry_after_us))),
         )
     body = {"status": {"error": error.text}, "time": duration_us / 1e6}
     return Response(error.status, _encoder.encode(body), JSON, headers)
--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -11,6 +11,7 @@
 from heathwell.broker.replies import Reply, ReplyKind
 from heathwell.eventloop import Coro, Event, StreamBrokenError
 from heathwell.servers import vector_api as api
+from heathwell.servers.durations import milliseconds_rounded_up
 from heathwell.service.admission import CostModel, search_features, split_batch
 from heathwell.service.key_spaces import consecutive_shards, place
 from heathwell.service.merging import MergedRows, TopKMerge
@@ -207,7 +208,7 @@
     """Return the API's error for a reply that holds no answer; clients read its text."""
     if reply.kind == ReplyKind.REFUSED:
         reason = reply.reason or "overloaded"
-        retry_after_ms = -(-reply.retry_after_us // 1000)
+        retry_after_ms = milliseconds_rounded_up(reply.retry_after_us)
         text = f"Service unavailable: refused ({reason}); come back in {retry_after_ms} ms"
         return api.ApiError(503, text, max(reply.retry_after_us, 1))
     return api.ApiError(500, f"Service internal error: {reply.reason or 'no answer could be had'}")
