--- a/heathwell/cli/operator_requests.py
+++ b/heathwell/cli/operator_requests.py
@@ -15,6 +15,8 @@
 from heathwell.codec import frames, inner_protocol
 
 REPLY_TIMEOUT_SECONDS: Final = 3.0
+REQUEST_ERRORS: Final = (OSError, ValueError, frames.FrameError)
+"""What :func:`request_reply` raises: no connection, no reply of the type, or bytes that are no frames."""
 Reply = TypeVar("Reply")
 
 
@@ -31,7 +33,7 @@
 ) -> Reply:
     """Send an operator's request and return the reply of type ``kind``.
 
-    Raises as :func:`heathwell.codec.inner_protocol.request`.
+    Raise one of :data:`REQUEST_ERRORS`, as :func:`heathwell.codec.inner_protocol.request` does.
     """
     return inner_protocol.request(address, f"cli{os.getpid()}", "cli", message, kind, timeout_seconds)
 
@@ -42,7 +44,7 @@
     for address in addresses:
         try:
             result.views.append(request_reply(address, frames.FleetRequest(), frames.FleetView))
-        except (OSError, ValueError, frames.FrameError) as error:
+        except REQUEST_ERRORS as error:
             result.errors[address] = str(error) or type(error).__name__
     return result
 
--- a/heathwell/cli/rollout_operator.py
+++ b/heathwell/cli/rollout_operator.py
@@ -12,7 +12,7 @@
 import click
 import msgspec
 
-from heathwell.cli.operator_requests import request_reply
+from heathwell.cli.operator_requests import REQUEST_ERRORS, request_reply
 from heathwell.cli.process import exit_codes
 from heathwell.codec import frames
 
@@ -78,7 +78,7 @@
     command = frames.OperatorCommand(command_name, getpass.getuser(), reason)
     try:
         return request_reply(address, command, frames.RolloutStatus)
-    except (OSError, ValueError, frames.FrameError) as error:
+    except REQUEST_ERRORS as error:
         click.echo(f"controller {address}: {error}", err=True)
         sys.exit(3)
 
--- a/heathwell/cli/zone.py
+++ b/heathwell/cli/zone.py
@@ -16,6 +16,7 @@
 import msgspec
 
 from heathwell.cli.operator_requests import (
+    REQUEST_ERRORS,
     format_table,
     operator_options,
     request_reply,
@@ -58,7 +59,7 @@
     for address in addresses:
         try:
             replies[address] = request_reply(address, command, frames.ZonesStatus)
-        except (OSError, ValueError, frames.FrameError) as error:
+        except REQUEST_ERRORS as error:
             replies[address] = str(error)
     return ZoneReplies(replies)
 
--- a/heathwell/eventloop/loop.py
+++ b/heathwell/eventloop/loop.py
@@ -21,7 +21,6 @@
 T_co = TypeVar("T_co", covariant=True)
 Coro = Generator[Any, Any, T]
 Abort = Callable[[], None]
-Trap = Callable[["Task[object]"], "Abort | None"]
 Callback = Callable[..., None]
 Arguments = tuple[object, ...]
 
