--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -36,7 +36,7 @@
 )
 from heathwell.testing.simulation.retrying_clients import PopulationParameters, RetryingClients
 from heathwell.testing.simulation.run_parameters import run_parameters_record
-from heathwell.testing.simulation.simulated_scenario import US_PER_SECOND
+from heathwell.testing.standins.units import US_PER_SECOND
 
 DEFAULT_CLIENTS: Final = 600
 REQUESTS_PER_SECOND: Final = 50.0
--- a/benchmarks/vector_load.py
+++ b/benchmarks/vector_load.py
@@ -12,6 +12,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from http.client import HTTPConnection, HTTPException
 from pathlib import Path
 from typing import Any, Final
@@ -47,7 +48,6 @@
 QUERY_PATH: Final = "/collections/goods/points/query"
 JSON_HEADERS: Final = {"content-type": "application/json"}
 CONNECTION_LOST: Final = 0  # in place of an HTTP status
-HTTP_OK: Final = 200
 HTTP_TIMEOUT_SECONDS: Final = 30
 UPTIME_BEFORE_LOAD_SECONDS: Final = 2.0
 
@@ -138,10 +138,10 @@
     except (OSError, HTTPException):
         connection.close()
         return SearchResponse(CONNECTION_LOST)
-    if response.status != HTTP_OK:
+    if response.status != HTTPStatus.OK:
         return SearchResponse(response.status)
     ids = [point["id"] for point in body["result"]["points"]]
-    return SearchResponse(HTTP_OK, ids, body["heathwell"])
+    return SearchResponse(HTTPStatus.OK, ids, body["heathwell"])
 
 
 @dataclass(frozen=True, slots=True)
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -14,12 +14,12 @@
 from collections import Counter
 from collections.abc import Callable
 from functools import partial
+from http import HTTPStatus
 from typing import Final
 
 import costs
 import msgspec
 from vector_load import (
-    HTTP_OK,
     JSON_HEADERS,
     NEIGHBORS,
     QUERY_PATH,
@@ -35,12 +35,13 @@
     run_threads,
 )
 
-from heathwell.codec import frames
 from heathwell.service.merging import Row, TopKMerge
 from heathwell.testing.simulation.client_attempt import BrokerAddress
 from heathwell.testing.simulation.client_population import ClientPopulation, Outcome
 from heathwell.testing.simulation.fault_script import Load, Mix
+from heathwell.testing.simulation.host_faults import HostFault
 from heathwell.testing.simulation.scheduled_requests import poisson_requests
+from heathwell.testing.standins.leaf_faults import LeafFault
 
 SLOTS_PER_ENDPOINT: Final = 4
 MICROSECONDS_PER_SECOND: Final = 1e6
@@ -74,7 +75,7 @@
 
 
 def _answered(searches: list[Search]) -> list[Search]:
-    return [one for one in searches if one.response.status == HTTP_OK]
+    return [one for one in searches if one.response.status == HTTPStatus.OK]
 
 
 def percentiles_text(values_seconds: list[float]) -> str:
@@ -111,7 +112,7 @@
 def _slow_endpoints(fleet: RunningFleet, stop: threading.Event, seed: int = 4) -> None:
     """Slow some endpoints down at any time, others in each interval, until ``stop`` is set."""
     draws = random.Random(seed)
-    fault = frames.FaultCommand("slow", SLOW_FACTOR, SLOW_SPAN_US)
+    fault = HostFault(LeafFault.SLOW, SLOW_FACTOR, SLOW_SPAN_US).to_command()
     while not stop.wait(SLOW_INTERVAL_SECONDS):
         names = [member.name for member in fleet.processes.leaves]
         for name in draws.sample(names, SLOW_ENDPOINTS):
@@ -230,7 +231,7 @@
         connection.request("POST", path, body, JSON_HEADERS)
         response = connection.getresponse()
         response.read()
-        answered_count += response.status == HTTP_OK
+        answered_count += response.status == HTTPStatus.OK
     answered_counts.append(answered_count)
 
 
--- a/heathwell/fleet/control/service_report.py
+++ b/heathwell/fleet/control/service_report.py
@@ -7,13 +7,12 @@
 
 import json
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from pathlib import Path
 
 from heathwell.codec.http import ClientSide
 from heathwell.eventloop import Coro, Net, Stream
 
-HTTP_OK = 200
-
 
 @dataclass(frozen=True, slots=True)
 class ReadyReport:
@@ -56,7 +55,7 @@
         while response is None:
             data = yield from stream.read()
             response = side.feed(data)
-        return _parse_service_report(response.body) if response.status == HTTP_OK else None
+        return _parse_service_report(response.body) if response.status == HTTPStatus.OK else None
     finally:
         if stream is not None:
             stream.abort()
--- a/heathwell/testing/simulation/agent_process.py
+++ b/heathwell/testing/simulation/agent_process.py
@@ -14,10 +14,8 @@
 from heathwell.codec import frames, inner_protocol
 from heathwell.fleet.control.broker_process import process_start_ticks
 from heathwell.fleet.control.state_file import load_agent_state
-from heathwell.testing.simulation.command_process import start_command
-from heathwell.testing.simulation.errors import MemberStartError
+from heathwell.testing.simulation.command_process import read_ready_line, start_command, wait_or_kill
 
-START_TIMEOUT_SECONDS: Final = 30
 STOP_TIMEOUT_SECONDS: Final = 15
 REQUEST_TIMEOUT_SECONDS: Final = 5
 REQUEST_SENDER: Final = "lab"
@@ -46,10 +44,7 @@
 
     def wait_until_ready(self) -> None:
         """Read the ready line; raise :class:`MemberStartError` where the process ends without one."""
-        assert self.process.stdout is not None
-        line = self.process.stdout.readline()
-        if not line:
-            raise MemberStartError(f"agent {self.name}", self.process.wait(START_TIMEOUT_SECONDS))
+        line = read_ready_line(self.process, f"agent {self.name}")
         ready = msgspec.json.decode(line, type=AgentReadyRecord)
         self.address = ready.address
         self.brokers = ready.brokers
@@ -68,11 +63,7 @@
 
     def wait(self) -> None:
         """Wait for the end of the process; it is killed where it does not end in time."""
-        try:
-            self.process.wait(STOP_TIMEOUT_SECONDS)
-        except subprocess.TimeoutExpired:
-            self.process.kill()
-            self.process.wait()
+        wait_or_kill(self.process, STOP_TIMEOUT_SECONDS)
 
     def kill_orphaned_brokers(self) -> None:
         """Kill the brokers that the agent left behind, by the process ids in its state file."""
--- a/heathwell/testing/simulation/bench_day_replay.py
+++ b/heathwell/testing/simulation/bench_day_replay.py
@@ -11,8 +11,9 @@
 
 from heathwell.settings import ServiceSettings
 from heathwell.testing.simulation.bench_day import BenchDay, BenchFault, BenchWave, load_bench_day
-from heathwell.testing.simulation.fault_script import US_PER_SECOND, Load, Mix, Script, Step
+from heathwell.testing.simulation.fault_script import Load, Mix, Script, Step
 from heathwell.testing.simulation.scripted_faults import ScriptedFault
+from heathwell.testing.standins.units import US_PER_SECOND
 
 MIN_DURATION_US: Final = 1_000_000
 MIN_SHARE: Final = 0.01
--- a/heathwell/testing/simulation/client_attempt.py
+++ b/heathwell/testing/simulation/client_attempt.py
@@ -5,15 +5,13 @@
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Final, NamedTuple
+from typing import Final
 
 LATE_REPLY_SECONDS: Final = (
     0.5  # a client waits so much longer than its timeout, so that late replies are logged
 )
 RECONNECT_DELAY_SECONDS: Final = 0.05
 NO_BROKER_DELAY_SECONDS: Final = 0.2
-MS_PER_SECOND: Final = 1000
-US_PER_SECOND: Final = 1_000_000
 
 
 class AttemptKind(StrEnum):
@@ -58,16 +56,3 @@
     """Yield all brokers once, from the one whose turn it is."""
     for step in range(len(brokers)):
         yield brokers[(first + step) % len(brokers)]
-
-
-class HostAndPort(NamedTuple):
-    """An address as sockets take it."""
-
-    host: str
-    port: int
-
-
-def host_and_port(address: str) -> HostAndPort:
-    """Return host and port of an address."""
-    host, _, port = address.rpartition(":")
-    return HostAndPort(host, int(port))
--- a/heathwell/testing/simulation/client_population.py
+++ b/heathwell/testing/simulation/client_population.py
@@ -19,7 +19,6 @@
 from heathwell.settings.records.queries import QueryClass
 from heathwell.testing.simulation.client_attempt import (
     NO_BROKER,
-    US_PER_SECOND,
     AttemptKind,
     AttemptResult,
     BrokerDirectory,
@@ -30,6 +29,7 @@
 from heathwell.testing.simulation.request_numbers import RequestNumbers
 from heathwell.testing.simulation.scheduled_requests import ScheduledRequest
 from heathwell.testing.simulation.search_connection import SearchConnection
+from heathwell.testing.standins.units import US_PER_SECOND
 
 LATE_START_SECONDS: Final = 0.05  # a request that starts later than this counts as off its schedule
 FINISH_TIMEOUT_SECONDS: Final = 15.0
--- a/heathwell/testing/simulation/command_process.py
+++ b/heathwell/testing/simulation/command_process.py
@@ -6,6 +6,12 @@
 import subprocess
 import sys
 from collections.abc import Sequence
+from typing import Final
+
+from heathwell.testing.simulation.errors import MemberStartError
+
+START_TIMEOUT_SECONDS: Final = 30.0
+"""After which a process that closed its output without a ready line is given up."""
 
 
 def start_command(arguments: Sequence[str], stderr: int | None = None) -> subprocess.Popen[str]:
@@ -33,3 +39,24 @@
         timeout=timeout_seconds,
         check=False,
     )
+
+
+def read_ready_line(process: subprocess.Popen[str], name: str) -> str:
+    """Return the line that a process prints once it serves.
+
+    Raise :class:`MemberStartError` with this name where the process ends without one.
+    """
+    assert process.stdout is not None
+    line = process.stdout.readline()
+    if not line:
+        raise MemberStartError(name, process.wait(START_TIMEOUT_SECONDS))
+    return line
+
+
+def wait_or_kill(process: subprocess.Popen[str], timeout_seconds: float) -> int:
+    """Return the exit code; a process that does not end in time is killed."""
+    try:
+        return process.wait(timeout_seconds)
+    except subprocess.TimeoutExpired:
+        process.kill()
+        return process.wait()
--- a/heathwell/testing/simulation/evacuation_experiment.py
+++ b/heathwell/testing/simulation/evacuation_experiment.py
@@ -25,11 +25,11 @@
 from heathwell.testing.simulation.simulated_scenario import (
     LOOP_START_US,
     SETTLE_US,
-    US_PER_SECOND,
     CompletedRequest,
     SimulatedScenario,
 )
 from heathwell.testing.simulation.zone_faults import FIRST_ZONE_NUMBER, ZONES, Scenario, ZoneFaultInjector
+from heathwell.testing.standins.units import US_PER_SECOND
 
 COORDINATED_VARIANTS: Final = (Variant.FIXED_THRESHOLDS, Variant.FLEET)
 LINK_OBSERVING_VARIANTS: Final = (Variant.EACH_BROKER, Variant.FLEET)
--- a/heathwell/testing/simulation/fault_links.py
+++ b/heathwell/testing/simulation/fault_links.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass
 from enum import StrEnum
 from functools import partial
 from typing import Final
@@ -16,6 +15,7 @@
 from heathwell.codec import frames
 from heathwell.testing.simulation.errors import SimulationError
 from heathwell.testing.simulation.loop_thread import LoopThread
+from heathwell.testing.simulation.process_links import Link
 from heathwell.testing.standins.errors import FaultInjectionError
 from heathwell.testing.standins.relay import Relay
 
@@ -59,20 +59,6 @@
 RELAY_ONE_WAY_CUT: Final = "oneway"
 
 
-@dataclass(frozen=True, slots=True)
-class Link:
-    """The path of all connections that ``source`` opens to ``target``; both are names of processes."""
-
-    source: str
-    target: str
-
-    def connects(self, group: set[str], others: set[str]) -> bool:
-        """Return whether the link leads from one group to the other, in either direction."""
-        forward = self.source in group and self.target in others
-        backward = self.source in others and self.target in group
-        return forward or backward
-
-
 class FaultLinks:
     """All links of one fleet. Its methods are called from outside the thread of the relays."""
 
--- a/heathwell/testing/simulation/fault_script.py
+++ b/heathwell/testing/simulation/fault_script.py
@@ -21,8 +21,8 @@
     TARGETED_FAULTS,
     ScriptedFault,
 )
+from heathwell.testing.standins.units import US_PER_SECOND
 
-US_PER_SECOND: Final = 1e6
 ANY_NUMBER: Final = "*"
 """At the end of a target: all processes of that name, whatever their number."""
 DIGITS: Final = "0123456789"
--- a/heathwell/testing/simulation/fleet_member.py
+++ b/heathwell/testing/simulation/fleet_member.py
@@ -13,15 +13,13 @@
 import msgspec
 
 from heathwell.codec import frames, inner_protocol
-from heathwell.testing.simulation.command_process import start_command
+from heathwell.testing.simulation.command_process import read_ready_line, start_command, wait_or_kill
 from heathwell.testing.simulation.errors import (
     MemberClosedError,
     MemberFaultError,
     MemberNotReadyError,
-    MemberStartError,
 )
 
-START_TIMEOUT_SECONDS: Final = 30.0
 FAULT_TIMEOUT_SECONDS: Final = 5
 FAULT_SENDER: Final = "script"
 
@@ -136,10 +134,7 @@
 
     def wait_until_ready(self) -> None:
         """Read the ready line; raise :class:`MemberStartError` where the process ends without one."""
-        assert self.process.stdout is not None
-        line = self.process.stdout.readline()
-        if not line:
-            raise MemberStartError(self.name, self.process.wait(START_TIMEOUT_SECONDS))
+        line = read_ready_line(self.process, self.name)
         self.ready = msgspec.json.decode(line, type=ReadyRecord)
 
     def table_row(self, zone_name: str) -> ReadyRecord:
@@ -173,11 +168,7 @@
 
     def wait(self, timeout_seconds: float) -> int:
         """Return the exit code; a process that does not end in time is killed."""
-        try:
-            return self.process.wait(timeout_seconds)
-        except subprocess.TimeoutExpired:
-            self.process.kill()
-            return self.process.wait()
+        return wait_or_kill(self.process, timeout_seconds)
 
     def inject_fault(self, command: frames.FaultCommand) -> None:
         """Inject a fault into a stand-in.
--- a/heathwell/testing/simulation/host_faults.py
+++ b/heathwell/testing/simulation/host_faults.py
@@ -17,7 +17,7 @@
     value: float = 0.0
     duration_us: int = 0
 
-    def to_command(self, query_class: str) -> frames.FaultCommand:
+    def to_command(self, query_class: str = "") -> frames.FaultCommand:
         """Return the command that injects it; faults of a single query class apply to ``query_class``."""
         return frames.FaultCommand(self.kind.value, self.value, self.duration_us, query_class)
 
--- a/heathwell/testing/simulation/memcached_connection.py
+++ b/heathwell/testing/simulation/memcached_connection.py
@@ -10,22 +10,21 @@
 from pymemcache.client.base import Client
 from pymemcache.exceptions import MemcacheError
 
+from heathwell.eventloop.net import split_address
 from heathwell.testing.simulation.client_attempt import (
     BROKEN,
     LATE_REPLY_SECONDS,
-    MS_PER_SECOND,
     NO_BROKER,
     TIMED_OUT,
-    US_PER_SECOND,
     AttemptKind,
     AttemptResult,
     BrokerDirectory,
-    host_and_port,
     in_rotation,
 )
 from heathwell.testing.simulation.client_log import AnsweredKey, ClientLog, LostKey, LostKind, RequestId
 from heathwell.testing.simulation.request_numbers import RequestNumbers
 from heathwell.testing.simulation.scheduled_requests import ScheduledRequest
+from heathwell.testing.standins.units import MS_PER_SECOND, US_PER_SECOND
 
 CONNECT_TIMEOUT_SECONDS: Final = 0.5
 SOCKET_TIMEOUT_SECONDS: Final = 5
@@ -75,7 +74,7 @@
         """Connect to the first broker that accepts, from the one whose turn it is; return whether one did."""
         for broker in in_rotation(self._brokers(), self._numbers.client_number):
             client = Client(
-                host_and_port(broker.memcached),
+                split_address(broker.memcached),
                 connect_timeout=CONNECT_TIMEOUT_SECONDS,
                 timeout=SOCKET_TIMEOUT_SECONDS,
                 no_delay=True,
--- a/heathwell/testing/simulation/multi_broker_scenario.py
+++ b/heathwell/testing/simulation/multi_broker_scenario.py
@@ -8,6 +8,7 @@
 import random
 from collections import Counter
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Final, TypeVar
 
 import msgspec
@@ -21,16 +22,15 @@
 from heathwell.testing.standins.platform_client import PlatformClient
 from heathwell.testing.standins.platform_discovery import PlatformDiscovery
 from heathwell.testing.standins.platform_node import PlatformNode
+from heathwell.testing.standins.units import US_PER_SECOND
 
 T = TypeVar("T")
 
-US_PER_SECOND: Final = 1_000_000
 UNIX_TIME_US: Final = 1_700_000_000_000_000
 SHARDS_PER_REPLICA_GROUP: Final = 2
 QUERY_CLASS: Final = "price-search"
 QUERY_PARTS: Final = 4
 MINIMUM_ANSWERED_PARTS: Final = 3
-HTTP_OK: Final = 200
 NO_RESPONSE: Final = 0
 """The status under which queries are counted whose connection broke."""
 
@@ -154,7 +154,7 @@
             self.status_counts[NO_RESPONSE] += 1
             return
         self.status_counts[response.status] += 1
-        if response.status == HTTP_OK:
+        if response.status == HTTPStatus.OK:
             answered_parts = len(msgspec.json.decode(response.body)["rows"])
             if answered_parts < MINIMUM_ANSWERED_PARTS:
                 raise AnswerBelowMinimumError(query, answered_parts)
--- a/heathwell/testing/simulation/outage_record.py
+++ b/heathwell/testing/simulation/outage_record.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from heathwell.testing.simulation.simulated_scenario import US_PER_SECOND, QueryOutcome
+from heathwell.testing.simulation.simulated_scenario import QueryOutcome
+from heathwell.testing.standins.units import US_PER_SECOND
 
 USUAL_SERVICE_US: Final = 8_000_000
 """The time before the outage that recovery is measured against."""
--- a/heathwell/testing/simulation/quota_auditor.py
+++ b/heathwell/testing/simulation/quota_auditor.py
@@ -14,8 +14,8 @@
 from heathwell.fleet.quotas import Budget, BudgetKind
 from heathwell.fleet.quotas.budget import MILLIUNITS_PER_UNIT
 from heathwell.testing.simulation.quota_processes import BrokerProcess
+from heathwell.testing.standins.units import US_PER_SECOND
 
-US_PER_SECOND: Final = 1_000_000
 ROUNDING_TOLERANCE_MILLIUNITS: Final = 1e-6
 
 
--- a/heathwell/testing/simulation/quota_experiment.py
+++ b/heathwell/testing/simulation/quota_experiment.py
@@ -12,7 +12,6 @@
 
 import msgspec
 
-from heathwell.codec import frames
 from heathwell.eventloop import Coro, sleep
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.audit import judge_budgets
@@ -30,15 +29,17 @@
     settings_text,
 )
 from heathwell.testing.simulation.experiment_phases import PHASES, Phase
+from heathwell.testing.simulation.host_faults import HostFault
 from heathwell.testing.simulation.outcomes_by_period import OutcomesByPeriod
 from heathwell.testing.simulation.simulated_scenario import (
     LOOP_START_US,
     SETTLE_US,
-    US_PER_SECOND,
     CompletedRequest,
     SimulatedScenario,
 )
 from heathwell.testing.standins.leaf import Leaf
+from heathwell.testing.standins.leaf_faults import LeafFault
+from heathwell.testing.standins.units import US_PER_SECOND
 
 
 class Variant(enum.StrEnum):
@@ -242,8 +243,9 @@
         yield from sleep(self.loop, SETTLE_US + int(BEFORE_SECONDS * 1e6))
         fault_duration_us = int(FAULT_SECONDS * 1e6)
         if self.scenario is Scenario.SLOW_HOSTS:
+            slowdown = HostFault(LeafFault.SLOW, SLOW_FACTOR, fault_duration_us)
             for leaf in self.fleet.leaves[::SLOW_HOST_STRIDE]:
-                leaf.order(frames.FaultCommand("slow", SLOW_FACTOR, fault_duration_us))
+                leaf.order(slowdown.to_command())
         elif self.scenario is Scenario.COLD_RESTART:
             yield from self._restart_region(fault_duration_us // 3)
         else:
--- a/heathwell/testing/simulation/region_comparison.py
+++ b/heathwell/testing/simulation/region_comparison.py
@@ -18,7 +18,7 @@
     ServiceKey,
 )
 from heathwell.testing.simulation.region_settings import VARIANTS, RegionName, Variant
-from heathwell.testing.simulation.simulated_scenario import US_PER_SECOND
+from heathwell.testing.standins.units import US_PER_SECOND
 
 MAX_REPORTED_BREACHES: Final = 5
 MAX_REPORTED_LINK_CHANGES: Final = 6
--- a/heathwell/testing/simulation/region_experiment.py
+++ b/heathwell/testing/simulation/region_experiment.py
@@ -18,6 +18,7 @@
 from heathwell.settings import loads
 from heathwell.testing.simulation import demo_settings
 from heathwell.testing.simulation.experiment_phases import Phase, phase_order
+from heathwell.testing.simulation.process_links import Link
 from heathwell.testing.simulation.region_settings import (
     ZONE_NAMES,
     RegionName,
@@ -28,13 +29,13 @@
 from heathwell.testing.simulation.simulated_scenario import (
     LOOP_START_US,
     SETTLE_US,
-    US_PER_SECOND,
     CompletedQuery,
     CompletedRequest,
     QueryOutcome,
     SimulatedScenario,
 )
 from heathwell.testing.standins.link_condition import retransmission_delay_us
+from heathwell.testing.standins.units import US_PER_SECOND
 
 BEFORE_SECONDS: Final = 10.0
 FAULT_SECONDS: Final = 15.0
@@ -146,14 +147,6 @@
     on_time: int = 0
 
 
-@dataclass(frozen=True, slots=True)
-class Link:
-    """One direction of the connection between two hosts."""
-
-    source: str
-    target: str
-
-
 class RegionScenario(SimulatedScenario):
     """A scenario with one fault between two regions.
 
--- a/heathwell/testing/simulation/region_process_experiment.py
+++ b/heathwell/testing/simulation/region_process_experiment.py
@@ -30,7 +30,7 @@
     region_of_number,
 )
 from heathwell.testing.simulation.scripted_faults import ScriptedFault
-from heathwell.testing.simulation.simulated_scenario import US_PER_SECOND
+from heathwell.testing.standins.units import US_PER_SECOND
 
 FIRST_FAULT_AT_SECONDS: Final = 8.0
 FAULT_SECONDS: Final = 8.0
--- a/heathwell/testing/simulation/retry_storm_experiment.py
+++ b/heathwell/testing/simulation/retry_storm_experiment.py
@@ -30,7 +30,8 @@
     PopulationParameters,
     RetryingClients,
 )
-from heathwell.testing.simulation.simulated_scenario import SETTLE_US, US_PER_SECOND, SimulatedScenario
+from heathwell.testing.simulation.simulated_scenario import SETTLE_US, SimulatedScenario
+from heathwell.testing.standins.units import US_PER_SECOND
 
 LAST_ANSWER_US: Final = 4_000_000
 """The time after the last request may have been abandoned."""
--- a/heathwell/testing/simulation/retrying_clients.py
+++ b/heathwell/testing/simulation/retrying_clients.py
@@ -13,7 +13,8 @@
 from heathwell.settings.records.queries import QueryClass
 from heathwell.testing.simulation.memcached_values import MemcachedValue, read_values
 from heathwell.testing.simulation.outage_record import ClientBehavior, ClientRequest, OutageRecord
-from heathwell.testing.simulation.simulated_scenario import US_PER_SECOND, CompletedQuery
+from heathwell.testing.simulation.simulated_scenario import CompletedQuery
+from heathwell.testing.standins.units import US_PER_SECOND
 
 ABANDON_AFTER_US: Final = 8_000_000
 """A client that has no answer to a request by then abandons it."""
--- a/heathwell/testing/simulation/search_connection.py
+++ b/heathwell/testing/simulation/search_connection.py
@@ -4,31 +4,29 @@
 
 import json
 from dataclasses import dataclass
+from http import HTTPStatus
 from http.client import HTTPConnection, HTTPException
 from typing import Final
 
 import msgspec
 
+from heathwell.eventloop.net import split_address
 from heathwell.testing.simulation.client_attempt import (
     BROKEN,
     LATE_REPLY_SECONDS,
-    MS_PER_SECOND,
     NO_BROKER,
     TIMED_OUT,
-    US_PER_SECOND,
     AttemptKind,
     AttemptResult,
     BrokerDirectory,
-    host_and_port,
     in_rotation,
 )
 from heathwell.testing.simulation.client_log import AnsweredKey, ClientLog, LostKey, LostKind, RequestId
 from heathwell.testing.simulation.request_numbers import RequestNumbers
 from heathwell.testing.simulation.scheduled_requests import ScheduledRequest
+from heathwell.testing.standins.units import MS_PER_SECOND, US_PER_SECOND
 
 RESULT_LIMIT: Final = 10
-HTTP_OK: Final = 200
-HTTP_UNAVAILABLE: Final = 503
 RETRY_AFTER_HEADER: Final = "x-heathwell-retry-after-ms"
 COLLECTION_PREFIX: Final = "vector:"
 
@@ -101,7 +99,7 @@
         if self._connection is not None:
             return self._connection
         for broker in in_rotation(brokers, self._numbers.client_number):
-            host, port = host_and_port(broker.vector_search)
+            host, port = split_address(broker.vector_search)
             connection = HTTPConnection(host, port, timeout=timeout_seconds)
             try:
                 connection.connect()
@@ -117,8 +115,8 @@
     ) -> AttemptResult:
         client_name = self._numbers.client_name
         [key] = request.keys
-        if reply.status != HTTP_OK:
-            is_refused = reply.status == HTTP_UNAVAILABLE
+        if reply.status != HTTPStatus.OK:
+            is_refused = reply.status == HTTPStatus.SERVICE_UNAVAILABLE
             lost_kind = LostKind.REFUSED if is_refused else LostKind.FAILED
             self._log.record_answer(client_name, request_id, [], [LostKey(key, lost_kind)])
             kind = AttemptKind.REFUSED if is_refused else AttemptKind.FAILED
--- a/heathwell/testing/simulation/search_scenario.py
+++ b/heathwell/testing/simulation/search_scenario.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from http import HTTPStatus
 from typing import Final, Unpack
 
 import msgspec
@@ -26,7 +27,6 @@
     SimulatedScenario,
 )
 
-HTTP_OK: Final = 200
 MIN_BATCH_SIZE: Final = 2
 MAX_BATCH_SIZE: Final = 23
 MAX_RESULTS: Final = 12
@@ -123,7 +123,7 @@
         self.status_counts[response.status] = self.status_counts.get(response.status, 0) + 1
         body = msgspec.json.decode(response.body, type=SearchReplyBody)
         values = []
-        if response.status == HTTP_OK:
+        if response.status == HTTPStatus.OK:
             if body.coverage is None:
                 raise MalformedSearchReplyError("heathwell", is_batch=request.is_batch)
             self.answers.append(SearchAnswer(request, body.results(is_batch=request.is_batch)))
--- a/heathwell/testing/simulation/simulated_scenario.py
+++ b/heathwell/testing/simulation/simulated_scenario.py
@@ -29,12 +29,13 @@
 from heathwell.testing.simulation.local_fleet import LocalFleet
 from heathwell.testing.simulation.memcached_values import MemcachedValue, ReplyBody, read_values
 from heathwell.testing.simulation.run_parameters import run_parameters_record
+from heathwell.testing.standins.discovery import DiscoveryFault
 from heathwell.testing.standins.leaf import Leaf
 from heathwell.testing.standins.leaf_faults import FreshnessDisabledError
+from heathwell.testing.standins.units import US_PER_SECOND
 
 EvacuationCoordinatorFactory = Callable[[ServiceSettings], EvacuationCoordinator]
 
-US_PER_SECOND: Final = 1_000_000
 LOOP_START_US: Final = 1_000_000
 """The time of the virtual loop at its start."""
 SETTLE_US: Final = 1_500_000
@@ -266,7 +267,9 @@
         if draw < HOST_CRASH_BELOW:
             self._crash([leaf], CRASHED_RESTART_DELAY_US)
         elif draw < DISCOVERY_OUTAGE_BELOW:
-            self.fleet.discovery.order(frames.FaultCommand("down", 0.0, DISCOVERY_OUTAGE_US))
+            self.fleet.discovery.order(
+                frames.FaultCommand(DiscoveryFault.OUTAGE.value, 0.0, DISCOVERY_OUTAGE_US)
+            )
         elif draw < BROKER_RESTART_BELOW:
             self.fleet.restart_broker(draws.randrange(len(self.fleet.brokers)))
         else:
--- a/heathwell/testing/simulation/zone_faults.py
+++ b/heathwell/testing/simulation/zone_faults.py
@@ -6,12 +6,13 @@
 import random
 from typing import Final
 
-from heathwell.codec import frames
 from heathwell.eventloop import Coro, Loop, VirtualNet, sleep
 from heathwell.settings.records.queries import QueryClass
+from heathwell.testing.simulation.host_faults import HostFault
 from heathwell.testing.simulation.local_fleet import LocalFleet
 from heathwell.testing.simulation.process_links import Link
 from heathwell.testing.standins.leaf import Leaf
+from heathwell.testing.standins.leaf_faults import LeafFault
 
 ZONES: Final = ("za", "zb", "zc")
 FAULTY_ZONE_NUMBER: Final = 1
@@ -128,21 +129,22 @@
     def _inject_into_hosts(self, scenario: Scenario, duration_us: int) -> None:
         """Inject a fault into hosts of the zone; do nothing for a scenario without one."""
         leaves = self._faulty_leaves()
+        query_class = ""
         match scenario:
             case Scenario.SLOW:
-                command = frames.FaultCommand("slow", SLOW_FACTOR, duration_us)
+                fault = HostFault(LeafFault.SLOW, SLOW_FACTOR, duration_us)
             case Scenario.FAILING_CLASS:
                 query_class = self._draws.choice(self._query_classes).name
-                command = frames.FaultCommand("failclass", 0.0, duration_us, query_class)
+                fault = HostFault(LeafFault.FAIL_QUERY_CLASS, duration_us=duration_us)
             case Scenario.LOSSY:
-                command = frames.FaultCommand("lose", LOSSY_PROBABILITY, duration_us)
+                fault = HostFault(LeafFault.LOST_REPLIES, LOSSY_PROBABILITY, duration_us)
             case Scenario.LOSSY_FIFTH:
                 leaves = self._draws.sample(leaves, max(1, len(leaves) // LOSSY_HOSTS_DIVISOR))
-                command = frames.FaultCommand("lose", VERY_LOSSY_PROBABILITY, duration_us)
+                fault = HostFault(LeafFault.LOST_REPLIES, VERY_LOSSY_PROBABILITY, duration_us)
             case _:
                 return
         for leaf in leaves:
-            leaf.order(command)
+            leaf.order(fault.to_command(query_class))
 
 
 def _is_across_partition(broker_zone: int, leaf_zone: int) -> bool:
--- a/heathwell/testing/standins/discovery.py
+++ b/heathwell/testing/standins/discovery.py
@@ -14,11 +14,11 @@
 from heathwell.settings import ServiceSettings
 from heathwell.testing.standins.endpoint_states import EndpointState, ListKind
 from heathwell.testing.standins.fault_commands import parse_fault_kind, reply_to_fault_command
+from heathwell.testing.standins.units import US_PER_SECOND
 
 UNKNOWN_AGE_US: Final = -1
 """As on the wire: the host started at full capacity."""
 BROKER_ROLES: Final = frozenset({"", "broker"})
-US_PER_SECOND: Final = 1e6
 
 
 class DiscoveryFault(StrEnum):
--- a/heathwell/testing/standins/leaf.py
+++ b/heathwell/testing/standins/leaf.py
@@ -27,9 +27,9 @@
 from heathwell.testing.standins.leaf_replies import LeafReplies
 from heathwell.testing.standins.log_follower import LogFollower
 from heathwell.testing.standins.source import SourceLog
+from heathwell.testing.standins.units import US_PER_SECOND
 
 BIRTH_BITS: Final = 48
-US_PER_SECOND: Final = 1e6
 
 
 class Leaf:
--- a/heathwell/testing/standins/link_condition.py
+++ b/heathwell/testing/standins/link_condition.py
@@ -9,6 +9,7 @@
 
 from heathwell.codec import frames
 from heathwell.testing.standins.fault_commands import parse_fault_kind
+from heathwell.testing.standins.units import US_PER_SECOND
 
 SEGMENT_BYTES: Final = 1_448
 """Payload of a TCP packet on Ethernet."""
@@ -18,7 +19,6 @@
 """Of a lost SYN or its acknowledgement (RFC 6298)."""
 MAX_RETRANSMISSION_DELAY_US: Final = 60_000_000
 MIN_FLAP_INTERVAL_US: Final = 100_000
-US_PER_SECOND: Final = 1e6
 
 
 class LinkFault(StrEnum):
--- a/heathwell/testing/standins/platform_discovery.py
+++ b/heathwell/testing/standins/platform_discovery.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Final
 from urllib.parse import parse_qsl
 
@@ -17,8 +18,6 @@
 MAX_QUEUEING_US: Final = 1_000_000
 """Time in the queue beyond which a request is rejected."""
 MUTE_CHECK_INTERVAL_US: Final = 10_000
-HTTP_OK: Final = 200
-HTTP_UNAVAILABLE: Final = 503
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,16 +124,16 @@
         watch = WatchRequest.from_query(request.query, self.loop.now())
         yield from self._wait_for_change(watch)
         if self.down:
-            return Response(HTTP_UNAVAILABLE, b"down\n")
+            return Response(HTTPStatus.SERVICE_UNAVAILABLE, b"down\n")
         entry_list = self._list_for(watch)
         if self.entry_work_us:
             begins_at_us = max(self._worker_free_at_us, self.loop.now())
             if begins_at_us - self.loop.now() > MAX_QUEUEING_US:
                 self.rejected_requests += 1
-                return Response(HTTP_UNAVAILABLE, b"busy\n")
+                return Response(HTTPStatus.SERVICE_UNAVAILABLE, b"busy\n")
             self._worker_free_at_us = begins_at_us + self.entry_work_us * (1 + len(entry_list.entries))
             yield from sleep(self.loop, self._worker_free_at_us - self.loop.now())
-        return Response(HTTP_OK, msgspec.json.encode(entry_list), "application/json")
+        return Response(HTTPStatus.OK, msgspec.json.encode(entry_list), "application/json")
 
     def _wait_for_change(self, watch: WatchRequest) -> Coro[None]:
         """Wait for a later revision, the end of the wait, or an outage."""
--- a/heathwell/testing/standins/source.py
+++ b/heathwell/testing/standins/source.py
@@ -11,10 +11,10 @@
 from heathwell.codec import frames, inner_protocol
 from heathwell.eventloop import Coro, Listener, Loop, Net, Stream
 from heathwell.settings import ServiceSettings
+from heathwell.testing.standins.units import US_PER_SECOND
 
 SOURCE_CLOCK_OFFSET_US: Final = 7_777_777_777_000
 """The source's clock minus the machine's."""
-US_PER_SECOND: Final = 1e6
 
 
 class SourceLog:
--- a/tests/test_fault_links.py
+++ b/tests/test_fault_links.py
@@ -11,8 +11,9 @@
 
 from heathwell.testing.simulation import loop_thread
 from heathwell.testing.simulation.errors import SimulationError
-from heathwell.testing.simulation.fault_links import FaultLinkError, FaultLinks, Link, NoLinkError
+from heathwell.testing.simulation.fault_links import FaultLinkError, FaultLinks, NoLinkError
 from heathwell.testing.simulation.loop_thread import LoopThread, LoopThreadError
+from heathwell.testing.simulation.process_links import Link
 
 FAULT_US = 60_000_000
 SILENCE_SECONDS = 0.5
