--- a/heathwell/policy/aggregator.py
+++ b/heathwell/policy/aggregator.py
@@ -169,8 +169,8 @@
                 self.completion.on_client_disconnected(event.id)
             case events.ShutdownStarted():
                 self.completion.on_shutdown_started(event.ends_at_us)
-            case events.HolderRestrictions():
-                self._on_holder_restrictions(event)
+            case events.RestrictionUpdate():
+                self._on_restriction_update(event)
             case events.QuotaUpdate():
                 self.retry_budget.set_quota(event.additional_attempts)
                 self.slow_start.set_quota(event.slow_start_parts)
@@ -179,7 +179,7 @@
             case events.TimerFired():
                 self._armed_at_us = None
 
-    def _on_holder_restrictions(self, event: events.HolderRestrictions) -> None:
+    def _on_restriction_update(self, event: events.RestrictionUpdate) -> None:
         """Restrict endpoints; parts whose every live replica is excluded now are not waited for."""
         self.endpoint_table.restrict(event)
         if not event.excluded:
--- a/heathwell/policy/endpoint_table.py
+++ b/heathwell/policy/endpoint_table.py
@@ -13,7 +13,7 @@
     EndpointEntry,
     EndpointState,
     EndpointUpdate,
-    HolderRestrictions,
+    RestrictionUpdate,
     UpdateKind,
 )
 from heathwell.policy.operator_events import DiscoveryDegraded
@@ -80,7 +80,7 @@
 
     # Restrictions
 
-    def restrict(self, event: HolderRestrictions) -> None:
+    def restrict(self, event: RestrictionUpdate) -> None:
         """Replace the restrictions of one class, or of all."""
         key = ALL_CLASSES if event.query_class is None else event.query_class
         for endpoint in self.by_node.values():
--- a/heathwell/policy/events.py
+++ b/heathwell/policy/events.py
@@ -117,7 +117,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HolderRestrictions:
+class RestrictionUpdate:
     """Endpoints restricted from now on, for one class or (None) all.
 
     ``deprioritized`` serve only where no other endpoint does, ``excluded`` not at all. Replaces the earlier
@@ -176,7 +176,7 @@
     | PartArrived
     | AttemptEnded
     | ProbeEnded
-    | HolderRestrictions
+    | RestrictionUpdate
     | QuotaUpdate
     | AttemptSuperseded
     | TimerFired
--- a/heathwell/service/endpoint_restrictions.py
+++ b/heathwell/service/endpoint_restrictions.py
@@ -1,7 +1,7 @@
 """Which endpoints queries of each class may use: restrictions from links between regions, from classes that
 stay in their region, and from evacuated zones.
 
-The module gets each change as a :class:`~heathwell.policy.HolderRestrictions`.
+The module gets each change as a :class:`~heathwell.policy.RestrictionUpdate`.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 class RestrictionsBroker(ServiceContext, Protocol):
     """What :class:`EndpointRestrictions` uses of its broker."""
 
-    def restrict_endpoints(self, restrictions: policy.HolderRestrictions) -> None:
+    def restrict_endpoints(self, restrictions: policy.RestrictionUpdate) -> None:
         """Hand restrictions to the module."""
 
     def probe_endpoint(self, node: str) -> None:
@@ -101,7 +101,7 @@
             if spec.across != ANY_REGION:
                 restriction = self._of_remote_nodes(index)
                 self._broker.restrict_endpoints(
-                    policy.HolderRestrictions(restriction.deprioritized, restriction.excluded, index)
+                    policy.RestrictionUpdate(restriction.deprioritized, restriction.excluded, index)
                 )
 
     def _of_remote_nodes(self, query_class: int) -> Restriction:
@@ -160,9 +160,7 @@
         restriction = self._from_links if query_class is None else self._of_remote_nodes(query_class)
         evacuated = self._evacuated.get(query_class, NO_NODES)
         self._broker.restrict_endpoints(
-            policy.HolderRestrictions(
-                restriction.deprioritized | evacuated, restriction.excluded, query_class
-            )
+            policy.RestrictionUpdate(restriction.deprioritized | evacuated, restriction.excluded, query_class)
         )
 
     def _log_link_changes(self, regions: RegionLinks) -> None:
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -242,7 +242,7 @@
         """Deprioritize endpoints of evacuated zones, for one query class or (None) for all."""
         self._restrictions.restrict_zones(query_class, nodes)
 
-    def restrict_endpoints(self, restrictions: policy.HolderRestrictions) -> None:
+    def restrict_endpoints(self, restrictions: policy.RestrictionUpdate) -> None:
         """Pass restrictions to the decision module."""
         self._push(restrictions)
 
--- a/heathwell/service/zone_observer.py
+++ b/heathwell/service/zone_observer.py
@@ -1,6 +1,6 @@
 """A broker's part in zone evacuation: evidence collected on each zone, and the fleet's decision applied.
 
-Endpoints of an evacuated zone are deprioritized (:class:`~heathwell.policy.HolderRestrictions`): they serve
+Endpoints of an evacuated zone are deprioritized (:class:`~heathwell.policy.RestrictionUpdate`): they serve
 only where no other replica does, so the last replica of a shard is never lost. The fraction of a zone's work
 that stays or is restored is a fraction of the brokers: each has one draw for a zone, so that those that serve
 it at one step of the recovery ramp also serve it at the next.
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -248,12 +248,12 @@
 
 def test_the_module_follows_restrictions_on_endpoints():
     driver = ModuleDriver(make_settings(), 3)
-    driver.step(5000, policy.HolderRestrictions(frozenset({"s0", "s1"}), frozenset({"s2"})))
+    driver.step(5000, policy.RestrictionUpdate(frozenset({"s0", "s1"}), frozenset({"s2"})))
     for _ in range(20):
         [send] = of(driver.query(3, [0]), policy.Send)  # shard 0 is on s0, s1 and s2
         assert send.node in ("s0", "s1")
         driver.end(send)
-    driver.step(5000, policy.HolderRestrictions(frozenset({"s0"}), frozenset()))
+    driver.step(5000, policy.RestrictionUpdate(frozenset({"s0"}), frozenset()))
     for _ in range(20):
         [send] = of(driver.query(3, [0]), policy.Send)
         assert send.node in ("s1", "s2")
@@ -262,7 +262,7 @@
 
 def test_restrictions_may_apply_to_one_class_alone():
     driver = ModuleDriver(make_settings(), 4)
-    driver.step(5000, policy.HolderRestrictions(frozenset(), frozenset({"s0", "s1"}), query_class=3))
+    driver.step(5000, policy.RestrictionUpdate(frozenset(), frozenset({"s0", "s1"}), query_class=3))
     unrestricted_nodes = set()
     for _ in range(30):
         [send] = of(driver.query(3, [0]), policy.Send)
