--- a/heathwell/policy/attempt_outcomes.py
+++ b/heathwell/policy/attempt_outcomes.py
@@ -67,8 +67,8 @@
         self._outliers.record_response(attempt)
         self._latency.record_response(attempt, latency_us)
         was_counted = self._completion.record_part(attempt.part)
-        if was_counted and query in self._queries and not query.answered:
-            query.answered = True
+        if was_counted and query in self._queries and not query.has_response:
+            query.has_response = True
             self._sender.resume(query)
 
     def _replace(self, part: Part, outcome: Outcome) -> None:
@@ -79,7 +79,7 @@
         if self._completion.hold_or_abandon_if_deadly(query):
             return
         # A query of death must not take both replicas of a shard: another part goes first.
-        if outcome == Outcome.BROKEN and not query.answered and self._hedger.send_unsent_part(query):
+        if outcome == Outcome.BROKEN and not query.has_response and self._hedger.send_unsent_part(query):
             return
         if self._sender.try_send(part) or part.waiting or self._hedger.send_unsent_part(query):
             return
--- a/heathwell/policy/outlier_detection.py
+++ b/heathwell/policy/outlier_detection.py
@@ -210,7 +210,7 @@
     def sends_canary_first(self, query: Query) -> bool:
         """Return whether one part goes first, so that a query of death costs one endpoint, not many."""
         recent_crash = self._context.now_us < self._canary_until_us
-        return recent_crash and query.step == 1 and not query.answered
+        return recent_crash and query.step == 1 and not query.has_response
 
 
 def judge_query_of_death(query: Query) -> QueryOfDeath:
@@ -219,7 +219,7 @@
     A query that broke a connection and has no response waits for its parts in flight, gets one more attempt,
     and is abandoned when that breaks a connection too.
     """
-    if query.answered or not query.broken_connections:
+    if query.has_response or not query.broken_connections:
         return QueryOfDeath.NOT_SUSPECTED
     if query.in_flight():
         return QueryOfDeath.HOLD
--- a/heathwell/policy/records.py
+++ b/heathwell/policy/records.py
@@ -27,7 +27,7 @@
 class Query:
     """A query without a final answer.
 
-    ``step`` is the present step (1 or 2), ``answered`` whether any part has a response, ``truncated`` whether
+    ``step`` is the present step (1 or 2), ``has_response`` whether any part has one, ``truncated`` whether
     the first step was cut short, ``offered_weight`` the weight of the first step's parts that can be had.
     """
 
@@ -43,7 +43,7 @@
     parts: list[Part] = field(default_factory=list)
     step: int = 1
     complete: bool = True
-    answered: bool = False
+    has_response: bool = False
     truncated: bool = False
     received_weight: float = 0.0
     offered_weight: float = 0.0
--- a/heathwell/policy/sending.py
+++ b/heathwell/policy/sending.py
@@ -51,7 +51,7 @@
 
     def send_step(self, query: Query) -> None:
         """Shed the query, or rank the step's parts by their replica's load and send those that are needed."""
-        if not query.answered and self._shedder.should_shed(query):
+        if not query.has_response and self._shedder.should_shed(query):
             self._completion.abandon(query, EndReason.OVERLOAD)
             return
         unsent = [part for part in query.unsent_parts() if not part.waiting]
--- a/tests/test_policy_components.py
+++ b/tests/test_policy_components.py
@@ -239,7 +239,7 @@
     """Its first step was answered, so its parts can be executed."""
     components = Components()
     query = components.query(TWO_STEPS, (0, 1))
-    query.answered = True
+    query.has_response = True
     query.step = 2
     query.broken_connections = 5
     assert judge_query_of_death(query) is QueryOfDeath.NOT_SUSPECTED
