--- a/heathwell/policy/hedging.py
+++ b/heathwell/policy/hedging.py
@@ -64,9 +64,9 @@
         if not unsent or query.step != 1:
             return False
         part = min(unsent, key=self._selector.part_rank)
-        part.is_hedge = True
+        part.is_substitute = True
         sent = self._sender.try_send(part)
-        part.is_hedge = sent or part.waiting
+        part.is_substitute = sent or part.waiting
         return sent
 
     def _may_cancel(self, attempt: Attempt) -> bool:
--- a/heathwell/policy/records.py
+++ b/heathwell/policy/records.py
@@ -121,7 +121,7 @@
     """One part of a query.
 
     ``done`` once it has a response, ``waiting`` while it may not be sent yet, ``excluded`` once every replica
-    is excluded, ``is_hedge`` where it is sent beside or in place of others.
+    is excluded, ``is_substitute`` where it is sent in place of, or beside, a late or failed part.
     """
 
     id: str
@@ -134,7 +134,7 @@
     done: bool = False
     excluded: bool = False
     waiting: bool = False
-    is_hedge: bool = False
+    is_substitute: bool = False
 
     def in_flight(self) -> list[Attempt]:
         """Return the attempts that have no outcome."""
--- a/heathwell/policy/sending.py
+++ b/heathwell/policy/sending.py
@@ -84,7 +84,7 @@
             return False
         if part.attempts and not self._rules.may_send_again(part):
             return False
-        if part.is_hedge and not part.attempts and not self._budget.has_quota():
+        if part.is_substitute and not part.attempts and not self._budget.has_quota():
             return False
         endpoint = self._selector.select(part)
         if endpoint is None:
@@ -114,7 +114,7 @@
 def _attempt_reason(part: Part) -> AttemptReason:
     """Return why a part's next attempt is sent, as its attempts so far show it."""
     if not part.attempts:
-        return AttemptReason.SUBSTITUTE if part.is_hedge else AttemptReason.FIRST
+        return AttemptReason.SUBSTITUTE if part.is_substitute else AttemptReason.FIRST
     if part.in_flight():
         return AttemptReason.HEDGE
     if part.attempts[-1].outcome == Outcome.CANCELLED:
