--- a/heathwell/policy/hedging.py
+++ b/heathwell/policy/hedging.py
@@ -82,7 +82,7 @@
         An endpoint that responds in the order of sends will come to it: cancelling would pay twice.
         """
         endpoint = attempt.endpoint
-        in_turn = endpoint.last_answered_send_at_us <= attempt.sent_at_us < endpoint.last_answer_at_us
+        in_turn = endpoint.last_send_with_response_at_us <= attempt.sent_at_us < endpoint.last_response_at_us
         if in_turn or not self._budget.has_budget():
             self._recheck_later(attempt)
             return
--- a/heathwell/policy/outlier_detection.py
+++ b/heathwell/policy/outlier_detection.py
@@ -61,7 +61,7 @@
         self._endpoints = endpoints
         self._latency = latency
         self._penalties = penalties
-        self._last_answer_at_us = NEVER_US
+        self._last_response_at_us = NEVER_US
         self._canary_until_us = 0.0
 
     # Ejection
@@ -87,12 +87,12 @@
         if attempt.outcome is None and now_us - attempt.sent_at_us < silence_us:
             self._context.schedule(int(attempt.sent_at_us + silence_us) + 1, TimerKind.SILENT, attempt)
             return
-        others_respond = endpoint.last_answer_at_us < attempt.sent_at_us <= self._last_answer_at_us
+        others_respond = endpoint.last_response_at_us < attempt.sent_at_us <= self._last_response_at_us
         if not others_respond:
             return
         # At low traffic the attempt's own load keeps a second one away: a time-out counts by itself.
         timed_out = attempt.outcome == Outcome.TIMED_OUT
-        stuck = sum(other.sent_at_us > endpoint.last_answer_at_us for other in endpoint.in_flight.values())
+        stuck = sum(other.sent_at_us > endpoint.last_response_at_us for other in endpoint.in_flight.values())
         if (timed_out or stuck >= SILENT_ATTEMPTS) and self._may_eject_more():
             self._eject(endpoint, ALL_CLASSES, EjectionReason.NO_RESPONSE)
 
@@ -187,7 +187,7 @@
         """Readmit the endpoint of an attempt that has a response."""
         endpoint = attempt.endpoint
         silence_us = endpoint.record_response(self._context.now_us, attempt.sent_at_us)
-        self._last_answer_at_us = self._context.now_us
+        self._last_response_at_us = self._context.now_us
         for key in (ALL_CLASSES, attempt.part.query.query_class):
             endpoint.consecutive_errors.pop(key, None)
             ejection = endpoint.ejections.get(key)
--- a/heathwell/policy/records.py
+++ b/heathwell/policy/records.py
@@ -169,8 +169,8 @@
 
     ``gone_at_us`` is when it left the list, ``deprioritized_for`` and ``excluded_for`` hold class indices or
     :data:`ALL_CLASSES`, as the keys of ``consecutive_errors`` and ``ejections`` do. Parts that share a call
-    count once in ``in_flight_by_call``. ``last_answer_at_us`` is the instant of the last response and
-    ``last_answered_send_at_us`` that of the latest send that had one.
+    count once in ``in_flight_by_call``. ``last_response_at_us`` is when the last response
+    came, ``last_send_with_response_at_us`` when the latest of the attempts that have a response was sent.
     """
 
     node: str
@@ -189,8 +189,8 @@
     last_call_capacity: int = 0
     penalty: DecayingSum = field(default_factory=DecayingSum)
     relative_latency: DecayingAverage = field(default_factory=lambda: DecayingAverage(1.0))
-    last_answer_at_us: int = NEVER_US
-    last_answered_send_at_us: int = NEVER_US
+    last_response_at_us: int = NEVER_US
+    last_send_with_response_at_us: int = NEVER_US
     consecutive_errors: dict[int, int] = field(default_factory=dict)
     ejections: dict[int, Ejection] = field(default_factory=dict)
     slow_start_from_us: int | None = None
@@ -278,9 +278,9 @@
 
     def record_response(self, now_us: int, sent_at_us: int) -> int:
         """Record a response to an attempt sent at an instant; return the time since the one before."""
-        silence_us = now_us - self.last_answer_at_us
-        self.last_answered_send_at_us = max(self.last_answered_send_at_us, sent_at_us)
-        self.last_answer_at_us = now_us
+        silence_us = now_us - self.last_response_at_us
+        self.last_send_with_response_at_us = max(self.last_send_with_response_at_us, sent_at_us)
+        self.last_response_at_us = now_us
         return silence_us
 
     def add_error(self, key: int) -> int:
--- a/heathwell/policy/replica_selection.py
+++ b/heathwell/policy/replica_selection.py
@@ -128,7 +128,7 @@
 
     def _canary_rank(self, part: Part) -> int:
         endpoint = self.select(part)
-        return -endpoint.last_answer_at_us if endpoint else NO_REPLICA_CANARY_RANK
+        return -endpoint.last_response_at_us if endpoint else NO_REPLICA_CANARY_RANK
 
 
 def _is_current(basis: RankBasis) -> bool:
--- a/heathwell/servers/admin_state.py
+++ b/heathwell/servers/admin_state.py
@@ -68,7 +68,7 @@
 def _endpoint_state(broker: ServiceBroker, node: str) -> EndpointState:
     endpoint = broker.aggregator.endpoints[node]
     now = broker.loop.now()
-    answered_at_us = endpoint.last_answer_at_us
+    last_response_at_us = endpoint.last_response_at_us
     link = broker.links.get(node)
     return EndpointState(
         node=node,
@@ -78,7 +78,7 @@
         out=len(endpoint.in_flight),
         pace=round(endpoint.relative_latency.value, 3),
         ejected=_ejection_states(broker, node),
-        last_ok_ms=(now - answered_at_us) // 1000 if answered_at_us >= 0 else None,
+        last_ok_ms=(now - last_response_at_us) // 1000 if last_response_at_us >= 0 else None,
         connected=link is not None and link.up,
     )
 
