--- a/heathwell/policy/aggregator.py
+++ b/heathwell/policy/aggregator.py
@@ -199,8 +199,8 @@
             case Part() as part if part.query in self.query_table:
                 self.outcomes.on_wait_over(part)
             case Attempt() as attempt if attempt.outcome is None:
-                if timer.kind == TimerKind.SILENT:
-                    self.outliers.eject_if_silent(attempt)
+                if timer.kind == TimerKind.UNRESPONSIVE:
+                    self.outliers.eject_if_unresponsive(attempt)
                 else:
                     self.hedger.on_late_attempt(attempt)
             case Endpoint() as endpoint:
--- a/heathwell/policy/hedging.py
+++ b/heathwell/policy/hedging.py
@@ -41,7 +41,7 @@
 
     def on_late_attempt(self, attempt: Attempt) -> None:
         """Send an unsent part instead, else hedge, else cancel and send again."""
-        self._outliers.eject_if_silent(attempt)
+        self._outliers.eject_if_unresponsive(attempt)
         part = attempt.part
         query = part.query
         if not self._completion.is_awaited(part) or self._completion.hold_or_abandon_if_deadly(query):
--- a/heathwell/policy/outlier_detection.py
+++ b/heathwell/policy/outlier_detection.py
@@ -17,17 +17,24 @@
 from heathwell.policy.operator_events import EjectionReason, EndpointEjected, EndpointReadmitted
 from heathwell.policy.records import ALL_CLASSES, NEVER_US, Attempt, Ejection, Endpoint, Query, TimerKind
 
-SILENCE_LATENCIES = 4.0  # without a response before a late part counts against its endpoint
-SILENT_ATTEMPTS = 2  # in flight: a single one may have met a pause or be heavy itself
+# Time without a response, in expected latencies of the part, after which a late part counts against its
+# endpoint.
+UNRESPONSIVE_LATENCIES = 4.0
+# Attempts in flight without a response that eject an endpoint: a single one may have met a short pause, or be
+# a heavy part itself.
+UNRESPONSIVE_ATTEMPTS = 2
 MAXIMUM_EJECTED_FRACTION = 0.4  # of the live endpoints: more is overload, not a fault of theirs
 CONSECUTIVE_ERRORS = 2  # errors of one class, or rejections: one is chance
-RESTART_SILENCE_OBJECTIVES = 3.0  # of silence after which an endpoint may have restarted unlisted
+# Time without a response after which an ejected endpoint may have restarted without a new start time in the
+# endpoint list.
+RESTART_UNRESPONSIVE_OBJECTIVES = 3.0
 EJECTION_FIRST_OBJECTIVES = 1.0  # duration of the first ejection; doubled while trials fail
 EJECTION_MAXIMUM_OBJECTIVES = 8.0  # of the longest ejection
 CANARY_OBJECTIVES = 5.0  # after a broken connection, in which one part of a query goes first
 QUERY_OF_DEATH_CONNECTIONS = 2  # broken without a response before a query is abandoned: one is chance
 
-# Outcomes that say nothing of the endpoint's health, beyond silence and the latency of a lost connection.
+# Outcomes that say nothing of the endpoint's health, beyond a missing response and the latency of a lost
+# connection.
 NEUTRAL_OUTCOMES = (Outcome.CANCELLED, Outcome.NEVER_SENT, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
 UNREACHABLE_REASONS = (EjectionReason.NO_CONNECTION, EjectionReason.PROBE_FAILED)
 
@@ -79,28 +86,32 @@
                 return False
         return True
 
-    def eject_if_silent(self, attempt: Attempt) -> None:
+    def eject_if_unresponsive(self, attempt: Attempt) -> None:
         """Eject the endpoint of a late attempt that has sent no response since, while others have."""
         now_us = self._context.now_us
         endpoint = attempt.endpoint
-        silence_us = SILENCE_LATENCIES * self._latency.expected_latency_us(attempt.part)
-        if attempt.outcome is None and now_us - attempt.sent_at_us < silence_us:
-            self._context.schedule(int(attempt.sent_at_us + silence_us) + 1, TimerKind.SILENT, attempt)
+        unresponsive_us = UNRESPONSIVE_LATENCIES * self._latency.expected_latency_us(attempt.part)
+        if attempt.outcome is None and now_us - attempt.sent_at_us < unresponsive_us:
+            self._context.schedule(
+                int(attempt.sent_at_us + unresponsive_us) + 1, TimerKind.UNRESPONSIVE, attempt
+            )
             return
         others_respond = endpoint.last_response_at_us < attempt.sent_at_us <= self._last_response_at_us
         if not others_respond:
             return
         # At low traffic the attempt's own load keeps a second one away: a time-out counts by itself.
         timed_out = attempt.outcome == Outcome.TIMED_OUT
-        stuck = sum(other.sent_at_us > endpoint.last_response_at_us for other in endpoint.in_flight.values())
-        if (timed_out or stuck >= SILENT_ATTEMPTS) and self._may_eject_more():
+        unresponsive = sum(
+            other.sent_at_us > endpoint.last_response_at_us for other in endpoint.in_flight.values()
+        )
+        if (timed_out or unresponsive >= UNRESPONSIVE_ATTEMPTS) and self._may_eject_more():
             self._eject(endpoint, ALL_CLASSES, EjectionReason.NO_RESPONSE)
 
     def record_failure(self, attempt: Attempt, outcome: Outcome) -> None:
         """Count a failed attempt against its endpoint, and eject that where it is due."""
         endpoint = attempt.endpoint
         if outcome == Outcome.TIMED_OUT:
-            self.eject_if_silent(attempt)
+            self.eject_if_unresponsive(attempt)
         if outcome == Outcome.CONNECTION_LOST:
             self._latency.record_lost_connection(endpoint)
         if outcome in NEUTRAL_OUTCOMES:
@@ -186,7 +197,7 @@
     def record_response(self, attempt: Attempt) -> None:
         """Readmit the endpoint of an attempt that has a response."""
         endpoint = attempt.endpoint
-        silence_us = endpoint.record_response(self._context.now_us, attempt.sent_at_us)
+        unresponsive_us = endpoint.record_response(self._context.now_us, attempt.sent_at_us)
         self._last_response_at_us = self._context.now_us
         for key in (ALL_CLASSES, attempt.part.query.query_class):
             endpoint.consecutive_errors.pop(key, None)
@@ -195,14 +206,16 @@
                 continue
             del endpoint.ejections[key]
             if key == ALL_CLASSES:
-                self._begin_slow_start_after(endpoint, ejection, silence_us)
+                self._begin_slow_start_after(endpoint, ejection, unresponsive_us)
                 self._context.notify_operators("back " + endpoint.node, EndpointReadmitted(endpoint.node))
 
-    def _begin_slow_start_after(self, endpoint: Endpoint, ejection: Ejection, silence_us: int) -> None:
+    def _begin_slow_start_after(self, endpoint: Endpoint, ejection: Ejection, unresponsive_us: int) -> None:
         """Put an endpoint in slow start that may have restarted unlisted during its ejection."""
-        long_silent = silence_us > RESTART_SILENCE_OBJECTIVES * self._context.shortest_objective_us
+        was_long_unresponsive = (
+            unresponsive_us > RESTART_UNRESPONSIVE_OBJECTIVES * self._context.shortest_objective_us
+        )
         reason = ejection.disconnect_reason
-        if reason == EjectionReason.NO_CONNECTION or (reason and long_silent):
+        if reason == EjectionReason.NO_CONNECTION or (reason and was_long_unresponsive):
             endpoint.slow_start_from_us = self._context.now_us
 
     # Queries of death
--- a/heathwell/policy/records.py
+++ b/heathwell/policy/records.py
@@ -278,10 +278,10 @@
 
     def record_response(self, now_us: int, sent_at_us: int) -> int:
         """Record a response to an attempt sent at an instant; return the time since the one before."""
-        silence_us = now_us - self.last_response_at_us
+        unresponsive_us = now_us - self.last_response_at_us
         self.last_send_with_response_at_us = max(self.last_send_with_response_at_us, sent_at_us)
         self.last_response_at_us = now_us
-        return silence_us
+        return unresponsive_us
 
     def add_error(self, key: int) -> int:
         """Count one more consecutive error for a key; return their number."""
@@ -315,7 +315,7 @@
     CUT = "cut"  # the first step of a query: its second one needs the rest of the time
     RETRY_WAIT = "wait"  # a part that could not be sent
     LATE = "late"  # an attempt: a hedge is due
-    SILENT = "silent"  # an attempt: its endpoint may be ejected for silence
+    UNRESPONSIVE = "silent"  # an attempt: its endpoint is ejected if it has not responded since
     TRIAL = "trial"  # an endpoint: an ejection is over
     POLL = "ask"  # discovery is called again
     POLL_TIMEOUT = "answer?"  # discovery is called again if it has not replied
--- a/tests/test_policy_components.py
+++ b/tests/test_policy_components.py
@@ -214,14 +214,14 @@
 def test_missing_responses_eject_an_endpoint_only_while_others_respond():
     components = Components()
     query = components.query(shards=(0, 0, 1))
-    silent = [components.send(part, 0) for part in query.parts[:2]]
+    unresponsive = [components.send(part, 0) for part in query.parts[:2]]
     other = components.send(query.parts[2], 1)
     components.advance(AIM)
-    components.outliers.eject_if_silent(silent[0])
+    components.outliers.eject_if_unresponsive(unresponsive[0])
     assert components.endpoint(0).ejections == {}
     components.end(other, policy.Outcome.OK)
     components.outliers.record_response(other)
-    components.outliers.eject_if_silent(silent[0])
+    components.outliers.eject_if_unresponsive(unresponsive[0])
     (event,) = of(components.context.actions, policy.EndpointEjected)
     assert (event.node, event.reason) == ("s0", policy.EjectionReason.NO_RESPONSE)
 
