--- a/heathwell/policy/attempt_outcomes.py
+++ b/heathwell/policy/attempt_outcomes.py
@@ -76,7 +76,7 @@
         query = part.query
         if not self._completion.is_awaited(part) or outcome == Outcome.CANCELLED or part.in_flight():
             return
-        if self._completion.hold_or_abandon_if_deadly(query):
+        if self._completion.hold_or_abandon_query_of_death(query):
             return
         # A query of death must not take both replicas of a shard: another part goes first.
         if outcome == Outcome.BROKEN and not query.has_response and self._hedger.send_unsent_part(query):
--- a/heathwell/policy/hedging.py
+++ b/heathwell/policy/hedging.py
@@ -44,7 +44,7 @@
         self._outliers.eject_if_unresponsive(attempt)
         part = attempt.part
         query = part.query
-        if not self._completion.is_awaited(part) or self._completion.hold_or_abandon_if_deadly(query):
+        if not self._completion.is_awaited(part) or self._completion.hold_or_abandon_query_of_death(query):
             return
         if not self._budget.has_quota():
             self._recheck_later(attempt)
--- a/heathwell/policy/outlier_detection.py
+++ b/heathwell/policy/outlier_detection.py
@@ -39,7 +39,7 @@
 UNREACHABLE_REASONS = (EjectionReason.NO_CONNECTION, EjectionReason.PROBE_FAILED)
 
 
-class QueryOfDeath(Enum):
+class QueryOfDeathVerdict(Enum):
     """Whether a query may crash each endpoint that begins it."""
 
     NOT_SUSPECTED = auto()
@@ -226,16 +226,16 @@
         return recent_crash and query.step == 1 and not query.has_response
 
 
-def judge_query_of_death(query: Query) -> QueryOfDeath:
+def judge_query_of_death(query: Query) -> QueryOfDeathVerdict:
     """Return whether a query is to be held or abandoned because its parts break connections.
 
     A query that broke a connection and has no response waits for its parts in flight, gets one more attempt,
     and is abandoned when that breaks a connection too.
     """
     if query.has_response or not query.broken_connections:
-        return QueryOfDeath.NOT_SUSPECTED
+        return QueryOfDeathVerdict.NOT_SUSPECTED
     if query.in_flight():
-        return QueryOfDeath.HOLD
+        return QueryOfDeathVerdict.HOLD
     if query.broken_connections < QUERY_OF_DEATH_CONNECTIONS:
-        return QueryOfDeath.NOT_SUSPECTED
-    return QueryOfDeath.ABANDON
+        return QueryOfDeathVerdict.NOT_SUSPECTED
+    return QueryOfDeathVerdict.ABANDON
--- a/heathwell/policy/query_completion.py
+++ b/heathwell/policy/query_completion.py
@@ -5,7 +5,7 @@
 from heathwell.policy.actions import Answer, EndReason, Fail, Reject
 from heathwell.policy.attempt_table import AttemptTable
 from heathwell.policy.context import DecisionContext
-from heathwell.policy.outlier_detection import QueryOfDeath, judge_query_of_death
+from heathwell.policy.outlier_detection import QueryOfDeathVerdict, judge_query_of_death
 from heathwell.policy.query_arrival import QueryTable
 from heathwell.policy.records import WEIGHT_TOLERANCE, Part, Query, TimerKind
 
@@ -111,12 +111,12 @@
         if query.reachable_weight() < query.least_weight() - WEIGHT_TOLERANCE:
             self.abandon(query, EndReason.TOO_FEW_PARTS)
 
-    def hold_or_abandon_if_deadly(self, query: Query) -> bool:
+    def hold_or_abandon_query_of_death(self, query: Query) -> bool:
         """Abandon a query of death; return whether nothing more is to be sent for the query now."""
-        judgement = judge_query_of_death(query)
-        if judgement is QueryOfDeath.ABANDON:
+        verdict = judge_query_of_death(query)
+        if verdict is QueryOfDeathVerdict.ABANDON:
             self.abandon(query, EndReason.QUERY_OF_DEATH)
-        return judgement is not QueryOfDeath.NOT_SUSPECTED
+        return verdict is not QueryOfDeathVerdict.NOT_SUSPECTED
 
     def exclude_parts(self, query: Query, parts: list[Part]) -> None:
         """Stop waiting for parts that no replica may serve: answer from the others, or abandon."""
--- a/tests/test_policy_components.py
+++ b/tests/test_policy_components.py
@@ -11,7 +11,7 @@
 from heathwell.policy.endpoint_table import EndpointTable
 from heathwell.policy.latency import LatencyModel
 from heathwell.policy.load import LoadModel
-from heathwell.policy.outlier_detection import OutlierDetector, QueryOfDeath, judge_query_of_death
+from heathwell.policy.outlier_detection import OutlierDetector, QueryOfDeathVerdict, judge_query_of_death
 from heathwell.policy.query_arrival import QueryTable
 from heathwell.policy.query_completion import QueryCompletion
 from heathwell.policy.records import ALL_CLASSES, Attempt, Endpoint, Part, Query, TimerKind
@@ -228,11 +228,11 @@
 
 def test_a_query_of_death_gets_one_more_attempt_and_is_then_abandoned():
     query = Components().query(shards=(0, 1))
-    assert judge_query_of_death(query) is QueryOfDeath.NOT_SUSPECTED
+    assert judge_query_of_death(query) is QueryOfDeathVerdict.NOT_SUSPECTED
     query.broken_connections = 1
-    assert judge_query_of_death(query) is QueryOfDeath.NOT_SUSPECTED  # one more attempt
+    assert judge_query_of_death(query) is QueryOfDeathVerdict.NOT_SUSPECTED  # one more attempt
     query.broken_connections = 2
-    assert judge_query_of_death(query) is QueryOfDeath.ABANDON
+    assert judge_query_of_death(query) is QueryOfDeathVerdict.ABANDON
 
 
 def test_a_query_that_breaks_connections_in_its_second_step_is_not_suspected():
@@ -242,7 +242,7 @@
     query.has_response = True
     query.step = 2
     query.broken_connections = 5
-    assert judge_query_of_death(query) is QueryOfDeath.NOT_SUSPECTED
+    assert judge_query_of_death(query) is QueryOfDeathVerdict.NOT_SUSPECTED
     components.fail(3, policy.Outcome.BROKEN)  # a crash is recent
     assert not components.outliers.sends_canary_first(query)
     assert components.outliers.sends_canary_first(components.query(name="fresh"))
