--- a/heathwell/datastructures/decaying.py
+++ b/heathwell/datastructures/decaying.py
@@ -58,7 +58,7 @@
         self.value = 0.0
         self.count = 0
 
-    def add(self, sample: float, least_gain: float) -> None:
+    def add(self, sample: float, minimum_gain: float) -> None:
         """Take a sample, which weighs one of all so far, but never less than the least gain."""
         self.count += 1
-        self.value += (sample - self.value) * max(least_gain, 1 / self.count)
+        self.value += (sample - self.value) * max(minimum_gain, 1 / self.count)
--- a/heathwell/policy/endpoint_table.py
+++ b/heathwell/policy/endpoint_table.py
@@ -63,10 +63,10 @@
     @property
     def response_memory_us(self) -> float:
         """The longest time that an endpoint's behaviour is remembered for."""
-        return self._context.settings.slow_start_duration_us or self._least_memory_us
+        return self._context.settings.slow_start_duration_us or self._minimum_memory_us
 
     @property
-    def _least_memory_us(self) -> int:
+    def _minimum_memory_us(self) -> int:
         return ENDPOINT_MEMORY_OBJECTIVES * self._context.shortest_objective_us
 
     def replicas(self, part: Part) -> list[Endpoint]:
@@ -131,7 +131,7 @@
 
     def _drop_forgotten(self) -> None:
         """Drop idle endpoints that left so long ago that they would be out of slow start."""
-        memory_us = max(self._context.settings.slow_start_duration_us, self._least_memory_us)
+        memory_us = max(self._context.settings.slow_start_duration_us, self._minimum_memory_us)
         edge_us = self._context.now_us - memory_us
         for endpoint in self.all():
             if endpoint.left_before(edge_us) and not endpoint.in_flight:
--- a/heathwell/policy/load_shedding.py
+++ b/heathwell/policy/load_shedding.py
@@ -122,7 +122,7 @@
         loads = loads[:needed]
         return sum(loads) / len(loads) * len(usable) / rate
 
-    def _slow_shard_latency_us(self, query: Query, least_load: int) -> float:
+    def _slow_shard_latency_us(self, query: Query, minimum_load: int) -> float:
         """Return the latency of the slowest shard, which holds up a query that needs all parts.
 
         Only replicas of some load and with a current latency count: by an older one all queries would be
@@ -133,7 +133,7 @@
         latencies_us = [0.0]
         for part in query.parts:
             replica = self._selector.select(part)
-            if replica is None or self._load.load(replica) < least_load:
+            if replica is None or self._load.load(replica) < minimum_load:
                 continue
             if self._latency.has_current_latency(replica):
                 expected_us = self._latency.expected_latency_us(part)
--- a/heathwell/policy/query_completion.py
+++ b/heathwell/policy/query_completion.py
@@ -29,7 +29,7 @@
         if query.step > 1:
             return 1.0
         if query.truncated:
-            return spec.least_fraction
+            return spec.effective_minimum_fraction
         # Parts that can't be had now are left out by the caller: what is offered is all that can come.
         if query.offered_weight > spec.required_fraction - OFFERED_WEIGHT_TOLERANCE:
             return spec.required_fraction
@@ -108,7 +108,7 @@
 
     def abandon_if_unanswerable(self, query: Query) -> None:
         """Abandon a query that the parts received, in flight, waiting and unsent can't answer."""
-        if query.reachable_weight() < query.least_weight() - WEIGHT_TOLERANCE:
+        if query.reachable_weight() < query.minimum_weight() - WEIGHT_TOLERANCE:
             self.abandon(query, EndReason.TOO_FEW_PARTS)
 
     def hold_or_abandon_query_of_death(self, query: Query) -> bool:
--- a/heathwell/policy/records.py
+++ b/heathwell/policy/records.py
@@ -72,9 +72,9 @@
         """Return the weight of the present step's parts that makes a complete answer."""
         return self.spec.required_fraction if self.step == 1 else 1.0
 
-    def least_weight(self) -> float:
+    def minimum_weight(self) -> float:
         """Return the least weight of the present step's parts that may be answered."""
-        return self.spec.least_fraction if self.step == 1 or self.spec.allows_partial else 1.0
+        return self.spec.effective_minimum_fraction if self.step == 1 or self.spec.allows_partial else 1.0
 
     def add_part(self, event: PartArrived) -> None:
         """Add a part of the present step."""
--- a/heathwell/policy/sending.py
+++ b/heathwell/policy/sending.py
@@ -106,8 +106,8 @@
             self._budget.record_first_attempt()
         attempt = self._attempts.begin(part, endpoint)
         self._context.emit(Send(part.id, endpoint.node, reason, in_slow_start, send_by_us))
-        least_us = part.query.spec.latency_objective_us // LATE_TIME_DIVISOR
-        left_us = max(part.query.objective_at_us - self._context.now_us, least_us)
+        minimum_us = part.query.spec.latency_objective_us // LATE_TIME_DIVISOR
+        left_us = max(part.query.objective_at_us - self._context.now_us, minimum_us)
         self._context.schedule(self._context.now_us + int(left_us * LATE_FRACTION), TimerKind.LATE, attempt)
 
 
--- a/heathwell/policy/settings.py
+++ b/heathwell/policy/settings.py
@@ -62,7 +62,7 @@
         return self.minimum_fraction < self.required_fraction
 
     @property
-    def least_fraction(self) -> float:
+    def effective_minimum_fraction(self) -> float:
         """The least fraction of the first step's weight that may be answered."""
         return min(self.minimum_fraction, self.required_fraction)
 
