--- a/heathwell/datastructures/decaying.py
+++ b/heathwell/datastructures/decaying.py
@@ -1,4 +1,4 @@
-"""Sums and averages that fade exponentially, and a mean with a least gain."""
+"""Sums and averages that decay exponentially, and a mean with a least gain."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 
     def at(self, now_us: int, time_constant_us: float) -> float:
         """The average as it stands at an instant."""
-        fade = exp((self.updated_at_us - now_us) / time_constant_us)
-        return self.baseline + (self.value - self.baseline) * fade
+        decay = exp((self.updated_at_us - now_us) / time_constant_us)
+        return self.baseline + (self.value - self.baseline) * decay
 
     def add(self, now_us: int, sample: float, gain: float, time_constant_us: float) -> None:
         """Move the average to a sample by a gain in [0, 1]."""
--- a/heathwell/policy/latency.py
+++ b/heathwell/policy/latency.py
@@ -17,7 +17,7 @@
 
 LATENCY_GAIN = 0.15  # weight of one response in an endpoint's average
 LATENCY_GAIN_AFTER_PAUSE = 0.8  # its weight where earlier responses are too old to say much
-LATENCY_FADE_OBJECTIVES = 4.0  # until the average of an unused endpoint has mostly drifted back to 1.0
+LATENCY_DECAY_OBJECTIVES = 4.0  # until the average of an unused endpoint has mostly drifted back to 1.0
 MAXIMUM_LATENCY_RATIO = 20.0  # of one response, so that a single one doesn't dominate the average
 MEAN_SAMPLE_RATIO = 3  # times the expected latency at which a response counts in the class's mean at most
 CONNECTION_LOST_LATENCIES = 4.0  # relative latency that a lost connection counts as
@@ -75,12 +75,12 @@
 
     def relative_latency(self, endpoint: Endpoint) -> float:
         """Return the recent latency against the expected one (1.0), drifting back to it when unused."""
-        return endpoint.relative_latency.at(self._context.now_us, self.memory_us(LATENCY_FADE_OBJECTIVES))
+        return endpoint.relative_latency.at(self._context.now_us, self.memory_us(LATENCY_DECAY_OBJECTIVES))
 
     def has_current_latency(self, endpoint: Endpoint) -> bool:
         """Return whether the endpoint's relative latency has a sample that has not faded."""
-        fade_us = LATENCY_FADE_OBJECTIVES * self._context.shortest_objective_us
-        return endpoint.relative_latency.updated_at_us > self._context.now_us - fade_us
+        decay_us = LATENCY_DECAY_OBJECTIVES * self._context.shortest_objective_us
+        return endpoint.relative_latency.updated_at_us > self._context.now_us - decay_us
 
     def memory_us(self, objectives: float) -> float:
         """Return how long an endpoint's behaviour counts: so many objectives, or up to the next visits."""
@@ -95,15 +95,15 @@
         self._update_revisit_interval(rate)
         endpoint = attempt.endpoint
         gain = self._gain(endpoint, rate)
-        fade_us = self.memory_us(LATENCY_FADE_OBJECTIVES)
-        endpoint.relative_latency.add(self._context.now_us, ratio, gain, fade_us)
+        decay_us = self.memory_us(LATENCY_DECAY_OBJECTIVES)
+        endpoint.relative_latency.add(self._context.now_us, ratio, gain, decay_us)
         mean_latency_us = self.mean_latency_us[attempt.part.query.query_class]
         mean_latency_us.add(min(latency_us, MEAN_SAMPLE_RATIO * expected_us or latency_us), MEAN_GAIN)
 
     def record_lost_connection(self, endpoint: Endpoint) -> None:
         """Count a lost connection as a slow response: the endpoint loses picks among equals, no more."""
-        fade_us = self.memory_us(LATENCY_FADE_OBJECTIVES)
-        endpoint.relative_latency.add(self._context.now_us, CONNECTION_LOST_LATENCIES, LATENCY_GAIN, fade_us)
+        decay_us = self.memory_us(LATENCY_DECAY_OBJECTIVES)
+        endpoint.relative_latency.add(self._context.now_us, CONNECTION_LOST_LATENCIES, LATENCY_GAIN, decay_us)
 
     def _update_revisit_interval(self, rate: float) -> None:
         """Remember endpoints for longer where each is visited less than once an objective.
@@ -122,8 +122,8 @@
         """Return the weight of a response: more, the longer the endpoint had none."""
         since_last_us = self._context.now_us - endpoint.relative_latency.updated_at_us
         pause_us = min(len(self._endpoints) / rate, since_last_us)
-        fade_us = LATENCY_FADE_OBJECTIVES * self._context.shortest_objective_us
-        forgotten = 1 - exp(-2 * pause_us / fade_us)
+        decay_us = LATENCY_DECAY_OBJECTIVES * self._context.shortest_objective_us
+        forgotten = 1 - exp(-2 * pause_us / decay_us)
         return max(LATENCY_GAIN, LATENCY_GAIN_AFTER_PAUSE * forgotten)
 
     # Recent latency
--- a/heathwell/policy/load.py
+++ b/heathwell/policy/load.py
@@ -7,7 +7,7 @@
 from heathwell.policy.records import Endpoint
 
 OUTLIER_LATENCY_RATIO = 2.5  # relative latency that is charged as one more part, for each multiple
-PENALTY_FADE_OBJECTIVES = 1.0  # time constant of a penalty, in shortest latency objectives
+PENALTY_DECAY_OBJECTIVES = 1.0  # time constant of a penalty, in shortest latency objectives
 ROUND_HALF_UP = 0.5
 
 
@@ -32,14 +32,14 @@
 
         Guards against an endpoint that looks idle because its attempts were cancelled or have failed.
         """
-        return endpoint.penalty.at(self._context.now_us, self._fade_us())
+        return endpoint.penalty.at(self._context.now_us, self._decay_us())
 
     def add_penalty(self, endpoint: Endpoint) -> None:
         """Charge an endpoint one part, which fades."""
-        endpoint.penalty.add(self._context.now_us, 1.0, self._fade_us())
+        endpoint.penalty.add(self._context.now_us, 1.0, self._decay_us())
 
-    def _fade_us(self) -> float:
-        return self._latency.memory_us(PENALTY_FADE_OBJECTIVES)
+    def _decay_us(self) -> float:
+        return self._latency.memory_us(PENALTY_DECAY_OBJECTIVES)
 
     def _outlier_charge(self, endpoint: Endpoint) -> int:
         """Guard against endpoints that respond so slowly that few parts in flight are already many."""
