--- a/heathwell/policy/endpoint_table.py
+++ b/heathwell/policy/endpoint_table.py
@@ -22,7 +22,8 @@
 POLL_BACKOFF_FIRST_FRACTION = 0.1  # of the time within which changes have to be known
 POLL_BACKOFF_MAXIMUM_FRACTION = 0.45  # of the same: two calls fit into it
 POLL_JITTER_MINIMUM = 0.5  # fraction of a backoff that is always waited; the rest is drawn
-ENDPOINT_MEMORY_OBJECTIVES = 20  # that an endpoint is remembered after it left the list, at least
+# Least time for which the record of an endpoint is kept after it left the list.
+ENDPOINT_RETENTION_OBJECTIVES = 20
 
 
 class EndpointTable:
@@ -61,13 +62,13 @@
         return sum(endpoint.rating for endpoint in self.by_node.values() if endpoint.live)
 
     @property
-    def response_memory_us(self) -> float:
+    def maximum_memory_us(self) -> float:
         """The longest time that an endpoint's behaviour is remembered for."""
-        return self._context.settings.slow_start_duration_us or self._minimum_memory_us
+        return self._context.settings.slow_start_duration_us or self._minimum_retention_us
 
     @property
-    def _minimum_memory_us(self) -> int:
-        return ENDPOINT_MEMORY_OBJECTIVES * self._context.shortest_objective_us
+    def _minimum_retention_us(self) -> int:
+        return ENDPOINT_RETENTION_OBJECTIVES * self._context.shortest_objective_us
 
     def replicas(self, part: Part) -> list[Endpoint]:
         """Return the endpoints of the part's replica groups, whatever their state."""
@@ -103,7 +104,7 @@
             self._mark_unlisted_as_gone(update.endpoints)
         for entry in update.endpoints:
             self._apply_entry(entry)
-        self._drop_forgotten()
+        self._drop_expired()
         self._rebuild_groups()
         if update.requested:
             self._polled_at_us = None
@@ -129,10 +130,10 @@
             endpoint.restart(entry.started_at_us)
         endpoint.update(entry, self._context.now_us)
 
-    def _drop_forgotten(self) -> None:
+    def _drop_expired(self) -> None:
         """Drop idle endpoints that left so long ago that they would be out of slow start."""
-        memory_us = max(self._context.settings.slow_start_duration_us, self._minimum_memory_us)
-        edge_us = self._context.now_us - memory_us
+        retention_us = max(self._context.settings.slow_start_duration_us, self._minimum_retention_us)
+        edge_us = self._context.now_us - retention_us
         for endpoint in self.all():
             if endpoint.left_before(edge_us) and not endpoint.in_flight:
                 del self.by_node[endpoint.node]
--- a/heathwell/policy/latency.py
+++ b/heathwell/policy/latency.py
@@ -26,7 +26,8 @@
 RECENT_OBJECTIVES = 1.5  # age up to which attempts count as recent
 RECENT_PRIOR_SAMPLES = 10  # quick responses assumed beside recent ones: few latencies prove no overload
 RATE_WINDOW_OBJECTIVES = 2.0  # time constant of the rate of responses
-MEMORY_REVISITS = 3.0  # times between two visits of an endpoint that its behaviour is remembered for
+# How long samples of an endpoint count, in mean intervals between two of its responses.
+MEMORY_RESPONSE_INTERVALS = 3.0
 
 
 class EndpointPopulation(Protocol):
@@ -39,7 +40,7 @@
         """Return the sum of the live endpoints' capacity ratings."""
 
     @property
-    def response_memory_us(self) -> float:
+    def maximum_memory_us(self) -> float:
         """Return the longest time that an endpoint's behaviour is remembered for."""
 
 
@@ -56,7 +57,7 @@
         self._completions = DecayingSum()
         self.best_completion_rate = 0.0
         self.best_rate_rating = 0.0
-        self._revisit_interval_us = 0.0
+        self._minimum_memory_us = 0.0
 
     # Expected latency
 
@@ -84,7 +85,7 @@
 
     def memory_us(self, objectives: float) -> float:
         """Return how long an endpoint's behaviour counts: so many objectives, or up to the next visits."""
-        return max(objectives * self._context.shortest_objective_us, self._revisit_interval_us)
+        return max(objectives * self._context.shortest_objective_us, self._minimum_memory_us)
 
     def record_response(self, attempt: Attempt, latency_us: int) -> None:
         """Count a response in the rate, the recent latencies, its endpoint's average and its class's mean."""
@@ -92,7 +93,7 @@
         self.record_latency(attempt, latency_us)
         expected_us = self.expected_latency_us(attempt.part)
         ratio = min(latency_us / expected_us, MAXIMUM_LATENCY_RATIO) if expected_us else 1.0
-        self._update_revisit_interval(rate)
+        self._update_minimum_memory(rate)
         endpoint = attempt.endpoint
         gain = self._gain(endpoint, rate)
         decay_us = self.memory_us(LATENCY_DECAY_OBJECTIVES)
@@ -105,18 +106,18 @@
         decay_us = self.memory_us(LATENCY_DECAY_OBJECTIVES)
         endpoint.relative_latency.add(self._context.now_us, CONNECTION_LOST_LATENCIES, LATENCY_GAIN, decay_us)
 
-    def _update_revisit_interval(self, rate: float) -> None:
-        """Remember endpoints for longer where each is visited less than once an objective.
+    def _update_minimum_memory(self, rate: float) -> None:
+        """Keep samples for longer where an endpoint responds less than once in the shortest objective.
 
-        One of many brokers has only the last response or two of each endpoint to go by. If these were
-        forgotten within an objective, it would find each unhealthy endpoint anew at every visit.
+        One of many brokers has only the last one or two responses of each endpoint. If these decayed within
+        an objective, it would send to each unhealthy endpoint again and again.
         """
-        visit_interval_us = len(self._endpoints) / max(rate, self.best_completion_rate)
-        if visit_interval_us > self._context.shortest_objective_us:
-            memory_us = MEMORY_REVISITS * visit_interval_us
-            self._revisit_interval_us = min(memory_us, self._endpoints.response_memory_us)
+        response_interval_us = len(self._endpoints) / max(rate, self.best_completion_rate)
+        if response_interval_us > self._context.shortest_objective_us:
+            memory_us = MEMORY_RESPONSE_INTERVALS * response_interval_us
+            self._minimum_memory_us = min(memory_us, self._endpoints.maximum_memory_us)
         else:
-            self._revisit_interval_us = 0
+            self._minimum_memory_us = 0
 
     def _gain(self, endpoint: Endpoint, rate: float) -> float:
         """Return the weight of a response: more, the longer the endpoint had none."""
