--- a/heathwell/policy/latency.py
+++ b/heathwell/policy/latency.py
@@ -56,7 +56,7 @@
         self.rate_window_us = RATE_WINDOW_OBJECTIVES * context.shortest_objective_us
         self._completions = DecayingSum()
         self.best_completion_rate = 0.0
-        self.best_rate_rating = 0.0
+        self.rating_at_best_rate = 0.0
         self._minimum_memory_us = 0.0
 
     # Expected latency
@@ -173,5 +173,5 @@
         if self._context.elapsed_us > self.rate_window_us and rate > self.best_completion_rate:
             # Endpoints that are lost later must not make the others look larger.
             self.best_completion_rate = rate
-            self.best_rate_rating = self._endpoints.live_rating()
+            self.rating_at_best_rate = self._endpoints.live_rating()
         return rate
--- a/heathwell/policy/load.py
+++ b/heathwell/policy/load.py
@@ -23,7 +23,7 @@
         charge = self._outlier_charge(endpoint)
         return len(endpoint.in_flight_by_call) + int(self.penalty(endpoint) + ROUND_HALF_UP) + charge
 
-    def queued(self, endpoint: Endpoint) -> float:
+    def queued_parts(self, endpoint: Endpoint) -> float:
         """Return the parts in flight, plus the penalties."""
         return len(endpoint.in_flight) + self.penalty(endpoint)
 
--- a/heathwell/policy/load_shedding.py
+++ b/heathwell/policy/load_shedding.py
@@ -114,10 +114,10 @@
         usable = [endpoint for endpoint in self._endpoints.live() if ALL_CLASSES not in endpoint.ejections]
         best_rate = self._latency.best_completion_rate
         rate = max(self._latency.completion_rate(), RATE_FLOOR_FRACTION * best_rate)
-        if not rate or sum(self._load.queued(endpoint) for endpoint in usable) < len(self._endpoints):
+        if not rate or sum(self._load.queued_parts(endpoint) for endpoint in usable) < len(self._endpoints):
             return 0.0
         replicas = [self._selector.select(part) for part in query.parts]
-        loads = sorted(self._load.queued(replica) if replica else len(usable) for replica in replicas)
+        loads = sorted(self._load.queued_parts(replica) if replica else len(usable) for replica in replicas)
         needed = max(1, int(len(loads) * query.spec.required_fraction + ROUND_UP))
         loads = loads[:needed]
         return sum(loads) / len(loads) * len(usable) / rate
--- a/heathwell/policy/slow_start.py
+++ b/heathwell/policy/slow_start.py
@@ -71,7 +71,7 @@
     def _warm_rate(self, endpoint: Endpoint) -> float:
         """Return this aggregator's rate, in parts a microsecond, at an endpoint of full capacity."""
         latency = self._latency
-        live_rating = max(latency.best_rate_rating or self._endpoints.live_rating(), MINIMUM_RATING)
+        live_rating = max(latency.rating_at_best_rate or self._endpoints.live_rating(), MINIMUM_RATING)
         rate = latency.best_completion_rate or latency.completion_rate()
         share = endpoint.rating * rate / live_rating
         return max(share, self._hinted_rate(endpoint))
