--- a/heathwell/policy/retry_budget.py
+++ b/heathwell/policy/retry_budget.py
@@ -7,8 +7,10 @@
 from heathwell.policy.context import DecisionContext
 from heathwell.policy.events import Outcome
 
-EARNED_PER_FIRST_ATTEMPT = 0.1  # additional attempts: room for a few unhealthy endpoints
-CAPACITY = 10.0  # earned attempts kept: enough for one endpoint's parts when it stops
+# Additional attempts that each first attempt earns: enough for the parts of a few unhealthy endpoints.
+TOKENS_PER_FIRST_ATTEMPT = 0.1
+# Earned attempts that are kept at most: enough for the parts of one endpoint that stops.
+TOKEN_CAPACITY = 10.0
 
 # Outcomes after which an additional attempt is free of our own budget: a part that was lost with its
 # connection was not late, and one that reached no endpoint is no load.
@@ -27,7 +29,7 @@
         window_us = context.settings.attempt_budget_window_us
         self._admitted = SlidingWindowCounter(window_us, includes_edge=False)
         self._additional = SlidingWindowCounter(window_us, includes_edge=True)
-        self.bucket = TokenBucket(CAPACITY)
+        self.bucket = TokenBucket(TOKEN_CAPACITY)
         self._quota: int | None = None
 
     def set_quota(self, additional_attempts: int | None) -> None:
@@ -40,7 +42,7 @@
 
     def record_first_attempt(self) -> None:
         """Earn a fraction of an additional attempt."""
-        self.bucket.earn(EARNED_PER_FIRST_ATTEMPT)
+        self.bucket.earn(TOKENS_PER_FIRST_ATTEMPT)
 
     def record_additional_attempt(self, previous_outcome: Outcome | None) -> None:
         """Count an attempt that follows another one of its part, after this outcome (None: in flight)."""
--- a/tests/test_policy_components.py
+++ b/tests/test_policy_components.py
@@ -17,7 +17,7 @@
 from heathwell.policy.records import ALL_CLASSES, Attempt, Endpoint, Part, Query, TimerKind
 from heathwell.policy.replica_selection import ReplicaSelector
 from heathwell.policy.retries import RetryRules
-from heathwell.policy.retry_budget import CAPACITY, RetryBudget
+from heathwell.policy.retry_budget import TOKEN_CAPACITY, RetryBudget
 from heathwell.policy.slow_start import SlowStart
 
 from .conftest import AIM, entry, make_settings, of
@@ -360,9 +360,9 @@
     components = Components()
     for outcome in (policy.Outcome.CONNECTION_LOST, policy.Outcome.UNREACHABLE, policy.Outcome.NEVER_SENT):
         components.budget.record_additional_attempt(outcome)
-    assert components.budget.bucket.tokens == CAPACITY
+    assert components.budget.bucket.tokens == TOKEN_CAPACITY
     components.budget.record_additional_attempt(policy.Outcome.ERROR)
-    assert components.budget.bucket.tokens == CAPACITY - 1
+    assert components.budget.bucket.tokens == TOKEN_CAPACITY - 1
 
 
 @pytest.mark.parametrize(
