--- a/heathwell/policy/query_arrival.py
+++ b/heathwell/policy/query_arrival.py
@@ -11,9 +11,13 @@
 from heathwell.policy.retry_budget import RetryBudget
 from heathwell.policy.settings import QueryClass
 
-CUT_RETRY_FRACTION = 0.95  # of its class's usual timeout, under which a query counts as a cut retry
-TIMEOUT_SAMPLES = 64  # latest timeouts of a class that give the usual one
-TIMEOUT_STEPS = 64  # of the class's timeout, in which timeouts are counted
+# Fraction of the most common timeout of a class, under which a query counts as a retry whose client has
+# shortened its timeout.
+CUT_RETRY_FRACTION = 0.95
+# Latest timeouts of a class from which the most common one is taken.
+TIMEOUT_SAMPLES = 64
+# Histogram bins into which the timeouts up to the one of the class are sorted.
+TIMEOUT_STEPS = 64
 SECOND_STEP_LATENCIES = 2.0  # that a second step takes: the slowest of a few parts, not an average one
 SECOND_STEP_MAXIMUM_OBJECTIVES = 0.5  # of the class, reserved for a second step at most
 SECOND_STEP_DEFAULT_OBJECTIVES = 0.25  # of the class, reserved while no latency is known
@@ -56,7 +60,7 @@
         self._by_job[event.job] = query
         self._schedule_end(query)
         if spec.second_step_parts and spec.allows_partial:
-            self._schedule_cut(query)
+            self._schedule_first_step_cutoff(query)
 
     def on_part_arrived(self, event: PartArrived) -> Query | None:
         """Add a part to its query; return that, or None where it has ended."""
@@ -97,13 +101,13 @@
         if context.now_us + tick_us < query.objective_at_us < query.deadline_us:
             context.schedule(query.objective_at_us - tick_us, TimerKind.OBJECTIVE, query)
 
-    def _schedule_cut(self, query: Query) -> None:
-        """Cut the first step while the second one still has time before the objective."""
+    def _schedule_first_step_cutoff(self, query: Query) -> None:
+        """Set the timer that ends the first step while the second one still has time before the objective."""
         objective_us = query.spec.latency_objective_us
         usual_us = SECOND_STEP_LATENCIES * self._latency.mean_latency_us[query.query_class].value
         reserved_us = min(
             usual_us or objective_us * SECOND_STEP_DEFAULT_OBJECTIVES,
             objective_us * SECOND_STEP_MAXIMUM_OBJECTIVES,
         )
-        cut_at_us = query.objective_at_us - self._context.settings.tick_us - int(reserved_us)
-        self._context.schedule(cut_at_us, TimerKind.CUT, query)
+        cutoff_at_us = query.objective_at_us - self._context.settings.tick_us - int(reserved_us)
+        self._context.schedule(cutoff_at_us, TimerKind.FIRST_STEP_CUTOFF, query)
--- a/heathwell/policy/query_completion.py
+++ b/heathwell/policy/query_completion.py
@@ -28,7 +28,7 @@
         spec = query.spec
         if query.step > 1:
             return 1.0
-        if query.truncated:
+        if query.first_step_cut_off:
             return spec.effective_minimum_fraction
         # Parts that can't be had now are left out by the caller: what is offered is all that can come.
         if query.offered_weight > spec.required_fraction - OFFERED_WEIGHT_TOLERANCE:
@@ -70,8 +70,8 @@
 
     def on_timer(self, query: Query, kind: TimerKind) -> None:
         """End a query at its deadline; before it, cut its first step or answer partially where that pays."""
-        if kind == TimerKind.CUT:
-            self._cut_first_step(query)
+        if kind == TimerKind.FIRST_STEP_CUTOFF:
+            self._cut_off_first_step(query)
             return
         partial_weight = self._partial_answer_weight(query)
         if kind == TimerKind.OBJECTIVE and query.spec.late_weight > (partial_weight or 0.0):
@@ -82,9 +82,9 @@
             query.complete = False
             self._answer(query)
 
-    def _cut_first_step(self, query: Query) -> None:
+    def _cut_off_first_step(self, query: Query) -> None:
         """Answer the first step from its least weight: at the deadline the second step would have no time."""
-        query.truncated = query.step == 1
+        query.first_step_cut_off = query.step == 1
         self.answer_if_enough(query)
 
     def _partial_answer_weight(self, query: Query) -> float | None:
--- a/heathwell/policy/records.py
+++ b/heathwell/policy/records.py
@@ -27,8 +27,9 @@
 class Query:
     """A query without a final answer.
 
-    ``step`` is the present step (1 or 2), ``has_response`` whether any part has one, ``truncated`` whether
-    the first step was cut short, ``offered_weight`` the weight of the first step's parts that can be had.
+    ``step`` is the present step (1 or 2), ``has_response`` whether any part has one, ``first_step_cut_off``
+    whether the first step ended before its parts were in, ``offered_weight`` the weight of the first step's
+    parts that can be had.
     """
 
     id: str
@@ -44,7 +45,7 @@
     step: int = 1
     complete: bool = True
     has_response: bool = False
-    truncated: bool = False
+    first_step_cut_off: bool = False
     received_weight: float = 0.0
     offered_weight: float = 0.0
     broken_connections: int = 0
@@ -312,7 +313,7 @@
 
     DEADLINE = "deadline"  # a query's last moment to answer
     OBJECTIVE = "aim"  # a query's latency objective
-    CUT = "cut"  # the first step of a query: its second one needs the rest of the time
+    FIRST_STEP_CUTOFF = "cut"  # a query: its second step needs the rest of the time
     RETRY_WAIT = "wait"  # a part that could not be sent
     LATE = "late"  # an attempt: a hedge is due
     UNRESPONSIVE = "silent"  # an attempt: its endpoint is ejected if it has not responded since
--- a/tests/test_policy_components.py
+++ b/tests/test_policy_components.py
@@ -455,7 +455,7 @@
     components.end(components.send(query.parts[0], 0), policy.Outcome.OK)
     assert components.completion.record_part(query.parts[0])
     assert of(components.context.actions, policy.Answer) == []
-    components.completion.on_timer(query, TimerKind.CUT)
+    components.completion.on_timer(query, TimerKind.FIRST_STEP_CUTOFF)
     assert of(components.context.actions, policy.Answer) == [policy.Answer("q", complete=False)]
     assert (query.step, query.received_weight) == (2, 0.0)
     assert not components.completion.is_awaited(query.parts[1])
