--- a/heathwell/policy/query_arrival.py
+++ b/heathwell/policy/query_arrival.py
@@ -13,11 +13,11 @@
 
 # Fraction of the most common timeout of a class, under which a query counts as a retry whose client has
 # shortened its timeout.
-CUT_RETRY_FRACTION = 0.95
+SHORTENED_TIMEOUT_FRACTION = 0.95
 # Latest timeouts of a class from which the most common one is taken.
 TIMEOUT_SAMPLES = 64
 # Histogram bins into which the timeouts up to the one of the class are sorted.
-TIMEOUT_STEPS = 64
+TIMEOUT_BINS = 64
 SECOND_STEP_LATENCIES = 2.0  # that a second step takes: the slowest of a few parts, not an average one
 SECOND_STEP_MAXIMUM_OBJECTIVES = 0.5  # of the class, reserved for a second step at most
 SECOND_STEP_DEFAULT_OBJECTIVES = 0.25  # of the class, reserved while no latency is known
@@ -80,19 +80,19 @@
         now_us = self._context.now_us
         objective_us = spec.latency_objective_us + int(spec.objective_hint_ratio * (event.work_hint_us or 0))
         timeout_us = event.deadline_us - now_us
-        usual_timeout_us = self._record_timeout(event.query_class, timeout_us, spec)
+        most_common_timeout_us = self._record_timeout(event.query_class, timeout_us, spec)
         objective_at_us = min(now_us + objective_us, event.deadline_us)
         may_be_retry = event.is_retry or not self._context.settings.clients_mark_retries
-        if may_be_retry and timeout_us < CUT_RETRY_FRACTION * usual_timeout_us:
+        if may_be_retry and timeout_us < SHORTENED_TIMEOUT_FRACTION * most_common_timeout_us:
             return min(objective_at_us, event.deadline_us - spec.timeout_us + objective_us)
         return objective_at_us
 
     def _record_timeout(self, query_class: int, timeout_us: int, spec: QueryClass) -> float:
         """Count a timeout; return the most common one among the latest of the class."""
         timeouts = self._recent_timeouts[query_class]
-        timeouts.append(TIMEOUT_STEPS * timeout_us // spec.timeout_us)
-        most_common_step = Counter(timeouts).most_common(1)[0][0]
-        return most_common_step * spec.timeout_us / TIMEOUT_STEPS
+        timeouts.append(TIMEOUT_BINS * timeout_us // spec.timeout_us)
+        most_common_bin = Counter(timeouts).most_common(1)[0][0]
+        return most_common_bin * spec.timeout_us / TIMEOUT_BINS
 
     def _schedule_end(self, query: Query) -> None:
         context = self._context
