--- a/heathwell/policy/aggregator.py
+++ b/heathwell/policy/aggregator.py
@@ -197,7 +197,7 @@
             case Query() as query if query in self.query_table:
                 self.completion.on_timer(query, timer.kind)
             case Part() as part if part.query in self.query_table:
-                self.outcomes.on_wait_over(part)
+                self.outcomes.on_retry_wait_ended(part)
             case Attempt() as attempt if attempt.outcome is None:
                 if timer.kind == TimerKind.UNRESPONSIVE:
                     self.outliers.eject_if_unresponsive(attempt)
--- a/heathwell/policy/attempt_outcomes.py
+++ b/heathwell/policy/attempt_outcomes.py
@@ -55,7 +55,7 @@
         if attempt is not None:
             self._completion.record_part(attempt.part)
 
-    def on_wait_over(self, part: Part) -> None:
+    def on_retry_wait_ended(self, part: Part) -> None:
         """Send a part that could not be sent before, or let it wait on, or abandon its query."""
         part.waiting = False
         if part.done or self._sender.try_send(part) or self._rules.wait_for_budget(part):
--- a/heathwell/policy/endpoint_table.py
+++ b/heathwell/policy/endpoint_table.py
@@ -135,7 +135,7 @@
         retention_us = max(self._context.settings.slow_start_duration_us, self._minimum_retention_us)
         edge_us = self._context.now_us - retention_us
         for endpoint in self.all():
-            if endpoint.left_before(edge_us) and not endpoint.in_flight:
+            if endpoint.gone_before(edge_us) and not endpoint.in_flight:
                 del self.by_node[endpoint.node]
 
     def _rebuild_groups(self) -> None:
--- a/heathwell/policy/records.py
+++ b/heathwell/policy/records.py
@@ -222,7 +222,7 @@
         self.penalty.value = 0.0
         self.relative_latency.reset()
 
-    def left_before(self, edge_us: int) -> bool:
+    def gone_before(self, edge_us: int) -> bool:
         """Return whether it left the endpoint list before an instant."""
         return self.gone_at_us is not None and self.gone_at_us < edge_us
 
