--- a/heathwell/benchlink.py
+++ b/heathwell/benchlink.py
@@ -25,14 +25,14 @@
 from heathwell.policy.aggregator import Aggregator
 
 WireMessage = dict[str, Any]  # one object of the wire's JSON
-EndpointLists = Mapping[int, tuple[policy.EndpointEntry, ...]]  # by their number on the wire
+EndpointListsByNumber = Mapping[int, tuple[policy.EndpointEntry, ...]]  # keyed by their number on the wire
 
-STATES = {
+ENDPOINT_STATES = {
     "live": policy.EndpointState.LIVE,
     "quiescing": policy.EndpointState.DRAINING,
     "dead": policy.EndpointState.GONE,
 }
-FORMS = {
+UPDATE_KINDS = {
     "update": policy.UpdateKind.INCREMENTAL,
     "replace": policy.UpdateKind.FULL,
     "restored": policy.UpdateKind.FULL,
@@ -48,7 +48,7 @@
     "withdrawn": policy.Outcome.CANCELLED,
     "void": policy.Outcome.NEVER_SENT,
 }
-UNUSED = ("peer-data", "first-byte")
+IGNORED_MESSAGE_TYPES = ("peer-data", "first-byte")
 EJECTION_TEXTS = {
     policy.EjectionReason.NO_CONNECTION: "no connection",
     policy.EjectionReason.PROBE_FAILED: "no answer to a probe",
@@ -58,7 +58,7 @@
 }
 
 
-def entry_from(line: WireMessage) -> policy.EndpointEntry:
+def endpoint_entry_from(line: WireMessage) -> policy.EndpointEntry:
     """Return the entry of one line of a wire list; a state the wire does not define becomes unknown."""
     where = "members-list"
     state = text(line, "availability", where)
@@ -66,24 +66,26 @@
     return policy.EndpointEntry(
         node=text(line, "node", where),
         replica_group=number(line, "place", where),
-        state=STATES.get(state, policy.EndpointState.UNKNOWN),
+        state=ENDPOINT_STATES.get(state, policy.EndpointState.UNKNOWN),
         started_at_us=int(since) if since else None,
         rating=float(line.get("rating") or 1.0),
         zone=int(line.get("site") or 0),
     )
 
 
-def endpoint_update_from(message: WireMessage, tables: EndpointLists) -> policy.EndpointUpdate:
+def endpoint_update_from(
+    message: WireMessage, endpoint_lists: EndpointListsByNumber
+) -> policy.EndpointUpdate:
     """Return the update for a message that refers to a numbered list, or for a failed call."""
     kind = "fleet"
     form = text(message, "form", kind)
-    update_kind = coded(message, "form", kind, FORMS)
+    update_kind = coded(message, "form", kind, UPDATE_KINDS)
     endpoints: tuple[policy.EndpointEntry, ...] = ()
     if update_kind != policy.UpdateKind.FAILED:
-        table = number(message, "table", kind)
-        if table not in tables:
-            raise WireError(f"fleet: field 'table' names list {table}, which was never given")
-        endpoints = tables[table]
+        list_number = number(message, "table", kind)
+        if list_number not in endpoint_lists:
+            raise WireError(f"fleet: field 'table' names list {list_number}, which was never given")
+        endpoints = endpoint_lists[list_number]
     return policy.EndpointUpdate(update_kind, endpoints, requested=form != "restored")
 
 
@@ -128,11 +130,11 @@
     )
 
 
-def event_from(message: WireMessage, kind: str, tables: EndpointLists) -> policy.Event:
+def event_from(message: WireMessage, kind: str, endpoint_lists: EndpointListsByNumber) -> policy.Event:
     """Return the event for one wire message of a given type; raise :class:`WireError` for another type."""
     match kind:
         case "fleet":
-            return endpoint_update_from(message, tables)
+            return endpoint_update_from(message, endpoint_lists)
         case "query":
             return query_or_part_from(message)
         case "returned":
@@ -147,29 +149,34 @@
             raise WireError(f"message of unknown type '{kind}'")
 
 
-def action_to(  # noqa: C901  # one case for each type of action
-    who: int, action: policy.Action
+def message_from_action(  # noqa: C901  # one case for each type of action
+    instance: int, action: policy.Action
 ) -> WireMessage:
     """Return the wire message for one action."""
     match action:
-        case policy.Send(id=part, node=node):
-            return {"event_type": "transmit", "who": who, "xid": part, "node": node}
-        case policy.Cancel(id=part, seq=seq):
-            return {"event_type": "abandon", "who": who, "xid": part, "seq-no": seq}
-        case policy.Answer(id=query, complete=complete):
-            return {"event_type": "assemble", "who": who, "xid": query, "complete": complete}
-        case policy.Reject(id=query, retry_after_us=after):
-            return {"event_type": "not-now", "who": who, "xid": query, "not-before-for-us": after}
-        case policy.Fail(id=query):
-            return {"event_type": "drop-request", "who": who, "xid": query}
+        case policy.Send(id=part_id, node=node):
+            return {"event_type": "transmit", "who": instance, "xid": part_id, "node": node}
+        case policy.Cancel(id=part_id, seq=seq):
+            return {"event_type": "abandon", "who": instance, "xid": part_id, "seq-no": seq}
+        case policy.Answer(id=query_id, complete=complete):
+            return {"event_type": "assemble", "who": instance, "xid": query_id, "complete": complete}
+        case policy.Reject(id=query_id, retry_after_us=retry_after_us):
+            return {
+                "event_type": "not-now",
+                "who": instance,
+                "xid": query_id,
+                "not-before-for-us": retry_after_us,
+            }
+        case policy.Fail(id=query_id):
+            return {"event_type": "drop-request", "who": instance, "xid": query_id}
         case policy.Probe(node=node):
-            return {"event_type": "inspect", "who": who, "node": node}
+            return {"event_type": "inspect", "who": instance, "node": node}
         case policy.WatchEndpoints():
-            return {"event_type": "subscribe", "who": who, "complete": True}
-        case policy.SetTimer(at_us=at, label=label):
-            return {"event_type": "set-timer", "who": who, "instant-us": at, "label": label}
+            return {"event_type": "subscribe", "who": instance, "complete": True}
+        case policy.SetTimer(at_us=at_us, label=label):
+            return {"event_type": "set-timer", "who": instance, "instant-us": at_us, "label": label}
         case policy.EndpointEjected() | policy.EndpointReadmitted() | policy.DiscoveryDegraded():
-            return {"event_type": "journal-line", "who": who, "text": journal_text(action)}
+            return {"event_type": "journal-line", "who": instance, "text": journal_text(action)}
         case policy.QuotaExhausted():
             raise WireError("a quota of the fleet, which the bench has none of")
 
@@ -185,12 +192,12 @@
             return "discovery: call failed or subscription broke, asking again"
 
 
-class Host:
-    """All instances of one process; they share nothing but the numbered lists."""
+class BenchAdapter:
+    """The aggregators of one process, by instance number; they share only the numbered endpoint lists."""
 
     def __init__(self) -> None:
-        self.tables: dict[int, tuple[policy.EndpointEntry, ...]] = {}
-        self.instances: dict[int, Aggregator] = {}
+        self.endpoint_lists: dict[int, tuple[policy.EndpointEntry, ...]] = {}
+        self.aggregators: dict[int, Aggregator] = {}
 
     def reply(self, line: str) -> str:
         """Handle one batch; return the commands as a line of JSON. Raise :class:`WireError`."""
@@ -203,31 +210,31 @@
         for message in array(batch, "inbox", "batch"):
             self._receive(message, pending)
         commands: list[WireMessage] = []
-        for who, events in pending.items():
-            if who in self.instances:
-                actions = self.instances[who].handle(now_us, events)
-                commands.extend(action_to(who, action) for action in actions)
+        for instance, events in pending.items():
+            if instance in self.aggregators:
+                actions = self.aggregators[instance].handle(now_us, events)
+                commands.extend(message_from_action(instance, action) for action in actions)
         return json.dumps({"cmds": commands}, separators=(",", ":"))
 
     def _receive(self, message: WireMessage, pending: dict[int, list[policy.Event]]) -> None:
         """Apply a message on lists or instances, or append its event to those of its instance."""
         kind = text(message, "event_type", "message")
         if kind == "list":
-            entries = tuple(entry_from(entry) for entry in array(message, "members-list", kind))
-            self.tables[number(message, "table", kind)] = entries
+            entries = tuple(endpoint_entry_from(entry) for entry in array(message, "members-list", kind))
+            self.endpoint_lists[number(message, "table", kind)] = entries
             return
-        who = number(message, "who", kind)
+        instance = number(message, "who", kind)
         match kind:
             case "new-instance":
-                self.instances[who] = self._new_instance(message)
-                pending[who] = []
+                self.aggregators[instance] = self._new_instance(message)
+                pending[instance] = []
             case "power-off":
-                self.instances.pop(who, None)
-                pending.pop(who, None)
-            case _ if kind in UNUSED:
-                pending.setdefault(who, [])
+                self.aggregators.pop(instance, None)
+                pending.pop(instance, None)
+            case _ if kind in IGNORED_MESSAGE_TYPES:
+                pending.setdefault(instance, [])
             case _:
-                pending.setdefault(who, []).append(event_from(message, kind, self.tables))
+                pending.setdefault(instance, []).append(event_from(message, kind, self.endpoint_lists))
 
     def _new_instance(self, message: WireMessage) -> Aggregator:
         kind = "new-instance"
@@ -240,10 +247,10 @@
 
 def serve(lines: Iterable[str], out: TextIO) -> None:
     """Reply to batches until the input ends."""
-    host = Host()
+    adapter = BenchAdapter()
     for line in lines:
         if line.strip():
-            out.write(host.reply(line) + "\n")
+            out.write(adapter.reply(line) + "\n")
             out.flush()
 
 
