--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,25 +15,43 @@
 
 pytest_plugins = ["tests.known_red"]
 
-AIM = 1_000_000
+OBJECTIVE_US = 1_000_000
 """Latency objective of every query class, in microseconds; their timeout is twice as long."""
 TICK_US: Final = 5_000
 START_US: Final = 10_000_000
 QUERY_CLASSES: Final = (
-    policy.QueryClass("sample", AIM, 2 * AIM, required_fraction=0.75, minimum_fraction=0.75, late_weight=0.3),
-    policy.QueryClass("all", AIM, 2 * AIM, late_weight=0.3),
-    policy.QueryClass("two", AIM, 2 * AIM, second_step_parts=2),
     policy.QueryClass(
-        "keyed", AIM, 2 * AIM, idempotency=policy.Idempotency.KEYED, idempotency_window_us=700_000
+        "sample",
+        OBJECTIVE_US,
+        2 * OBJECTIVE_US,
+        required_fraction=0.75,
+        minimum_fraction=0.75,
+        late_weight=0.3,
     ),
-    policy.QueryClass("unsafe", AIM, 2 * AIM, idempotency=policy.Idempotency.NON_IDEMPOTENT),
+    policy.QueryClass("all", OBJECTIVE_US, 2 * OBJECTIVE_US, late_weight=0.3),
+    policy.QueryClass("two", OBJECTIVE_US, 2 * OBJECTIVE_US, second_step_parts=2),
     policy.QueryClass(
-        "partial", AIM, 2 * AIM, required_fraction=1.0, minimum_fraction=0.5, partial_weight=0.9
+        "keyed",
+        OBJECTIVE_US,
+        2 * OBJECTIVE_US,
+        idempotency=policy.Idempotency.KEYED,
+        idempotency_window_us=700_000,
+    ),
+    policy.QueryClass(
+        "unsafe", OBJECTIVE_US, 2 * OBJECTIVE_US, idempotency=policy.Idempotency.NON_IDEMPOTENT
+    ),
+    policy.QueryClass(
+        "partial",
+        OBJECTIVE_US,
+        2 * OBJECTIVE_US,
+        required_fraction=1.0,
+        minimum_fraction=0.5,
+        partial_weight=0.9,
     ),
     policy.QueryClass(
         "both",
-        AIM,
-        2 * AIM,
+        OBJECTIVE_US,
+        2 * OBJECTIVE_US,
         required_fraction=0.8,
         minimum_fraction=0.4,
         second_step_parts=2,
@@ -104,7 +122,7 @@
         self,
         query_class: int,
         shards: list[int],
-        timeout_us: int = 2 * AIM,
+        timeout_us: int = 2 * OBJECTIVE_US,
         after_us: int = TICK_US,
         *,
         tenant: int = 0,
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -4,7 +4,7 @@
 
 from heathwell import policy
 
-from .conftest import AIM, entry, of, warm_up
+from .conftest import OBJECTIVE_US, entry, of, warm_up
 
 
 def answer_shard_0_slowly(driver, slow=("s0", "s1", "s2")):
@@ -18,13 +18,13 @@
 def test_where_clients_mark_retries_only_a_marked_query_is_taken_for_one(drive):
     """A short deadline alone does not make a query a retry."""
     for marks_retries, is_retry, objective_us in (
-        (True, False, AIM),
-        (True, True, AIM // 2),
-        (False, False, AIM // 2),
+        (True, False, OBJECTIVE_US),
+        (True, True, OBJECTIVE_US // 2),
+        (False, False, OBJECTIVE_US // 2),
     ):
         driver = drive(clients_mark_retries=marks_retries)
         driver.query(1, [0])
-        driver.query(1, [0], timeout_us=AIM * 3 // 2, is_retry=is_retry)
+        driver.query(1, [0], timeout_us=OBJECTIVE_US * 3 // 2, is_retry=is_retry)
         assert driver.aggregator.queries["q2"].objective_at_us == driver.now_us + objective_us
 
 
@@ -56,7 +56,7 @@
     driver = drive(replica_groups=3, shards=3)
     warm_up(driver, shards=range(3), rounds=4)
     for latency_us in (20_000, 20_000, 400_000):
-        driver.wait(2 * AIM)
+        driver.wait(2 * OBJECTIVE_US)
         send = of(driver.query(1, [0]), policy.Send)[0]
         driver.end(send, after_us=latency_us, latency_us=latency_us)
     assert all(of(driver.query(1, [0]), policy.Send)[0].node != send.node for _ in range(2))
@@ -70,11 +70,11 @@
     delayed = [
         send
         for number in range(12)
-        for send in of(driver.query(0, [number % 6], timeout_us=5 * AIM), policy.Send)
+        for send in of(driver.query(0, [number % 6], timeout_us=5 * OBJECTIVE_US), policy.Send)
     ]
-    driver.wait(3 * AIM)
+    driver.wait(3 * OBJECTIVE_US)
     for send in delayed:
-        driver.end(send, after_us=0, latency_us=3 * AIM)
+        driver.end(send, after_us=0, latency_us=3 * OBJECTIVE_US)
     assert of(driver.query(0, [0, 1, 2, 3]), policy.Reject) == []
 
 
@@ -83,8 +83,10 @@
     retry_after_us = set()
     for seed in range(6):
         driver = drive(seed=seed, retry_advice_allowed=True, max_retry_after_us=300_000)
-        driver.query(1, [0], timeout_us=AIM // 2)
-        retry_after_us |= {reject.retry_after_us for reject in of(driver.wait(AIM // 2), policy.Reject)}
+        driver.query(1, [0], timeout_us=OBJECTIVE_US // 2)
+        retry_after_us |= {
+            reject.retry_after_us for reject in of(driver.wait(OBJECTIVE_US // 2), policy.Reject)
+        }
     assert len(retry_after_us) == 6 and max(retry_after_us) <= 300_000
 
 
@@ -99,8 +101,8 @@
 
 def test_overload_sheds_the_class_of_least_priority_weight_first(drive):
     classes = (
-        policy.QueryClass("dear", AIM, 2 * AIM, priority_weight=4.0),
-        policy.QueryClass("cheap", AIM, 2 * AIM, priority_weight=1.0),
+        policy.QueryClass("dear", OBJECTIVE_US, 2 * OBJECTIVE_US, priority_weight=4.0),
+        policy.QueryClass("cheap", OBJECTIVE_US, 2 * OBJECTIVE_US, priority_weight=1.0),
     )
     driver = drive(classes=classes, weight_by_work=True)
     rejected = {0: 0, 1: 0}
@@ -135,13 +137,13 @@
 
 def test_a_retry_with_a_shortened_timeout_has_its_objective_from_the_first_attempt_of_its_client(drive):
     driver = drive()
-    driver.query(1, [0], timeout_us=2 * AIM)
-    driver.query(1, [1], timeout_us=AIM + AIM // 2)
-    driver.query(1, [2], timeout_us=AIM // 2)
+    driver.query(1, [0], timeout_us=2 * OBJECTIVE_US)
+    driver.query(1, [1], timeout_us=OBJECTIVE_US + OBJECTIVE_US // 2)
+    driver.query(1, [2], timeout_us=OBJECTIVE_US // 2)
     objectives_us = [
         query.objective_at_us - query.admitted_at_us for query in driver.aggregator.queries.values()
     ]
-    assert objectives_us == [AIM, AIM // 2, -AIM // 2]
+    assert objectives_us == [OBJECTIVE_US, OBJECTIVE_US // 2, -OBJECTIVE_US // 2]
 
 
 def test_an_aggregator_with_few_parts_in_flight_sheds_by_recent_latencies(drive):
@@ -191,7 +193,7 @@
         sends = of(
             driver.step(
                 5000,
-                policy.QueryArrived(name, driver.query_count, 1, driver.now_us + 2 * AIM, 1),
+                policy.QueryArrived(name, driver.query_count, 1, driver.now_us + 2 * OBJECTIVE_US, 1),
                 policy.PartArrived(name + "/0", driver.query_count, job % 6, 1.0, work_hint_us=work_hint_us),
             ),
             policy.Send,
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -2,7 +2,7 @@
 
 from heathwell import benchlink, policy
 
-from .conftest import AIM, Driver, make_settings, of
+from .conftest import OBJECTIVE_US, Driver, make_settings, of
 
 ENDPOINT_COUNT = 60
 
@@ -13,7 +13,7 @@
         make_settings(shards=ENDPOINT_COUNT, replica_groups=ENDPOINT_COUNT, slow_start_duration_us=60_000_000)
     )
     for number in range(40):
-        for send in of(driver.query(1, [number % ENDPOINT_COUNT], after_us=AIM // 4), policy.Send):
+        for send in of(driver.query(1, [number % ENDPOINT_COUNT], after_us=OBJECTIVE_US // 4), policy.Send):
             driver.end(send)
     return driver
 
@@ -42,7 +42,13 @@
 def test_an_endpoint_that_rejects_everything_is_ejected_until_its_next_attempt_would_be_due():
     driver = low_traffic_driver()
     assert reject_parts(driver, "s7", 2) == ["server s7 ejected: turns away all that comes"]
-    for after in (10_000, AIM, AIM, AIM, AIM):  # longer than one latency objective
+    for after in (
+        10_000,
+        OBJECTIVE_US,
+        OBJECTIVE_US,
+        OBJECTIVE_US,
+        OBJECTIVE_US,
+    ):  # longer than one latency objective
         assert endpoint_serving(driver, 7, after) != "s7"
 
 
@@ -51,7 +57,7 @@
     for _ in range(3):
         reject_parts(driver, "s7", 1)
         driver.aggregator.endpoints["s7"].penalty.value = 0.0
-        while endpoint_serving(driver, 7, AIM) != "s7":
+        while endpoint_serving(driver, 7, OBJECTIVE_US) != "s7":
             pass
     assert not driver.aggregator.endpoints["s7"].ejections
 
@@ -68,8 +74,8 @@
     driver = low_traffic_driver()
     while (send := of(driver.query(1, [7], after_us=10_000), policy.Send)[0]).node != "s7":
         driver.end(send)
-    driver.end(send, latency_us=8 * AIM // 10)
-    driver.wait(16 * AIM)  # such an aggregator sends to it about every 15 objectives
+    driver.end(send, latency_us=8 * OBJECTIVE_US // 10)
+    driver.wait(16 * OBJECTIVE_US)  # such an aggregator sends to it about every 15 objectives
     assert driver.aggregator.latency.relative_latency(driver.aggregator.endpoints["s7"]) > 2
     assert "s7" not in {endpoint_serving(driver, 7, 5_000) for _ in range(6)}
 
@@ -79,7 +85,7 @@
     for number in range(400):
         for send in of(driver.query(1, [number % 6], after_us=5_000), policy.Send):
             driver.end(send)
-    assert driver.aggregator.latency.memory_us(1.0) == AIM
+    assert driver.aggregator.latency.memory_us(1.0) == OBJECTIVE_US
 
 
 def exhaust_retry_budget(driver: Driver) -> None:
@@ -103,7 +109,7 @@
     actions = driver.end(sends[0], policy.Outcome.REJECTED)
     assert not of(actions, policy.Reject) and not of(actions, policy.Send)
     driver.aggregator.retry_budget.bucket.tokens = 1.0  # earned by first attempts of other queries
-    retries = of(driver.wait(AIM // 10), policy.Send)
+    retries = of(driver.wait(OBJECTIVE_US // 10), policy.Send)
     assert [retry.id for retry in retries] == [sends[0].id]
 
 
@@ -111,7 +117,7 @@
     driver = low_traffic_driver()
     exhaust_retry_budget(driver)
     sends = of(driver.query(1, [7, 17, 27]), policy.Send)
-    driver.wait(int(0.92 * AIM))
+    driver.wait(int(0.92 * OBJECTIVE_US))
     exhaust_retry_budget(driver)
     assert of(driver.end(sends[0], policy.Outcome.REJECTED), policy.Reject)
 
@@ -122,10 +128,10 @@
     """
     driver = Driver(make_settings(shards=6, replica_groups=6, slow_start_duration_us=60_000_000))
     for number in range(60):
-        for send in of(driver.query(1, [number % 6], after_us=AIM // 8), policy.Send):
+        for send in of(driver.query(1, [number % 6], after_us=OBJECTIVE_US // 8), policy.Send):
             driver.end(send)
     endpoint = driver.aggregator.endpoints["s1"]
     driver.aggregator.load.add_penalty(endpoint)
     initial_penalty = driver.aggregator.load.penalty(endpoint)
-    driver.aggregator.context.now_us += AIM
+    driver.aggregator.context.now_us += OBJECTIVE_US
     assert driver.aggregator.load.penalty(endpoint) <= 0.37 * initial_penalty
--- a/tests/test_module_rules.py
+++ b/tests/test_module_rules.py
@@ -4,15 +4,15 @@
 
 from heathwell import policy
 
-from .conftest import AIM, of
+from .conftest import OBJECTIVE_US, of
 
 
 def test_poll_mode_watches_endpoints_and_polls_again_after_each_failure(drive):
-    driver = drive(poll_mode=True, poll_within_us=10 * AIM)
+    driver = drive(poll_mode=True, poll_within_us=10 * OBJECTIVE_US)
     assert len(of(driver.initial_actions, policy.WatchEndpoints)) == 1
     for _ in range(6):
         driver.step(5000, policy.EndpointUpdate(policy.UpdateKind.FAILED))
-        assert len(of(driver.wait(5 * AIM), policy.WatchEndpoints)) == 1
+        assert len(of(driver.wait(5 * OBJECTIVE_US), policy.WatchEndpoints)) == 1
     watching = drive()
     assert of(watching.initial_actions, policy.WatchEndpoints) == []
 
@@ -39,7 +39,7 @@
 
 
 def test_a_poll_of_discovery_without_an_update_is_repeated(drive):
-    driver = drive(poll_mode=True, poll_within_us=10 * AIM)
-    assert len(of(driver.wait(5 * AIM), policy.WatchEndpoints)) == 1
+    driver = drive(poll_mode=True, poll_within_us=10 * OBJECTIVE_US)
+    assert len(of(driver.wait(5 * OBJECTIVE_US), policy.WatchEndpoints)) == 1
     driver.step(5000, policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL))
-    assert of(driver.wait(20 * AIM), policy.WatchEndpoints) == []
+    assert of(driver.wait(20 * OBJECTIVE_US), policy.WatchEndpoints) == []
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -4,7 +4,7 @@
 
 from heathwell import policy
 
-from .conftest import AIM, of, warm_up
+from .conftest import OBJECTIVE_US, of, warm_up
 
 
 def test_a_query_that_broke_a_connection_next_sends_a_part_of_another_shard(drive):
@@ -65,12 +65,12 @@
     actions = []
     attempt_count = 0
     pending = []
-    end_us = driver.now_us + 6 * AIM
+    end_us = driver.now_us + 6 * OBJECTIVE_US
     while driver.now_us < end_us:
         for attempt, sent_at_us in pending[:]:
-            if driver.now_us > sent_at_us + 2 * AIM:
+            if driver.now_us > sent_at_us + 2 * OBJECTIVE_US:
                 pending.remove((attempt, sent_at_us))
-                actions += driver.end(attempt, policy.Outcome.TIMED_OUT, latency_us=2 * AIM)
+                actions += driver.end(attempt, policy.Outcome.TIMED_OUT, latency_us=2 * OBJECTIVE_US)
         for send in of(driver.query(1, [0]), policy.Send):
             if send.node == "s0":
                 attempt_count += 1
@@ -108,5 +108,5 @@
     first = of(driver.query(0, [1, 2, 3, 4]), policy.Send)
     assert len(first) == 1
     assert len(of(driver.end(first[0]), policy.Send)) == 2
-    driver.wait(6 * AIM)
+    driver.wait(6 * OBJECTIVE_US)
     assert len(of(driver.query(0, [1, 2, 3, 4]), policy.Send)) == 3
--- a/tests/test_part_ranking.py
+++ b/tests/test_part_ranking.py
@@ -8,7 +8,7 @@
 
 from heathwell import Aggregator, Settings, policy
 
-from .conftest import AIM, of
+from .conftest import OBJECTIVE_US, of
 
 
 def list_endpoints(count: int) -> policy.EndpointUpdate:
@@ -39,7 +39,9 @@
     aggregator_type: type[Aggregator], seed: int, parts_per_call: int = 1, endpoint_count: int = 24
 ) -> Aggregator:
     """Return an aggregator whose endpoints differ in latency and load by draws of the seed."""
-    query_class = policy.QueryClass("s", AIM, 2 * AIM, required_fraction=0.75, minimum_fraction=0.75)
+    query_class = policy.QueryClass(
+        "s", OBJECTIVE_US, 2 * OBJECTIVE_US, required_fraction=0.75, minimum_fraction=0.75
+    )
     aggregator = aggregator_type(
         Settings(
             classes=(query_class,),
@@ -62,7 +64,7 @@
 
 def send_query(aggregator: Aggregator, now_us: int, part_count: int, shards: int) -> list[tuple[str, str]]:
     """Send one query; return the part and the endpoint of each attempt, in order."""
-    batch: list[policy.Event] = [policy.QueryArrived("q", 1, 0, now_us + 2 * AIM, part_count)]
+    batch: list[policy.Event] = [policy.QueryArrived("q", 1, 0, now_us + 2 * OBJECTIVE_US, part_count)]
     batch += [
         policy.PartArrived(f"q/{number}", 1, number % shards, 1 / part_count) for number in range(part_count)
     ]
@@ -84,7 +86,11 @@
 
 def test_parts_of_equal_rank_are_chosen_with_equal_probability():
     settings = Settings(
-        classes=(policy.QueryClass("s", AIM, 2 * AIM, required_fraction=0.2, minimum_fraction=0.2),),
+        classes=(
+            policy.QueryClass(
+                "s", OBJECTIVE_US, 2 * OBJECTIVE_US, required_fraction=0.2, minimum_fraction=0.2
+            ),
+        ),
         shards=6,
         replica_groups=6,
         groups_per_shard=2,
@@ -122,7 +128,7 @@
     for job in range(3000):
         now_us += 10_000
         batch = [
-            policy.QueryArrived(f"q{job}", job, 0, now_us + 2 * AIM, 1),
+            policy.QueryArrived(f"q{job}", job, 0, now_us + 2 * OBJECTIVE_US, 1),
             policy.PartArrived(f"q{job}/0", job, job % 3, 1.0),
         ]
         for send in of(aggregator.handle(now_us, batch), policy.Send):
--- a/tests/test_policy_components.py
+++ b/tests/test_policy_components.py
@@ -20,7 +20,7 @@
 from heathwell.policy.retry_budget import TOKEN_CAPACITY, RetryBudget
 from heathwell.policy.slow_start import SlowStart
 
-from .conftest import AIM, entry, make_settings, of
+from .conftest import OBJECTIVE_US, entry, make_settings, of
 
 START_US = 10_000_000
 
@@ -67,7 +67,7 @@
 
     def query(self, query_class: int = ALL, shards: tuple[int, ...] = (0,), name: str = "q") -> Query:
         """Admit a query with one part for each shard."""
-        deadline_us = self.context.now_us + 2 * AIM
+        deadline_us = self.context.now_us + 2 * OBJECTIVE_US
         job = len(self.queries.by_id)
         self.queries.on_query_arrived(policy.QueryArrived(name, job, query_class, deadline_us, len(shards)))
         for number, shard in enumerate(shards):
@@ -114,7 +114,7 @@
     gone = policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL, (entry(0, state=policy.EndpointState.GONE),))
     components.table.on_update(gone)
     assert not components.endpoint(0).live
-    components.advance(21 * AIM)
+    components.advance(21 * OBJECTIVE_US)
     components.table.on_update(policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL))
     assert "s0" in components.table.by_node  # an attempt is still in flight
     components.end(attempt, policy.Outcome.TIMED_OUT)
@@ -128,7 +128,7 @@
     failed = policy.EndpointUpdate(policy.UpdateKind.FAILED)
     waits = []
     for _ in range(6):
-        components.advance(20 * AIM)  # beyond the interval of one operator event a topic
+        components.advance(20 * OBJECTIVE_US)  # beyond the interval of one operator event a topic
         components.table.on_update(failed)
         (degraded,) = of(components.context.actions, policy.DiscoveryDegraded)
         waits.append(degraded.retry_after_us)
@@ -145,7 +145,7 @@
     components.fail(0, policy.Outcome.UNREACHABLE)
     endpoint = components.endpoint(0)
     first_us = endpoint.ejections[ALL_CLASSES].duration_us
-    assert first_us == AIM
+    assert first_us == OBJECTIVE_US
     assert not components.outliers.accepts_attempts(endpoint, ALL)
     components.advance(first_us)
     assert components.due(TimerKind.TRIAL) == [endpoint]
@@ -163,7 +163,7 @@
     components = Components(probing_allowed=True)
     components.fail(0, policy.Outcome.UNREACHABLE)
     endpoint = components.endpoint(0)
-    components.advance(AIM)
+    components.advance(OBJECTIVE_US)
     components.outliers.on_trial_due(endpoint)
     components.outliers.on_probe_ended(policy.ProbeEnded("s0", policy.Outcome.OK))
     assert components.outliers.accepts_attempts(endpoint, ALL)
@@ -185,8 +185,8 @@
         durations.append(endpoint.ejections[ALL_CLASSES].duration_us)
         components.advance(durations[-1])
         components.outliers.on_trial_due(endpoint)
-    maximum_us = outlier_detection.EJECTION_MAXIMUM_OBJECTIVES * AIM
-    assert durations == [AIM, 2 * AIM, 4 * AIM, maximum_us, maximum_us, maximum_us]
+    maximum_us = outlier_detection.EJECTION_MAXIMUM_OBJECTIVES * OBJECTIVE_US
+    assert durations == [OBJECTIVE_US, 2 * OBJECTIVE_US, 4 * OBJECTIVE_US, maximum_us, maximum_us, maximum_us]
 
 
 def test_rejections_eject_up_to_the_maximum_fraction_and_a_lost_connection_beyond_it():
@@ -208,7 +208,9 @@
     assert not components.outliers.accepts_attempts(endpoint, KEYED)
     assert components.outliers.accepts_attempts(endpoint, ALL)
     (event,) = of(components.context.actions, policy.EndpointEjected)
-    assert event == policy.EndpointEjected("s0", KEYED, policy.EjectionReason.CONSECUTIVE_ERRORS, AIM)
+    assert event == policy.EndpointEjected(
+        "s0", KEYED, policy.EjectionReason.CONSECUTIVE_ERRORS, OBJECTIVE_US
+    )
 
 
 def test_missing_responses_eject_an_endpoint_only_while_others_respond():
@@ -216,7 +218,7 @@
     query = components.query(shards=(0, 0, 1))
     unresponsive = [components.send(part, 0) for part in query.parts[:2]]
     other = components.send(query.parts[2], 1)
-    components.advance(AIM)
+    components.advance(OBJECTIVE_US)
     components.outliers.eject_if_unresponsive(unresponsive[0])
     assert components.endpoint(0).ejections == {}
     components.end(other, policy.Outcome.OK)
@@ -259,11 +261,11 @@
     components.fail(0, policy.Outcome.REJECTED)
     components.fail(0, policy.Outcome.REJECTED)
     assert components.slow_start.fraction(endpoint) == 1.0  # it rejects, but is reachable
-    components.advance(2 * AIM)
+    components.advance(2 * OBJECTIVE_US)
     components.outliers.on_trial_due(endpoint)
     components.outliers.on_probe_ended(policy.ProbeEnded("s0", policy.Outcome.TIMED_OUT))
     assert components.slow_start.fraction(endpoint) == 0.2  # it may be starting at this moment
-    components.advance(2 * AIM)
+    components.advance(2 * OBJECTIVE_US)
     trial = components.send(components.query(name="trial").parts[0], 0)
     components.advance(50_000)
     components.end(trial, policy.Outcome.OK)
@@ -280,10 +282,10 @@
     components = Components(probing_allowed=True)
     endpoint = components.endpoint(0)
     components.respond(0)
-    components.advance(AIM // 10)
+    components.advance(OBJECTIVE_US // 10)
     components.fail(0, policy.Outcome.REJECTED)
     components.fail(0, policy.Outcome.REJECTED)
-    components.advance(AIM)
+    components.advance(OBJECTIVE_US)
     components.outliers.on_trial_due(endpoint)
     components.outliers.on_probe_ended(policy.ProbeEnded("s0", policy.Outcome.TIMED_OUT))
     trial = components.send(components.query(name="trial").parts[0], 0)
@@ -346,13 +348,13 @@
 
 
 def test_the_attempt_budget_of_the_settings_holds_whatever_the_quota():
-    components = Components(free_additional_attempts=2, attempt_budget_window_us=AIM)
+    components = Components(free_additional_attempts=2, attempt_budget_window_us=OBJECTIVE_US)
     components.budget.set_quota(100)
     for _ in range(2):
         assert components.budget.has_budget()
         components.budget.record_additional_attempt(policy.Outcome.ERROR)
     assert not components.budget.has_budget()
-    components.advance(AIM + 1)
+    components.advance(OBJECTIVE_US + 1)
     assert components.budget.has_budget()
 
 
@@ -368,10 +370,10 @@
 @pytest.mark.parametrize(
     ("query_class", "outcome", "send_by_us"),
     [
-        (ALL, policy.Outcome.ERROR, 2 * AIM),
+        (ALL, policy.Outcome.ERROR, 2 * OBJECTIVE_US),
         (KEYED, policy.Outcome.ERROR, 700_000),
-        (KEYED, policy.Outcome.REJECTED, 2 * AIM),
-        (NON_IDEMPOTENT, policy.Outcome.REJECTED, 2 * AIM),
+        (KEYED, policy.Outcome.REJECTED, 2 * OBJECTIVE_US),
+        (NON_IDEMPOTENT, policy.Outcome.REJECTED, 2 * OBJECTIVE_US),
     ],
 )
 def test_a_part_that_may_have_run_is_sent_again_as_the_idempotency_of_its_class_allows(
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -7,7 +7,7 @@
 
 from heathwell import Aggregator, Settings, policy
 
-from .conftest import AIM, entry, make_settings
+from .conftest import OBJECTIVE_US, entry, make_settings
 from .rules import RuleChecker
 
 OUTCOMES = [policy.Outcome.OK] * 6 + [
@@ -34,7 +34,7 @@
         st.just("query"),
         st.integers(0, 6),
         st.lists(st.integers(0, 5), min_size=1, max_size=5),
-        st.integers(30_000, 2 * AIM),
+        st.integers(30_000, 2 * OBJECTIVE_US),
     ),
     st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(OUTCOMES)),
     st.tuples(st.just("fleet"), st.integers(0, 5), st.sampled_from(STATES), st.booleans()),
@@ -54,7 +54,7 @@
         self.config = config
         self.aggregator = Aggregator(config, seed)
         self.rules = RuleChecker(config)
-        self.now_us = AIM
+        self.now_us = OBJECTIVE_US
         self.query_count = 0
         self.sends: list[policy.Send] = []
         self.cancelled: list[tuple[str, int]] = []
@@ -172,11 +172,11 @@
         cancellation_allowed=cancelling,
         probing_allowed=probing,
         poll_mode=polling,
-        poll_within_us=10 * AIM,
+        poll_within_us=10 * OBJECTIVE_US,
         parts_per_call=parts_per_call,
         retry_advice_allowed=True,
-        max_retry_after_us=AIM // 2,
-        attempt_budget_window_us=3 * AIM if budget else 0,
+        max_retry_after_us=OBJECTIVE_US // 2,
+        attempt_budget_window_us=3 * OBJECTIVE_US if budget else 0,
         free_additional_attempts=1 if budget else 0,
         additional_attempt_ratio=0.1 if budget else 0.0,
     )
@@ -185,7 +185,7 @@
     player.handle_batch(policy.EndpointUpdate(policy.UpdateKind.FULL, listed, requested=False))
     for step in steps:
         player.play(step)
-    player.pass_ticks(2 * AIM // config.tick_us + 10)
+    player.pass_ticks(2 * OBJECTIVE_US // config.tick_us + 10)
     rules = player.rules
     query_count = player.query_count
     assert not rules.open
--- a/tests/test_query_completion.py
+++ b/tests/test_query_completion.py
@@ -4,13 +4,13 @@
 
 from heathwell import policy
 
-from .conftest import AIM, of, warm_up
+from .conftest import OBJECTIVE_US, of, warm_up
 
 
 def test_an_unanswered_query_is_rejected_with_a_retry_after_before_its_deadline(drive):
     driver = drive(retry_advice_allowed=True, max_retry_after_us=400_000)
     driver.query(1, [0, 1])
-    actions = driver.wait(2 * AIM - 5_000)
+    actions = driver.wait(2 * OBJECTIVE_US - 5_000)
     rejections = of(actions, policy.Reject)
     assert len(rejections) == 1 and 0 < rejections[0].retry_after_us <= 400_000
 
@@ -18,7 +18,7 @@
 def test_a_query_of_a_class_without_late_weight_is_rejected_at_its_latency_objective(drive):
     driver = drive()
     driver.query(2, [0])
-    assert len(of(driver.wait(AIM + 20_000), policy.Reject)) == 1
+    assert len(of(driver.wait(OBJECTIVE_US + 20_000), policy.Reject)) == 1
 
 
 def test_a_query_with_some_parts_missing_is_answered_as_partial(drive):
@@ -27,7 +27,7 @@
     assert len(sends) == 3
     driver.end(sends[0])
     driver.end(sends[1])
-    answers = of(driver.wait(2 * AIM), policy.Answer)
+    answers = of(driver.wait(2 * OBJECTIVE_US), policy.Answer)
     assert answers == [policy.Answer("q1", False)]
 
 
@@ -35,7 +35,7 @@
     driver = drive()
     sends = of(driver.query(5, [0, 1, 2]), policy.Send)
     driver.end(sends[0])
-    actions = driver.wait(2 * AIM)
+    actions = driver.wait(2 * OBJECTIVE_US)
     assert of(actions, policy.Answer) == [] and len(of(actions, policy.Reject)) == 1
 
 
@@ -45,7 +45,7 @@
     sends = of(driver.query(6, [0, 1, 2, 3]), policy.Send)
     driver.end(sends[0], latency_us=100_000)
     driver.end(sends[1], latency_us=100_000)
-    first_answers = of(driver.wait(AIM - 100_000), policy.Answer)
+    first_answers = of(driver.wait(OBJECTIVE_US - 100_000), policy.Answer)
     assert first_answers == [policy.Answer("q1", False)]
     second = of(
         driver.step(5000, policy.PartArrived("q1/a", 1, 0, 0.5), policy.PartArrived("q1/b", 1, 0, 0.5)),
@@ -62,10 +62,10 @@
     actions = driver.query(1, [0, 1], timeout_us=-5_000)
     assert len(of(actions, policy.Reject)) == 1 and of(actions, policy.Send) == []
     sends = of(driver.query(1, [0, 1]), policy.Send)
-    driver.now_us += 3 * AIM
+    driver.now_us += 3 * OBJECTIVE_US
     late = driver.step(
         0,
-        *[policy.AttemptEnded(send.id, 0, send.node, policy.Outcome.OK, 3 * AIM) for send in sends],
+        *[policy.AttemptEnded(send.id, 0, send.node, policy.Outcome.OK, 3 * OBJECTIVE_US) for send in sends],
         policy.ClientDisconnected(f"q{driver.query_count}"),
         policy.TimerFired("due"),
     )
@@ -75,7 +75,7 @@
 
 def test_a_two_step_query_has_one_final_reply_whenever_its_minimum_fraction_is_reached(drive):
     """Sixteen instants up to the deadline, for a short and a usual timeout."""
-    for timeout_us in (AIM // 2, 2 * AIM):
+    for timeout_us in (OBJECTIVE_US // 2, 2 * OBJECTIVE_US):
         for pause_us in range(0, timeout_us, timeout_us // 16):
             driver = drive()
             sends = of(driver.query(6, [0, 1, 2, 3], timeout_us=timeout_us), policy.Send)
@@ -108,7 +108,7 @@
     sends = of(driver.query(6, [0, 1, 2, 3]), policy.Send)
     driver.end(sends[0])
     driver.end(sends[1])
-    assert of(driver.wait(AIM * 4 // 5), policy.Answer) == [policy.Answer("q1", False)]
+    assert of(driver.wait(OBJECTIVE_US * 4 // 5), policy.Answer) == [policy.Answer("q1", False)]
     more = of(
         driver.step(5000, policy.PartArrived("q1/a", 1, 0, 0.5), policy.PartArrived("q1/b", 1, 1, 0.5)),
         policy.Send,
--- a/tests/test_replica_selection.py
+++ b/tests/test_replica_selection.py
@@ -2,7 +2,7 @@
 
 from heathwell import policy
 
-from .conftest import AIM, of
+from .conftest import OBJECTIVE_US, of
 
 
 def test_only_the_required_parts_are_sent_and_the_query_is_answered_once_they_are_received(drive):
@@ -26,7 +26,7 @@
     sends = of(driver.query(0, [0, 1, 2, 3]), policy.Send)
     for send in sends[:2]:
         driver.end(send)
-    actions = driver.wait(AIM // 2 + 10_000)
+    actions = driver.wait(OBJECTIVE_US // 2 + 10_000)
     hedges = of(actions, policy.Send)
     assert len(hedges) == 1
     assert hedges[0].id not in {send.id for send in sends}
@@ -56,15 +56,15 @@
     unsent_part = drive()
     actions = unsent_part.query(0, [0, 1, 2, 3])
     assert attempt_reasons(actions) == [(first, False)] * 3
-    assert attempt_reasons(unsent_part.wait(AIM // 2 + 10_000)) == [(substitute, True)]
+    assert attempt_reasons(unsent_part.wait(OBJECTIVE_US // 2 + 10_000)) == [(substitute, True)]
 
     hedged = drive(hedging_allowed=True)
     assert attempt_reasons(hedged.query(1, [0])) == [(first, False)]
-    assert attempt_reasons(hedged.wait(AIM // 2 + 10_000)) == [(hedge, True)]
+    assert attempt_reasons(hedged.wait(OBJECTIVE_US // 2 + 10_000)) == [(hedge, True)]
 
     moved = drive(cancellation_allowed=True)
     moved.query(1, [0])
-    assert attempt_reasons(moved.wait(AIM // 2 + 10_000)) == [(cancelled, True)]
+    assert attempt_reasons(moved.wait(OBJECTIVE_US // 2 + 10_000)) == [(cancelled, True)]
 
     failed = drive()
     (send,) = of(failed.query(1, [0]), policy.Send)
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -4,7 +4,7 @@
 
 from heathwell import policy
 
-from .conftest import AIM, of, warm_up
+from .conftest import OBJECTIVE_US, of, warm_up
 
 
 def test_a_non_idempotent_part_that_may_have_run_is_not_retried_and_its_query_fails(drive):
@@ -25,18 +25,18 @@
 def test_a_keyed_part_is_cancelled_and_sent_again_within_its_idempotency_window_only(drive):
     driver = drive(cancellation_allowed=True)
     send = of(driver.query(3, [0]), policy.Send)[0]
-    actions = driver.wait(AIM // 2 + 10_000)
+    actions = driver.wait(OBJECTIVE_US // 2 + 10_000)
     assert of(actions, policy.Cancel) == [policy.Cancel(send.id, 0)]
     retries = of(actions, policy.Send)
     assert len(retries) == 1 and retries[0].node != send.node
-    assert of(driver.wait(AIM), policy.Send) == []
+    assert of(driver.wait(OBJECTIVE_US), policy.Send) == []
     assert of(driver.end(retries[0], policy.Outcome.ERROR, seq=1), policy.Send) == []
 
 
 def test_a_late_part_without_an_unsent_part_is_hedged_at_another_replica_where_allowed(drive):
     driver = drive(hedging_allowed=True, cancellation_allowed=True)
     send = of(driver.query(1, [0]), policy.Send)[0]
-    actions = driver.wait(AIM // 2 + 10_000)
+    actions = driver.wait(OBJECTIVE_US // 2 + 10_000)
     hedges = of(actions, policy.Send)
     assert [hedge.id for hedge in hedges] == [send.id] and hedges[0].node != send.node
     assert of(actions, policy.Cancel) == []
@@ -44,7 +44,7 @@
 
 def test_additional_attempts_stay_within_the_attempt_budget_of_the_settings(drive):
     driver = drive(
-        attempt_budget_window_us=10 * AIM, free_additional_attempts=2, additional_attempt_ratio=0.0
+        attempt_budget_window_us=10 * OBJECTIVE_US, free_additional_attempts=2, additional_attempt_ratio=0.0
     )
     retries = 0
     for _ in range(6):
@@ -93,7 +93,7 @@
         later = next(send for send in sends if send.node == early[0].node)
         unanswered = early[0] if overtaken else later
         answered = later if overtaken else early[0]
-        actions = driver.wait(AIM // 4)
-        actions += driver.end(answered, latency_us=AIM // 4)
-        actions += driver.wait(AIM // 4 + 20_000)
+        actions = driver.wait(OBJECTIVE_US // 4)
+        actions += driver.end(answered, latency_us=OBJECTIVE_US // 4)
+        actions += driver.wait(OBJECTIVE_US // 4 + 20_000)
         assert (unanswered.id in {cancel.id for cancel in of(actions, policy.Cancel)}) == overtaken
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -4,7 +4,7 @@
 
 from heathwell import policy
 
-from .conftest import AIM, entry, of, warm_up
+from .conftest import OBJECTIVE_US, entry, of, warm_up
 
 
 def test_draining_and_removed_endpoints_receive_no_attempts(drive):
@@ -76,7 +76,7 @@
     for seed in range(40):
         driver = drive(seed=seed)
         warm_up(driver, rounds=2)
-        driver.wait(2 * AIM)
+        driver.wait(2 * OBJECTIVE_US)
         driver.step(
             0,
             policy.EndpointUpdate(
