--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -169,7 +169,7 @@
         return actions
 
 
-def of(actions: list[policy.Action], kind: type) -> list[Any]:
+def actions_of_type(actions: list[policy.Action], kind: type) -> list[Any]:
     """Return the actions of one kind, in order."""
     return [action for action in actions if isinstance(action, kind)]
 
@@ -178,7 +178,7 @@
     """Answer some queries, so that mean latencies and completion rates have samples."""
     for _ in range(rounds):
         for shard in shards:
-            for send in of(driver.query(1, [shard]), policy.Send):
+            for send in actions_of_type(driver.query(1, [shard]), policy.Send):
                 driver.end(send, after_us=20_000, latency_us=20_000)
 
 
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -16,7 +16,7 @@
 
 from heathwell import Aggregator, Settings, policy
 
-from .conftest import Driver, make_settings, of
+from .conftest import Driver, actions_of_type, make_settings
 
 ROOT = Path(__file__).parent.parent
 
@@ -189,7 +189,7 @@
     actions = []
     for job in range(30):
         actions.append(driver.query(job % 3, [0, 1, 2, 3]))
-        for send in of(actions[-1], policy.Send)[:2]:
+        for send in actions_of_type(actions[-1], policy.Send)[:2]:
             actions.append(driver.end(send))
     return actions
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -14,7 +14,7 @@
 from heathwell.gateway.trace import Trace
 from heathwell.testing.standins.platform_frames import encode_answer, generate_result
 
-from .conftest import Driver, make_settings, of
+from .conftest import Driver, actions_of_type, make_settings
 from .platform import UNIX_US, Platform, node_request
 
 FOUR_SHARDS: Final = [0, 1, 2, 3]
@@ -295,7 +295,7 @@
     """The objective of a retry counts from its client's first attempt."""
     driver = Driver(make_settings())
     for _ in range(20):
-        (send,) = of(driver.query(0, [0], timeout_us=1_500_000), policy.Send)
+        (send,) = actions_of_type(driver.query(0, [0], timeout_us=1_500_000), policy.Send)
         driver.end(send)
     driver.query(0, [0], timeout_us=1_990_000)  # a client's last attempt may have more time than its first
     arrived = driver.aggregator.queries[f"q{driver.query_count + 1 - 1}"]
@@ -399,9 +399,9 @@
     driver = drive()
     first = None
     for _ in range(40):
-        for send in of(driver.query(0, FOUR_SHARDS), policy.Send):
+        for send in actions_of_type(driver.query(0, FOUR_SHARDS), policy.Send):
             first = first or send
-            retries = of(
+            retries = actions_of_type(
                 driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=1000, latency_us=10_000),
                 policy.Send,
             )
@@ -416,12 +416,14 @@
 def test_a_lost_keyed_part_is_retried_within_its_idempotency_window_only(drive):
     """A lost non-idempotent part is never retried, as it may have run."""
     driver = drive()
-    (send,) = of(driver.query(3, [0]), policy.Send)
-    assert of(driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=100_000), policy.Send)
-    (send,) = of(driver.query(3, [0]), policy.Send)
-    assert not of(driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=750_000), policy.Send)
-    (send,) = of(driver.query(4, [0]), policy.Send)
-    assert not of(driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=1000), policy.Send)
+    (send,) = actions_of_type(driver.query(3, [0]), policy.Send)
+    assert actions_of_type(driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=100_000), policy.Send)
+    (send,) = actions_of_type(driver.query(3, [0]), policy.Send)
+    assert not actions_of_type(
+        driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=750_000), policy.Send
+    )
+    (send,) = actions_of_type(driver.query(4, [0]), policy.Send)
+    assert not actions_of_type(driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=1000), policy.Send)
 
 
 def test_closed_connections_of_clients_and_nodes_are_freed_without_the_garbage_collector():
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -4,14 +4,14 @@
 
 from heathwell import policy
 
-from .conftest import OBJECTIVE_US, entry, of, warm_up
+from .conftest import OBJECTIVE_US, actions_of_type, entry, warm_up
 
 
 def answer_shard_0_slowly(driver, slow=("s0", "s1", "s2")):
     """Answer queries at a rate too low for in-flight counts; the replicas of shard 0 take 1.5 objectives."""
     for shards in ((3, 3, 3), *[(0, 3, 3)] * 4):
         for shard in shards:
-            for send in of(driver.query(1, [shard]), policy.Send):
+            for send in actions_of_type(driver.query(1, [shard]), policy.Send):
                 driver.end(send, after_us=120_000, latency_us=1_500_000 if send.node in slow else 50_000)
 
 
@@ -33,10 +33,11 @@
     for parts, is_rejected in ((4, False), (60, True)):
         driver = drive(overload_multiple=0.0)
         for _ in range(15):
-            for send in of(driver.query(1, [0]), policy.Send):
+            for send in actions_of_type(driver.query(1, [0]), policy.Send):
                 driver.end(send, after_us=90_000, latency_us=300_000)
         assert (
-            bool(of(driver.query(1, [number % 6 for number in range(parts)]), policy.Reject)) == is_rejected
+            bool(actions_of_type(driver.query(1, [number % 6 for number in range(parts)]), policy.Reject))
+            == is_rejected
         )
 
 
@@ -44,10 +45,10 @@
     """The latencies of the shard decide, not a percentile over those of all shards."""
     driver = drive()
     answer_shard_0_slowly(driver)
-    assert len(of(driver.query(1, [0, 3]), policy.Reject)) == 1
+    assert len(actions_of_type(driver.query(1, [0, 3]), policy.Reject)) == 1
     assert (
-        of(driver.query(1, [3]), policy.Reject) == []
-        and of(driver.query(0, [0, 3, 3, 3]), policy.Reject) == []
+        actions_of_type(driver.query(1, [3]), policy.Reject) == []
+        and actions_of_type(driver.query(0, [0, 3, 3, 3]), policy.Reject) == []
     )
 
 
@@ -57,25 +58,27 @@
     warm_up(driver, shards=range(3), rounds=4)
     for latency_us in (20_000, 20_000, 400_000):
         driver.wait(2 * OBJECTIVE_US)
-        send = of(driver.query(1, [0]), policy.Send)[0]
+        send = actions_of_type(driver.query(1, [0]), policy.Send)[0]
         driver.end(send, after_us=latency_us, latency_us=latency_us)
-    assert all(of(driver.query(1, [0]), policy.Send)[0].node != send.node for _ in range(2))
+    assert all(actions_of_type(driver.query(1, [0]), policy.Send)[0].node != send.node for _ in range(2))
 
 
 def test_responses_delayed_by_a_hang_do_not_cause_rejections_after_it(drive):
     """The latency of an attempt that was sent long ago is no evidence of the present one."""
     driver = drive(overload_multiple=0.0)
     for shard in [*range(6)] * 2:
-        driver.end(of(driver.query(0, [shard]), policy.Send)[0], after_us=200_000, latency_us=50_000)
+        driver.end(
+            actions_of_type(driver.query(0, [shard]), policy.Send)[0], after_us=200_000, latency_us=50_000
+        )
     delayed = [
         send
         for number in range(12)
-        for send in of(driver.query(0, [number % 6], timeout_us=5 * OBJECTIVE_US), policy.Send)
+        for send in actions_of_type(driver.query(0, [number % 6], timeout_us=5 * OBJECTIVE_US), policy.Send)
     ]
     driver.wait(3 * OBJECTIVE_US)
     for send in delayed:
         driver.end(send, after_us=0, latency_us=3 * OBJECTIVE_US)
-    assert of(driver.query(0, [0, 1, 2, 3]), policy.Reject) == []
+    assert actions_of_type(driver.query(0, [0, 1, 2, 3]), policy.Reject) == []
 
 
 def test_retry_after_is_spread_by_jitter_up_to_a_small_maximum(drive):
@@ -85,7 +88,7 @@
         driver = drive(seed=seed, retry_advice_allowed=True, max_retry_after_us=300_000)
         driver.query(1, [0], timeout_us=OBJECTIVE_US // 2)
         retry_after_us |= {
-            reject.retry_after_us for reject in of(driver.wait(OBJECTIVE_US // 2), policy.Reject)
+            reject.retry_after_us for reject in actions_of_type(driver.wait(OBJECTIVE_US // 2), policy.Reject)
         }
     assert len(retry_after_us) == 6 and max(retry_after_us) <= 300_000
 
@@ -94,9 +97,9 @@
     """Large second steps must not cause the next query to be rejected."""
     driver = drive(overload_multiple=0.0)
     for _ in range(15):
-        for send in of(driver.query(2, [0]), policy.Send):
+        for send in actions_of_type(driver.query(2, [0]), policy.Send):
             driver.end(send, after_us=90_000, latency_us=150_000)
-    assert of(driver.query(2, [number % 6 for number in range(20)]), policy.Reject) == []
+    assert actions_of_type(driver.query(2, [number % 6 for number in range(20)]), policy.Reject) == []
 
 
 def test_overload_sheds_the_class_of_least_priority_weight_first(drive):
@@ -110,8 +113,8 @@
     for turn in range(600):
         query_class = turn % 2
         actions = driver.query(query_class, [turn % 6], after_us=5000)
-        rejected[query_class] += len(of(actions, policy.Reject))
-        in_flight += of(actions, policy.Send)
+        rejected[query_class] += len(actions_of_type(actions, policy.Reject))
+        in_flight += actions_of_type(actions, policy.Send)
         if turn % 4 == 3 and in_flight:
             driver.end(in_flight.pop(0), latency_us=400_000)
     assert rejected[1] > 1.5 * rejected[0]
@@ -128,8 +131,8 @@
     in_flight = []
     for turn in range(400):
         actions = driver.query(0, [turn % 6], tenant=turn % 2)
-        rejected[turn % 2] += len(of(actions, policy.Reject))
-        in_flight += of(actions, policy.Send)
+        rejected[turn % 2] += len(actions_of_type(actions, policy.Reject))
+        in_flight += actions_of_type(actions, policy.Send)
         if turn % 4 == 3 and in_flight:
             driver.end(in_flight.pop(0), latency_us=400_000)
     assert rejected[1] > 2 * rejected[0]
@@ -155,8 +158,8 @@
         count = 0
         for turn in range(200):
             actions = driver.query(1, [turn % 6, (turn + 3) % 6], after_us=100_000)
-            count += len(of(actions, policy.Reject))
-            in_flight += [(send, driver.now_us) for send in of(actions, policy.Send)]
+            count += len(actions_of_type(actions, policy.Reject))
+            in_flight += [(send, driver.now_us) for send in actions_of_type(actions, policy.Send)]
             while in_flight and driver.now_us >= in_flight[0][1] + latency_us:
                 driver.end(in_flight.pop(0)[0], latency_us=latency_us)
         rejected[latency_us] = count
@@ -175,12 +178,12 @@
     )
     warm_up(driver, shards=[3], rounds=40)
     for _ in range(15):
-        for send in of(driver.query(1, [0]), policy.Send):
+        for send in actions_of_type(driver.query(1, [0]), policy.Send):
             driver.end(send, latency_us=900_000)
     for shard in (3, 3, 3, 3, 0, 0):
         driver.query(1, [shard])
-    assert len(of(driver.query(1, [0, 3]), policy.Reject)) == 1
-    assert len(of(driver.query(1, [3]), policy.Send)) == 1
+    assert len(actions_of_type(driver.query(1, [0, 3]), policy.Reject)) == 1
+    assert len(actions_of_type(driver.query(1, [3]), policy.Send)) == 1
 
 
 def test_one_large_work_hint_does_not_dominate_the_mean_latency(drive):
@@ -190,7 +193,7 @@
         work_hint_us = 1_000 if job % 10 == 0 else 100_000
         driver.query_count += 1
         name = f"q{driver.query_count}"
-        sends = of(
+        sends = actions_of_type(
             driver.step(
                 5000,
                 policy.QueryArrived(name, driver.query_count, 1, driver.now_us + 2 * OBJECTIVE_US, 1),
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -2,7 +2,7 @@
 
 from heathwell import benchlink, policy
 
-from .conftest import OBJECTIVE_US, Driver, make_settings, of
+from .conftest import OBJECTIVE_US, Driver, actions_of_type, make_settings
 
 ENDPOINT_COUNT = 60
 
@@ -13,14 +13,16 @@
         make_settings(shards=ENDPOINT_COUNT, replica_groups=ENDPOINT_COUNT, slow_start_duration_us=60_000_000)
     )
     for number in range(40):
-        for send in of(driver.query(1, [number % ENDPOINT_COUNT], after_us=OBJECTIVE_US // 4), policy.Send):
+        for send in actions_of_type(
+            driver.query(1, [number % ENDPOINT_COUNT], after_us=OBJECTIVE_US // 4), policy.Send
+        ):
             driver.end(send)
     return driver
 
 
 def endpoint_serving(driver: Driver, shard: int, after: int) -> str:
     """Return the endpoint that a part of this shard is sent to; it responds at once."""
-    (send,) = of(driver.query(1, [shard], after_us=after), policy.Send)
+    (send,) = actions_of_type(driver.query(1, [shard], after_us=after), policy.Send)
     driver.end(send)
     return send.node
 
@@ -29,12 +31,14 @@
     """Reject parts at one endpoint, `times` in all, and answer all others; return the operator log lines."""
     lines: list[str] = []
     while times:
-        for send in of(driver.query(1, [int(node[1:])], after_us=10_000), policy.Send):
+        for send in actions_of_type(driver.query(1, [int(node[1:])], after_us=10_000), policy.Send):
             is_rejected = send.node == node
             times -= is_rejected
             actions = driver.end(send, policy.Outcome.REJECTED if is_rejected else policy.Outcome.OK)
-            lines += [benchlink.journal_text(event) for event in of(actions, policy.OperatorEvent)]
-            for retry in of(actions, policy.Send):
+            lines += [
+                benchlink.journal_text(event) for event in actions_of_type(actions, policy.OperatorEvent)
+            ]
+            for retry in actions_of_type(actions, policy.Send):
                 driver.end(retry, seq=1)
     return lines
 
@@ -72,7 +76,7 @@
 
 def test_a_slow_response_still_counts_at_the_next_attempt():
     driver = low_traffic_driver()
-    while (send := of(driver.query(1, [7], after_us=10_000), policy.Send)[0]).node != "s7":
+    while (send := actions_of_type(driver.query(1, [7], after_us=10_000), policy.Send)[0]).node != "s7":
         driver.end(send)
     driver.end(send, latency_us=8 * OBJECTIVE_US // 10)
     driver.wait(16 * OBJECTIVE_US)  # such an aggregator sends to it about every 15 objectives
@@ -83,7 +87,7 @@
 def test_an_aggregator_with_frequent_samples_has_a_memory_of_one_latency_objective():
     driver = Driver(make_settings())
     for number in range(400):
-        for send in of(driver.query(1, [number % 6], after_us=5_000), policy.Send):
+        for send in actions_of_type(driver.query(1, [number % 6], after_us=5_000), policy.Send):
             driver.end(send)
     assert driver.aggregator.latency.memory_us(1.0) == OBJECTIVE_US
 
@@ -96,8 +100,8 @@
 def test_a_part_that_reached_no_endpoint_is_retried_without_retry_budget():
     driver = low_traffic_driver()
     exhaust_retry_budget(driver)
-    (send,) = of(driver.query(1, [7]), policy.Send)
-    (retry,) = of(driver.end(send, policy.Outcome.UNREACHABLE), policy.Send)
+    (send,) = actions_of_type(driver.query(1, [7]), policy.Send)
+    (retry,) = actions_of_type(driver.end(send, policy.Outcome.UNREACHABLE), policy.Send)
     assert retry.node != send.node and driver.aggregator.retry_budget.bucket.tokens >= 0
 
 
@@ -105,21 +109,21 @@
     """Abandoned at once, the client would retry the entire query."""
     driver = low_traffic_driver()
     exhaust_retry_budget(driver)
-    sends = of(driver.query(1, [7, 17, 27]), policy.Send)
+    sends = actions_of_type(driver.query(1, [7, 17, 27]), policy.Send)
     actions = driver.end(sends[0], policy.Outcome.REJECTED)
-    assert not of(actions, policy.Reject) and not of(actions, policy.Send)
+    assert not actions_of_type(actions, policy.Reject) and not actions_of_type(actions, policy.Send)
     driver.aggregator.retry_budget.bucket.tokens = 1.0  # earned by first attempts of other queries
-    retries = of(driver.wait(OBJECTIVE_US // 10), policy.Send)
+    retries = actions_of_type(driver.wait(OBJECTIVE_US // 10), policy.Send)
     assert [retry.id for retry in retries] == [sends[0].id]
 
 
 def test_a_part_without_retry_budget_is_abandoned_where_its_objective_is_out_of_reach():
     driver = low_traffic_driver()
     exhaust_retry_budget(driver)
-    sends = of(driver.query(1, [7, 17, 27]), policy.Send)
+    sends = actions_of_type(driver.query(1, [7, 17, 27]), policy.Send)
     driver.wait(int(0.92 * OBJECTIVE_US))
     exhaust_retry_budget(driver)
-    assert of(driver.end(sends[0], policy.Outcome.REJECTED), policy.Reject)
+    assert actions_of_type(driver.end(sends[0], policy.Outcome.REJECTED), policy.Reject)
 
 
 def test_a_penalty_decays_by_the_objective_where_each_endpoint_responds_within_one():
@@ -128,7 +132,7 @@
     """
     driver = Driver(make_settings(shards=6, replica_groups=6, slow_start_duration_us=60_000_000))
     for number in range(60):
-        for send in of(driver.query(1, [number % 6], after_us=OBJECTIVE_US // 8), policy.Send):
+        for send in actions_of_type(driver.query(1, [number % 6], after_us=OBJECTIVE_US // 8), policy.Send):
             driver.end(send)
     endpoint = driver.aggregator.endpoints["s1"]
     driver.aggregator.load.add_penalty(endpoint)
--- a/tests/test_module_rules.py
+++ b/tests/test_module_rules.py
@@ -4,17 +4,17 @@
 
 from heathwell import policy
 
-from .conftest import OBJECTIVE_US, of
+from .conftest import OBJECTIVE_US, actions_of_type
 
 
 def test_poll_mode_watches_endpoints_and_polls_again_after_each_failure(drive):
     driver = drive(poll_mode=True, poll_within_us=10 * OBJECTIVE_US)
-    assert len(of(driver.initial_actions, policy.WatchEndpoints)) == 1
+    assert len(actions_of_type(driver.initial_actions, policy.WatchEndpoints)) == 1
     for _ in range(6):
         driver.step(5000, policy.EndpointUpdate(policy.UpdateKind.FAILED))
-        assert len(of(driver.wait(5 * OBJECTIVE_US), policy.WatchEndpoints)) == 1
+        assert len(actions_of_type(driver.wait(5 * OBJECTIVE_US), policy.WatchEndpoints)) == 1
     watching = drive()
-    assert of(watching.initial_actions, policy.WatchEndpoints) == []
+    assert actions_of_type(watching.initial_actions, policy.WatchEndpoints) == []
 
 
 def test_events_of_unknown_parts_queries_and_endpoints_are_ignored(drive):
@@ -40,6 +40,6 @@
 
 def test_a_poll_of_discovery_without_an_update_is_repeated(drive):
     driver = drive(poll_mode=True, poll_within_us=10 * OBJECTIVE_US)
-    assert len(of(driver.wait(5 * OBJECTIVE_US), policy.WatchEndpoints)) == 1
+    assert len(actions_of_type(driver.wait(5 * OBJECTIVE_US), policy.WatchEndpoints)) == 1
     driver.step(5000, policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL))
-    assert of(driver.wait(20 * OBJECTIVE_US), policy.WatchEndpoints) == []
+    assert actions_of_type(driver.wait(20 * OBJECTIVE_US), policy.WatchEndpoints) == []
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -4,7 +4,7 @@
 
 from heathwell import policy
 
-from .conftest import OBJECTIVE_US, of, warm_up
+from .conftest import OBJECTIVE_US, actions_of_type, warm_up
 
 
 def test_a_query_that_broke_a_connection_next_sends_a_part_of_another_shard(drive):
@@ -12,12 +12,12 @@
     driver = drive(overload_multiple=0.0)
     warm_up(driver, rounds=2)
     # A crash is recent from here on.
-    driver.end(of(driver.query(1, [5]), policy.Send)[0], policy.Outcome.BROKEN)
-    first = of(driver.query(1, [0, 3]), policy.Send)
+    driver.end(actions_of_type(driver.query(1, [5]), policy.Send)[0], policy.Outcome.BROKEN)
+    first = actions_of_type(driver.query(1, [0, 3]), policy.Send)
     assert len(first) == 1
-    second = of(driver.end(first[0], policy.Outcome.BROKEN), policy.Send)
+    second = actions_of_type(driver.end(first[0], policy.Outcome.BROKEN), policy.Send)
     assert len(second) == 1 and second[0].id != first[0].id
-    more = of(driver.end(second[0]), policy.Send)
+    more = actions_of_type(driver.end(second[0]), policy.Send)
     assert [send.id for send in more] == [first[0].id]  # cleared by a response, the broken part is sent again
 
 
@@ -35,7 +35,7 @@
     send = next(
         candidate
         for _ in range(9)
-        for candidate in of(driver.query(1, [0], after_us=0), policy.Send)
+        for candidate in actions_of_type(driver.query(1, [0], after_us=0), policy.Send)
         if candidate.node == "s0"
     )
     driver.end(send, after_us=20_000, latency_us=20_000)
@@ -47,10 +47,10 @@
     several = drive()
     for driver in (single, several):
         for _ in range(3):
-            for send in of(driver.query(1, [0]), policy.Send):
+            for send in actions_of_type(driver.query(1, [0]), policy.Send):
                 driver.end(send, policy.Outcome.ERROR)
     # The only replica of a shard serves it even while it is ejected.
-    assert [send.node for send in of(single.query(1, [0]), policy.Send)] == ["s0"]
+    assert [send.node for send in actions_of_type(single.query(1, [0]), policy.Send)] == ["s0"]
     ejected_classes = {
         endpoint.node: set(endpoint.ejections)
         for endpoint in several.aggregator.endpoints.values()
@@ -71,7 +71,7 @@
             if driver.now_us > sent_at_us + 2 * OBJECTIVE_US:
                 pending.remove((attempt, sent_at_us))
                 actions += driver.end(attempt, policy.Outcome.TIMED_OUT, latency_us=2 * OBJECTIVE_US)
-        for send in of(driver.query(1, [0]), policy.Send):
+        for send in actions_of_type(driver.query(1, [0]), policy.Send):
             if send.node == "s0":
                 attempt_count += 1
                 pending.append((send, driver.now_us))
@@ -79,34 +79,34 @@
                 actions += driver.end(send, after_us=20_000, latency_us=20_000)
         actions += driver.wait(100_000)
     assert attempt_count <= 4
-    assert "s0" in {probe.node for probe in of(actions, policy.Probe)}
+    assert "s0" in {probe.node for probe in actions_of_type(actions, policy.Probe)}
     driver.step(5000, policy.ProbeEnded("s0", policy.Outcome.OK))
-    nodes = [of(driver.query(1, [0]), policy.Send)[0].node for _ in range(3)]
+    nodes = [actions_of_type(driver.query(1, [0]), policy.Send)[0].node for _ in range(3)]
     assert nodes.count("s0") == 1
 
 
 def test_a_query_of_death_is_held_then_abandoned_and_a_response_clears_it(drive):
     """A query whose parts crash the endpoints that run them must not reach all endpoints of the fleet."""
     driver = drive()
-    sends = of(driver.query(1, [0, 2, 4]), policy.Send)
+    sends = actions_of_type(driver.query(1, [0, 2, 4]), policy.Send)
     assert len(sends) == 3
-    assert of(driver.end(sends[0], policy.Outcome.BROKEN), policy.Send) == []
-    assert of(driver.end(sends[1], policy.Outcome.BROKEN), policy.Send) == []
-    assert of(driver.end(sends[2], policy.Outcome.BROKEN), policy.Reject) == [
+    assert actions_of_type(driver.end(sends[0], policy.Outcome.BROKEN), policy.Send) == []
+    assert actions_of_type(driver.end(sends[1], policy.Outcome.BROKEN), policy.Send) == []
+    assert actions_of_type(driver.end(sends[2], policy.Outcome.BROKEN), policy.Reject) == [
         policy.Reject("q1", reason=policy.EndReason.QUERY_OF_DEATH)
     ]
     cleared = drive()
-    sends = of(cleared.query(1, [0, 2, 4]), policy.Send)
-    assert of(cleared.end(sends[0], policy.Outcome.BROKEN), policy.Send) == []
-    assert [send.id for send in of(cleared.end(sends[1]), policy.Send)] == [sends[0].id]
+    sends = actions_of_type(cleared.query(1, [0, 2, 4]), policy.Send)
+    assert actions_of_type(cleared.end(sends[0], policy.Outcome.BROKEN), policy.Send) == []
+    assert [send.id for send in actions_of_type(cleared.end(sends[1]), policy.Send)] == [sends[0].id]
 
 
 def test_after_a_crash_one_part_is_sent_as_a_canary_and_the_others_once_it_is_answered(drive):
     """A query of death then breaks one endpoint, not as many as it has parts."""
     driver = drive()
-    driver.end(of(driver.query(1, [0]), policy.Send)[0], policy.Outcome.BROKEN)
-    first = of(driver.query(0, [1, 2, 3, 4]), policy.Send)
+    driver.end(actions_of_type(driver.query(1, [0]), policy.Send)[0], policy.Outcome.BROKEN)
+    first = actions_of_type(driver.query(0, [1, 2, 3, 4]), policy.Send)
     assert len(first) == 1
-    assert len(of(driver.end(first[0]), policy.Send)) == 2
+    assert len(actions_of_type(driver.end(first[0]), policy.Send)) == 2
     driver.wait(6 * OBJECTIVE_US)
-    assert len(of(driver.query(0, [1, 2, 3, 4]), policy.Send)) == 3
+    assert len(actions_of_type(driver.query(0, [1, 2, 3, 4]), policy.Send)) == 3
--- a/tests/test_part_ranking.py
+++ b/tests/test_part_ranking.py
@@ -8,7 +8,7 @@
 
 from heathwell import Aggregator, Settings, policy
 
-from .conftest import OBJECTIVE_US, of
+from .conftest import OBJECTIVE_US, actions_of_type
 
 
 def list_endpoints(count: int) -> policy.EndpointUpdate:
@@ -68,7 +68,7 @@
     batch += [
         policy.PartArrived(f"q/{number}", 1, number % shards, 1 / part_count) for number in range(part_count)
     ]
-    return [(send.id, send.node) for send in of(aggregator.handle(now_us, batch), policy.Send)]
+    return [(send.id, send.node) for send in actions_of_type(aggregator.handle(now_us, batch), policy.Send)]
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -131,7 +131,7 @@
             policy.QueryArrived(f"q{job}", job, 0, now_us + 2 * OBJECTIVE_US, 1),
             policy.PartArrived(f"q{job}/0", job, job % 3, 1.0),
         ]
-        for send in of(aggregator.handle(now_us, batch), policy.Send):
+        for send in actions_of_type(aggregator.handle(now_us, batch), policy.Send):
             response = policy.AttemptEnded(send.id, 0, send.node, policy.Outcome.OK, 1000)
             aggregator.handle(now_us + 1000, [response])
     assert aggregator.latency.recent_sample_count < 300
--- a/tests/test_policy_components.py
+++ b/tests/test_policy_components.py
@@ -20,7 +20,7 @@
 from heathwell.policy.retry_budget import TOKEN_CAPACITY, RetryBudget
 from heathwell.policy.slow_start import SlowStart
 
-from .conftest import OBJECTIVE_US, entry, make_settings, of
+from .conftest import OBJECTIVE_US, actions_of_type, entry, make_settings
 
 START_US = 10_000_000
 
@@ -130,7 +130,7 @@
     for _ in range(6):
         components.advance(20 * OBJECTIVE_US)  # beyond the interval of one operator event a topic
         components.table.on_update(failed)
-        (degraded,) = of(components.context.actions, policy.DiscoveryDegraded)
+        (degraded,) = actions_of_type(components.context.actions, policy.DiscoveryDegraded)
         waits.append(degraded.retry_after_us)
     assert 100_000 <= waits[0] <= 200_000
     assert all(225_000 <= wait <= 450_000 for wait in waits[2:])
@@ -150,7 +150,7 @@
     components.advance(first_us)
     assert components.due(TimerKind.TRIAL) == [endpoint]
     components.outliers.on_trial_due(endpoint)
-    assert of(components.context.actions, policy.Probe) == [policy.Probe("s0")]
+    assert actions_of_type(components.context.actions, policy.Probe) == [policy.Probe("s0")]
     assert not components.outliers.accepts_attempts(endpoint, ALL)  # not before the probe's outcome
     components.outliers.on_probe_ended(policy.ProbeEnded("s0", policy.Outcome.TIMED_OUT))
     second = endpoint.ejections[ALL_CLASSES]
@@ -173,7 +173,9 @@
     components.end(trial, policy.Outcome.OK)
     components.outliers.record_response(trial)
     assert endpoint.ejections == {}
-    assert of(components.context.actions, policy.EndpointReadmitted) == [policy.EndpointReadmitted("s0")]
+    assert actions_of_type(components.context.actions, policy.EndpointReadmitted) == [
+        policy.EndpointReadmitted("s0")
+    ]
 
 
 def test_ejections_double_up_to_the_maximum():
@@ -207,7 +209,7 @@
     endpoint = components.endpoint(0)
     assert not components.outliers.accepts_attempts(endpoint, KEYED)
     assert components.outliers.accepts_attempts(endpoint, ALL)
-    (event,) = of(components.context.actions, policy.EndpointEjected)
+    (event,) = actions_of_type(components.context.actions, policy.EndpointEjected)
     assert event == policy.EndpointEjected(
         "s0", KEYED, policy.EjectionReason.CONSECUTIVE_ERRORS, OBJECTIVE_US
     )
@@ -224,7 +226,7 @@
     components.end(other, policy.Outcome.OK)
     components.outliers.record_response(other)
     components.outliers.eject_if_unresponsive(unresponsive[0])
-    (event,) = of(components.context.actions, policy.EndpointEjected)
+    (event,) = actions_of_type(components.context.actions, policy.EndpointEjected)
     assert (event.node, event.reason) == ("s0", policy.EjectionReason.NO_RESPONSE)
 
 
@@ -344,7 +346,7 @@
     components.budget.spend_quota()
     assert not components.budget.has_own_budget()
     assert not components.budget.has_quota()
-    assert of(components.context.actions, policy.QuotaExhausted) == [policy.QuotaExhausted()]
+    assert actions_of_type(components.context.actions, policy.QuotaExhausted) == [policy.QuotaExhausted()]
 
 
 def test_the_attempt_budget_of_the_settings_holds_whatever_the_quota():
@@ -443,11 +445,11 @@
         components.end(attempt, policy.Outcome.OK)
         components.completion.record_part(attempt.part)
     assert query.received_weight == 0.5
-    assert of(components.context.actions, policy.Answer) == []
+    assert actions_of_type(components.context.actions, policy.Answer) == []
     components.advance(300_000 - components.context.settings.tick_us)
     assert query in components.due(TimerKind.DEADLINE)
     components.completion.on_timer(query, TimerKind.DEADLINE)
-    assert of(components.context.actions, policy.Answer) == [policy.Answer("q", complete=False)]
+    assert actions_of_type(components.context.actions, policy.Answer) == [policy.Answer("q", complete=False)]
     assert query not in components.queries
 
 
@@ -456,9 +458,9 @@
     query = components.query(TWO_STEPS_PARTIAL, (0, 1))
     components.end(components.send(query.parts[0], 0), policy.Outcome.OK)
     assert components.completion.record_part(query.parts[0])
-    assert of(components.context.actions, policy.Answer) == []
+    assert actions_of_type(components.context.actions, policy.Answer) == []
     components.completion.on_timer(query, TimerKind.FIRST_STEP_CUTOFF)
-    assert of(components.context.actions, policy.Answer) == [policy.Answer("q", complete=False)]
+    assert actions_of_type(components.context.actions, policy.Answer) == [policy.Answer("q", complete=False)]
     assert (query.step, query.received_weight) == (2, 0.0)
     assert not components.completion.is_awaited(query.parts[1])
     assert components.completion.required_weight(query) == 1.0
@@ -479,7 +481,7 @@
     query = components.query(query_class)
     components.end(components.send(query.parts[0], 0), outcome)
     components.completion.abandon_if_unanswerable(query)
-    (ended,) = of(components.context.actions, action)
+    (ended,) = actions_of_type(components.context.actions, action)
     assert ended.reason is policy.EndReason.TOO_FEW_PARTS
     if action is policy.Reject:
         assert 200_000 <= ended.retry_after_us <= 400_000
--- a/tests/test_query_completion.py
+++ b/tests/test_query_completion.py
@@ -4,55 +4,55 @@
 
 from heathwell import policy
 
-from .conftest import OBJECTIVE_US, of, warm_up
+from .conftest import OBJECTIVE_US, actions_of_type, warm_up
 
 
 def test_an_unanswered_query_is_rejected_with_a_retry_after_before_its_deadline(drive):
     driver = drive(retry_advice_allowed=True, max_retry_after_us=400_000)
     driver.query(1, [0, 1])
     actions = driver.wait(2 * OBJECTIVE_US - 5_000)
-    rejections = of(actions, policy.Reject)
+    rejections = actions_of_type(actions, policy.Reject)
     assert len(rejections) == 1 and 0 < rejections[0].retry_after_us <= 400_000
 
 
 def test_a_query_of_a_class_without_late_weight_is_rejected_at_its_latency_objective(drive):
     driver = drive()
     driver.query(2, [0])
-    assert len(of(driver.wait(OBJECTIVE_US + 20_000), policy.Reject)) == 1
+    assert len(actions_of_type(driver.wait(OBJECTIVE_US + 20_000), policy.Reject)) == 1
 
 
 def test_a_query_with_some_parts_missing_is_answered_as_partial(drive):
     driver = drive()
-    sends = of(driver.query(5, [0, 1, 2]), policy.Send)
+    sends = actions_of_type(driver.query(5, [0, 1, 2]), policy.Send)
     assert len(sends) == 3
     driver.end(sends[0])
     driver.end(sends[1])
-    answers = of(driver.wait(2 * OBJECTIVE_US), policy.Answer)
+    answers = actions_of_type(driver.wait(2 * OBJECTIVE_US), policy.Answer)
     assert answers == [policy.Answer("q1", False)]
 
 
 def test_a_query_under_its_minimum_fraction_is_rejected_and_never_answered(drive):
     driver = drive()
-    sends = of(driver.query(5, [0, 1, 2]), policy.Send)
+    sends = actions_of_type(driver.query(5, [0, 1, 2]), policy.Send)
     driver.end(sends[0])
     actions = driver.wait(2 * OBJECTIVE_US)
-    assert of(actions, policy.Answer) == [] and len(of(actions, policy.Reject)) == 1
+    assert actions_of_type(actions, policy.Answer) == [] and len(actions_of_type(actions, policy.Reject)) == 1
 
 
 def test_a_first_step_is_answered_as_partial_early_enough_for_the_second_step(drive):
     """An answer to the first step a tick before the deadline would leave the query without a final reply."""
     driver = drive()
-    sends = of(driver.query(6, [0, 1, 2, 3]), policy.Send)
+    sends = actions_of_type(driver.query(6, [0, 1, 2, 3]), policy.Send)
     driver.end(sends[0], latency_us=100_000)
     driver.end(sends[1], latency_us=100_000)
-    first_answers = of(driver.wait(OBJECTIVE_US - 100_000), policy.Answer)
+    first_answers = actions_of_type(driver.wait(OBJECTIVE_US - 100_000), policy.Answer)
     assert first_answers == [policy.Answer("q1", False)]
-    second = of(
+    second = actions_of_type(
         driver.step(5000, policy.PartArrived("q1/a", 1, 0, 0.5), policy.PartArrived("q1/b", 1, 0, 0.5)),
         policy.Send,
     )
     driver.end(second[0])
-    assert of(driver.end(second[1]), policy.Answer) == [policy.Answer("q1", False)]
+    assert actions_of_type(driver.end(second[1]), policy.Answer) == [policy.Answer("q1", False)]
 
 
 def test_an_expired_query_and_a_batch_after_a_stall_have_one_final_reply(drive):
@@ -60,8 +60,8 @@
     driver = drive()
     warm_up(driver)
     actions = driver.query(1, [0, 1], timeout_us=-5_000)
-    assert len(of(actions, policy.Reject)) == 1 and of(actions, policy.Send) == []
-    sends = of(driver.query(1, [0, 1]), policy.Send)
+    assert len(actions_of_type(actions, policy.Reject)) == 1 and actions_of_type(actions, policy.Send) == []
+    sends = actions_of_type(driver.query(1, [0, 1]), policy.Send)
     driver.now_us += 3 * OBJECTIVE_US
     late = driver.step(
         0,
@@ -69,8 +69,8 @@
         policy.ClientDisconnected(f"q{driver.query_count}"),
         policy.TimerFired("due"),
     )
-    assert len(of(late, policy.Answer)) + len(of(late, policy.Reject)) <= 1
-    assert driver.aggregator.queries == {} and len(of(driver.query(1, [0]), policy.Send)) == 1
+    assert len(actions_of_type(late, policy.Answer)) + len(actions_of_type(late, policy.Reject)) <= 1
+    assert driver.aggregator.queries == {} and len(actions_of_type(driver.query(1, [0]), policy.Send)) == 1
 
 
 def test_a_two_step_query_has_one_final_reply_whenever_its_minimum_fraction_is_reached(drive):
@@ -78,12 +78,15 @@
     for timeout_us in (OBJECTIVE_US // 2, 2 * OBJECTIVE_US):
         for pause_us in range(0, timeout_us, timeout_us // 16):
             driver = drive()
-            sends = of(driver.query(6, [0, 1, 2, 3], timeout_us=timeout_us), policy.Send)
+            sends = actions_of_type(driver.query(6, [0, 1, 2, 3], timeout_us=timeout_us), policy.Send)
             driver.end(sends[0])
             actions = driver.wait(pause_us)
             actions += driver.end(sends[1]) if driver.now_us < 10_000_000 + timeout_us - 10_000 else []
             actions += driver.wait(10_000_000 + timeout_us + 15_000 - driver.now_us)
-            assert len(of(actions, policy.Reject)) == 1 and len(of(actions, policy.Answer)) <= 1
+            assert (
+                len(actions_of_type(actions, policy.Reject)) == 1
+                and len(actions_of_type(actions, policy.Answer)) <= 1
+            )
             assert not isinstance(
                 [action for action in actions if isinstance(action, policy.Answer | policy.Reject)][-1],
                 policy.Answer,
@@ -92,26 +95,26 @@
 
 def test_a_second_step_requires_all_its_parts(drive):
     driver = drive()
-    send = of(driver.query(2, [0]), policy.Send)[0]
-    assert of(driver.end(send), policy.Answer) == [policy.Answer("q1", True)]
-    second = of(
+    send = actions_of_type(driver.query(2, [0]), policy.Send)[0]
+    assert actions_of_type(driver.end(send), policy.Answer) == [policy.Answer("q1", True)]
+    second = actions_of_type(
         driver.step(5000, policy.PartArrived("q1/a", 1, 0, 0.5), policy.PartArrived("q1/b", 1, 0, 0.5)),
         policy.Send,
     )
     assert len(second) == 2 and second[0].node != second[1].node
-    assert of(driver.end(second[0]), policy.Answer) == []
-    assert of(driver.end(second[1]), policy.Answer) == [policy.Answer("q1", True)]
+    assert actions_of_type(driver.end(second[0]), policy.Answer) == []
+    assert actions_of_type(driver.end(second[1]), policy.Answer) == [policy.Answer("q1", True)]
 
 
 def test_a_query_with_a_partial_first_step_goes_on_and_is_never_marked_complete(drive):
     driver = drive()
-    sends = of(driver.query(6, [0, 1, 2, 3]), policy.Send)
+    sends = actions_of_type(driver.query(6, [0, 1, 2, 3]), policy.Send)
     driver.end(sends[0])
     driver.end(sends[1])
-    assert of(driver.wait(OBJECTIVE_US * 4 // 5), policy.Answer) == [policy.Answer("q1", False)]
-    more = of(
+    assert actions_of_type(driver.wait(OBJECTIVE_US * 4 // 5), policy.Answer) == [policy.Answer("q1", False)]
+    more = actions_of_type(
         driver.step(5000, policy.PartArrived("q1/a", 1, 0, 0.5), policy.PartArrived("q1/b", 1, 1, 0.5)),
         policy.Send,
     )
     driver.end(more[0])
-    assert of(driver.end(more[1]), policy.Answer) == [policy.Answer("q1", False)]
+    assert actions_of_type(driver.end(more[1]), policy.Answer) == [policy.Answer("q1", False)]
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -18,7 +18,7 @@
 from heathwell.testing.simulation.region_settings import RegionName
 
 from .conftest import Driver as ModuleDriver
-from .conftest import make_settings, of
+from .conftest import actions_of_type, make_settings
 
 LOCAL_NODES = [f"h{number}" for number in range(6)]
 REMOTE_NODES = [f"f{number}" for number in range(6)]
@@ -250,12 +250,12 @@
     driver = ModuleDriver(make_settings(), 3)
     driver.step(5000, policy.RestrictionUpdate(frozenset({"s0", "s1"}), frozenset({"s2"})))
     for _ in range(20):
-        [send] = of(driver.query(3, [0]), policy.Send)  # shard 0 is on s0, s1 and s2
+        [send] = actions_of_type(driver.query(3, [0]), policy.Send)  # shard 0 is on s0, s1 and s2
         assert send.node in ("s0", "s1")
         driver.end(send)
     driver.step(5000, policy.RestrictionUpdate(frozenset({"s0"}), frozenset()))
     for _ in range(20):
-        [send] = of(driver.query(3, [0]), policy.Send)
+        [send] = actions_of_type(driver.query(3, [0]), policy.Send)
         assert send.node in ("s1", "s2")
         driver.end(send)
 
@@ -265,10 +265,10 @@
     driver.step(5000, policy.RestrictionUpdate(frozenset(), frozenset({"s0", "s1"}), query_class=3))
     unrestricted_nodes = set()
     for _ in range(30):
-        [send] = of(driver.query(3, [0]), policy.Send)
+        [send] = actions_of_type(driver.query(3, [0]), policy.Send)
         assert send.node == "s2"
         driver.end(send)
-        [send] = of(driver.query(4, [0]), policy.Send)
+        [send] = actions_of_type(driver.query(4, [0]), policy.Send)
         unrestricted_nodes.add(send.node)
         driver.end(send)
     assert unrestricted_nodes == {"s0", "s1", "s2"}
--- a/tests/test_replica_selection.py
+++ b/tests/test_replica_selection.py
@@ -2,48 +2,48 @@
 
 from heathwell import policy
 
-from .conftest import OBJECTIVE_US, of
+from .conftest import OBJECTIVE_US, actions_of_type
 
 
 def test_only_the_required_parts_are_sent_and_the_query_is_answered_once_they_are_received(drive):
     driver = drive()
-    sends = of(driver.query(0, [0, 1, 2, 3]), policy.Send)
+    sends = actions_of_type(driver.query(0, [0, 1, 2, 3]), policy.Send)
     assert len(sends) == 3
-    assert of(driver.end(sends[0]), policy.Answer) == []
-    assert of(driver.end(sends[1]), policy.Answer) == []
-    assert of(driver.end(sends[2]), policy.Answer) == [policy.Answer("q1", True)]
+    assert actions_of_type(driver.end(sends[0]), policy.Answer) == []
+    assert actions_of_type(driver.end(sends[1]), policy.Answer) == []
+    assert actions_of_type(driver.end(sends[2]), policy.Answer) == [policy.Answer("q1", True)]
 
 
 def test_a_part_in_flight_adds_to_the_load_before_the_next_part_of_the_batch_is_placed(drive):
     driver = drive()
-    sends = of(driver.query(1, [0, 0, 0]), policy.Send)
+    sends = actions_of_type(driver.query(1, [0, 0, 0]), policy.Send)
     assert len({send.node for send in sends}) == 3
     assert {send.node for send in sends} == {"s0", "s1", "s2"}
 
 
 def test_a_late_part_is_hedged_by_an_unsent_part_and_stays_in_flight(drive):
     driver = drive()
-    sends = of(driver.query(0, [0, 1, 2, 3]), policy.Send)
+    sends = actions_of_type(driver.query(0, [0, 1, 2, 3]), policy.Send)
     for send in sends[:2]:
         driver.end(send)
     actions = driver.wait(OBJECTIVE_US // 2 + 10_000)
-    hedges = of(actions, policy.Send)
+    hedges = actions_of_type(actions, policy.Send)
     assert len(hedges) == 1
     assert hedges[0].id not in {send.id for send in sends}
-    assert of(actions, policy.Cancel) == []
-    assert of(driver.end(hedges[0]), policy.Answer) == [policy.Answer("q1", True)]
+    assert actions_of_type(actions, policy.Cancel) == []
+    assert actions_of_type(driver.end(hedges[0]), policy.Answer) == [policy.Answer("q1", True)]
 
 
 def test_a_failed_part_is_retried_at_another_replica(drive):
     driver = drive()
-    send = of(driver.query(1, [0]), policy.Send)[0]
-    retries = of(driver.end(send, policy.Outcome.ERROR), policy.Send)
+    send = actions_of_type(driver.query(1, [0]), policy.Send)[0]
+    retries = actions_of_type(driver.end(send, policy.Outcome.ERROR), policy.Send)
     assert len(retries) == 1 and retries[0].node != send.node
 
 
 def attempt_reasons(actions):
     """Return the reason of each attempt that is sent, and whether it counts as an additional attempt."""
-    return [(send.reason, send.is_additional) for send in of(actions, policy.Send)]
+    return [(send.reason, send.is_additional) for send in actions_of_type(actions, policy.Send)]
 
 
 def test_each_attempt_states_its_reason(drive):
@@ -67,5 +67,5 @@
     assert attempt_reasons(moved.wait(OBJECTIVE_US // 2 + 10_000)) == [(cancelled, True)]
 
     failed = drive()
-    (send,) = of(failed.query(1, [0]), policy.Send)
+    (send,) = actions_of_type(failed.query(1, [0]), policy.Send)
     assert attempt_reasons(failed.end(send, policy.Outcome.ERROR)) == [(retry, True)]
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -4,42 +4,42 @@
 
 from heathwell import policy
 
-from .conftest import OBJECTIVE_US, of, warm_up
+from .conftest import OBJECTIVE_US, actions_of_type, warm_up
 
 
 def test_a_non_idempotent_part_that_may_have_run_is_not_retried_and_its_query_fails(drive):
     driver = drive(hedging_allowed=True, cancellation_allowed=True)
-    send = of(driver.query(4, [0]), policy.Send)[0]
+    send = actions_of_type(driver.query(4, [0]), policy.Send)[0]
     actions = driver.end(send, policy.Outcome.ERROR)  # at once: no response is pending
-    assert of(actions, policy.Send) == [] and of(actions, policy.Reject) == []
-    assert of(actions, policy.Fail) == [policy.Fail("q1")]
+    assert actions_of_type(actions, policy.Send) == [] and actions_of_type(actions, policy.Reject) == []
+    assert actions_of_type(actions, policy.Fail) == [policy.Fail("q1")]
 
 
 def test_a_non_idempotent_part_that_never_ran_is_retried_at_another_replica(drive):
     driver = drive()
-    send = of(driver.query(4, [0]), policy.Send)[0]
-    retries = of(driver.end(send, policy.Outcome.UNREACHABLE), policy.Send)
+    send = actions_of_type(driver.query(4, [0]), policy.Send)[0]
+    retries = actions_of_type(driver.end(send, policy.Outcome.UNREACHABLE), policy.Send)
     assert len(retries) == 1 and retries[0].node != send.node
 
 
 def test_a_keyed_part_is_cancelled_and_sent_again_within_its_idempotency_window_only(drive):
     driver = drive(cancellation_allowed=True)
-    send = of(driver.query(3, [0]), policy.Send)[0]
+    send = actions_of_type(driver.query(3, [0]), policy.Send)[0]
     actions = driver.wait(OBJECTIVE_US // 2 + 10_000)
-    assert of(actions, policy.Cancel) == [policy.Cancel(send.id, 0)]
-    retries = of(actions, policy.Send)
+    assert actions_of_type(actions, policy.Cancel) == [policy.Cancel(send.id, 0)]
+    retries = actions_of_type(actions, policy.Send)
     assert len(retries) == 1 and retries[0].node != send.node
-    assert of(driver.wait(OBJECTIVE_US), policy.Send) == []
-    assert of(driver.end(retries[0], policy.Outcome.ERROR, seq=1), policy.Send) == []
+    assert actions_of_type(driver.wait(OBJECTIVE_US), policy.Send) == []
+    assert actions_of_type(driver.end(retries[0], policy.Outcome.ERROR, seq=1), policy.Send) == []
 
 
 def test_a_late_part_without_an_unsent_part_is_hedged_at_another_replica_where_allowed(drive):
     driver = drive(hedging_allowed=True, cancellation_allowed=True)
-    send = of(driver.query(1, [0]), policy.Send)[0]
+    send = actions_of_type(driver.query(1, [0]), policy.Send)[0]
     actions = driver.wait(OBJECTIVE_US // 2 + 10_000)
-    hedges = of(actions, policy.Send)
+    hedges = actions_of_type(actions, policy.Send)
     assert [hedge.id for hedge in hedges] == [send.id] and hedges[0].node != send.node
-    assert of(actions, policy.Cancel) == []
+    assert actions_of_type(actions, policy.Cancel) == []
 
 
 def test_additional_attempts_stay_within_the_attempt_budget_of_the_settings(drive):
@@ -48,8 +48,8 @@
     )
     retries = 0
     for _ in range(6):
-        send = of(driver.query(1, [0]), policy.Send)[0]
-        retries += len(of(driver.end(send, policy.Outcome.ERROR), policy.Send))
+        send = actions_of_type(driver.query(1, [0]), policy.Send)[0]
+        retries += len(actions_of_type(driver.end(send, policy.Outcome.ERROR), policy.Send))
     assert retries == 2
 
 
@@ -57,8 +57,8 @@
     driver = drive()
     retries = 0
     for job in range(60):
-        for send in of(driver.query(1, [job % 6]), policy.Send):
-            retries += len(of(driver.end(send, policy.Outcome.ERROR), policy.Send))
+        for send in actions_of_type(driver.query(1, [job % 6]), policy.Send):
+            retries += len(actions_of_type(driver.end(send, policy.Outcome.ERROR), policy.Send))
     assert 0 < retries <= 16
 
 
@@ -67,7 +67,7 @@
     warm_up(driver, rounds=3)
     attempt_count = 0
     for _ in range(20):
-        for send in of(driver.query(1, [0]), policy.Send):
+        for send in actions_of_type(driver.query(1, [0]), policy.Send):
             attempt_count += send.node == "s0"
             driver.end(
                 send, policy.Outcome.ERROR if send.node == "s0" else policy.Outcome.OK, latency_us=20_000
@@ -78,22 +78,24 @@
 def test_attempts_of_a_disconnected_client_are_cancelled(drive):
     """Endpoints must not work for a client that disconnected long before its deadline."""
     driver = drive(cancellation_allowed=True)
-    sends = of(driver.query(1, [0, 1]), policy.Send)
+    sends = actions_of_type(driver.query(1, [0, 1]), policy.Send)
     driver.step(200_000)
     actions = driver.step(5000, policy.ClientDisconnected("q1"))
-    assert {cancel.id for cancel in of(actions, policy.Cancel)} == {send.id for send in sends}
+    assert {cancel.id for cancel in actions_of_type(actions, policy.Cancel)} == {send.id for send in sends}
 
 
 def test_a_late_part_is_cancelled_only_where_a_later_attempt_at_its_endpoint_was_answered_first(drive):
     """An endpoint that answers in order still has the part in its queue; one that does not has lost it."""
     for overtaken in (False, True):
         driver = drive(cancellation_allowed=True, endpoint_count=6)
-        early = of(driver.query(1, [0, 0, 0]), policy.Send)
-        sends = of(driver.query(1, [0, 0, 0]), policy.Send)
+        early = actions_of_type(driver.query(1, [0, 0, 0]), policy.Send)
+        sends = actions_of_type(driver.query(1, [0, 0, 0]), policy.Send)
         later = next(send for send in sends if send.node == early[0].node)
         unanswered = early[0] if overtaken else later
         answered = later if overtaken else early[0]
         actions = driver.wait(OBJECTIVE_US // 4)
         actions += driver.end(answered, latency_us=OBJECTIVE_US // 4)
         actions += driver.wait(OBJECTIVE_US // 4 + 20_000)
-        assert (unanswered.id in {cancel.id for cancel in of(actions, policy.Cancel)}) == overtaken
+        assert (
+            unanswered.id in {cancel.id for cancel in actions_of_type(actions, policy.Cancel)}
+        ) == overtaken
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -4,7 +4,7 @@
 
 from heathwell import policy
 
-from .conftest import OBJECTIVE_US, entry, of, warm_up
+from .conftest import OBJECTIVE_US, actions_of_type, entry, warm_up
 
 
 def test_draining_and_removed_endpoints_receive_no_attempts(drive):
@@ -17,13 +17,13 @@
         ),
     )
     for _ in range(9):
-        for send in of(driver.query(1, [0]), policy.Send):
+        for send in actions_of_type(driver.query(1, [0]), policy.Send):
             assert send.node == "s2"
             driver.end(send)
     driver.step(
         5000, policy.EndpointUpdate(policy.UpdateKind.FULL, tuple(entry(index) for index in (0, 3, 4, 5)))
     )
-    assert {send.node for send in of(driver.query(1, [0]), policy.Send)} == {"s0"}
+    assert {send.node for send in actions_of_type(driver.query(1, [0]), policy.Send)} == {"s0"}
 
 
 def test_an_endpoint_in_slow_start_receives_only_this_aggregators_fraction_of_its_ramp(drive):
@@ -38,7 +38,7 @@
     sent_count = 0
     start_us = driver.now_us
     while driver.now_us < start_us + 900_000:
-        for send in of(driver.query(1, [0]), policy.Send):
+        for send in actions_of_type(driver.query(1, [0]), policy.Send):
             sent_count += send.node == "s0"
             driver.end(send, after_us=20_000, latency_us=20_000)
     # An endpoint answered 6.7 parts a second before; 2 aggregators x 0.2 to 0.27 of that is 2.7 to 3.6,
@@ -65,7 +65,7 @@
                 policy.UpdateKind.INCREMENTAL, (entry(0, started_at_us=driver.now_us - 10_000),)
             ),
         )
-        sends = [send for _ in range(4) for send in of(driver.query(1, [0] * 3), policy.Send)]
+        sends = [send for _ in range(4) for send in actions_of_type(driver.query(1, [0] * 3), policy.Send)]
         attempt_counts.append(sum(send.node == "s0" for send in sends))
     assert attempt_counts[1] <= attempt_counts[0] + 1 <= 3
 
@@ -85,6 +85,6 @@
             ),
         )
         first_attempts += sum(
-            send.node != "s2" for _ in range(3) for send in of(driver.query(1, [0]), policy.Send)
+            send.node != "s2" for _ in range(3) for send in actions_of_type(driver.query(1, [0]), policy.Send)
         )
     assert first_attempts <= 30
