--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -93,7 +93,7 @@
     return policy.EndpointEntry(f"s{index}", index, state, started_at_us)
 
 
-class Driver:
+class AggregatorDriver:
     """Passes events to one aggregator on a clock of its own and returns the actions.
 
     Construction passes a complete list of `endpoint_count` endpoints, one in each replica group;
@@ -183,11 +183,11 @@
 
 
 @pytest.fixture
-def drive() -> Callable[..., Driver]:
+def make_driver() -> Callable[..., AggregatorDriver]:
     """Return a function that builds a driver on the settings of `make_settings` with changes."""
 
-    def build(seed: int = 1, endpoint_count: int | None = None, **changes: object) -> Driver:
+    def build(seed: int = 1, endpoint_count: int | None = None, **changes: object) -> AggregatorDriver:
         """Return a driver at the start of its clock, with `endpoint_count` endpoints listed."""
-        return Driver(make_settings(**changes), seed, endpoint_count)
+        return AggregatorDriver(make_settings(**changes), seed, endpoint_count)
 
     return build
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -16,7 +16,7 @@
 
 from heathwell import Aggregator, Settings, policy
 
-from .conftest import Driver, actions_of_type, make_settings
+from .conftest import AggregatorDriver, actions_of_type, make_settings
 
 ROOT = Path(__file__).parent.parent
 
@@ -185,7 +185,7 @@
 
 def actions_of_thirty_queries(seed: int) -> list[list[policy.Action]]:
     """Return the actions of each batch where a driver sends thirty queries and answers two parts of each."""
-    driver = Driver(make_settings(), seed)
+    driver = AggregatorDriver(make_settings(), seed)
     actions = []
     for job in range(30):
         actions.append(driver.query(job % 3, [0, 1, 2, 3]))
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -15,23 +15,23 @@
                 driver.end(send, after_us=120_000, latency_us=1_500_000 if send.node in slow else 50_000)
 
 
-def test_where_clients_mark_retries_only_a_marked_query_is_taken_for_one(drive):
+def test_where_clients_mark_retries_only_a_marked_query_is_taken_for_one(make_driver):
     """A short deadline alone does not make a query a retry."""
     for marks_retries, is_retry, objective_us in (
         (True, False, OBJECTIVE_US),
         (True, True, OBJECTIVE_US // 2),
         (False, False, OBJECTIVE_US // 2),
     ):
-        driver = drive(clients_mark_retries=marks_retries)
+        driver = make_driver(clients_mark_retries=marks_retries)
         driver.query(1, [0])
         driver.query(1, [0], timeout_us=OBJECTIVE_US * 3 // 2, is_retry=is_retry)
         assert driver.aggregator.queries["q2"].objective_at_us == driver.now_us + objective_us
 
 
-def test_the_expected_latency_of_a_query_grows_with_its_number_of_parts(drive):
+def test_the_expected_latency_of_a_query_grows_with_its_number_of_parts(make_driver):
     """The slowest of many parts is later than that of few: a percentile over all latencies hides it."""
     for parts, is_rejected in ((4, False), (60, True)):
-        driver = drive(overload_multiple=0.0)
+        driver = make_driver(overload_multiple=0.0)
         for _ in range(15):
             for send in actions_of_type(driver.query(1, [0]), policy.Send):
                 driver.end(send, after_us=90_000, latency_us=300_000)
@@ -41,9 +41,9 @@
         )
 
 
-def test_a_query_that_needs_a_slow_shard_is_rejected_and_others_are_admitted(drive):
+def test_a_query_that_needs_a_slow_shard_is_rejected_and_others_are_admitted(make_driver):
     """The latencies of the shard decide, not a percentile over those of all shards."""
-    driver = drive()
+    driver = make_driver()
     answer_shard_0_slowly(driver)
     assert len(actions_of_type(driver.query(1, [0, 3]), policy.Reject)) == 1
     assert (
@@ -52,9 +52,9 @@
     )
 
 
-def test_an_endpoint_that_responds_seldom_is_judged_by_its_latest_responses(drive):
+def test_an_endpoint_that_responds_seldom_is_judged_by_its_latest_responses(make_driver):
     """An average over a count of responses would span 25 s at this rate."""
-    driver = drive(replica_groups=3, shards=3)
+    driver = make_driver(replica_groups=3, shards=3)
     warm_up(driver, shards=range(3), rounds=4)
     for latency_us in (20_000, 20_000, 400_000):
         driver.wait(2 * OBJECTIVE_US)
@@ -63,9 +63,9 @@
     assert all(actions_of_type(driver.query(1, [0]), policy.Send)[0].node != send.node for _ in range(2))
 
 
-def test_responses_delayed_by_a_hang_do_not_cause_rejections_after_it(drive):
+def test_responses_delayed_by_a_hang_do_not_cause_rejections_after_it(make_driver):
     """The latency of an attempt that was sent long ago is no evidence of the present one."""
-    driver = drive(overload_multiple=0.0)
+    driver = make_driver(overload_multiple=0.0)
     for shard in [*range(6)] * 2:
         driver.end(
             actions_of_type(driver.query(0, [shard]), policy.Send)[0], after_us=200_000, latency_us=50_000
@@ -81,11 +81,11 @@
     assert actions_of_type(driver.query(0, [0, 1, 2, 3]), policy.Reject) == []
 
 
-def test_retry_after_is_spread_by_jitter_up_to_a_small_maximum(drive):
+def test_retry_after_is_spread_by_jitter_up_to_a_small_maximum(make_driver):
     """Limited to the maximum only after the jitter, all clients would retry at the same instant."""
     retry_after_us = set()
     for seed in range(6):
-        driver = drive(seed=seed, retry_advice_allowed=True, max_retry_after_us=300_000)
+        driver = make_driver(seed=seed, retry_advice_allowed=True, max_retry_after_us=300_000)
         driver.query(1, [0], timeout_us=OBJECTIVE_US // 2)
         retry_after_us |= {
             reject.retry_after_us for reject in actions_of_type(driver.wait(OBJECTIVE_US // 2), policy.Reject)
@@ -93,21 +93,21 @@
     assert len(retry_after_us) == 6 and max(retry_after_us) <= 300_000
 
 
-def test_a_second_step_is_not_expected_to_take_as_long_as_a_first_step_of_many_parts(drive):
+def test_a_second_step_is_not_expected_to_take_as_long_as_a_first_step_of_many_parts(make_driver):
     """Large second steps must not cause the next query to be rejected."""
-    driver = drive(overload_multiple=0.0)
+    driver = make_driver(overload_multiple=0.0)
     for _ in range(15):
         for send in actions_of_type(driver.query(2, [0]), policy.Send):
             driver.end(send, after_us=90_000, latency_us=150_000)
     assert actions_of_type(driver.query(2, [number % 6 for number in range(20)]), policy.Reject) == []
 
 
-def test_overload_sheds_the_class_of_least_priority_weight_first(drive):
+def test_overload_sheds_the_class_of_least_priority_weight_first(make_driver):
     classes = (
         policy.QueryClass("dear", OBJECTIVE_US, 2 * OBJECTIVE_US, priority_weight=4.0),
         policy.QueryClass("cheap", OBJECTIVE_US, 2 * OBJECTIVE_US, priority_weight=1.0),
     )
-    driver = drive(classes=classes, weight_by_work=True)
+    driver = make_driver(classes=classes, weight_by_work=True)
     rejected = {0: 0, 1: 0}
     in_flight = []
     for turn in range(600):
@@ -121,8 +121,8 @@
     assert rejected[1] > 20
 
 
-def test_a_tenant_over_its_quota_is_shed_first(drive):
-    driver = drive(
+def test_a_tenant_over_its_quota_is_shed_first(make_driver):
+    driver = make_driver(
         tenants=(policy.Tenant("in", 1000.0), policy.Tenant("over", 1.0)),
         over_quota_weight=0.1,
         weight_by_work=True,
@@ -138,8 +138,8 @@
     assert rejected[1] > 2 * rejected[0]
 
 
-def test_a_retry_with_a_shortened_timeout_has_its_objective_from_the_first_attempt_of_its_client(drive):
-    driver = drive()
+def test_a_retry_with_a_shortened_timeout_has_its_objective_from_the_first_attempt_of_its_client(make_driver):
+    driver = make_driver()
     driver.query(1, [0], timeout_us=2 * OBJECTIVE_US)
     driver.query(1, [1], timeout_us=OBJECTIVE_US + OBJECTIVE_US // 2)
     driver.query(1, [2], timeout_us=OBJECTIVE_US // 2)
@@ -149,11 +149,11 @@
     assert objectives_us == [OBJECTIVE_US, OBJECTIVE_US // 2, -OBJECTIVE_US // 2]
 
 
-def test_an_aggregator_with_few_parts_in_flight_sheds_by_recent_latencies(drive):
+def test_an_aggregator_with_few_parts_in_flight_sheds_by_recent_latencies(make_driver):
     """Overload that in-flight counts do not show: few parts at each endpoint, all of them slow."""
     rejected = {}
     for latency_us in (40_000, 900_000):
-        driver = drive(seed=3, replica_groups=60, shards=60)
+        driver = make_driver(seed=3, replica_groups=60, shards=60)
         in_flight = []
         count = 0
         for turn in range(200):
@@ -166,9 +166,9 @@
     assert rejected[40_000] == 0 and rejected[900_000] > 20
 
 
-def test_a_query_for_a_shard_with_slow_busy_replicas_is_rejected_while_others_are_admitted(drive):
+def test_a_query_for_a_shard_with_slow_busy_replicas_is_rejected_while_others_are_admitted(make_driver):
     """The other replicas of the shard are gone, so the last one holds up every query that needs it."""
-    driver = drive()
+    driver = make_driver()
     driver.step(
         0,
         policy.EndpointUpdate(
@@ -186,9 +186,9 @@
     assert len(actions_of_type(driver.query(1, [3]), policy.Send)) == 1
 
 
-def test_one_large_work_hint_does_not_dominate_the_mean_latency(drive):
+def test_one_large_work_hint_does_not_dominate_the_mean_latency(make_driver):
     """The mean latency is a mean over responses, not a rate for each unit of hinted work."""
-    driver = drive()
+    driver = make_driver()
     for job in range(30):
         work_hint_us = 1_000 if job % 10 == 0 else 100_000
         driver.query_count += 1
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -2,14 +2,14 @@
 
 from heathwell import benchlink, policy
 
-from .conftest import OBJECTIVE_US, Driver, actions_of_type, make_settings
+from .conftest import OBJECTIVE_US, AggregatorDriver, actions_of_type, make_settings
 
 ENDPOINT_COUNT = 60
 
 
-def low_traffic_driver() -> Driver:
+def low_traffic_driver() -> AggregatorDriver:
     """Return a driver of 60 endpoints with about four responses in each latency objective, all healthy."""
-    driver = Driver(
+    driver = AggregatorDriver(
         make_settings(shards=ENDPOINT_COUNT, replica_groups=ENDPOINT_COUNT, slow_start_duration_us=60_000_000)
     )
     for number in range(40):
@@ -20,14 +20,14 @@
     return driver
 
 
-def endpoint_serving(driver: Driver, shard: int, after: int) -> str:
+def endpoint_serving(driver: AggregatorDriver, shard: int, after: int) -> str:
     """Return the endpoint that a part of this shard is sent to; it responds at once."""
     (send,) = actions_of_type(driver.query(1, [shard], after_us=after), policy.Send)
     driver.end(send)
     return send.node
 
 
-def reject_parts(driver: Driver, node: str, times: int) -> list[str]:
+def reject_parts(driver: AggregatorDriver, node: str, times: int) -> list[str]:
     """Reject parts at one endpoint, `times` in all, and answer all others; return the operator log lines."""
     lines: list[str] = []
     while times:
@@ -85,14 +85,14 @@
 
 
 def test_an_aggregator_with_frequent_samples_has_a_memory_of_one_latency_objective():
-    driver = Driver(make_settings())
+    driver = AggregatorDriver(make_settings())
     for number in range(400):
         for send in actions_of_type(driver.query(1, [number % 6], after_us=5_000), policy.Send):
             driver.end(send)
     assert driver.aggregator.latency.memory_us(1.0) == OBJECTIVE_US
 
 
-def exhaust_retry_budget(driver: Driver) -> None:
+def exhaust_retry_budget(driver: AggregatorDriver) -> None:
     """Spend all tokens of the aggregator's own retry budget."""
     driver.aggregator.retry_budget.bucket.tokens = 0.0
 
@@ -130,7 +130,7 @@
     """A memory of three times the interval between attempts would keep the penalty of a cancelled attempt for
     three objectives, and healthy endpoints would be avoided.
     """
-    driver = Driver(make_settings(shards=6, replica_groups=6, slow_start_duration_us=60_000_000))
+    driver = AggregatorDriver(make_settings(shards=6, replica_groups=6, slow_start_duration_us=60_000_000))
     for number in range(60):
         for send in actions_of_type(driver.query(1, [number % 6], after_us=OBJECTIVE_US // 8), policy.Send):
             driver.end(send)
--- a/tests/test_module_rules.py
+++ b/tests/test_module_rules.py
@@ -7,18 +7,18 @@
 from .conftest import OBJECTIVE_US, actions_of_type
 
 
-def test_poll_mode_watches_endpoints_and_polls_again_after_each_failure(drive):
-    driver = drive(poll_mode=True, poll_within_us=10 * OBJECTIVE_US)
+def test_poll_mode_watches_endpoints_and_polls_again_after_each_failure(make_driver):
+    driver = make_driver(poll_mode=True, poll_within_us=10 * OBJECTIVE_US)
     assert len(actions_of_type(driver.initial_actions, policy.WatchEndpoints)) == 1
     for _ in range(6):
         driver.step(5000, policy.EndpointUpdate(policy.UpdateKind.FAILED))
         assert len(actions_of_type(driver.wait(5 * OBJECTIVE_US), policy.WatchEndpoints)) == 1
-    watching = drive()
+    watching = make_driver()
     assert actions_of_type(watching.initial_actions, policy.WatchEndpoints) == []
 
 
-def test_events_of_unknown_parts_queries_and_endpoints_are_ignored(drive):
-    driver = drive()
+def test_events_of_unknown_parts_queries_and_endpoints_are_ignored(make_driver):
+    driver = make_driver()
     assert (
         driver.step(
             5000,
@@ -32,14 +32,14 @@
     )
 
 
-def test_parts_of_one_call_count_as_one_in_the_load_of_an_endpoint(drive):
-    driver = drive(endpoint_count=1, replica_groups=1, groups_per_shard=1, shards=1, parts_per_call=4)
+def test_parts_of_one_call_count_as_one_in_the_load_of_an_endpoint(make_driver):
+    driver = make_driver(endpoint_count=1, replica_groups=1, groups_per_shard=1, shards=1, parts_per_call=4)
     driver.query(1, [0, 0, 0, 0])
     assert driver.aggregator.load.load(driver.aggregator.endpoints["s0"]) == 1
 
 
-def test_a_poll_of_discovery_without_an_update_is_repeated(drive):
-    driver = drive(poll_mode=True, poll_within_us=10 * OBJECTIVE_US)
+def test_a_poll_of_discovery_without_an_update_is_repeated(make_driver):
+    driver = make_driver(poll_mode=True, poll_within_us=10 * OBJECTIVE_US)
     assert len(actions_of_type(driver.wait(5 * OBJECTIVE_US), policy.WatchEndpoints)) == 1
     driver.step(5000, policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL))
     assert actions_of_type(driver.wait(20 * OBJECTIVE_US), policy.WatchEndpoints) == []
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -7,9 +7,9 @@
 from .conftest import OBJECTIVE_US, actions_of_type, warm_up
 
 
-def test_a_query_that_broke_a_connection_next_sends_a_part_of_another_shard(drive):
+def test_a_query_that_broke_a_connection_next_sends_a_part_of_another_shard(make_driver):
     """A query of death must not break both replicas of a shard that has two."""
-    driver = drive(overload_multiple=0.0)
+    driver = make_driver(overload_multiple=0.0)
     warm_up(driver, rounds=2)
     # A crash is recent from here on.
     driver.end(actions_of_type(driver.query(1, [5]), policy.Send)[0], policy.Outcome.BROKEN)
@@ -21,9 +21,9 @@
     assert [send.id for send in more] == [first[0].id]  # cleared by a response, the broken part is sent again
 
 
-def test_one_fast_response_does_not_clear_the_relative_latency_of_a_slow_endpoint(drive):
+def test_one_fast_response_does_not_clear_the_relative_latency_of_a_slow_endpoint(make_driver):
     """The relative latency fades with time and is not replaced by a single sample."""
-    driver = drive(overload_multiple=0.0)
+    driver = make_driver(overload_multiple=0.0)
     warm_up(driver)
     endpoint = driver.aggregator.endpoints["s0"]
     endpoint.relative_latency.value = 8.0  # as after a run of slow responses
@@ -42,9 +42,9 @@
     assert endpoint.relative_latency.value - 1 > 0.8 * (before - 1) > 1
 
 
-def test_errors_of_one_query_class_eject_an_endpoint_for_that_class_alone(drive):
-    single = drive(endpoint_count=1, replica_groups=1, groups_per_shard=1, shards=1)
-    several = drive()
+def test_errors_of_one_query_class_eject_an_endpoint_for_that_class_alone(make_driver):
+    single = make_driver(endpoint_count=1, replica_groups=1, groups_per_shard=1, shards=1)
+    several = make_driver()
     for driver in (single, several):
         for _ in range(3):
             for send in actions_of_type(driver.query(1, [0]), policy.Send):
@@ -59,8 +59,8 @@
     assert all(classes == {1} for classes in ejected_classes.values())
 
 
-def test_an_endpoint_without_responses_is_ejected_probed_and_gets_one_half_open_trial(drive):
-    driver = drive(probing_allowed=True)
+def test_an_endpoint_without_responses_is_ejected_probed_and_gets_one_half_open_trial(make_driver):
+    driver = make_driver(probing_allowed=True)
     warm_up(driver)
     actions = []
     attempt_count = 0
@@ -85,9 +85,9 @@
     assert nodes.count("s0") == 1
 
 
-def test_a_query_of_death_is_held_then_abandoned_and_a_response_clears_it(drive):
+def test_a_query_of_death_is_held_then_abandoned_and_a_response_clears_it(make_driver):
     """A query whose parts crash the endpoints that run them must not reach all endpoints of the fleet."""
-    driver = drive()
+    driver = make_driver()
     sends = actions_of_type(driver.query(1, [0, 2, 4]), policy.Send)
     assert len(sends) == 3
     assert actions_of_type(driver.end(sends[0], policy.Outcome.BROKEN), policy.Send) == []
@@ -95,15 +95,15 @@
     assert actions_of_type(driver.end(sends[2], policy.Outcome.BROKEN), policy.Reject) == [
         policy.Reject("q1", reason=policy.EndReason.QUERY_OF_DEATH)
     ]
-    cleared = drive()
+    cleared = make_driver()
     sends = actions_of_type(cleared.query(1, [0, 2, 4]), policy.Send)
     assert actions_of_type(cleared.end(sends[0], policy.Outcome.BROKEN), policy.Send) == []
     assert [send.id for send in actions_of_type(cleared.end(sends[1]), policy.Send)] == [sends[0].id]
 
 
-def test_after_a_crash_one_part_is_sent_as_a_canary_and_the_others_once_it_is_answered(drive):
+def test_after_a_crash_one_part_is_sent_as_a_canary_and_the_others_once_it_is_answered(make_driver):
     """A query of death then breaks one endpoint, not as many as it has parts."""
-    driver = drive()
+    driver = make_driver()
     driver.end(actions_of_type(driver.query(1, [0]), policy.Send)[0], policy.Outcome.BROKEN)
     first = actions_of_type(driver.query(0, [1, 2, 3, 4]), policy.Send)
     assert len(first) == 1
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -17,8 +17,7 @@
 )
 from heathwell.testing.simulation.region_settings import RegionName
 
-from .conftest import Driver as ModuleDriver
-from .conftest import actions_of_type, make_settings
+from .conftest import AggregatorDriver, actions_of_type, make_settings
 
 LOCAL_NODES = [f"h{number}" for number in range(6)]
 REMOTE_NODES = [f"f{number}" for number in range(6)]
@@ -247,7 +246,7 @@
 
 
 def test_the_module_follows_restrictions_on_endpoints():
-    driver = ModuleDriver(make_settings(), 3)
+    driver = AggregatorDriver(make_settings(), 3)
     driver.step(5000, policy.RestrictionUpdate(frozenset({"s0", "s1"}), frozenset({"s2"})))
     for _ in range(20):
         [send] = actions_of_type(driver.query(3, [0]), policy.Send)  # shard 0 is on s0, s1 and s2
@@ -261,7 +260,7 @@
 
 
 def test_restrictions_may_apply_to_one_class_alone():
-    driver = ModuleDriver(make_settings(), 4)
+    driver = AggregatorDriver(make_settings(), 4)
     driver.step(5000, policy.RestrictionUpdate(frozenset(), frozenset({"s0", "s1"}), query_class=3))
     unrestricted_nodes = set()
     for _ in range(30):
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,8 +7,8 @@
 from .conftest import OBJECTIVE_US, actions_of_type, entry, warm_up
 
 
-def test_draining_and_removed_endpoints_receive_no_attempts(drive):
-    driver = drive()
+def test_draining_and_removed_endpoints_receive_no_attempts(make_driver):
+    driver = make_driver()
     driver.step(
         5000,
         policy.EndpointUpdate(
@@ -26,8 +26,8 @@
     assert {send.node for send in actions_of_type(driver.query(1, [0]), policy.Send)} == {"s0"}
 
 
-def test_an_endpoint_in_slow_start_receives_only_this_aggregators_fraction_of_its_ramp(drive):
-    driver = drive(aggregator_count=2)
+def test_an_endpoint_in_slow_start_receives_only_this_aggregators_fraction_of_its_ramp(make_driver):
+    driver = make_driver(aggregator_count=2)
     warm_up(driver)
     driver.step(
         0,
@@ -46,11 +46,11 @@
     assert 1 <= sent_count <= 3
 
 
-def test_removed_endpoints_do_not_raise_the_slow_start_capacity_of_the_others(drive):
+def test_removed_endpoints_do_not_raise_the_slow_start_capacity_of_the_others(make_driver):
     """The capacity of an endpoint in slow start is not measured by how few endpoints are left."""
     attempt_counts = []
     for removed in ((), (2, 3, 4, 5)):
-        driver = drive()
+        driver = make_driver()
         warm_up(driver)
         driver.step(
             0,
@@ -70,11 +70,11 @@
     assert attempt_counts[1] <= attempt_counts[0] + 1 <= 3
 
 
-def test_many_small_aggregators_do_not_all_send_a_new_endpoint_its_first_attempt(drive):
+def test_many_small_aggregators_do_not_all_send_a_new_endpoint_its_first_attempt(make_driver):
     """The credit of each aggregator is far under one attempt, and that of all together is a few."""
     first_attempts = 0
     for seed in range(40):
-        driver = drive(seed=seed)
+        driver = make_driver(seed=seed)
         warm_up(driver, rounds=2)
         driver.wait(2 * OBJECTIVE_US)
         driver.step(
