--- a/heathwell/gateway/settings_from_platform.py
+++ b/heathwell/gateway/settings_from_platform.py
@@ -135,7 +135,7 @@
         additional_attempt_ratio=float(rules.get("further-ratio") or 0.0),
         attempt_budget_window_us=int(rules.get("counted-over-us") or 0),
         endpoints_cache_keys=bool(deployment.get("warm-keys")),
-        weight_by_work=setup.get("value-by") == WEIGHT_BY_WORK_WORD,
+        priority_scales_with_work=setup.get("value-by") == WEIGHT_BY_WORK_WORD,
         over_quota_weight=float(setup.get("over-share-worth", 1.0)),
         tenants=tuple(_tenants(setup)),
     )
--- a/heathwell/policy/load_shedding.py
+++ b/heathwell/policy/load_shedding.py
@@ -86,7 +86,7 @@
         """Return the fraction of the latest queries that have less priority for their work."""
         density = query.spec.priority_weight * self._quota_weight(query)
         density *= 1.0 if query.objective_at_us > self._context.now_us else query.spec.late_weight
-        if not self._context.settings.weight_by_work:
+        if not self._context.settings.priority_scales_with_work:
             mean_latency_us = self._latency.mean_latency_us[query.query_class].value
             density /= max(query.work * mean_latency_us, MINIMUM_WORK)
         return self._recent_priority_densities.rank(density)
--- a/heathwell/policy/settings.py
+++ b/heathwell/policy/settings.py
@@ -131,7 +131,7 @@
     additional_attempt_ratio: float = 0.0
     attempt_budget_window_us: int = 0
     endpoints_cache_keys: bool = False
-    weight_by_work: bool = False
+    priority_scales_with_work: bool = False
     over_quota_weight: float = 1.0
     tenants: tuple[Tenant, ...] = ()
 
--- a/heathwell/service/module_settings.py
+++ b/heathwell/service/module_settings.py
@@ -41,7 +41,7 @@
         additional_attempt_ratio=rules.additional_attempt_ratio,
         attempt_budget_window_us=rules.counted_over,
         endpoints_cache_keys=limits.warm_keys,
-        weight_by_work=limits.by_work,
+        priority_scales_with_work=limits.by_work,
     )
 
 
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -107,7 +107,7 @@
         policy.QueryClass("dear", OBJECTIVE_US, 2 * OBJECTIVE_US, priority_weight=4.0),
         policy.QueryClass("cheap", OBJECTIVE_US, 2 * OBJECTIVE_US, priority_weight=1.0),
     )
-    driver = make_driver(classes=classes, weight_by_work=True)
+    driver = make_driver(classes=classes, priority_scales_with_work=True)
     rejected = {0: 0, 1: 0}
     in_flight = []
     for turn in range(600):
@@ -125,7 +125,7 @@
     driver = make_driver(
         tenants=(policy.Tenant("in", 1000.0), policy.Tenant("over", 1.0)),
         over_quota_weight=0.1,
-        weight_by_work=True,
+        priority_scales_with_work=True,
     )
     rejected = {0: 0, 1: 0}
     in_flight = []
