--- a/heathwell/gateway/config.py
+++ b/heathwell/gateway/config.py
@@ -61,7 +61,7 @@
     @property
     def hold_us(self) -> int:
         """How long a watch of discovery waits: no call is due sooner, and discovery serves many brokers."""
-        return self.settings.poll_within_us or DEFAULT_HOLD_US
+        return self.settings.max_poll_interval_us or DEFAULT_HOLD_US
 
     @property
     def node_sockets(self) -> int:
--- a/heathwell/gateway/settings_from_platform.py
+++ b/heathwell/gateway/settings_from_platform.py
@@ -123,7 +123,7 @@
         retry_advice_allowed=bool(limits.get("retry-after")),
         max_retry_after_us=int(limits.get("max-retry-after-us") or 0),
         poll_mode=setup.get("registry-mode") == POLL_MODE_WORD,
-        poll_within_us=int(rules.get("must-ask-in-us") or 0),
+        max_poll_interval_us=int(rules.get("must-ask-in-us") or 0),
         parts_per_call=int(deployment.get("parts-a-call") or 1),
         clients_mark_retries=bool(clients.get("marks-retry")),
         drain_grace_us=int(rules.get("drain-grace-us") or 0),
--- a/heathwell/policy/endpoint_table.py
+++ b/heathwell/policy/endpoint_table.py
@@ -35,7 +35,7 @@
         self.by_node: dict[str, Endpoint] = {}
         self.by_group: dict[int, list[Endpoint]] = {}
         # Pushed changes count as known at once: what a broken watch costs comes off the drain grace.
-        within_us = settings.poll_within_us if settings.poll_mode else settings.drain_grace_us
+        within_us = settings.max_poll_interval_us if settings.poll_mode else settings.drain_grace_us
         self._backoff_first_us = max(int(within_us * POLL_BACKOFF_FIRST_FRACTION), settings.tick_us)
         self._backoff_maximum_us = max(int(within_us * POLL_BACKOFF_MAXIMUM_FRACTION), settings.tick_us)
         self._backoff_us = self._backoff_first_us
--- a/heathwell/policy/settings.py
+++ b/heathwell/policy/settings.py
@@ -91,9 +91,9 @@
     ``hedging_allowed`` (two attempts of a part in flight), ``cancellation_allowed``, ``probing_allowed``,
     ``retry_advice_allowed`` up to ``max_retry_after_us``, ``parts_per_call`` parts that share a call.
 
-    Discovery: with ``poll_mode`` changes are asked for, and count as known ``poll_within_us`` after they were
-    made; otherwise they are pushed. Nothing new goes to a draining endpoint ``drain_grace_us`` after the
-    update.
+    Discovery: with ``poll_mode`` the aggregator polls for changes, which count as known
+    ``max_poll_interval_us`` after they were made; otherwise they are pushed. A draining endpoint gets no new
+    attempts later than ``drain_grace_us`` after the update that says so.
 
     Slow start: an endpoint starts with ``slow_start_capacity`` of its capacity and has all of it after
     ``slow_start_duration_us``; more than ``overload_multiple`` times its capacity for ``overload_after_us``
@@ -119,7 +119,7 @@
     retry_advice_allowed: bool = False
     max_retry_after_us: int = 0
     poll_mode: bool = False
-    poll_within_us: int = 0
+    max_poll_interval_us: int = 0
     parts_per_call: int = 1
     clients_mark_retries: bool = False
     drain_grace_us: int = 0
--- a/heathwell/service/module_settings.py
+++ b/heathwell/service/module_settings.py
@@ -28,7 +28,7 @@
         retry_advice_allowed=limits.advise,
         max_retry_after_us=limits.max_advice,
         poll_mode=service_settings.discovery.ask,
-        poll_within_us=rules.must_ask,
+        max_poll_interval_us=rules.must_ask,
         parts_per_call=limits.parts_a_call,
         # The service broker marks the queries that may be retries, by `ServiceBroker.enter_query`.
         clients_mark_retries=True,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -128,7 +128,7 @@
         tenant: int = 0,
         is_retry: bool = False,
     ) -> list[policy.Action]:
-        """Send a query with one part for each shard; the ids are `q<job>` and `q<job>/<number>`."""
+        """Send a query with one part for each shard; the ids are `q<job>` and `q<job>/<index>`."""
         self.query_count += 1
         name = f"q{self.query_count}"
         self.now_us += after_us
--- a/tests/test_module_rules.py
+++ b/tests/test_module_rules.py
@@ -8,7 +8,7 @@
 
 
 def test_poll_mode_watches_endpoints_and_polls_again_after_each_failure(make_driver):
-    driver = make_driver(poll_mode=True, poll_within_us=10 * OBJECTIVE_US)
+    driver = make_driver(poll_mode=True, max_poll_interval_us=10 * OBJECTIVE_US)
     assert len(actions_of_type(driver.initial_actions, policy.WatchEndpoints)) == 1
     for _ in range(6):
         driver.step(5000, policy.EndpointUpdate(policy.UpdateKind.FAILED))
@@ -39,7 +39,7 @@
 
 
 def test_a_poll_of_discovery_without_an_update_is_repeated(make_driver):
-    driver = make_driver(poll_mode=True, poll_within_us=10 * OBJECTIVE_US)
+    driver = make_driver(poll_mode=True, max_poll_interval_us=10 * OBJECTIVE_US)
     assert len(actions_of_type(driver.wait(5 * OBJECTIVE_US), policy.WatchEndpoints)) == 1
     driver.step(5000, policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL))
     assert actions_of_type(driver.wait(20 * OBJECTIVE_US), policy.WatchEndpoints) == []
--- a/tests/test_policy_components.py
+++ b/tests/test_policy_components.py
@@ -124,7 +124,7 @@
 
 
 def test_failed_polls_back_off_with_jitter_up_to_the_limit():
-    components = Components(poll_mode=True, poll_within_us=1_000_000)
+    components = Components(poll_mode=True, max_poll_interval_us=1_000_000)
     failed = policy.EndpointUpdate(policy.UpdateKind.FAILED)
     waits = []
     for _ in range(6):
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -172,7 +172,7 @@
         cancellation_allowed=cancelling,
         probing_allowed=probing,
         poll_mode=polling,
-        poll_within_us=10 * OBJECTIVE_US,
+        max_poll_interval_us=10 * OBJECTIVE_US,
         parts_per_call=parts_per_call,
         retry_advice_allowed=True,
         max_retry_after_us=OBJECTIVE_US // 2,
