--- a/heathwell/policy/__init__.py
+++ b/heathwell/policy/__init__.py
@@ -1,8 +1,8 @@
-"""The decisions of heathwell: pure, no input or output, no clock; the caller hands in time and a seed.
+"""The decision module of heathwell: sans-I/O and without a clock; the caller passes instants and a seed.
 
-``aggregator`` composes the components, one module each. ``settings``, ``events``, ``actions``,
-``operator_events`` and ``records`` hold types and decide nothing; this package exports those that a caller
-needs. Standard library only.
+``aggregator`` composes the components, each in its own file. ``settings``, ``events``, ``actions``,
+``operator_events`` and ``records`` define types without decisions; this package exports those that callers
+use. Standard library only.
 """
 
 from heathwell.policy.actions import (
--- a/heathwell/policy/actions.py
+++ b/heathwell/policy/actions.py
@@ -1,6 +1,6 @@
-"""What an aggregator decides, to be carried out in order.
+"""Actions that an aggregator returns; the caller carries them out in order.
 
-Types only; nothing here decides. Instants and spans are integers in microseconds on the caller's clock.
+Types only, without decisions. Instants and durations are integers in microseconds on the caller's clock.
 """
 
 from __future__ import annotations
@@ -26,21 +26,22 @@
     FIRST = "first"
     """The first attempt of a part that its query needs."""
     SUBSTITUTE = "substitute"
-    """The first attempt of a part that is sent in place of, or beside, a failed or late one."""
+    """The first attempt of a part that is sent in place of, or beside, a failed or late part."""
     HEDGE = "hedge"
-    """An attempt beside others of the same part that are in flight."""
+    """An attempt while others of the same part are in flight."""
     CANCELLED = "cancelled"
-    """An attempt after the one before it was late and cancelled."""
+    """An attempt after the previous one was late and was cancelled."""
     RETRY = "retry"
-    """An attempt after the one before it failed or never left."""
+    """An attempt after the previous one failed or was never sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
     """Send a part to an endpoint; the attempts of a part are numbered from 0 in this order.
 
-    ``slow_start`` marks an attempt to an endpoint in slow start. What still waits for its connection at
-    ``send_by_us`` must not leave any more: its class allows a repeat only up to then.
+    ``slow_start`` marks an attempt that counts against the slow-start quota of its endpoint. An attempt that
+    still waits for its connection at ``send_by_us`` must not be sent any more: its class allows a repeat only
+    up to then.
     """
 
     id: str
@@ -51,7 +52,7 @@
 
     @property
     def is_additional(self) -> bool:
-        """Whether the attempt is beyond the first ones of the parts that are needed."""
+        """Whether it is an additional attempt: any but the first one of a part that its query needs."""
         return self.reason is not AttemptReason.FIRST
 
 
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Answer from the parts that are in (the first of two answers, in a class with a second step)."""
+    """Answer a query from the parts received; in a class with a second step, the first of two answers."""
 
     id: str
     complete: bool
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """End a query: a repeat is harmless, and welcome after ``retry_after_us`` (0: no advice)."""
+    """End a query that its client may safely repeat, after ``retry_after_us`` (0: no advice)."""
 
     id: str
     retry_after_us: int = 0
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """End a query without a promise about its effect."""
+    """End a query whose parts may or may not have had an effect."""
 
     id: str
     reason: EndReason = EndReason.TOO_FEW_PARTS
@@ -90,24 +91,24 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaExhausted:
-    """Report that the quota of the fleet left no additional attempt where one was due."""
+    """Report that an additional attempt was due and the fleet's quota did not allow it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check an endpoint."""
+    """Send a health probe to an endpoint."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Ask discovery for changes from now on."""
+    """Call discovery for the changes to the endpoint list from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a :class:`~heathwell.policy.events.TimerFired` at an instant."""
+    """Set a timer; when it is due, the caller passes :class:`~heathwell.policy.events.TimerFired`."""
 
     at_us: int
     label: str
--- a/heathwell/policy/aggregator.py
+++ b/heathwell/policy/aggregator.py
@@ -1,8 +1,8 @@
 """The aggregator: composes the components of the decision module and dispatches events to them.
 
-Events of a batch are handled in order, then the step of each query that got parts is sent, then due timers
-fire. Each component is a module beside this one and owns its state; ``docs/design.md`` lists the decisions
-that depart from Batch Sampling.
+The events of a batch are handled in order; then the present step of each query that got parts is sent; then
+due timers fire. Each component is a module of this package and owns its state. ``docs/design.md`` lists the
+rules that deviate from Batch Sampling.
 """
 
 from __future__ import annotations
@@ -32,17 +32,17 @@
 from heathwell.policy.settings import Settings
 from heathwell.policy.slow_start import SlowStart
 
-TIMER_LABEL = "due"  # of the one timer that the caller holds
+TIMER_LABEL = "due"  # label of the timer that the aggregator requests from its caller; one at a time
 
 
 class Aggregator:
-    """Decides for one aggregator: :meth:`handle` takes events and returns actions.
+    """Decides for one broker: :meth:`handle` takes a batch of events and returns actions.
 
     The same settings, seed and events always give the same actions.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        # Composition alone: each component is given those before it that it uses.
+        # Each component gets the ones that it uses, all of which are created before it.
         self.context = DecisionContext(settings, seed)
         self.endpoint_table = EndpointTable(self.context)
         self.latency = LatencyModel(self.context, self.endpoint_table)
@@ -93,16 +93,16 @@
         )
         self._armed_at_us: int | None = None
 
-    # What brokers read
+    # State that brokers read
 
     @property
     def settings(self) -> Settings:
-        """The settings that the aggregator was made with."""
+        """The settings passed to the constructor."""
         return self.context.settings
 
     @property
     def random(self) -> random.Random:
-        """The source of all draws."""
+        """The random number generator of all random choices."""
         return self.context.random
 
     @property
@@ -131,7 +131,7 @@
         return self.latency.mean_latency_us
 
     def slow_start_fraction(self, endpoint: Endpoint) -> float:
-        """Return the fraction of its capacity that an endpoint has at least."""
+        """Return the fraction of an endpoint's capacity that is available in slow start; 1 outside it."""
         return self.slow_start.fraction(endpoint)
 
     # Events
@@ -180,7 +180,7 @@
                 self._armed_at_us = None
 
     def _on_restriction_update(self, event: events.RestrictionUpdate) -> None:
-        """Restrict endpoints; parts whose every live replica is excluded now are not waited for."""
+        """Restrict endpoints; stop waiting for parts whose live replicas are all excluded now."""
         self.endpoint_table.restrict(event)
         if not event.excluded:
             return
@@ -211,7 +211,7 @@
                 self.endpoint_table.on_poll_timeout()
 
     def _arm_timer(self) -> None:
-        """Request a timer event for the first due timer, unless one is requested for before it."""
+        """Request a timer for the earliest due instant, unless an earlier one has been requested."""
         next_at_us = self.context.timers.next_at_us
         if next_at_us is None:
             return
--- a/heathwell/policy/attempt_outcomes.py
+++ b/heathwell/policy/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What follows an attempt's outcome: the part counts, or is replaced, waits, or ends its query."""
+"""Outcomes of attempts: the part counts as received, is sent again, waits, or its query is abandoned."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class AttemptOutcomes:
-    """Handles outcomes of attempts and parts whose wait is over; owns no state."""
+    """Handles outcomes of attempts and the end of a part's retry wait; owns no state."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._hedger = hedger
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Record an outcome, which is ignored where the attempt is not known."""
+        """Record the outcome of an attempt; an unknown attempt is ignored."""
         attempt = self._attempts.end(event.id, event.seq, event.outcome)
         if attempt is None:
             return
@@ -50,13 +50,13 @@
             self._replace(attempt.part, event.outcome)
 
     def on_attempt_superseded(self, event: AttemptSuperseded) -> None:
-        """Count the part of an attempt in flight that can't change its query's answer any more."""
+        """Count a part as received whose response can't change its query's answer any more."""
         attempt = self._attempts.get(event.id, event.seq)
         if attempt is not None:
             self._completion.record_part(attempt.part)
 
     def on_retry_wait_ended(self, part: Part) -> None:
-        """Send a part that could not be sent before, or let it wait on, or abandon its query."""
+        """Send a part that could not be sent before; otherwise let it wait again or abandon its query."""
         part.waiting = False
         if part.done or self._sender.try_send(part) or self._rules.wait_for_budget(part):
             return
@@ -72,13 +72,13 @@
             self._sender.resume(query)
 
     def _replace(self, part: Part, outcome: Outcome) -> None:
-        """Replace a failed part: by itself where its class allows that, else by an unsent one."""
+        """Send a failed part again if its class and the budgets allow that, else an unsent part instead."""
         query = part.query
         if not self._completion.is_awaited(part) or outcome == Outcome.CANCELLED or part.in_flight():
             return
         if self._completion.hold_or_abandon_query_of_death(query):
             return
-        # A query of death must not take both replicas of a shard: another part goes first.
+        # A query of death must not crash both replicas of a shard, so a part of another shard goes first.
         if outcome == Outcome.BROKEN and not query.has_response and self._hedger.send_unsent_part(query):
             return
         if self._sender.try_send(part) or part.waiting or self._hedger.send_unsent_part(query):
--- a/heathwell/policy/attempt_table.py
+++ b/heathwell/policy/attempt_table.py
@@ -1,4 +1,4 @@
-"""Attempts in flight."""
+"""The table of attempts in flight."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AttemptTable:
-    """Owns the attempts in flight and the numbers of calls."""
+    """Owns the attempts in flight and numbers the calls that carry them."""
 
     def __init__(self, context: DecisionContext, load: LoadModel) -> None:
         self._context = context
@@ -21,7 +21,7 @@
         self._last_call_id = 0
 
     def begin(self, part: Part, endpoint: Endpoint) -> Attempt:
-        """Count an attempt of a part at an endpoint, in that endpoint's call of this instant or a new one."""
+        """Add an attempt of a part at an endpoint, in the endpoint's call of this instant or a new call."""
         parts_per_call = self._context.settings.parts_per_call
         attempt = endpoint.add_attempt(part, self._context.now_us, self._last_call_id + 1, parts_per_call)
         self._last_call_id = max(self._last_call_id, attempt.call_id)
@@ -33,9 +33,9 @@
         return self._attempts.get((part_id, seq))
 
     def end(self, part_id: str, seq: int, outcome: Outcome) -> Attempt | None:
-        """Remove an attempt that has an outcome; return it, or None where it is not known.
+        """Remove an attempt that has ended; return it, or None if it is not known.
 
-        A cancelled attempt keeps that outcome.
+        A cancelled attempt keeps the outcome CANCELLED.
         """
         attempt = self._attempts.pop((part_id, seq), None)
         if attempt is not None:
@@ -46,7 +46,7 @@
     def cancel(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt.
 
-        The endpoint may still work at it, so its load turns into a penalty that fades.
+        The endpoint may still be working on it, so its load becomes a penalty that decays.
         """
         attempt.outcome = Outcome.CANCELLED
         attempt.endpoint.release(attempt)
--- a/heathwell/policy/context.py
+++ b/heathwell/policy/context.py
@@ -1,4 +1,4 @@
-"""What the components of the decision module share: settings, clock, random source, timers, actions."""
+"""State shared by the components of the decision module: settings, clock, generator, timers, actions."""
 
 from __future__ import annotations
 
@@ -10,16 +10,18 @@
 from heathwell.policy.records import Timer, TimerKind, TimerSubject
 from heathwell.policy.settings import Settings
 
-LOG_INTERVAL_OBJECTIVES = 10  # between two operator events of one topic
-LOG_TOPICS = 64  # remembered topics above which expired ones are dropped
+# Least time between two operator events of one topic, in shortest latency objectives.
+LOG_INTERVAL_OBJECTIVES = 10
+# Number of stored topics from which expired ones are dropped.
+LOG_TOPICS = 64
 
 
 class DecisionContext:
     """The state of one aggregator that belongs to no single component.
 
     ``now_us`` is the instant of the present batch and ``started_at_us`` that of the first one (None before
-    it). Components append to ``actions`` in the order in which these are to be carried out, and draw from
-    ``random`` in a fixed order, so that the same seed and events give the same actions.
+    it). Components append to ``actions`` in the order in which the caller carries them out. They draw from
+    ``random`` in a fixed order, so the same seed and events give the same actions.
     """
 
     __slots__ = (
@@ -44,7 +46,7 @@
         self._topics = RateLimitedTopics(LOG_INTERVAL_OBJECTIVES * self.shortest_objective_us, LOG_TOPICS)
 
     def begin_batch(self, now_us: int) -> None:
-        """Set the clock to a batch's instant and begin a new list of actions."""
+        """Set the clock to the instant of a batch and begin its list of actions."""
         self.now_us = now_us
         self.actions = []
         if self.started_at_us is None:
@@ -52,18 +54,18 @@
 
     @property
     def elapsed_us(self) -> int:
-        """Time since the first batch."""
+        """The time since the first batch."""
         return self.now_us - (self.started_at_us or 0)
 
     def emit(self, action: Action) -> None:
-        """Append an action of this batch."""
+        """Append an action to those of this batch."""
         self.actions.append(action)
 
     def schedule(self, at_us: int, kind: TimerKind, subject: TimerSubject = None) -> None:
-        """Set a timer for an instant."""
+        """Set a timer of a kind for an instant; ``subject`` is the record that it concerns."""
         self.timers.schedule(at_us, Timer(kind, subject))
 
     def notify_operators(self, topic: str, event: OperatorEvent) -> None:
-        """Emit an event for the operators, at most one a topic in :data:`LOG_INTERVAL_OBJECTIVES`."""
+        """Emit an operator event, at most one per topic in :data:`LOG_INTERVAL_OBJECTIVES`."""
         if self._topics.admit(topic, self.now_us):
             self.emit(event)
--- a/heathwell/policy/endpoint_table.py
+++ b/heathwell/policy/endpoint_table.py
@@ -1,6 +1,6 @@
 """The endpoint list: live, draining and gone endpoints, restrictions, and polling with backoff.
 
-Spans whose name ends in ``OBJECTIVES`` count shortest latency objectives of the settings.
+Constants that end in ``OBJECTIVES`` are durations in multiples of the shortest latency objective.
 """
 
 from __future__ import annotations
@@ -19,10 +19,13 @@
 from heathwell.policy.operator_events import DiscoveryDegraded
 from heathwell.policy.records import ALL_CLASSES, Endpoint, Part, TimerKind
 
-POLL_BACKOFF_FIRST_FRACTION = 0.1  # of the time within which changes have to be known
-POLL_BACKOFF_MAXIMUM_FRACTION = 0.45  # of the same: two calls fit into it
-POLL_JITTER_MINIMUM = 0.5  # fraction of a backoff that is always waited; the rest is drawn
-# Least time for which the record of an endpoint is kept after it left the list.
+# First backoff, as a fraction of the time within which changes must be known.
+POLL_BACKOFF_FIRST_FRACTION = 0.1
+# Longest backoff, as a fraction of the same time, so that two calls fit into it.
+POLL_BACKOFF_MAXIMUM_FRACTION = 0.45
+# Smallest fraction of a backoff that is waited; the jitter is drawn between it and 1.
+POLL_JITTER_MINIMUM = 0.5
+# Least time for which the record of an endpoint is kept after the endpoint left the list.
 ENDPOINT_RETENTION_OBJECTIVES = 20
 
 
@@ -34,7 +37,7 @@
         settings = context.settings
         self.by_node: dict[str, Endpoint] = {}
         self.by_group: dict[int, list[Endpoint]] = {}
-        # Pushed changes count as known at once: what a broken watch costs comes off the drain grace.
+        # Pushed changes count as known at once, so the time lost to a broken watch reduces the drain grace.
         within_us = settings.max_poll_interval_us if settings.poll_mode else settings.drain_grace_us
         self._backoff_first_us = max(int(within_us * POLL_BACKOFF_FIRST_FRACTION), settings.tick_us)
         self._backoff_maximum_us = max(int(within_us * POLL_BACKOFF_MAXIMUM_FRACTION), settings.tick_us)
@@ -46,11 +49,11 @@
         return len(self.by_node)
 
     def all(self) -> list[Endpoint]:
-        """Return the known endpoints, in the order in which the list first named them."""
+        """Return the known endpoints in the order in which they were first listed."""
         return list(self.by_node.values())
 
     def get(self, node: str) -> Endpoint | None:
-        """Return an endpoint, or None where it is not known."""
+        """Return an endpoint, or None if it is not known."""
         return self.by_node.get(node)
 
     def live(self) -> list[Endpoint]:
@@ -63,7 +66,7 @@
 
     @property
     def maximum_memory_us(self) -> float:
-        """The longest time that an endpoint's behaviour is remembered for."""
+        """The longest time for which samples of an endpoint count."""
         return self._context.settings.slow_start_duration_us or self._minimum_retention_us
 
     @property
@@ -71,7 +74,7 @@
         return ENDPOINT_RETENTION_OBJECTIVES * self._context.shortest_objective_us
 
     def replicas(self, part: Part) -> list[Endpoint]:
-        """Return the endpoints of the part's replica groups, whatever their state."""
+        """Return the endpoints of the part's replica groups in any state."""
         settings = self._context.settings
         replicas: list[Endpoint] = []
         for step in range(settings.groups_per_shard):
@@ -82,7 +85,7 @@
     # Restrictions
 
     def restrict(self, event: RestrictionUpdate) -> None:
-        """Replace the restrictions of one class, or of all."""
+        """Replace the restrictions of one class, or those that hold for all classes."""
         key = ALL_CLASSES if event.query_class is None else event.query_class
         for endpoint in self.by_node.values():
             endpoint.restrict(key, event.deprioritized, event.excluded)
@@ -93,10 +96,10 @@
         live = [endpoint for endpoint in self.replicas(part) if endpoint.live]
         return bool(live) and all(endpoint.excluded_for & class_keys for endpoint in live)
 
-    # The list
+    # Updates
 
     def on_update(self, update: EndpointUpdate) -> None:
-        """Apply a message from discovery, and poll again where the settings ask for it."""
+        """Apply a message from discovery; in poll mode, poll again."""
         if update.kind == UpdateKind.FAILED:
             self._retry_poll()
             return
@@ -131,7 +134,7 @@
         endpoint.update(entry, self._context.now_us)
 
     def _drop_expired(self) -> None:
-        """Drop idle endpoints that left so long ago that they would be out of slow start."""
+        """Drop idle endpoints that left the list so long ago that slow start would be over by now."""
         retention_us = max(self._context.settings.slow_start_duration_us, self._minimum_retention_us)
         edge_us = self._context.now_us - retention_us
         for endpoint in self.all():
@@ -146,11 +149,11 @@
     # Polling
 
     def on_poll_due(self) -> None:
-        """Call discovery."""
+        """Call discovery when a backoff has ended."""
         self._poll()
 
     def on_poll_timeout(self) -> None:
-        """Call discovery again if the call in progress has had no reply for the longest backoff."""
+        """Call discovery again if the present call has had no reply for the longest backoff."""
         polled_at_us = self._polled_at_us or self._context.now_us
         if self._context.now_us >= polled_at_us + self._backoff_maximum_us:
             self._poll()
@@ -161,7 +164,7 @@
         self._context.schedule(self._context.now_us + self._backoff_maximum_us, TimerKind.POLL_TIMEOUT)
 
     def _retry_poll(self) -> None:
-        """Call discovery again after a backoff with jitter: without updates the drain rule can't be kept."""
+        """Schedule a call after a backoff with jitter: the drain grace can't be kept without updates."""
         context = self._context
         self._polled_at_us = None
         self._backoff_us = min(self._backoff_us * 2, self._backoff_maximum_us)
--- a/heathwell/policy/events.py
+++ b/heathwell/policy/events.py
@@ -1,6 +1,6 @@
 """Events that an aggregator handles in batches: the endpoint list, queries, outcomes, timers, quotas.
 
-Types only; nothing here decides. Instants and spans are integers in microseconds on the caller's clock.
+Types only, without decisions. Instants and durations are integers in microseconds on the caller's clock.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class EndpointState(StrEnum):
-    """State of a listed endpoint. An unknown one leaves a known endpoint as it is."""
+    """State of a listed endpoint. UNKNOWN leaves the recorded state of an endpoint unchanged."""
 
     LIVE = "live"
     DRAINING = "draining"
@@ -19,7 +19,7 @@
 
 
 class UpdateKind(StrEnum):
-    """Kind of a message from discovery: some endpoints, the full list, or a call or watch that failed."""
+    """Kind of a message from discovery: changed endpoints, the full list, or a failed call or watch."""
 
     INCREMENTAL = "update"
     FULL = "full"
@@ -29,8 +29,9 @@
 class Outcome(StrEnum):
     """How an attempt or a probe ended.
 
-    ``CONNECTION_LOST`` is a connection that broke while its endpoint is there: the part may have run, and it
-    shows little of the endpoint. ``BROKEN`` is a connection that broke with its endpoint.
+    ``CONNECTION_LOST``: the connection broke while its endpoint is still reachable. The part may have run,
+    and the outcome says little about the endpoint's health. ``BROKEN``: the connection broke with its
+    endpoint.
     """
 
     OK = "ok"
@@ -45,12 +46,12 @@
 
 
 NOT_EXECUTED = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NEVER_SENT)
-"""Outcomes that prove that the endpoint never ran the part."""
+"""Outcomes that prove that the endpoint did not run the part."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One line of the endpoint list; ``started_at_us`` is the latest start, None for long ago."""
+    """One entry of the endpoint list; ``started_at_us`` is the latest start, None for long ago."""
 
     node: str
     replica_group: int
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """A message from discovery; ``requested`` is false for the list handed over at the start."""
+    """A message from discovery; ``requested`` is false for the list that is passed at the start."""
 
     kind: UpdateKind
     endpoints: tuple[EndpointEntry, ...] = ()
@@ -71,7 +72,11 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryArrived:
-    """A query; its parts follow in the same batch. ``query_class`` and ``tenant`` index the settings."""
+    """A query, whose parts follow in the same batch.
+
+    ``query_class`` and ``tenant`` are indices into the settings. ``job`` is the number by which the parts
+    refer to their query.
+    """
 
     id: str
     job: int
@@ -85,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartArrived:
-    """A part of the query with the same ``job``; weights of a step sum to 1."""
+    """A part of the query with the same ``job``; the weights of a step's parts sum to 1."""
 
     id: str
     job: int
@@ -97,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt; ``in_flight`` and ``cpu_utilization`` are the endpoint's load report."""
+    """The outcome of an attempt; ``in_flight`` and ``cpu_utilization`` are the endpoint's load report."""
 
     id: str
     seq: int
@@ -118,10 +123,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RestrictionUpdate:
-    """Endpoints restricted from now on, for one class or (None) all.
+    """The restricted endpoints of one class, or of all classes (None).
 
-    ``deprioritized`` serve only where no other endpoint does, ``excluded`` not at all. Replaces the earlier
-    restrictions of the same class.
+    ``deprioritized`` endpoints serve only where no other one can, ``excluded`` ones not at all. The event
+    replaces earlier restrictions of the same class.
     """
 
     deprioritized: frozenset[str]
@@ -131,10 +136,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaUpdate:
-    """What fleet-wide quotas leave this aggregator until the next update; None: no such quota.
+    """This aggregator's remainder of the fleet's quotas until the next update; None: no such quota.
 
-    ``additional_attempts`` counts attempts beyond the first that are needed, ``slow_start_parts`` parts by
-    endpoint in slow start (none for an endpoint that is not named).
+    ``additional_attempts`` is the number of additional attempts left, ``slow_start_parts`` that of parts left
+    for each endpoint in slow start (0 for one that is not named).
     """
 
     additional_attempts: int | None = None
@@ -143,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptSuperseded:
-    """An attempt in flight can't change its query's answer any more: its part counts as answered."""
+    """An attempt in flight can't change its query's answer any more; its part counts as received."""
 
     id: str
     seq: int
@@ -158,14 +163,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of a query has left."""
+    """The client of a query has disconnected."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The process ends at an instant: queries with a later deadline have only up to then."""
+    """The process ends at ``ends_at_us``, which replaces later deadlines of queries."""
 
     ends_at_us: int
 
