--- a/heathwell/policy/hedging.py
+++ b/heathwell/policy/hedging.py
@@ -1,4 +1,4 @@
-"""Late attempts: an unsent part instead, a hedged request beside, or cancelling and sending again."""
+"""Late attempts: send an unsent part instead, hedge, or cancel the attempt and send its part again."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 from heathwell.policy.sending import PartSender
 from heathwell.policy.settings import Idempotency
 
-RECHECK_OBJECTIVES = 0.1  # of the class: until a late attempt that has to wait is looked at again
+# Time until a late attempt is considered again, as a fraction of its class's latency objective.
+RECHECK_OBJECTIVES = 0.1
 
 
 class Hedger:
-    """Decides what follows a late attempt; owns no state."""
+    """Decides what to do about a late attempt; owns no state."""
 
     def __init__(
         self,
@@ -40,7 +41,7 @@
         self._sender = sender
 
     def on_late_attempt(self, attempt: Attempt) -> None:
-        """Send an unsent part instead, else hedge, else cancel and send again."""
+        """Send an unsent part instead; otherwise hedge, or cancel the attempt and send its part again."""
         self._outliers.eject_if_unresponsive(attempt)
         part = attempt.part
         query = part.query
@@ -59,7 +60,7 @@
             self._cancel_and_send_again(attempt)
 
     def send_unsent_part(self, query: Query) -> bool:
-        """Send the unsent part whose replica has the least load; return whether one left."""
+        """Send the unsent part whose replica has the least load; return whether a part was sent."""
         unsent = query.unsent_parts()
         if not unsent or query.step != 1:
             return False
@@ -77,9 +78,10 @@
         return settings.cancellation_allowed and is_latest and attempts_left
 
     def _cancel_and_send_again(self, attempt: Attempt) -> None:
-        """Cancel and send again, unless the endpoint will come to this part, or the part may not leave.
+        """Cancel an attempt and send its part again, unless it is still queued or may not be sent again.
 
-        An endpoint that responds in the order of sends will come to it: cancelling would pay twice.
+        An endpoint that responds in the order of the sends still has the part in its queue; cancelling would
+        cost the work twice.
         """
         endpoint = attempt.endpoint
         in_turn = endpoint.last_send_with_response_at_us <= attempt.sent_at_us < endpoint.last_response_at_us
@@ -92,7 +94,7 @@
         self._sender.try_send(attempt.part)
 
     def _window_has_ended(self, part: Part) -> bool:
-        """Return whether a keyed part can't be sent again before its idempotency window ends."""
+        """Return whether the idempotency window of a keyed part ends before the next tick."""
         is_keyed = part.query.spec.idempotency == Idempotency.KEYED
         next_tick_us = self._context.now_us + self._context.settings.tick_us
         return is_keyed and next_tick_us > self._rules.send_by_us(part)
--- a/heathwell/policy/latency.py
+++ b/heathwell/policy/latency.py
@@ -1,8 +1,8 @@
 """Expected, relative and recent latencies, and the rate of responses.
 
 The expected latency of a part is the mean of its class, corrected by its work hint. An endpoint's relative
-latency compares its responses with the expected ones. Spans whose name ends in ``OBJECTIVES`` count shortest
-latency objectives of the settings.
+latency compares its responses with the expected ones. Constants that end in ``OBJECTIVES`` are durations in
+multiples of the shortest latency objective.
 """
 
 from __future__ import annotations
@@ -15,23 +15,34 @@
 from heathwell.policy.context import DecisionContext
 from heathwell.policy.records import Attempt, Endpoint, Part
 
-LATENCY_GAIN = 0.15  # weight of one response in an endpoint's average
-LATENCY_GAIN_AFTER_PAUSE = 0.8  # its weight where earlier responses are too old to say much
-LATENCY_DECAY_OBJECTIVES = 4.0  # until the average of an unused endpoint has mostly drifted back to 1.0
-MAXIMUM_LATENCY_RATIO = 20.0  # of one response, so that a single one doesn't dominate the average
-MEAN_SAMPLE_RATIO = 3  # times the expected latency at which a response counts in the class's mean at most
-CONNECTION_LOST_LATENCIES = 4.0  # relative latency that a lost connection counts as
-WORK_HINT_WEIGHT = 0.2  # of a hint's distance from the mean hint: hints are rough
-MEAN_GAIN = 0.02  # least weight of one sample in the means over all endpoints
-RECENT_OBJECTIVES = 1.5  # age up to which attempts count as recent
-RECENT_PRIOR_SAMPLES = 10  # quick responses assumed beside recent ones: few latencies prove no overload
-RATE_WINDOW_OBJECTIVES = 2.0  # time constant of the rate of responses
+# Weight of one response in an endpoint's average.
+LATENCY_GAIN = 0.15
+# Weight of a response where earlier ones are too old to be representative.
+LATENCY_GAIN_AFTER_PAUSE = 0.8
+# Time constant with which the average of an unused endpoint returns to 1.0.
+LATENCY_DECAY_OBJECTIVES = 4.0
+# Largest relative latency of one response, so that a single one doesn't dominate the average.
+MAXIMUM_LATENCY_RATIO = 20.0
+# Largest latency of one response in the mean of its class, in multiples of the expected latency.
+MEAN_SAMPLE_RATIO = 3
+# Relative latency as which a lost connection counts.
+CONNECTION_LOST_LATENCIES = 4.0
+# Weight of a work hint's relative distance from the mean hint; it is small because hints are rough.
+WORK_HINT_WEIGHT = 0.2
+# Least weight of one sample in the means over all endpoints.
+MEAN_GAIN = 0.02
+# Age up to which attempts count as recent.
+RECENT_OBJECTIVES = 1.5
+# Number of fast responses assumed in addition to the recent ones: a few latencies are no proof of overload.
+RECENT_PRIOR_SAMPLES = 10
+# Time constant of the rate of responses.
+RATE_WINDOW_OBJECTIVES = 2.0
 # How long samples of an endpoint count, in mean intervals between two of its responses.
 MEMORY_RESPONSE_INTERVALS = 3.0
 
 
 class EndpointPopulation(Protocol):
-    """What the latency model needs of the endpoint table."""
+    """The part of the endpoint table that the latency model uses."""
 
     def __len__(self) -> int:
         """Return the number of known endpoints."""
@@ -41,7 +52,7 @@
 
     @property
     def maximum_memory_us(self) -> float:
-        """Return the longest time that an endpoint's behaviour is remembered for."""
+        """Return the longest time for which samples of an endpoint count."""
 
 
 class LatencyModel:
@@ -62,7 +73,7 @@
     # Expected latency
 
     def expected_latency_us(self, part: Part) -> float:
-        """Return the mean latency of the part's class, corrected by its work hint; 0 before any response."""
+        """Return the mean latency of the part's class, adjusted by its work hint; 0 before any response."""
         mean_hint_us = self.mean_work_hint_us[part.query.query_class].value
         hint_us = part.work_hint_us
         correction = WORK_HINT_WEIGHT * (hint_us / mean_hint_us - 1) if hint_us and mean_hint_us else 0.0
@@ -75,16 +86,16 @@
     # Relative latency
 
     def relative_latency(self, endpoint: Endpoint) -> float:
-        """Return the recent latency against the expected one (1.0), drifting back to it when unused."""
+        """Return the average ratio of latency to expected latency; without responses it returns to 1.0."""
         return endpoint.relative_latency.at(self._context.now_us, self.memory_us(LATENCY_DECAY_OBJECTIVES))
 
     def has_current_latency(self, endpoint: Endpoint) -> bool:
-        """Return whether the endpoint's relative latency has a sample that has not faded."""
+        """Return whether the endpoint's relative latency has a sample within the decay time."""
         decay_us = LATENCY_DECAY_OBJECTIVES * self._context.shortest_objective_us
         return endpoint.relative_latency.updated_at_us > self._context.now_us - decay_us
 
     def memory_us(self, objectives: float) -> float:
-        """Return how long an endpoint's behaviour counts: so many objectives, or up to the next visits."""
+        """Return how long samples of an endpoint count: ``objectives``, or longer at low traffic."""
         return max(objectives * self._context.shortest_objective_us, self._minimum_memory_us)
 
     def record_response(self, attempt: Attempt, latency_us: int) -> None:
@@ -102,7 +113,7 @@
         mean_latency_us.add(min(latency_us, MEAN_SAMPLE_RATIO * expected_us or latency_us), MEAN_GAIN)
 
     def record_lost_connection(self, endpoint: Endpoint) -> None:
-        """Count a lost connection as a slow response: the endpoint loses picks among equals, no more."""
+        """Count a lost connection as a slow response, which only lowers the endpoint's rank at equal load."""
         decay_us = self.memory_us(LATENCY_DECAY_OBJECTIVES)
         endpoint.relative_latency.add(self._context.now_us, CONNECTION_LOST_LATENCIES, LATENCY_GAIN, decay_us)
 
@@ -120,7 +131,7 @@
             self._minimum_memory_us = 0
 
     def _gain(self, endpoint: Endpoint, rate: float) -> float:
-        """Return the weight of a response: more, the longer the endpoint had none."""
+        """Return the weight of a response, which is larger the longer the endpoint had none."""
         since_last_us = self._context.now_us - endpoint.relative_latency.updated_at_us
         pause_us = min(len(self._endpoints) / rate, since_last_us)
         decay_us = LATENCY_DECAY_OBJECTIVES * self._context.shortest_objective_us
@@ -130,7 +141,7 @@
     # Recent latency
 
     def record_latency(self, attempt: Attempt, latency_us: float) -> None:
-        """Keep a latency, as a ratio to the expected one, for as long as it counts as recent."""
+        """Keep a latency as a ratio to the expected one while it counts as recent."""
         ratio = self._latency_ratio(attempt, latency_us)
         self._recent_ratios.add(self._context.now_us, attempt.sent_at_us, ratio)
 
@@ -160,18 +171,18 @@
     # Rate of responses
 
     def completion_rate(self) -> float:
-        """Return the recent rate of responses in parts a microsecond; a rejection shows no capacity."""
+        """Return the recent rate of responses in parts per microsecond; rejections don't count."""
         window_us = self.rate_window_us
         elapsed_us = max(self._context.elapsed_us, self._context.settings.tick_us)
         windows = elapsed_us / window_us
         return self._completions.at(self._context.now_us, window_us) / (window_us * (1 - exp(-windows)))
 
     def _record_completion(self) -> float:
-        """Count a response; return the rate, and keep the best one with the rating that achieved it."""
+        """Count a response and return the rate; keep the best rate with the live rating at that time."""
         self._completions.add(self._context.now_us, 1.0, self.rate_window_us)
         rate = self.completion_rate()
         if self._context.elapsed_us > self.rate_window_us and rate > self.best_completion_rate:
-            # Endpoints that are lost later must not make the others look larger.
+            # Kept, as endpoints that are lost later must not make the others seem to have more capacity.
             self.best_completion_rate = rate
             self.rating_at_best_rate = self._endpoints.live_rating()
         return rate
--- a/heathwell/policy/load_shedding.py
+++ b/heathwell/policy/load_shedding.py
@@ -1,7 +1,7 @@
 """Load shedding: which queries are rejected at once because they can't meet their objective.
 
-A query's expected time is compared with the time left to its objective; the queries of least priority for
-their work are shed first.
+The expected time of a query is compared with the time left to its objective; queries of least priority
+density are shed first.
 """
 
 from __future__ import annotations
@@ -17,16 +17,27 @@
 from heathwell.policy.records import ALL_CLASSES, Query
 from heathwell.policy.replica_selection import ReplicaSelector
 
-SHED_FIRST_FRACTION = 0.38  # of the time left: expected time from which the lowest priority is shed
-SHED_ALL_FRACTION = 0.75  # of the time left: expected time from which all are shed
-RATE_FLOOR_FRACTION = 0.5  # of the best rate of responses: a lower one may be a stall, and would shed all
-LOW_TRAFFIC_RESPONSES = 2.0  # an endpoint and objective, under which own counts are nearly always 0
-RECENT_QUANTILE = 0.7  # of recent latencies at most: the rest may be unhealthy endpoints, not overload
-RECENT_QUANTILE_PARTS = 10.0  # of a query, up to which that quantile is representative
-BUSY_IN_FLIGHT = 2  # load at a shard's best replica from which its latency counts
-PRIORITY_DENSITY_SAMPLES = 100  # latest queries among which a query's priority for its work is ranked
-MINIMUM_WORK = 1e-9  # avoids a division by zero before any response
-ROUND_UP = 0.999  # added before truncation: the required parts are counted in full
+# Expected time above which queries of the lowest priority density are shed, as a fraction of the time left.
+SHED_FIRST_FRACTION = 0.38
+# Expected time above which all queries are shed, as a fraction of the time left.
+SHED_ALL_FRACTION = 0.75
+# Least rate of responses that is assumed, as a fraction of the best one: a lower rate may be a stall, and
+# would cause all queries to be shed.
+RATE_FLOOR_FRACTION = 0.5
+# Responses per endpoint and objective under which traffic is low: the counts in flight are nearly always 0.
+LOW_TRAFFIC_RESPONSES = 2.0
+# Highest quantile of recent latencies that is used: those above may be unhealthy endpoints and not overload.
+RECENT_QUANTILE = 0.7
+# Number of parts of a query up to which that quantile is representative of its slowest part.
+RECENT_QUANTILE_PARTS = 10.0
+# Load of a shard's best replica from which the replica's latency counts.
+BUSY_IN_FLIGHT = 2
+# Number of latest queries among which the priority density of a query is ranked.
+PRIORITY_DENSITY_SAMPLES = 100
+# Least work of a query; avoids a division by zero before any response.
+MINIMUM_WORK = 1e-9
+# Added before truncation, which rounds the number of required parts up.
+ROUND_UP = 0.999
 MICROSECONDS_PER_SECOND = 1e6
 
 
@@ -52,7 +63,7 @@
         self._recent_priority_densities = RecentRank(PRIORITY_DENSITY_SAMPLES)
 
     def should_shed(self, query: Query) -> bool:
-        """Return whether the query can't meet its objective at the present rate of responses."""
+        """Return whether the query is not expected to meet its objective at the present rate of responses."""
         steps = 2 if query.spec.second_step_parts else 1
         rank = self._priority_density_rank(query)
         shed_fraction = SHED_FIRST_FRACTION + (SHED_ALL_FRACTION - SHED_FIRST_FRACTION) * rank
@@ -61,7 +72,7 @@
         return expected_us > shed_fraction * min(left_us, self._context.shortest_objective_us * steps)
 
     def _expected_time_us(self, query: Query, steps: int) -> float:
-        """Return the expected time of all steps: of the slowest shard, or of a step by the present load."""
+        """Return the expected time of all steps, by the load or, if that is longer, the slowest shard."""
         low_traffic = self._has_low_traffic()
         step_us = self._recent_latency_us(query) if low_traffic else self._queueing_delay_us(query)
         first_us = step_us
@@ -71,7 +82,7 @@
             and query.spec.required_fraction > RECENT_QUANTILE
             and part_count > RECENT_QUANTILE_PARTS
         ):
-            # The slowest of many parts lies further from the quantile than that of a few.
+            # The slowest of many parts takes longer than the slowest of a few, which the quantile stands for.
             first_us = step_us * log(part_count) / log(RECENT_QUANTILE_PARTS)
         slow_shard_us = self._slow_shard_latency_us(query, 0 if low_traffic else BUSY_IN_FLIGHT)
         return max(first_us, slow_shard_us) + (steps - 1) * step_us
@@ -83,7 +94,7 @@
     # Priority
 
     def _priority_density_rank(self, query: Query) -> float:
-        """Return the fraction of the latest queries that have less priority for their work."""
+        """Return the fraction of the latest queries that have a lower priority density."""
         density = query.spec.priority_weight * self._quota_weight(query)
         density *= 1.0 if query.objective_at_us > self._context.now_us else query.spec.late_weight
         if not self._context.settings.priority_scales_with_work:
@@ -92,7 +103,7 @@
         return self._recent_priority_densities.rank(density)
 
     def _quota_weight(self, query: Query) -> float:
-        """Return the weight of a tenant's query: low for the drawn fraction that lies over its quota."""
+        """Return the weight of a tenant's query: low for the fraction, drawn at random, over its quota."""
         settings = self._context.settings
         if query.tenant >= len(self._tenant_rates) or not settings.tenants[query.tenant].quota_rps:
             return 1.0
@@ -107,9 +118,10 @@
     # Expected time
 
     def _queueing_delay_us(self, query: Query) -> float:
-        """Return the expected time by Little's law, parts in flight over the rate of responses.
+        """Return the expected time by Little's law: parts in flight divided by the rate of responses.
 
-        It is 0 where endpoints hold less than one of our parts each: then the counts say nothing.
+        It is 0 where endpoints have fewer than one part of this aggregator each: the counts are too small to
+        show a queue.
         """
         usable = [endpoint for endpoint in self._endpoints.live() if ALL_CLASSES not in endpoint.ejections]
         best_rate = self._latency.best_completion_rate
@@ -123,10 +135,10 @@
         return sum(loads) / len(loads) * len(usable) / rate
 
     def _slow_shard_latency_us(self, query: Query, minimum_load: int) -> float:
-        """Return the latency of the slowest shard, which holds up a query that needs all parts.
+        """Return the latency of the slowest shard, which delays a query that needs all its parts.
 
-        Only replicas of some load and with a current latency count: by an older one all queries would be
-        shed and the end of a jam would go unseen.
+        Only replicas that have a minimum load and a current latency count: with an outdated one all queries
+        would be shed, and no response would show that the slowness is over.
         """
         if query.spec.required_fraction < 1:
             return 0.0
@@ -141,10 +153,10 @@
         return max(latencies_us)
 
     def _recent_latency_us(self, query: Query) -> float:
-        """Return the slowest needed part's time by recent latencies.
+        """Return the expected time of the slowest required part by recent latencies.
 
         It shows overload to an aggregator that has few parts at each endpoint, and a few unhealthy endpoints
-        don't move it.
+        don't affect it.
         """
         ratios = self._latency.recent_latency_ratios(self._attempts.in_flight())
         part_count = len(query.parts)
