--- a/heathwell/policy/load_shedding.py
+++ b/heathwell/policy/load_shedding.py
@@ -1,7 +1,7 @@
 """Load shedding: which queries are rejected at once because they can't meet their objective.
 
 The expected time of a query is compared with the time left to its objective; queries of least priority
-density are shed first.
+density (priority per unit of work) are shed first.
 """
 
 from __future__ import annotations
--- a/heathwell/policy/operator_events.py
+++ b/heathwell/policy/operator_events.py
@@ -1,6 +1,6 @@
 """Events of the decision module that tell operators what it decided and why.
 
-Types only. Brokers log them with the fields as they stand here; the bench's adapter writes sentences.
+Types only. Brokers log them under these field names; the bench adapter writes them as sentences.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEjected:
-    """An endpoint gets no attempts for ``duration_us``; ``query_class`` is None where that holds for all."""
+    """An endpoint gets no attempts of a class for ``duration_us``; ``query_class`` None means all classes."""
 
     node: str
     query_class: int | None
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointReadmitted:
-    """An endpoint that was ejected for all classes has responded."""
+    """An endpoint that was ejected for all classes has responded and gets attempts again."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryDegraded:
-    """A call to discovery failed or a watch broke; it is repeated after ``retry_after_us``."""
+    """A call to discovery failed or a watch broke; the next call is made after ``retry_after_us``."""
 
     retry_after_us: int
 
--- a/heathwell/policy/outlier_detection.py
+++ b/heathwell/policy/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Ejection of endpoints: when, for how long, the half-open trial, probes, readmission; queries of death.
+"""Outlier detection: ejection of endpoints, probes, half-open trials and readmission; queries of death.
 
-Spans whose name ends in ``OBJECTIVES`` count shortest latency objectives of the settings, those in
-``LATENCIES`` expected latencies of the part.
+Constants that end in ``OBJECTIVES`` are durations in multiples of the shortest latency objective, those that
+end in ``LATENCIES`` in multiples of the part's expected latency.
 """
 
 from __future__ import annotations
@@ -17,30 +17,36 @@
 from heathwell.policy.operator_events import EjectionReason, EndpointEjected, EndpointReadmitted
 from heathwell.policy.records import ALL_CLASSES, NEVER_US, Attempt, Ejection, Endpoint, Query, TimerKind
 
-# Time without a response, in expected latencies of the part, after which a late part counts against its
-# endpoint.
+# Time without a response after which a late part counts against its endpoint.
 UNRESPONSIVE_LATENCIES = 4.0
 # Attempts in flight without a response that eject an endpoint: a single one may have met a short pause, or be
 # a heavy part itself.
 UNRESPONSIVE_ATTEMPTS = 2
-MAXIMUM_EJECTED_FRACTION = 0.4  # of the live endpoints: more is overload, not a fault of theirs
-CONSECUTIVE_ERRORS = 2  # errors of one class, or rejections: one is chance
+# Largest fraction of the live endpoints that is ejected for missing responses or rejections: if more of them
+# fail, the cause is overload and not a fault of the endpoints.
+MAXIMUM_EJECTED_FRACTION = 0.4
+# Errors of one class in a row, or rejections in a row, that eject an endpoint: a single one may be chance.
+CONSECUTIVE_ERRORS = 2
 # Time without a response after which an ejected endpoint may have restarted without a new start time in the
 # endpoint list.
 RESTART_UNRESPONSIVE_OBJECTIVES = 3.0
-EJECTION_FIRST_OBJECTIVES = 1.0  # duration of the first ejection; doubled while trials fail
-EJECTION_MAXIMUM_OBJECTIVES = 8.0  # of the longest ejection
-CANARY_OBJECTIVES = 5.0  # after a broken connection, in which one part of a query goes first
-QUERY_OF_DEATH_CONNECTIONS = 2  # broken without a response before a query is abandoned: one is chance
-
-# Outcomes that say nothing of the endpoint's health, beyond a missing response and the latency of a lost
-# connection.
+# Duration of the first ejection, which is doubled each time a trial fails.
+EJECTION_FIRST_OBJECTIVES = 1.0
+# Longest duration of an ejection.
+EJECTION_MAXIMUM_OBJECTIVES = 8.0
+# Time after a broken connection in which each query sends one part first, as a canary.
+CANARY_OBJECTIVES = 5.0
+# Connections that a query without a response breaks before it is abandoned: a single one may be chance.
+QUERY_OF_DEATH_CONNECTIONS = 2
+
+# Outcomes that don't count as errors of the endpoint. A time-out may still eject it for missing responses,
+# and a lost connection counts as a slow response.
 NEUTRAL_OUTCOMES = (Outcome.CANCELLED, Outcome.NEVER_SENT, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
 UNREACHABLE_REASONS = (EjectionReason.NO_CONNECTION, EjectionReason.PROBE_FAILED)
 
 
 class QueryOfDeathVerdict(Enum):
-    """Whether a query may crash each endpoint that begins it."""
+    """Whether a query is suspected of crashing the endpoints that execute it, and what follows."""
 
     NOT_SUSPECTED = auto()
     HOLD = auto()
@@ -48,10 +54,10 @@
 
 
 class PenaltySink(Protocol):
-    """What outlier detection needs of the load model."""
+    """The part of the load model that outlier detection uses."""
 
     def add_penalty(self, endpoint: Endpoint) -> None:
-        """Charge an endpoint one part, which fades."""
+        """Charge an endpoint with one part, which decays."""
 
 
 class OutlierDetector:
@@ -74,9 +80,9 @@
     # Ejection
 
     def accepts_attempts(self, endpoint: Endpoint, query_class: int) -> bool:
-        """Return whether no ejection keeps parts of a class from an endpoint.
+        """Return whether an endpoint accepts attempts of a class despite its ejections.
 
-        A half-open ejection lets one trial through: what was sent before does not count.
+        A half-open ejection admits one trial at a time; attempts sent before the ejection ended don't count.
         """
         for key in (ALL_CLASSES, query_class):
             ejection = endpoint.ejections.get(key)
@@ -87,28 +93,28 @@
         return True
 
     def eject_if_unresponsive(self, attempt: Attempt) -> None:
-        """Eject the endpoint of a late attempt that has sent no response since, while others have."""
+        """Eject the endpoint of a late attempt if it has not responded since the send and others have."""
         now_us = self._context.now_us
         endpoint = attempt.endpoint
-        unresponsive_us = UNRESPONSIVE_LATENCIES * self._latency.expected_latency_us(attempt.part)
-        if attempt.outcome is None and now_us - attempt.sent_at_us < unresponsive_us:
+        threshold_us = UNRESPONSIVE_LATENCIES * self._latency.expected_latency_us(attempt.part)
+        if attempt.outcome is None and now_us - attempt.sent_at_us < threshold_us:
             self._context.schedule(
-                int(attempt.sent_at_us + unresponsive_us) + 1, TimerKind.UNRESPONSIVE, attempt
+                int(attempt.sent_at_us + threshold_us) + 1, TimerKind.UNRESPONSIVE, attempt
             )
             return
         others_respond = endpoint.last_response_at_us < attempt.sent_at_us <= self._last_response_at_us
         if not others_respond:
             return
-        # At low traffic the attempt's own load keeps a second one away: a time-out counts by itself.
+        # At low traffic the load of the attempt itself diverts a second one, so one time-out is enough.
         timed_out = attempt.outcome == Outcome.TIMED_OUT
-        unresponsive = sum(
+        unanswered_count = sum(
             other.sent_at_us > endpoint.last_response_at_us for other in endpoint.in_flight.values()
         )
-        if (timed_out or unresponsive >= UNRESPONSIVE_ATTEMPTS) and self._may_eject_more():
+        if (timed_out or unanswered_count >= UNRESPONSIVE_ATTEMPTS) and self._may_eject_more():
             self._eject(endpoint, ALL_CLASSES, EjectionReason.NO_RESPONSE)
 
     def record_failure(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Count a failed attempt against its endpoint, and eject that where it is due."""
+        """Count a failed attempt against its endpoint, and eject the endpoint if that is due."""
         endpoint = attempt.endpoint
         if outcome == Outcome.TIMED_OUT:
             self.eject_if_unresponsive(attempt)
@@ -127,7 +133,7 @@
             self._record_error(attempt)
 
     def _record_rejection(self, attempt: Attempt) -> None:
-        # Had the part waited for its turn it would have taken about the objective.
+        # If the part had been queued instead, it would have taken about the objective.
         self._latency.record_latency(attempt, self._context.shortest_objective_us)
         errors = attempt.endpoint.add_error(ALL_CLASSES)
         if errors >= CONSECUTIVE_ERRORS and self._may_eject_more():
@@ -139,7 +145,7 @@
             self._eject(attempt.endpoint, query_class, EjectionReason.CONSECUTIVE_ERRORS)
 
     def _eject(self, endpoint: Endpoint, key: int, reason: EjectionReason) -> None:
-        """Eject, for longer each time in a row; a trial begins when the time is up."""
+        """Eject an endpoint, for longer each time in a row; a trial begins when the ejection ends."""
         context = self._context
         previous = endpoint.ejections.get(key)
         if previous and not previous.half_open:
@@ -159,7 +165,7 @@
         return int(min(2 * previous.duration_us, self._latency.memory_us(EJECTION_MAXIMUM_OBJECTIVES)))
 
     def _disconnect_reason(self, previous: Ejection | None, reason: EjectionReason) -> EjectionReason | None:
-        """Return why the endpoint may have been unreachable; a lost connection stands over later reasons."""
+        """Return why the endpoint may have been unreachable; NO_CONNECTION is kept over later reasons."""
         earlier = previous.disconnect_reason if previous else None
         may_be_unreachable = reason in UNREACHABLE_REASONS or not self._context.settings.probing_allowed
         if may_be_unreachable and earlier != EjectionReason.NO_CONNECTION:
@@ -167,7 +173,7 @@
         return earlier
 
     def _may_eject_more(self) -> bool:
-        """Return whether enough endpoints are left."""
+        """Return whether fewer endpoints are ejected than the maximum fraction."""
         live = self._endpoints.live()
         ejected = sum(ALL_CLASSES in endpoint.ejections for endpoint in live)
         return ejected < MAXIMUM_EJECTED_FRACTION * len(live)
@@ -175,7 +181,7 @@
     # Trial and readmission
 
     def on_trial_due(self, endpoint: Endpoint) -> None:
-        """Probe an endpoint whose ejection is over, or let a trial attempt through."""
+        """Probe an endpoint whose ejection has ended, or admit a trial attempt."""
         for key, ejection in endpoint.ejections.items():
             if ejection.half_open or self._context.now_us < ejection.ends_at_us:
                 continue
@@ -185,7 +191,7 @@
                 ejection.half_open = True
 
     def on_probe_ended(self, event: ProbeEnded) -> None:
-        """Let a trial attempt through after a probe; eject again, for longer, where the probe failed."""
+        """Admit a trial attempt after a successful probe; eject again, for longer, after a failed one."""
         endpoint = self._endpoints.get(event.node)
         ejection = endpoint.ejections.get(ALL_CLASSES) if endpoint else None
         if endpoint is None or ejection is None or ejection.half_open:
@@ -195,9 +201,9 @@
             self._eject(endpoint, ALL_CLASSES, EjectionReason.PROBE_FAILED)
 
     def record_response(self, attempt: Attempt) -> None:
-        """Readmit the endpoint of an attempt that has a response."""
+        """Record a response, which ends the ejections of its endpoint that began before the send."""
         endpoint = attempt.endpoint
-        unresponsive_us = endpoint.record_response(self._context.now_us, attempt.sent_at_us)
+        since_last_us = endpoint.record_response(self._context.now_us, attempt.sent_at_us)
         self._last_response_at_us = self._context.now_us
         for key in (ALL_CLASSES, attempt.part.query.query_class):
             endpoint.consecutive_errors.pop(key, None)
@@ -206,13 +212,13 @@
                 continue
             del endpoint.ejections[key]
             if key == ALL_CLASSES:
-                self._begin_slow_start_after(endpoint, ejection, unresponsive_us)
+                self._begin_slow_start_after(endpoint, ejection, since_last_us)
                 self._context.notify_operators("back " + endpoint.node, EndpointReadmitted(endpoint.node))
 
-    def _begin_slow_start_after(self, endpoint: Endpoint, ejection: Ejection, unresponsive_us: int) -> None:
-        """Put an endpoint in slow start that may have restarted unlisted during its ejection."""
+    def _begin_slow_start_after(self, endpoint: Endpoint, ejection: Ejection, since_last_us: int) -> None:
+        """Begin slow start for an endpoint that may have restarted during its ejection."""
         was_long_unresponsive = (
-            unresponsive_us > RESTART_UNRESPONSIVE_OBJECTIVES * self._context.shortest_objective_us
+            since_last_us > RESTART_UNRESPONSIVE_OBJECTIVES * self._context.shortest_objective_us
         )
         reason = ejection.disconnect_reason
         if reason == EjectionReason.NO_CONNECTION or (reason and was_long_unresponsive):
@@ -221,7 +227,7 @@
     # Queries of death
 
     def sends_canary_first(self, query: Query) -> bool:
-        """Return whether one part goes first, so that a query of death costs one endpoint, not many."""
+        """Return whether one part is sent first, so that a query of death crashes one endpoint only."""
         recent_crash = self._context.now_us < self._canary_until_us
         return recent_crash and query.step == 1 and not query.has_response
 
@@ -229,8 +235,8 @@
 def judge_query_of_death(query: Query) -> QueryOfDeathVerdict:
     """Return whether a query is to be held or abandoned because its parts break connections.
 
-    A query that broke a connection and has no response waits for its parts in flight, gets one more attempt,
-    and is abandoned when that breaks a connection too.
+    A query that broke a connection and has no response is held until its parts in flight have ended, then
+    gets one more attempt, and is abandoned if that breaks a connection too.
     """
     if query.has_response or not query.broken_connections:
         return QueryOfDeathVerdict.NOT_SUSPECTED
--- a/heathwell/policy/query_arrival.py
+++ b/heathwell/policy/query_arrival.py
@@ -1,4 +1,4 @@
-"""Queries from their arrival to their end: the table of queries, their objective and their timers."""
+"""Arrival of queries: the table of queries without a final answer, their objectives and timers."""
 
 from __future__ import annotations
 
@@ -18,13 +18,17 @@
 TIMEOUT_SAMPLES = 64
 # Histogram bins into which the timeouts up to the one of the class are sorted.
 TIMEOUT_BINS = 64
-SECOND_STEP_LATENCIES = 2.0  # that a second step takes: the slowest of a few parts, not an average one
-SECOND_STEP_MAXIMUM_OBJECTIVES = 0.5  # of the class, reserved for a second step at most
-SECOND_STEP_DEFAULT_OBJECTIVES = 0.25  # of the class, reserved while no latency is known
+# Expected duration of a second step, in mean latencies of its class: it lasts as long as the slowest of a few
+# parts and not as an average one.
+SECOND_STEP_LATENCIES = 2.0
+# Longest time reserved for a second step, as a fraction of the class's latency objective.
+SECOND_STEP_MAXIMUM_OBJECTIVES = 0.5
+# Time reserved for a second step while no latency is known, as a fraction of the class's latency objective.
+SECOND_STEP_DEFAULT_OBJECTIVES = 0.25
 
 
 class QueryTable:
-    """Owns the queries without a final answer and the usual timeouts of their classes."""
+    """Owns the queries without a final answer and the latest timeouts of each class."""
 
     def __init__(self, context: DecisionContext, latency: LatencyModel, budget: RetryBudget) -> None:
         self._context = context
@@ -45,12 +49,12 @@
         return list(self.by_id.values())
 
     def remove(self, query: Query) -> None:
-        """Remove a query that has ended; its attempts stay counted until their outcomes come."""
+        """Remove a query that has ended; its attempts stay in flight until they have an outcome."""
         self.by_id.pop(query.id, None)
         self._by_job.pop(query.job, None)
 
     def on_query_arrived(self, event: QueryArrived) -> None:
-        """Add a query, whose parts follow, and set its timers."""
+        """Add a query and set its timers; its parts arrive as separate events."""
         context = self._context
         spec = context.settings.classes[event.query_class]
         self._budget.record_admission()
@@ -63,7 +67,7 @@
             self._schedule_first_step_cutoff(query)
 
     def on_part_arrived(self, event: PartArrived) -> Query | None:
-        """Add a part to its query; return that, or None where it has ended."""
+        """Add a part to its query; return the query, or None if it has ended."""
         self._budget.record_admission()
         query = self._by_job.get(event.job)
         if query is not None:
@@ -74,8 +78,9 @@
     def _objective_at_us(self, event: QueryArrived, spec: QueryClass) -> int:
         """Return the instant of the objective, counted from when the client first sent the query.
 
-        A timeout shorter than most of the class's means a retry whose time has been cut. Its deadline then
-        shows when the client first sent it. First attempts are alike, while a last one may have more time.
+        A timeout shorter than the most common one of the class indicates a retry that has only the remaining
+        time of its client. Its deadline then shows when the client first sent it. First attempts have the
+        same timeout, while the last retry of a client may have more time.
         """
         now_us = self._context.now_us
         objective_us = spec.latency_objective_us + int(spec.objective_hint_ratio * (event.work_hint_us or 0))
@@ -88,7 +93,7 @@
         return objective_at_us
 
     def _record_timeout(self, query_class: int, timeout_us: int, spec: QueryClass) -> float:
-        """Count a timeout; return the most common one among the latest of the class."""
+        """Record a timeout; return the most common one among the latest of the class."""
         timeouts = self._recent_timeouts[query_class]
         timeouts.append(TIMEOUT_BINS * timeout_us // spec.timeout_us)
         most_common_bin = Counter(timeouts).most_common(1)[0][0]
--- a/heathwell/policy/query_completion.py
+++ b/heathwell/policy/query_completion.py
@@ -1,4 +1,4 @@
-"""The end of a query: complete, partial or late answers, the cut of a first step, abandoning, shutdown."""
+"""The end of a query: complete, partial and late answers, first-step cutoff, abandonment and shutdown."""
 
 from __future__ import annotations
 
@@ -9,12 +9,14 @@
 from heathwell.policy.query_arrival import QueryTable
 from heathwell.policy.records import WEIGHT_TOLERANCE, Part, Query, TimerKind
 
-OFFERED_WEIGHT_TOLERANCE = 1e-3  # of the sum of the weights that a caller gives
-RETRY_AFTER_MINIMUM_FRACTION = 0.5  # of the longest advice; the rest is drawn, so that retries spread
+# Tolerance of the sum of the weights that a caller passes.
+OFFERED_WEIGHT_TOLERANCE = 1e-3
+# Smallest retry advice as a fraction of the longest; the jitter between them spreads the retries.
+RETRY_AFTER_MINIMUM_FRACTION = 0.5
 
 
 class QueryCompletion:
-    """Ends queries and moves them to their second step; owns no state beyond the queries' own."""
+    """Ends queries and begins their second step; owns no state besides that of the queries."""
 
     def __init__(self, context: DecisionContext, queries: QueryTable, attempts: AttemptTable) -> None:
         self._context = context
@@ -24,23 +26,23 @@
     # Weights
 
     def required_weight(self, query: Query) -> float:
-        """Return the weight of the present step's parts at which the query is answered."""
+        """Return the received weight of the present step at which the query is answered."""
         spec = query.spec
         if query.step > 1:
             return 1.0
         if query.first_step_cut_off:
             return spec.effective_minimum_fraction
-        # Parts that can't be had now are left out by the caller: what is offered is all that can come.
+        # The caller leaves out parts that are unavailable: only the offered weight can be received.
         if query.offered_weight > spec.required_fraction - OFFERED_WEIGHT_TOLERANCE:
             return spec.required_fraction
         return max(query.offered_weight, spec.minimum_fraction)
 
     def is_awaited(self, part: Part) -> bool:
-        """Return whether the part's response would still count."""
+        """Return whether a response to the part would still count."""
         return part.query in self._queries and not part.done and part.step == part.query.step
 
     def record_part(self, part: Part) -> bool:
-        """Count the part's weight, once, and answer if that is enough; return whether it was counted."""
+        """Count a part as received, once, and answer if that is enough; return whether it was counted."""
         if not self.is_awaited(part):
             return False
         part.done = True
@@ -51,14 +53,14 @@
     # Answers
 
     def answer_if_enough(self, query: Query) -> None:
-        """Answer once the required weight has arrived."""
+        """Answer if the required weight has been received."""
         if query.received_weight >= self.required_weight(query) - WEIGHT_TOLERANCE:
             is_complete = query.received_weight >= query.complete_weight() - WEIGHT_TOLERANCE
             query.complete = query.complete and is_complete
             self._answer(query)
 
     def _answer(self, query: Query) -> None:
-        """Answer; the first answer of two begins the second step, whose parts the caller sends."""
+        """Answer a query; the first of two answers begins the second step, whose parts the caller passes."""
         self._context.emit(Answer(query.id, query.complete))
         if query.is_last_step():
             self._queries.remove(query)
@@ -69,7 +71,7 @@
     # Timers
 
     def on_timer(self, query: Query, kind: TimerKind) -> None:
-        """End a query at its deadline; before it, cut its first step or answer partially where that pays."""
+        """Cut off a first step, answer partially at the objective if that pays, or end at the deadline."""
         if kind == TimerKind.FIRST_STEP_CUTOFF:
             self._cut_off_first_step(query)
             return
@@ -83,22 +85,22 @@
             self._answer(query)
 
     def _cut_off_first_step(self, query: Query) -> None:
-        """Answer the first step from its least weight: at the deadline the second step would have no time."""
+        """Answer the first step from the minimum weight: later, the second step would have no time left."""
         query.first_step_cut_off = query.step == 1
         self.answer_if_enough(query)
 
     def _partial_answer_weight(self, query: Query) -> float | None:
-        """Return the weight of a partial answer now, as of a complete one; None where none may be given."""
+        """Return the value of a partial answer relative to a complete one; None if none may be given."""
         spec = query.spec
         is_enough = query.received_weight >= spec.minimum_fraction - WEIGHT_TOLERANCE
         if not (spec.allows_partial and is_enough and query.is_last_step()):
             return None
         return spec.partial_weight * query.received_weight / spec.required_fraction
 
-    # Other ends
+    # Abandonment, exclusion and shutdown
 
     def abandon(self, query: Query, reason: EndReason) -> None:
-        """End the query at once: rejected where a repeat is known to be harmless, else failed."""
+        """End the query at once: reject it if a repeat is known to be harmless, otherwise fail it."""
         may_have_run = any(attempt.may_have_run() for attempt in query.attempts())
         if may_have_run and not query.spec.allows_duplicates:
             self._context.emit(Fail(query.id, reason))
@@ -107,19 +109,19 @@
         self._queries.remove(query)
 
     def abandon_if_unanswerable(self, query: Query) -> None:
-        """Abandon a query that the parts received, in flight, waiting and unsent can't answer."""
+        """Abandon a query whose received, in-flight, waiting and unsent parts are too few to answer it."""
         if query.reachable_weight() < query.minimum_weight() - WEIGHT_TOLERANCE:
             self.abandon(query, EndReason.TOO_FEW_PARTS)
 
     def hold_or_abandon_query_of_death(self, query: Query) -> bool:
-        """Abandon a query of death; return whether nothing more is to be sent for the query now."""
+        """Abandon a query of death; return whether nothing may be sent for the query at present."""
         verdict = judge_query_of_death(query)
         if verdict is QueryOfDeathVerdict.ABANDON:
             self.abandon(query, EndReason.QUERY_OF_DEATH)
         return verdict is not QueryOfDeathVerdict.NOT_SUSPECTED
 
     def exclude_parts(self, query: Query, parts: list[Part]) -> None:
-        """Stop waiting for parts that no replica may serve: answer from the others, or abandon."""
+        """Stop waiting for parts that no replica may serve; answer from the others or abandon the query."""
         if not parts:
             return
         query.exclude(parts)
@@ -128,7 +130,7 @@
             self.answer_if_enough(query)
 
     def on_client_disconnected(self, query_id: str) -> None:
-        """Cancel the attempts of a query whose client has left, and forget it."""
+        """Remove a query whose client has disconnected, and cancel its attempts if that is allowed."""
         query = self._queries.by_id.get(query_id)
         if query is None:
             return
@@ -138,7 +140,7 @@
         self._queries.remove(query)
 
     def on_shutdown_started(self, ends_at_us: int) -> None:
-        """Move later deadlines to the instant at which this aggregator ends."""
+        """Move deadlines after ``ends_at_us``, when the process ends, to that instant."""
         for query in self._queries.all():
             if query.deadline_us > ends_at_us:
                 query.deadline_us = ends_at_us
@@ -147,7 +149,7 @@
                 self._context.schedule(ends_at_us - tick_us, TimerKind.DEADLINE, query)
 
     def _retry_after_us(self, query: Query) -> int:
-        """Return the advice when to retry: after about one objective, spread; 0 where none may be given."""
+        """Return the retry advice, up to one objective, with jitter; 0 if none may be given."""
         settings = self._context.settings
         longest_us = min(query.spec.latency_objective_us, settings.max_retry_after_us)
         draw = self._context.random.uniform(RETRY_AFTER_MINIMUM_FRACTION, 1.0)
--- a/heathwell/policy/records.py
+++ b/heathwell/policy/records.py
@@ -1,4 +1,4 @@
-"""Records that the components of the decision module keep; they decide nothing."""
+"""Records that the components of the decision module share; they contain no decisions."""
 
 from __future__ import annotations
 
@@ -18,18 +18,19 @@
 from heathwell.policy.operator_events import EjectionReason
 from heathwell.policy.settings import QueryClass
 
-ALL_CLASSES = -1  # key of what holds for all query classes, beside the index of one class
+ALL_CLASSES = -1  # key for all query classes where other keys are the index of one class
 NEVER_US = -1  # an instant before any other
-WEIGHT_TOLERANCE = 1e-6  # of sums of part weights
+WEIGHT_TOLERANCE = 1e-6  # tolerance of sums of part weights
 
 
 @dataclass(slots=True)
 class Query:
     """A query without a final answer.
 
-    ``step`` is the present step (1 or 2), ``has_response`` whether any part has one, ``first_step_cut_off``
-    whether the first step ended before its parts were in, ``offered_weight`` the weight of the first step's
-    parts that can be had.
+    ``step`` is the present step (1 or 2), ``has_response`` whether any part has a response,
+    ``first_step_cut_off`` whether the first step was ended early to leave time for the second one, and
+    ``offered_weight`` the weight of the first step's parts that are available. ``complete`` is false once a
+    step was answered from less than the complete weight.
     """
 
     id: str
@@ -52,7 +53,7 @@
 
     @classmethod
     def from_arrival(cls, event: QueryArrived, spec: QueryClass, now_us: int, objective_at_us: int) -> Query:
-        """Return a query as it arrives; its work is the number of parts that a complete answer needs."""
+        """Return the record of a new query; its work is the number of parts that a complete answer needs."""
         return cls(
             id=event.id,
             job=event.job,
@@ -66,15 +67,15 @@
         )
 
     def is_last_step(self) -> bool:
-        """Return whether no other step follows the present one."""
+        """Return whether the present step is the last one."""
         return self.step > 1 or not self.spec.second_step_parts
 
     def complete_weight(self) -> float:
-        """Return the weight of the present step's parts that makes a complete answer."""
+        """Return the weight at which the present step is complete."""
         return self.spec.required_fraction if self.step == 1 else 1.0
 
     def minimum_weight(self) -> float:
-        """Return the least weight of the present step's parts that may be answered."""
+        """Return the minimum weight from which the present step may be answered."""
         return self.spec.effective_minimum_fraction if self.step == 1 or self.spec.allows_partial else 1.0
 
     def add_part(self, event: PartArrived) -> None:
@@ -93,7 +94,7 @@
         return [attempt for part in self.parts for attempt in part.attempts]
 
     def in_flight(self) -> list[Attempt]:
-        """Return the attempts of any part that have no outcome."""
+        """Return the attempts of all parts that have no outcome."""
         return [attempt for part in self.parts for attempt in part.in_flight()]
 
     def step_parts(self) -> list[Part]:
@@ -113,7 +114,7 @@
         return sum(part.weight for part in self.step_parts() if part.attempts)
 
     def reachable_weight(self) -> float:
-        """Return the weight of the present step's parts whose response is there or may still come."""
+        """Return the weight of the present step's parts that are received or may still be."""
         return sum(part.weight for part in self.step_parts() if part.can_contribute())
 
 
@@ -121,8 +122,8 @@
 class Part:
     """One part of a query.
 
-    ``done`` once it has a response, ``waiting`` while it may not be sent yet, ``excluded`` once every replica
-    is excluded, ``is_substitute`` where it is sent in place of, or beside, a late or failed part.
+    ``done``: it has been received. ``waiting``: it may not be sent yet. ``excluded``: all its replicas are
+    excluded. ``is_substitute``: it is sent in place of, or beside, a late or failed part.
     """
 
     id: str
@@ -142,7 +143,7 @@
         return [attempt for attempt in self.attempts if attempt.outcome is None]
 
     def can_contribute(self) -> bool:
-        """Return whether its response is there or may still come."""
+        """Return whether the part is received or may still be."""
         return self.done or (
             not self.excluded and (self.waiting or not self.attempts or bool(self.in_flight()))
         )
@@ -150,7 +151,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One send of a part; ``outcome`` is None while it is in flight."""
+    """One attempt to execute a part at an endpoint; ``outcome`` is None while it is in flight."""
 
     part: Part
     seq: int
@@ -166,7 +167,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """One endpoint: its entry in the endpoint list, and what this aggregator's own traffic shows of it.
+    """One endpoint: its entry in the endpoint list, and what this aggregator's own traffic shows about it.
 
     ``gone_at_us`` is when it left the list, ``deprioritized_for`` and ``excluded_for`` hold class indices or
     :data:`ALL_CLASSES`, as the keys of ``consecutive_errors`` and ``ejections`` do. Parts that share a call
@@ -200,11 +201,11 @@
 
     @classmethod
     def from_entry(cls, entry: EndpointEntry) -> Endpoint:
-        """Return an endpoint as the endpoint list first names it."""
+        """Return the record of an endpoint that is listed for the first time."""
         return cls(entry.node, entry.replica_group, entry.zone, entry.rating, entry.started_at_us)
 
     def update(self, entry: EndpointEntry, now_us: int) -> None:
-        """Apply an entry of the endpoint list; an unknown state leaves the present one as it is."""
+        """Apply an entry of the endpoint list; an unknown state leaves the recorded one unchanged."""
         if entry.state in (EndpointState.LIVE, EndpointState.DRAINING, EndpointState.GONE):
             self.live = entry.state == EndpointState.LIVE
             self.gone_at_us = (self.gone_at_us or now_us) if entry.state == EndpointState.GONE else None
@@ -213,7 +214,7 @@
         self.rating = entry.rating
 
     def restart(self, started_at_us: int) -> None:
-        """Drop what was recorded of the endpoint's former process."""
+        """Reset what was recorded about the former process of the endpoint."""
         self.started_at_us = started_at_us
         self.slow_start_from_us = None
         self.slow_start_credit = None
@@ -223,11 +224,11 @@
         self.relative_latency.reset()
 
     def gone_before(self, edge_us: int) -> bool:
-        """Return whether it left the endpoint list before an instant."""
+        """Return whether the endpoint left the endpoint list before an instant."""
         return self.gone_at_us is not None and self.gone_at_us < edge_us
 
     def restrict(self, key: int, deprioritized: frozenset[str], excluded: frozenset[str]) -> None:
-        """Replace the restrictions that hold for a key by those that name this endpoint."""
+        """Set whether a class, or ALL_CLASSES, is deprioritized or excluded at this endpoint."""
         for restricted_keys, nodes in (
             (self.deprioritized_for, deprioritized),
             (self.excluded_for, excluded),
@@ -238,7 +239,7 @@
                 restricted_keys.discard(key)
 
     def add_attempt(self, part: Part, now_us: int, next_call_id: int, parts_per_call: int) -> Attempt:
-        """Count an attempt in flight, in the call of this instant while that has room, else in the next."""
+        """Add an attempt in flight, to the call of this instant while it has room, otherwise to the next."""
         if self.last_call_at_us != now_us or self.last_call_capacity < 1:
             self.last_call_at_us = now_us
             self.last_call_id = next_call_id
@@ -262,12 +263,12 @@
             del self.in_flight_by_call[attempt.call_id]
 
     def start_slow_start_credit(self, now_us: int, credit: float) -> None:
-        """Begin to count the parts that may be sent in slow start."""
+        """Begin to count slow-start credit, the number of parts that may be sent."""
         self.slow_start_credit = credit
         self.slow_start_credit_at_us = now_us
 
     def earn_slow_start_credit(self, now_us: int, rate: float, limit: float) -> float:
-        """Add to the credit by a rate in parts a microsecond, up to a limit; return the credit."""
+        """Add credit at a rate in parts per microsecond, up to a limit; return the credit."""
         earned = rate * (now_us - self.slow_start_credit_at_us)
         self.slow_start_credit = min((self.slow_start_credit or 0.0) + earned, limit)
         self.slow_start_credit_at_us = now_us
@@ -278,23 +279,23 @@
         return all(attempt.sent_at_us < edge_us for attempt in self.in_flight.values())
 
     def record_response(self, now_us: int, sent_at_us: int) -> int:
-        """Record a response to an attempt sent at an instant; return the time since the one before."""
-        unresponsive_us = now_us - self.last_response_at_us
+        """Record a response to an attempt sent at ``sent_at_us``; return the time since the last response."""
+        since_last_us = now_us - self.last_response_at_us
         self.last_send_with_response_at_us = max(self.last_send_with_response_at_us, sent_at_us)
         self.last_response_at_us = now_us
-        return unresponsive_us
+        return since_last_us
 
     def add_error(self, key: int) -> int:
-        """Count one more consecutive error for a key; return their number."""
+        """Count a consecutive error of a class, or of ALL_CLASSES; return their number."""
         self.consecutive_errors[key] = self.consecutive_errors.get(key, 0) + 1
         return self.consecutive_errors[key]
 
 
 @dataclass(slots=True)
 class Ejection:
-    """An ejection of an endpoint, or of one class at it; once half-open, trial attempts may be sent.
+    """An ejection of an endpoint for one class or all; once it is half-open, a trial attempt may be sent.
 
-    ``disconnect_reason`` is set where the endpoint may have been unreachable, and so may have restarted.
+    ``disconnect_reason`` is set if the endpoint may have been unreachable and thus may have restarted.
     """
 
     ejected_at_us: int
@@ -309,24 +310,24 @@
 
 
 class TimerKind(StrEnum):
-    """What is due; the comment names the subject."""
+    """What is due; each comment begins with the timer's subject."""
 
-    DEADLINE = "deadline"  # a query's last moment to answer
-    OBJECTIVE = "aim"  # a query's latency objective
-    FIRST_STEP_CUTOFF = "cut"  # a query: its second step needs the rest of the time
-    RETRY_WAIT = "wait"  # a part that could not be sent
-    LATE = "late"  # an attempt: a hedge is due
+    DEADLINE = "deadline"  # a query: the last instant at which it can be answered
+    OBJECTIVE = "aim"  # a query: the instant of its latency objective
+    FIRST_STEP_CUTOFF = "cut"  # a query: the end of its first step, as the second one needs the time left
+    RETRY_WAIT = "wait"  # a part: it could not be sent and is tried again
+    LATE = "late"  # an attempt: it is late, and a hedge may be sent
     UNRESPONSIVE = "silent"  # an attempt: its endpoint is ejected if it has not responded since
-    TRIAL = "trial"  # an endpoint: an ejection is over
-    POLL = "ask"  # discovery is called again
-    POLL_TIMEOUT = "answer?"  # discovery is called again if it has not replied
+    TRIAL = "trial"  # an endpoint: an ejection ends, and a trial is due
+    POLL = "ask"  # no subject: discovery is called again
+    POLL_TIMEOUT = "answer?"  # no subject: discovery is called again if it has not replied
 
 
 TimerSubject = Query | Part | Attempt | Endpoint | None
 
 
 class Timer(NamedTuple):
-    """What is due, and for what."""
+    """A timer: what is due, and the record that it concerns."""
 
     kind: TimerKind
     subject: TimerSubject
