--- a/heathwell/policy/replica_selection.py
+++ b/heathwell/policy/replica_selection.py
@@ -1,10 +1,10 @@
-"""Replica selection by Batch Sampling on this aggregator's own counts.
+"""Replica selection by Batch Sampling, based on this aggregator's own calls in flight.
 
-The ordinary path (Li, Ramamoorthy, Srikant: mean-field analysis of coding versus replication in large data
-storage systems) is :meth:`ReplicaSelector.select` and :meth:`ReplicaSelector.in_rank_order`: of a shard's
-replicas the one with the fewest own calls in flight serves the part, the parts of a query are ranked by that
-count, ties are drawn, and the caller sends the first n. Every other function here is a departure; its
-docstring states what it guards against, and ``docs/design.md`` lists them.
+The algorithm (Li, Ramamoorthy, Srikant: mean-field analysis of coding versus replication in large data
+storage systems) is :meth:`ReplicaSelector.select` and :meth:`ReplicaSelector.in_rank_order`: a part is served
+by the replica of its shard with the fewest own calls in flight, the parts of a query are ranked by that
+count, ties are broken at random, and the caller sends the first n. All other functions here deviate from it;
+their docstrings state what they guard against, and ``docs/design.md`` lists them.
 """
 
 from __future__ import annotations
@@ -20,13 +20,17 @@
 from heathwell.policy.records import ALL_CLASSES, Endpoint, Part
 from heathwell.policy.slow_start import SlowStart
 
-RERANK_PARTS = 12  # up to which all parts are ranked anew before each pick: groups save little there
-OTHER_ZONE_LATENCY = 0.3  # relative latency by which an endpoint of the own zone may be slower than others
-NO_REPLICA_RANK = (1e9, 0, 0)  # after all parts that have a replica
-NO_REPLICA_CANARY_RANK = 1  # after all canary ranks, which are at most 1
+# Number of parts up to which all are ranked again before each choice: groups save little for so few.
+RERANK_PARTS = 12
+# Relative latency by which an endpoint of this aggregator's zone may be slower than one of another zone.
+OTHER_ZONE_LATENCY = 0.3
+# Rank of a part without a usable replica, after all other parts.
+NO_REPLICA_RANK = (1e9, 0, 0)
+# Canary rank of a part without a usable replica: no other canary rank is greater.
+NO_REPLICA_CANARY_RANK = 1
 
 Rank = tuple[float, ...]
-RankBasis = tuple[Endpoint, int] | None  # the endpoint that a rank rests on, and its attempts in flight
+RankBasis = tuple[Endpoint, int] | None  # the endpoint that gives a rank, and its attempts in flight
 
 
 class ReplicaSelector:
@@ -48,18 +52,18 @@
         self._slow_start = slow_start
         self._outliers = outliers
 
-    # The ordinary path
+    # Batch Sampling
 
     def select(self, part: Part) -> Endpoint | None:
-        """Return the usable replica with the least load, ties broken; None where there is none."""
+        """Return the usable replica with the least load, with ties broken; None if there is none."""
         candidates = self._candidates(part)
         return min(candidates, key=self._replica_rank, default=None)
 
     def in_rank_order(self, parts: list[Part]) -> Iterator[Part]:
-        """Yield the parts by rank, each by the loads that the sends before it left; empties the list.
+        """Yield the parts by rank, with loads that include the sends of the parts before; empty the list.
 
-        Up to :data:`RERANK_PARTS` parts are ranked anew before each pick. More are ranked by groups with the
-        same replicas, and only groups that rest on the picked endpoint are ranked anew: O(n log n).
+        Up to :data:`RERANK_PARTS` parts are ranked again before each choice. More are ranked in groups with
+        the same replicas, and only groups ranked by the chosen endpoint are ranked again: O(n log n).
         """
         while 0 < len(parts) <= RERANK_PARTS:
             best = min(parts, key=self.part_rank)
@@ -71,7 +75,7 @@
         yield from drain_by_rank(groups, self._group_rank, _is_current, self._context.random)
 
     def part_rank(self, part: Part) -> Rank:
-        """Return the rank of a part, the least first: its replica's load, then latency, then a draw."""
+        """Return the rank of a part, lowest first: its replica's load, then latency, then a random number."""
         endpoint = self.select(part)
         if endpoint is None:
             return NO_REPLICA_RANK
@@ -81,7 +85,7 @@
         return (self._load.load(endpoint), *self._tie_break(endpoint))
 
     def _group_rank(self, group: list[Part]) -> GroupRank[RankBasis]:
-        """Return the rank of parts with the same replicas, with the least of one draw a part."""
+        """Return the rank of parts with the same replicas, with the least of one random number per part."""
         endpoint = self.select(group[0])
         if endpoint is None:
             return GroupRank(NO_REPLICA_RANK, None)
@@ -89,12 +93,13 @@
         rank = (self._load.load(endpoint), self._tie_break(endpoint)[1], draw)
         return GroupRank(rank, (endpoint, len(endpoint.in_flight)))
 
-    # Departures
+    # Deviations from Batch Sampling
 
     def _candidates(self, part: Part) -> list[Endpoint]:
-        """Guard against replicas that are gone, excluded, busy with this part or without slow-start capacity.
+        """Return the replicas that may serve a part.
 
-        Ejected, deprioritized and formerly attempted ones serve only where no other replica is left.
+        Guards against replicas that are gone, excluded, already executing this part or without slow-start
+        capacity. Ejected, deprioritized and formerly attempted ones serve only if no other replica is left.
         """
         busy = {attempt.endpoint.node for attempt in part.in_flight()}
         attempted = {attempt.endpoint.node for attempt in part.attempts}
@@ -113,9 +118,10 @@
         return unattempted or healthy or available
 
     def _tie_break(self, endpoint: Endpoint) -> Rank:
-        """Guard against slow and distant replicas among equally loaded ones: parts, latency, then a draw.
+        """Return the rank of an endpoint at equal load: parts in flight, latency, then a random number.
 
-        An endpoint on trial ranks by no latency, so that the trial takes place.
+        Guards against slow replicas and those of other zones. The latency of an endpoint in its half-open
+        trial is ignored, so that the trial takes place.
         """
         on_trial = any(ejection.half_open for ejection in endpoint.ejections.values())
         zone_latency = 0.0 if endpoint.zone == self._context.settings.zone else OTHER_ZONE_LATENCY
@@ -123,7 +129,7 @@
         return (len(endpoint.in_flight), latency, self._context.random.random())
 
     def canary(self, parts: list[Part]) -> Part:
-        """Guard against queries of death: return the part whose replica was last seen to respond."""
+        """Return the part whose replica has the latest response; guards against queries of death."""
         return min(parts, key=self._canary_rank)
 
     def _canary_rank(self, part: Part) -> int:
@@ -132,5 +138,5 @@
 
 
 def _is_current(basis: RankBasis) -> bool:
-    """Return whether the count that a group's rank rests on is still the endpoint's."""
+    """Return whether the count that a group's rank is computed from is still that of the endpoint."""
     return basis is None or len(basis[0].in_flight) == basis[1]
--- a/heathwell/policy/retries.py
+++ b/heathwell/policy/retries.py
@@ -1,4 +1,4 @@
-"""Which parts may be sent again, up to when, and which wait for the retry budget."""
+"""Retry rules: which parts may be sent again, up to when, and which wait for the retry budget."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 from heathwell.policy.retry_budget import FREE_OUTCOMES, RetryBudget
 from heathwell.policy.settings import Idempotency
 
-RETRY_WAIT_OBJECTIVES = 0.05  # of the class: until a part that could not be sent is tried again
+# Time until a part that could not be sent is tried again, as a fraction of its class's latency objective.
+RETRY_WAIT_OBJECTIVES = 0.05
 
 
 class RetryRules:
-    """Decides on additional attempts of a part; owns no state beyond the part's ``waiting``."""
+    """Decides on additional attempts of a part; owns no state besides the part's ``waiting``."""
 
     def __init__(self, context: DecisionContext, budget: RetryBudget, latency: LatencyModel) -> None:
         self._context = context
@@ -20,14 +21,14 @@
         self._latency = latency
 
     def may_send_again(self, part: Part) -> bool:
-        """Return whether limits, the class's idempotency, budgets and quota allow another attempt."""
+        """Return whether settings, the class's idempotency, budgets and quota allow another attempt."""
         if not self._may_repeat(part):
             return False
         is_free = bool(part.attempts) and part.attempts[-1].outcome in FREE_OUTCOMES
         return self._budget.has_budget(is_free=is_free) and self._budget.has_quota()
 
     def send_by_us(self, part: Part) -> int:
-        """Return up to when an attempt may leave; its class limits repeats of what may have run."""
+        """Return up to when an attempt may be sent; a class limits repeats of parts that may have run."""
         query_class = part.query.spec
         deadline_us = part.query.deadline_us
         sent_at_us = [attempt.sent_at_us for attempt in part.attempts if attempt.may_have_run()]
@@ -38,10 +39,10 @@
         return min(deadline_us, min(sent_at_us) + query_class.idempotency_window_us)
 
     def wait_for_budget(self, part: Part) -> bool:
-        """Let a part wait whose next attempt only our own budget or the quota prevents.
+        """Let a part wait whose next attempt is prevented by the own budget or the quota alone.
 
-        It waits only if that attempt can still meet the objective. Were the query abandoned instead, its
-        client would request all parts anew. Return whether the part waits.
+        It waits only if that attempt can still meet the objective. If the query were abandoned instead, its
+        client would request all parts again. Return whether the part waits.
         """
         if part.waiting:
             return True
@@ -54,16 +55,16 @@
         return True
 
     def retry_wait_us(self, part: Part) -> int:
-        """Return after how long a part that could not be sent is tried again."""
+        """Return the time until a part that could not be sent is tried again."""
         return int(RETRY_WAIT_OBJECTIVES * part.query.spec.latency_objective_us)
 
     def wait(self, part: Part, wait_us: int) -> None:
-        """Try a part again after a span."""
+        """Mark a part as waiting and try it again after ``wait_us``."""
         part.waiting = True
         self._context.schedule(self._context.now_us + wait_us, TimerKind.RETRY_WAIT, part)
 
     def _may_repeat(self, part: Part) -> bool:
-        """Return whether the settings and the class's idempotency allow another attempt, whatever budgets."""
+        """Return whether the settings and the class's idempotency allow an attempt, regardless of budgets."""
         settings = self._context.settings
         if len(part.attempts) >= settings.max_attempts:
             return False
--- a/heathwell/policy/retry_budget.py
+++ b/heathwell/policy/retry_budget.py
@@ -1,4 +1,4 @@
-"""The budgets of additional attempts: the stated one, this aggregator's own, and the quota of the fleet."""
+"""Budgets of additional attempts: that of the settings, this aggregator's own, and the fleet's quota."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 # Earned attempts that are kept at most: enough for the parts of one endpoint that stops.
 TOKEN_CAPACITY = 10.0
 
-# Outcomes after which an additional attempt is free of our own budget: a part that was lost with its
-# connection was not late, and one that reached no endpoint is no load.
+# Outcomes after which an additional attempt takes no token of the own budget: a part that was lost with its
+# connection was not late, and one that reached no endpoint caused no load.
 FREE_OUTCOMES = (Outcome.CONNECTION_LOST, Outcome.UNREACHABLE, Outcome.NEVER_SENT)
 
 
 class RetryBudget:
-    """Owns the counts of admitted parts and additional attempts, the own tokens and the quota.
+    """Owns the counts of admitted parts and additional attempts, the token bucket and the quota.
 
-    The own budget limits how much additional attempts can feed an overload. It estimates what all aggregators
-    together may do, and so gives way to a quota where there is one.
+    The own budget, a token bucket, limits how much additional attempts can add to an overload. It only
+    estimates what all aggregators together may do, so a quota replaces it.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -37,33 +37,33 @@
         self._quota = additional_attempts
 
     def record_admission(self) -> None:
-        """Count a query or part taken, from which the stated budget earns."""
+        """Count an admitted query or part, which adds to the budget of the settings."""
         self._admitted.add(self._context.now_us)
 
     def record_first_attempt(self) -> None:
-        """Earn a fraction of an additional attempt."""
+        """Earn a fraction of a token for a first attempt of a part."""
         self.bucket.earn(TOKENS_PER_FIRST_ATTEMPT)
 
     def record_additional_attempt(self, previous_outcome: Outcome | None) -> None:
-        """Count an attempt that follows another one of its part, after this outcome (None: in flight)."""
+        """Count an attempt that follows another one of its part, which had this outcome (None: in flight)."""
         if previous_outcome not in FREE_OUTCOMES:
             self.bucket.spend()
         self._additional.add(self._context.now_us)
 
     def spend_quota(self) -> None:
-        """Take an additional attempt from the quota, where there is one."""
+        """Take an additional attempt from the quota, if there is one."""
         if self._quota is not None:
             self._quota -= 1
 
     def has_quota(self) -> bool:
-        """Return whether the quota, if there is one, leaves an additional attempt; emit where it doesn't."""
+        """Return whether the quota, if any, allows an additional attempt; emit an action if it doesn't."""
         if self._quota is not None and self._quota < 1:
             self._context.emit(QuotaExhausted())
             return False
         return True
 
     def has_budget(self, *, is_free: bool = False) -> bool:
-        """Return whether the stated budget and, unless it is free of that, our own leave an attempt."""
+        """Return whether the budget of the settings and, unless ``is_free``, the own one allow an attempt."""
         settings = self._context.settings
         now_us = self._context.now_us
         earned = settings.additional_attempt_ratio * self._admitted.count(now_us)
@@ -74,5 +74,5 @@
         return not settings.attempt_budget_window_us or self._additional.count(now_us) + 1 <= limit
 
     def has_own_budget(self) -> bool:
-        """Return whether the quota or, without one, our own budget leaves an attempt."""
+        """Return whether the quota or, without one, the own budget allows an attempt."""
         return self.bucket.has_token() if self._quota is None else self._quota >= 1
--- a/heathwell/policy/sending.py
+++ b/heathwell/policy/sending.py
@@ -1,4 +1,4 @@
-"""Sending parts: the parts of a step that are needed, one after another, each to its selected replica."""
+"""Sending parts: the required parts of a step, one after another, each to its selected replica."""
 
 from __future__ import annotations
 
@@ -17,15 +17,20 @@
 from heathwell.policy.retry_budget import RetryBudget
 from heathwell.policy.slow_start import SlowStart
 
-LATE_FRACTION = 0.5  # of the time left to the objective at the send: an attempt without outcome is late
-LATE_TIME_DIVISOR = 2  # of the objective: the least time left that counts
-CANARY_WEIGHT = 1e-5  # required weight that the first part reaches
-SINGLE_PART_WEIGHT = 1e-4  # required weight under which one part goes first
-ALL_PARTS_WEIGHT = 1 - 1e-4  # required weight over which all parts are sent, in any order
+# Fraction of the time left to the objective at the send after which an attempt without an outcome is late.
+LATE_FRACTION = 0.5
+# Divisor of the latency objective that gives the least time left from which that fraction is taken.
+LATE_TIME_DIVISOR = 2
+# Required weight while a canary is sent first: any one part reaches it.
+CANARY_WEIGHT = 1e-5
+# Required weight below which only the canary is sent.
+SINGLE_PART_WEIGHT = 1e-4
+# Required weight above which all parts are sent, in any order.
+ALL_PARTS_WEIGHT = 1 - 1e-4
 
 
 class PartSender:
-    """Sends parts; owns no state beyond the parts' own."""
+    """Sends parts; owns no state besides that of the parts."""
 
     def __init__(
         self,
@@ -50,7 +55,7 @@
         self._completion = completion
 
     def send_step(self, query: Query) -> None:
-        """Shed the query, or rank the step's parts by their replica's load and send those that are needed."""
+        """Shed the query, or rank the step's parts by their replica's load and send the required ones."""
         if not query.has_response and self._shedder.should_shed(query):
             self._completion.abandon(query, EndReason.OVERLOAD)
             return
@@ -67,18 +72,18 @@
         if needed_weight < SINGLE_PART_WEIGHT and unsent:
             return iter([self._selector.canary(unsent)])
         if needed_weight > ALL_PARTS_WEIGHT:
-            return iter(unsent)  # where all are sent the order decides nothing
+            return iter(unsent)  # all are sent, so their order makes no difference
         return self._selector.in_rank_order(unsent)
 
     def resume(self, query: Query) -> None:
-        """Send the parts that were held back or broken while the query was suspected of being deadly."""
+        """Send the parts held back, or failed, while the query was suspected of being a query of death."""
         for part in query.parts:
             if part.attempts and not (part.done or part.waiting or part.in_flight()):
                 self.try_send(part)
         self.send_step(query)
 
     def try_send(self, part: Part) -> bool:
-        """Send a part to its selected replica, or let it wait where there is none; return whether it left."""
+        """Send a part to its selected replica, or let it wait if there is none; return whether it is sent."""
         tick_us = self._context.settings.tick_us
         if self._context.now_us >= part.query.deadline_us - tick_us:
             return False
@@ -112,7 +117,7 @@
 
 
 def _attempt_reason(part: Part) -> AttemptReason:
-    """Return why a part's next attempt is sent, as its attempts so far show it."""
+    """Return why a part's next attempt is sent, according to its attempts so far."""
     if not part.attempts:
         return AttemptReason.SUBSTITUTE if part.is_substitute else AttemptReason.FIRST
     if part.in_flight():
--- a/heathwell/policy/settings.py
+++ b/heathwell/policy/settings.py
@@ -1,6 +1,6 @@
-"""Settings of one aggregator: query classes, tenants, limits and the parameters of the rules.
+"""Settings of one aggregator: query classes, tenants, limits and parameters of the rules.
 
-Types only; nothing here decides. Spans end in ``_us`` and are integers in microseconds.
+Types only, without decisions. Durations end in ``_us`` and are integers in microseconds.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryClass:
-    """One class of query.
+    """One query class.
 
-    ``required_fraction`` is the fraction of the first step's weight that makes a complete answer,
-    ``minimum_fraction`` the least that may be answered at all, and ``second_step_parts`` the number of parts
-    of a second step (0: none). ``priority_weight`` is the value of a query answered in its objective;
-    ``late_weight`` and ``partial_weight`` are the fractions of it that a late or a partial answer keeps.
-    ``objective_hint_ratio`` stretches the objective by that much of the query's work hint.
+    ``required_fraction`` is the fraction of the first step's weight that makes an answer complete,
+    ``minimum_fraction`` the smallest fraction that may be answered, and ``second_step_parts`` the number of
+    parts of a second step (0: there is none). ``priority_weight`` is the value of a query answered within its
+    objective; ``late_weight`` and ``partial_weight`` are the fractions of that value which a late or a
+    partial answer has. ``objective_hint_ratio`` times the query's work hint is added to the objective.
     ``idempotency_window_us`` is how long the servers of a keyed class recognise a repeated part.
 
-    Raises :class:`ValueError` naming the class and the field that is out of range.
+    Raises :class:`ValueError` that names the class and the field that is out of range.
     """
 
     name: str
@@ -58,23 +58,23 @@
 
     @property
     def allows_partial(self) -> bool:
-        """Whether less than a complete answer may be given."""
+        """Whether a partial answer may be given."""
         return self.minimum_fraction < self.required_fraction
 
     @property
     def effective_minimum_fraction(self) -> float:
-        """The least fraction of the first step's weight that may be answered."""
+        """The smallest fraction of the first step's weight that may be answered, complete or partial."""
         return min(self.minimum_fraction, self.required_fraction)
 
     @property
     def allows_duplicates(self) -> bool:
-        """Whether a part may be sent while or after another attempt may have run it."""
+        """Whether a part may be sent while, or after, another attempt may have executed it."""
         return self.idempotency != Idempotency.NON_IDEMPOTENT
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and the query rate, over all aggregators, within its quota (0: no quota)."""
+    """A tenant and its quota, a query rate over all aggregators (0: no quota)."""
 
     name: str
     quota_rps: float = 0.0
@@ -84,24 +84,33 @@
 class Settings:
     """Settings of one aggregator.
 
-    Placement: shard ``s`` lies on ``groups_per_shard`` replica groups in a row, from group ``s`` modulo
-    ``replica_groups`` on; ``aggregator_count`` aggregators share the endpoints, and ``zone`` is this one's.
+    Placement: shard ``s`` is on ``groups_per_shard`` consecutive replica groups, beginning with group ``s``
+    modulo ``replica_groups``. ``aggregator_count`` aggregators share the endpoints; ``zone`` is the zone of
+    this one.
 
-    Permissions: ``max_attempts`` per part, ``max_open`` queries and parts held at once (0: no limit),
-    ``hedging_allowed`` (two attempts of a part in flight), ``cancellation_allowed``, ``probing_allowed``,
-    ``retry_advice_allowed`` up to ``max_retry_after_us``, ``parts_per_call`` parts that share a call.
+    Limits and permissions: ``max_attempts`` per part; ``max_open`` queries and parts at once (0: no limit);
+    ``hedging_allowed`` (two attempts of a part in flight); ``cancellation_allowed``; ``probing_allowed``;
+    ``retry_advice_allowed``, of at most ``max_retry_after_us``; ``parts_per_call``, the number of parts that
+    may share a call.
+
+    Clients: with ``clients_mark_retries`` only a query marked as a retry is taken for one. The priority of
+    queries by which a tenant exceeds its quota is multiplied by ``over_quota_weight``. With
+    ``priority_scales_with_work`` a query's priority is its class's weight times its work. With
+    ``endpoints_cache_keys`` endpoints do less work for recently used keys.
 
     Discovery: with ``poll_mode`` the aggregator polls for changes, which count as known
     ``max_poll_interval_us`` after they were made; otherwise they are pushed. A draining endpoint gets no new
     attempts later than ``drain_grace_us`` after the update that says so.
 
-    Slow start: an endpoint starts with ``slow_start_capacity`` of its capacity and has all of it after
-    ``slow_start_duration_us``; more than ``overload_multiple`` times its capacity for ``overload_after_us``
-    overloads it.
+    Slow start: an endpoint starts with a fraction ``slow_start_capacity`` of its capacity and has all of it
+    after ``slow_start_duration_us``. A load of more than ``overload_multiple`` times its capacity for
+    ``overload_after_us`` overloads it.
+
+    Attempt budget: in a window of ``attempt_budget_window_us`` (0: no budget),
+    ``free_additional_attempts`` are allowed, plus ``additional_attempt_ratio`` times the admitted queries and
+    parts. ``tick_us`` is how long before a deadline the final answer is given.
 
-    Attempt budget: within ``attempt_budget_window_us`` (0: none is stated) ``free_additional_attempts``, and
-    ``additional_attempt_ratio`` of the queries and parts taken. ``tick_us`` is how much before a deadline the
-    final answer is given. Raises :class:`ValueError` naming the field that is out of range.
+    Raises :class:`ValueError` that names the field that is out of range.
     """
 
     classes: tuple[QueryClass, ...]
