--- a/heathwell/datastructures/__init__.py
+++ b/heathwell/datastructures/__init__.py
@@ -1,6 +1,6 @@
 """Generic data structures of the decision module.
 
-They are pure and hold no tuned figure: each time constant, limit and gain is handed in by the caller, and
+They are sans-I/O and contain no tuned parameters: the caller passes each time constant, limit and gain, and
 nothing here chooses between servers or queries. Times are integers in microseconds on the caller's clock.
 Standard library only.
 """
--- a/heathwell/datastructures/decaying.py
+++ b/heathwell/datastructures/decaying.py
@@ -1,4 +1,4 @@
-"""Sums and averages that decay exponentially, and a mean with a least gain."""
+"""Sums and averages that decay exponentially, and a running mean with a minimum gain."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class DecayingSum:
-    """A sum that fades by 1/e over each time constant."""
+    """A sum that decays by a factor of e over each time constant."""
 
     __slots__ = ("updated_at_us", "value")
 
@@ -15,17 +15,17 @@
         self.updated_at_us = 0
 
     def at(self, now_us: int, time_constant_us: float) -> float:
-        """The sum as it stands at an instant."""
+        """Return the decayed sum at an instant."""
         return self.value * exp((self.updated_at_us - now_us) / time_constant_us)
 
     def add(self, now_us: int, amount: float, time_constant_us: float) -> None:
-        """Fade the sum up to an instant and add an amount."""
+        """Decay the sum up to an instant and add an amount."""
         self.value = self.at(now_us, time_constant_us) + amount
         self.updated_at_us = now_us
 
 
 class DecayingAverage:
-    """A moving average that drifts back to its baseline by 1/e over each time constant without a sample."""
+    """A moving average whose distance from its baseline decays by a factor of e over each time constant."""
 
     __slots__ = ("baseline", "updated_at_us", "value")
 
@@ -35,22 +35,22 @@
         self.updated_at_us = 0
 
     def at(self, now_us: int, time_constant_us: float) -> float:
-        """The average as it stands at an instant."""
+        """Return the average at an instant, decayed towards the baseline."""
         decay = exp((self.updated_at_us - now_us) / time_constant_us)
         return self.baseline + (self.value - self.baseline) * decay
 
     def add(self, now_us: int, sample: float, gain: float, time_constant_us: float) -> None:
-        """Move the average to a sample by a gain in [0, 1]."""
+        """Add a sample with a gain in [0, 1], the weight of the sample in the average."""
         self.value = self.at(now_us, time_constant_us) * (1 - gain) + sample * gain
         self.updated_at_us = now_us
 
     def reset(self) -> None:
-        """Forget the samples; the instant of the last one stays known."""
+        """Reset the average to its baseline; the instant of the last sample is kept."""
         self.value = self.baseline
 
 
 class RunningMean:
-    """The mean of the first samples, and from then on a moving average with a least gain."""
+    """The mean of all samples until their number exceeds 1 / gain, then a moving average with that gain."""
 
     __slots__ = ("count", "value")
 
@@ -59,6 +59,6 @@
         self.count = 0
 
     def add(self, sample: float, minimum_gain: float) -> None:
-        """Take a sample, which weighs one of all so far, but never less than the least gain."""
+        """Add a sample with a weight of one over the number of samples, but at least the minimum gain."""
         self.count += 1
         self.value += (sample - self.value) * max(minimum_gain, 1 / self.count)
--- a/heathwell/datastructures/grouped_ranking.py
+++ b/heathwell/datastructures/grouped_ranking.py
@@ -1,4 +1,4 @@
-"""Items of groups in rank order, where taking an item may change the rank of its group."""
+"""Iteration over grouped items by rank, where taking an item may change the rank of groups."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupRank(Generic[BasisT]):
-    """A group's rank (least first) and the basis that it rests on."""
+    """A group's rank, lowest first, and the basis: the state that the rank was computed from."""
 
     order: tuple[float, ...]
     basis: BasisT
@@ -24,12 +24,12 @@
     groups: dict[int, list[T]],
     rank: Callable[[list[T]], GroupRank[BasisT]],
     is_current: Callable[[BasisT], bool],
-    draws: random.Random,
+    rng: random.Random,
 ) -> Iterator[T]:
-    """Take the items one by one from the group of least rank, a drawn item of it each time.
+    """Yield the items one by one, each a random item of the group of lowest rank.
 
-    A group is ranked anew only when it comes first and its basis is not current any more: with few groups
-    resting on one basis n items cost O(n log n). The lists in ``groups`` are emptied.
+    A group is ranked again only when it comes first and its basis is no longer current. If few groups share
+    a basis, n items cost O(n log n). The lists in ``groups`` are emptied.
     """
     heap = []
     for key, group in groups.items():
@@ -43,6 +43,6 @@
             ranked = rank(group)
             heapq.heapreplace(heap, (ranked.order, key, ranked.basis))
             continue
-        yield group.pop(draws.randrange(len(group)) if len(group) > 1 else 0)
+        yield group.pop(rng.randrange(len(group)) if len(group) > 1 else 0)
         if not group:
             heapq.heappop(heap)
--- a/heathwell/datastructures/recent_rank.py
+++ b/heathwell/datastructures/recent_rank.py
@@ -1,4 +1,4 @@
-"""The rank of a value among the latest ones."""
+"""The rank of a value among the latest values."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RecentRank:
-    """Keeps the latest values, up to a number of them."""
+    """Keeps the latest ``capacity`` values."""
 
     __slots__ = ("_values",)
 
@@ -14,7 +14,7 @@
         self._values: deque[float] = deque(maxlen=capacity)
 
     def rank(self, value: float) -> float:
-        """The share of the values kept that lie below this one (0 where none is kept); it is kept after."""
+        """Return the fraction of the kept values below this one (0 if there are none), then keep it too."""
         below = sum(kept < value for kept in self._values) / max(1, len(self._values))
         self._values.append(value)
         return below
--- a/heathwell/datastructures/sliding_window.py
+++ b/heathwell/datastructures/sliding_window.py
@@ -1,4 +1,4 @@
-"""Counts of events in a window that slides with the clock."""
+"""Event counts and samples in a sliding time window."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SlidingWindowCounter:
-    """Counts events of the last window. With a window of 0 nothing is kept and the count is 0.
+    """Counts the events in the window that ends now. With a window of 0 the count is always 0.
 
     ``includes_edge`` states whether an event exactly one window old still counts.
     """
@@ -19,12 +19,12 @@
         self._at_us: deque[int] = deque()
 
     def add(self, now_us: int) -> None:
-        """Note an event; instants never go back."""
+        """Record an event; instants must not decrease."""
         if self.window_us:
             self._at_us.append(now_us)
 
     def count(self, now_us: int) -> int:
-        """Events within the window that ends now."""
+        """Return the number of events in the window that ends now."""
         oldest_us = now_us - self.window_us + self._edge_us
         while self._at_us and self._at_us[0] < oldest_us:
             self._at_us.popleft()
@@ -32,7 +32,7 @@
 
 
 class SlidingWindowSamples:
-    """Samples with their instants; those older than the window are dropped when the next one comes."""
+    """Samples with their instants; those older than the window are dropped when one is added."""
 
     __slots__ = ("_samples", "window_us")
 
@@ -41,15 +41,15 @@
         self._samples: deque[tuple[int, float]] = deque()
 
     def __len__(self) -> int:
-        """Samples that are kept."""
+        """Return the number of stored samples."""
         return len(self._samples)
 
     def add(self, now_us: int, at_us: int, value: float) -> None:
-        """Keep a sample of an instant, which may lie before now."""
+        """Add a sample of the instant ``at_us``, which may be before now."""
         while self._samples and self._samples[0][0] < now_us - self.window_us:
             self._samples.popleft()
         self._samples.append((at_us, value))
 
     def since(self, edge_us: float) -> list[float]:
-        """The samples of after an instant, oldest entry first."""
+        """Return the samples of instants after ``edge_us``, in the order in which they were added."""
         return [value for at_us, value in self._samples if at_us > edge_us]
--- a/heathwell/datastructures/timer_queue.py
+++ b/heathwell/datastructures/timer_queue.py
@@ -1,4 +1,4 @@
-"""Timers in the order of their instants, first set first out among equals."""
+"""Timers ordered by instant; those of the same instant in the order in which they were set."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TimerQueue(Generic[T]):
-    """A priority queue of what is due when; setting and taking one costs O(log n)."""
+    """A priority queue of items by the instant at which they are due; schedule and pop cost O(log n)."""
 
     __slots__ = ("_heap", "_serial")
 
@@ -18,21 +18,21 @@
         self._serial = 0
 
     def __len__(self) -> int:
-        """Items that are set."""
+        """Return the number of scheduled items."""
         return len(self._heap)
 
     def schedule(self, at_us: int, item: T) -> None:
-        """Make an item due at an instant."""
+        """Schedule an item for an instant."""
         self._serial += 1
         heapq.heappush(self._heap, (at_us, self._serial, item))
 
     @property
     def next_at_us(self) -> int | None:
-        """When the first item is due; None where there is none."""
+        """The instant at which the first item is due; None if there is none."""
         return self._heap[0][0] if self._heap else None
 
     def pop_due(self, now_us: int) -> T | None:
-        """Take the first item that is due by now; None where there is none."""
+        """Remove and return the first item that is due by now; None if there is none."""
         if self._heap and self._heap[0][0] <= now_us:
             return heapq.heappop(self._heap)[2]
         return None
