--- a/heathwell/policy/settings.py
+++ b/heathwell/policy/settings.py
@@ -46,15 +46,23 @@
 
     def __post_init__(self) -> None:
         if self.latency_objective_us <= 0 or self.timeout_us < self.latency_objective_us:
-            raise ValueError(f"class {self.name}: needs 0 < latency_objective_us <= timeout_us")
+            raise ValueError(
+                f"class {self.name}: latency_objective_us must be over 0 and at most timeout_us "
+                f"({self.timeout_us}), is {self.latency_objective_us}"
+            )
         if self.idempotency not in tuple(Idempotency):
-            raise ValueError(f"class {self.name}: idempotency {self.idempotency!r} is not known")
+            known = ", ".join(Idempotency)
+            raise ValueError(
+                f"class {self.name}: idempotency must be one of {known}, is {self.idempotency!r}"
+            )
         for field in ("required_fraction", "minimum_fraction"):
             fraction = getattr(self, field)
             if not 0 < fraction <= 1:
-                raise ValueError(f"class {self.name}: {field} {fraction} is not a fraction in (0, 1]")
+                raise ValueError(f"class {self.name}: {field} must be in (0, 1], is {fraction}")
         if self.second_step_parts < 0:
-            raise ValueError(f"class {self.name}: second_step_parts {self.second_step_parts} is negative")
+            raise ValueError(
+                f"class {self.name}: second_step_parts must not be negative, is {self.second_step_parts}"
+            )
 
     @property
     def allows_partial(self) -> bool:
@@ -146,7 +154,7 @@
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise ValueError("classes: at least one is needed")
+            raise ValueError("classes: must name at least one query class, is empty")
         positive = (
             "shards",
             "replica_groups",
@@ -161,10 +169,11 @@
                 raise ValueError(f"{name}: must be at least 1, is {getattr(self, name)}")
         if self.groups_per_shard > self.replica_groups:
             raise ValueError(
-                f"groups_per_shard: {self.groups_per_shard} is over replica_groups, {self.replica_groups}"
+                f"groups_per_shard: must be at most replica_groups ({self.replica_groups}), "
+                f"is {self.groups_per_shard}"
             )
         if not 0 < self.slow_start_capacity <= 1:
-            raise ValueError(f"slow_start_capacity: {self.slow_start_capacity} is not a fraction in (0, 1]")
+            raise ValueError(f"slow_start_capacity: must be in (0, 1], is {self.slow_start_capacity}")
         for name in ("additional_attempt_ratio", "free_additional_attempts", "attempt_budget_window_us"):
             if getattr(self, name) < 0:
-                raise ValueError(f"attempt budget: {name} {getattr(self, name)} is negative")
+                raise ValueError(f"attempt budget: {name} must not be negative, is {getattr(self, name)}")
