--- a/heathwell/benchlink.py
+++ b/heathwell/benchlink.py
@@ -1,7 +1,9 @@
 """Adapter between the wire of the operators' bench and the decision module.
 
-Each line of JSON is translated to events of :mod:`heathwell.policy`, each reply back; there is one
-:class:`Aggregator` for each instance. The wire's own terms stand in this module alone.
+Each input line is a batch of messages in JSON, which are translated to events of :mod:`heathwell.policy`; the
+resulting actions are translated back and written as one line. Each instance of the bench has its own
+:class:`Aggregator`. The field names and codes of this wire are used in this module only, apart from those of
+the platform's settings (:mod:`heathwell.gateway.settings_from_platform`).
 """
 
 from __future__ import annotations
@@ -24,7 +26,7 @@
 )
 from heathwell.policy.aggregator import Aggregator
 
-WireMessage = dict[str, Any]  # one object of the wire's JSON
+WireMessage = dict[str, Any]  # one JSON object of the wire
 EndpointListsByNumber = Mapping[int, tuple[policy.EndpointEntry, ...]]  # keyed by their number on the wire
 
 ENDPOINT_STATES = {
@@ -59,7 +61,7 @@
 
 
 def endpoint_entry_from(line: WireMessage) -> policy.EndpointEntry:
-    """Return the entry of one line of a wire list; a state the wire does not define becomes unknown."""
+    """Return the entry for one line of an endpoint list; an undefined state becomes UNKNOWN."""
     where = "members-list"
     state = text(line, "availability", where)
     since = line.get("since-us")
@@ -76,7 +78,7 @@
 def endpoint_update_from(
     message: WireMessage, endpoint_lists: EndpointListsByNumber
 ) -> policy.EndpointUpdate:
-    """Return the update for a message that refers to a numbered list, or for a failed call."""
+    """Return the update for a message that refers to a numbered endpoint list or reports a failed call."""
     kind = "fleet"
     form = text(message, "form", kind)
     update_kind = coded(message, "form", kind, UPDATE_KINDS)
@@ -84,13 +86,13 @@
     if update_kind != policy.UpdateKind.FAILED:
         list_number = number(message, "table", kind)
         if list_number not in endpoint_lists:
-            raise WireError(f"fleet: field 'table' names list {list_number}, which was never given")
+            raise WireError(f"fleet: field 'table' names list {list_number}, which is not defined")
         endpoints = endpoint_lists[list_number]
     return policy.EndpointUpdate(update_kind, endpoints, requested=form != "restored")
 
 
 def query_or_part_from(message: WireMessage) -> policy.QueryArrived | policy.PartArrived:
-    """Return the query, or the part where the message names a shard."""
+    """Return a part if the message names a shard, otherwise a query."""
     kind = "query"
     shard = number(message, "range-no", kind)
     hint = message.get("size-hint-us")
@@ -116,7 +118,7 @@
 
 
 def attempt_ended_from(message: WireMessage) -> policy.AttemptEnded:
-    """Return the outcome of an attempt, with its endpoint's load report where there is one."""
+    """Return the outcome of an attempt, with its endpoint's load report if there is one."""
     kind = "returned"
     load_report = message.get("stats") or {}
     return policy.AttemptEnded(
@@ -146,7 +148,7 @@
         case "expired":
             return policy.ClientDisconnected(text(message, "xid", kind))
         case _:
-            raise WireError(f"message of unknown type '{kind}'")
+            raise WireError(f"message: field 'event_type' has the unknown value {kind!r}")
 
 
 def message_from_action(  # noqa: C901  # one case for each type of action
@@ -178,11 +180,11 @@
         case policy.EndpointEjected() | policy.EndpointReadmitted() | policy.DiscoveryDegraded():
             return {"event_type": "journal-line", "who": instance, "text": journal_text(action)}
         case policy.QuotaExhausted():
-            raise WireError("a quota of the fleet, which the bench has none of")
+            raise WireError("action QuotaExhausted: the bench's wire has no quotas and no message for it")
 
 
 def journal_text(event: policy.OperatorEvent) -> str:
-    """Return the sentence of the bench's journal for an event."""
+    """Return the text of the bench's journal line for an operator event."""
     match event:
         case policy.EndpointEjected(node=node, reason=reason):
             return f"server {node} ejected: {EJECTION_TEXTS[reason]}"
@@ -200,11 +202,11 @@
         self.aggregators: dict[int, Aggregator] = {}
 
     def reply(self, line: str) -> str:
-        """Handle one batch; return the commands as a line of JSON. Raise :class:`WireError`."""
+        """Handle one batch; return its commands as a line of JSON. Raise :class:`WireError` for bad input."""
         try:
             batch = json.loads(line)
         except ValueError as error:
-            raise WireError(f"a line is not JSON: {error}") from None
+            raise WireError(f"batch: a JSON object on one line is expected: {error}") from None
         now_us = number(batch, "time-us", "batch")
         pending: dict[int, list[policy.Event]] = {}
         for message in array(batch, "inbox", "batch"):
@@ -217,7 +219,7 @@
         return json.dumps({"cmds": commands}, separators=(",", ":"))
 
     def _receive(self, message: WireMessage, pending: dict[int, list[policy.Event]]) -> None:
-        """Apply a message on lists or instances, or append its event to those of its instance."""
+        """Apply a message about endpoint lists or instances, or append its event to those of its instance."""
         kind = text(message, "event_type", "message")
         if kind == "list":
             entries = tuple(endpoint_entry_from(entry) for entry in array(message, "members-list", kind))
@@ -246,7 +248,7 @@
 
 
 def serve(lines: Iterable[str], out: TextIO) -> None:
-    """Reply to batches until the input ends."""
+    """Reply to each line of input until the input ends."""
     adapter = BenchAdapter()
     for line in lines:
         if line.strip():
@@ -255,7 +257,7 @@
 
 
 def main() -> int:
-    """Run on standard input and output; bad input ends it with a message and code 2."""
+    """Serve standard input and output; bad input ends the process with a message and exit status 2."""
     try:
         serve(sys.stdin, sys.stdout)
     except WireError as error:
