--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,4 +1,4 @@
-"""Checks of the six rules on the events and actions of one aggregator; no model of endpoints."""
+"""Checks of the rules that one aggregator must keep, on its events and actions alone."""
 
 from __future__ import annotations
 
@@ -16,9 +16,11 @@
 
 
 class RuleChecker:
-    """Asserts, batch by batch, the rules that one aggregator can keep alone.
+    """Asserts the rules batch by batch; it does not model endpoints.
 
-    A final reply may be up to `slack_us` after the deadline of its query, as the clock advances in ticks.
+    The rules: one final reply to each query by its deadline; no attempts at draining endpoints after the
+    grace period; limits on attempts and hedges; idempotency; the attempt budget; minimum and complete weight
+    of answers. A final reply may be up to `slack_us` after the deadline, as the clock advances in ticks.
     """
 
     def __init__(self, config: Settings, slack_us: int = 20_000) -> None:
@@ -46,10 +48,10 @@
         for action in actions:
             self.on_action(action)
         for query in self.open.values():
-            assert now_us <= query.deadline_us + self.slack_us, "lost query"
+            assert now_us <= query.deadline_us + self.slack_us, "no final reply by the deadline"
 
     def on_event(self, event: policy.Event) -> None:
-        """Record what an event adds to the state that the rules refer to."""
+        """Update the state that the rules refer to."""
         match event:
             case policy.QueryArrived():
                 self.open[event.id] = self.query_by_job[event.job] = event
@@ -89,44 +91,46 @@
             case policy.Send():
                 self.on_send(action)
             case policy.Answer():
-                assert action.id in self.open, "second final answer"
+                assert action.id in self.open, "second final reply"
                 self.on_answer(action)
             case policy.Reject() | policy.Fail():
-                assert action.id in self.open, "second final answer"
+                assert action.id in self.open, "second final reply"
                 if isinstance(action, policy.Reject):
                     self.check_safe_to_retry(self.open[action.id])
                 self.close(action.id)
             case policy.Cancel():
-                assert self.config.cancellation_allowed
-                assert len(self.attempts[action.id]) > action.seq
+                assert self.config.cancellation_allowed, "cancellation is not allowed"
+                assert len(self.attempts[action.id]) > action.seq, "cancellation of an unknown attempt"
                 if self.attempts[action.id][action.seq].outcome is None:
                     self.record_outcome(action.id, action.seq, policy.Outcome.CANCELLED)
             case policy.Probe():
-                assert self.config.probing_allowed
+                assert self.config.probing_allowed, "probing is not allowed"
 
     def check_safe_to_retry(self, query: policy.QueryArrived) -> None:
-        """Check that no part of a rejected non-idempotent query may have run: its client may retry it."""
+        """Check that no part of a rejected non-idempotent query may have run, as its client may retry it."""
         query_class = self.config.classes[query.query_class]
         if query_class.idempotency != policy.Idempotency.NON_IDEMPOTENT:
             return
         for part, event in self.parts.items():
             if event.job == query.job:
-                assert all(attempt[1] in policy.NOT_EXECUTED for attempt in self.attempts[part]), (
-                    "may have run"
+                assert all(attempt.outcome in policy.NOT_EXECUTED for attempt in self.attempts[part]), (
+                    "rejected although a non-idempotent part may have run"
                 )
 
     def on_send(self, action: policy.Send) -> None:
         """Check an attempt against the state of its part, its query and its endpoint."""
         event = self.parts[action.id]
         query = self.query_by_job[event.job]
-        assert query.id in self.open, "send for a finished query"
-        assert action.id not in self.answered_parts, "send for a finished part"
+        assert query.id in self.open, "attempt for a query that has its final reply"
+        assert action.id not in self.answered_parts, "attempt for a part that has a response"
         if action.node in self.draining_since_us:
-            assert self.now_us <= self.draining_since_us[action.node] + self.config.drain_grace_us, "drain"
+            assert self.now_us <= self.draining_since_us[action.node] + self.config.drain_grace_us, (
+                "attempt at a draining endpoint after the grace period"
+            )
         earlier = self.attempts[action.id]
-        assert len(earlier) < self.config.max_attempts
+        assert len(earlier) < self.config.max_attempts, "more attempts than max_attempts"
         if any(attempt.outcome is None for attempt in earlier):
-            assert self.config.hedging_allowed, "two at once"
+            assert self.config.hedging_allowed, "second attempt in flight without hedging allowed"
         self.check_idempotency(self.config.classes[query.query_class], earlier)
         if earlier and self.config.attempt_budget_window_us:
             self.check_attempt_budget()
@@ -138,14 +142,14 @@
             attempt.sent_at_us for attempt in earlier if attempt.outcome not in policy.NOT_EXECUTED
         ]
         if query_class.idempotency == policy.Idempotency.NON_IDEMPOTENT:
-            assert not executed_at_us, "unsafe part sent twice"
+            assert not executed_at_us, "non-idempotent part that may have run was sent again"
         if query_class.idempotency == policy.Idempotency.KEYED and executed_at_us:
             assert self.now_us <= min(executed_at_us) + query_class.idempotency_window_us, (
-                "outside the window"
+                "keyed part sent again after its idempotency window"
             )
 
     def check_attempt_budget(self) -> None:
-        """Count an additional attempt and check the budget of the settings over its window."""
+        """Count an additional attempt and check the attempt budget of the settings over its window."""
         self.additional_attempts_at_us.append(self.now_us)
         window_start_us = self.now_us - self.config.attempt_budget_window_us
         additional = sum(at_us >= window_start_us for at_us in self.additional_attempts_at_us)
@@ -153,7 +157,7 @@
         assert (
             additional
             <= self.config.free_additional_attempts + self.config.additional_attempt_ratio * admitted + 1e-9
-        ), "budget"
+        ), "more additional attempts than the attempt budget"
 
     def on_answer(self, action: policy.Answer) -> None:
         """Check the received weight of an answer; begin the second step or close the query."""
@@ -167,11 +171,13 @@
         )
         allows_partial = query_class.minimum_fraction < query_class.required_fraction
         minimum = query_class.minimum_fraction if step == 1 or allows_partial else 1.0
-        assert received >= minimum - 1e-4, "under floor"
+        assert received >= minimum - 1e-4, "answer below the minimum weight"
         if action.complete:
             required = query_class.required_fraction if step == 1 else 1.0
-            assert received >= required - 1e-4, "not whole"
-            assert step == 1 or self.first_step_complete[action.id]
+            assert received >= required - 1e-4, "answer marked complete without the required weight"
+            assert step == 1 or self.first_step_complete[action.id], (
+                "answer marked complete after an incomplete first step"
+            )
         if step == 1 and query_class.second_step_parts:
             self.current_step[action.id] = 2
             self.first_step_complete[action.id] = action.complete
