--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings and a driver of one aggregator that the tests share; no model of endpoints."""
+"""Shared settings and a driver for one aggregator; endpoints are not modelled."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 
 from heathwell import Aggregator, Settings, policy
 
-hypothesis_settings.register_profile("same", derandomize=True, deadline=None, max_examples=150, database=None)
-hypothesis_settings.load_profile("same")
+hypothesis_settings.register_profile(
+    "deterministic", derandomize=True, deadline=None, max_examples=150, database=None
+)
+hypothesis_settings.load_profile("deterministic")
 
 pytest_plugins = ["tests.known_red"]
 
 OBJECTIVE_US = 1_000_000
-"""Latency objective of every query class, in microseconds; their timeout is twice as long."""
+"""Latency objective of all query classes, in microseconds; their timeout is twice as long."""
 TICK_US: Final = 5_000
 START_US: Final = 10_000_000
 QUERY_CLASSES: Final = (
@@ -60,13 +62,13 @@
 )
 """Query classes of `make_settings`; tests refer to them by index.
 
-Class 0 requires three quarters of its parts, 1 all of them; 2 has a second step of two parts; 3 is keyed, 4
-not idempotent; 5 accepts a partial answer; 6 accepts one and has a second step.
+Class 0 requires three quarters of its parts, class 1 all of them. Class 2 has a second step of two parts.
+Class 3 is keyed, class 4 not idempotent. Classes 5 and 6 allow partial answers; class 6 has a second step.
 """
 
 
 def make_settings(**changes: object) -> Settings:
-    """Return settings of six replica groups, each shard on three of them, with `changes` applied."""
+    """Return settings with six shards, each on three of six replica groups, with `changes` applied."""
     values: dict[str, Any] = {
         "classes": QUERY_CLASSES,
         "shards": 6,
@@ -94,10 +96,10 @@
 
 
 class AggregatorDriver:
-    """Passes events to one aggregator on a clock of its own and returns the actions.
+    """Passes events to one aggregator, on its own clock, and returns the actions.
 
-    Construction passes a complete list of `endpoint_count` endpoints, one in each replica group;
-    `initial_actions` holds the actions that it caused.
+    The constructor passes a full list of `endpoint_count` endpoints, one in each replica group;
+    `initial_actions` are the actions that this caused.
     """
 
     def __init__(self, config: Settings, seed: int = 1, endpoint_count: int | None = None) -> None:
@@ -158,7 +160,7 @@
         seq: int = 0,
         latency_us: int = 80_000,
     ) -> list[policy.Action]:
-        """End one attempt with an outcome, after a latency of `latency_us` microseconds."""
+        """End one attempt `after_us` later with an outcome and a reported latency of `latency_us`."""
         return self.step(after_us, policy.AttemptEnded(send.id, seq, send.node, outcome, latency_us))
 
     def wait(self, duration_us: int) -> list[policy.Action]:
@@ -170,12 +172,12 @@
 
 
 def actions_of_type(actions: list[policy.Action], kind: type) -> list[Any]:
-    """Return the actions of one kind, in order."""
+    """Return the actions of one type, in order."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 def warm_up(driver, shards=range(6), rounds=20):
-    """Answer some queries, so that mean latencies and completion rates have samples."""
+    """Answer `rounds` queries for each shard, so that mean latencies and completion rates have samples."""
     for _ in range(rounds):
         for shard in shards:
             for send in actions_of_type(driver.query(1, [shard]), policy.Send):
--- a/tests/test_datastructures.py
+++ b/tests/test_datastructures.py
@@ -197,7 +197,7 @@
     st.integers(0, 1000),
 )
 def test_draining_by_rank_takes_each_item_once_from_a_group_of_lowest_rank(shards, seed):
-    """As in the decisions: taking an item adds to the load of an endpoint that groups share."""
+    """As in replica selection, taking an item adds to the load of an endpoint that groups share."""
     load = dict.fromkeys(range(3), 0)
     groups = {key: [(key, number) for number in range(len(items))] for key, items in shards.items()}
     remaining = {key: list(items) for key, items in groups.items()}
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -8,7 +8,7 @@
 
 
 def answer_shard_0_slowly(driver, slow=("s0", "s1", "s2")):
-    """Answer queries at a rate too low for in-flight counts; the replicas of shard 0 take 1.5 objectives."""
+    """Answer queries at a rate too low to show in in-flight counts; shard 0 takes 1.5 objectives."""
     for shards in ((3, 3, 3), *[(0, 3, 3)] * 4):
         for shard in shards:
             for send in actions_of_type(driver.query(1, [shard]), policy.Send):
@@ -16,7 +16,7 @@
 
 
 def test_where_clients_mark_retries_only_a_marked_query_is_taken_for_one(make_driver):
-    """A short deadline alone does not make a query a retry."""
+    """A short deadline alone must not mark a query as a retry if clients mark their retries."""
     for marks_retries, is_retry, objective_us in (
         (True, False, OBJECTIVE_US),
         (True, True, OBJECTIVE_US // 2),
@@ -29,7 +29,7 @@
 
 
 def test_the_expected_latency_of_a_query_grows_with_its_number_of_parts(make_driver):
-    """The slowest of many parts is later than that of few: a percentile over all latencies hides it."""
+    """The slowest of many parts is slower than that of few, which a percentile of all latencies hides."""
     for parts, is_rejected in ((4, False), (60, True)):
         driver = make_driver(overload_multiple=0.0)
         for _ in range(15):
@@ -42,7 +42,7 @@
 
 
 def test_a_query_that_needs_a_slow_shard_is_rejected_and_others_are_admitted(make_driver):
-    """The latencies of the shard decide, not a percentile over those of all shards."""
+    """The latencies of the shard decide, and not a percentile of those of all shards."""
     driver = make_driver()
     answer_shard_0_slowly(driver)
     assert len(actions_of_type(driver.query(1, [0, 3]), policy.Reject)) == 1
@@ -53,7 +53,7 @@
 
 
 def test_an_endpoint_that_responds_seldom_is_judged_by_its_latest_responses(make_driver):
-    """An average over a count of responses would span 25 s at this rate."""
+    """At this rate, an average over a fixed number of responses would span 25 s."""
     driver = make_driver(replica_groups=3, shards=3)
     warm_up(driver, shards=range(3), rounds=4)
     for latency_us in (20_000, 20_000, 400_000):
@@ -64,7 +64,7 @@
 
 
 def test_responses_delayed_by_a_hang_do_not_cause_rejections_after_it(make_driver):
-    """The latency of an attempt that was sent long ago is no evidence of the present one."""
+    """The latency of an attempt sent long ago must not count as a recent one."""
     driver = make_driver(overload_multiple=0.0)
     for shard in [*range(6)] * 2:
         driver.end(
@@ -82,7 +82,7 @@
 
 
 def test_retry_after_is_spread_by_jitter_up_to_a_small_maximum(make_driver):
-    """Limited to the maximum only after the jitter, all clients would retry at the same instant."""
+    """If the maximum were applied after the jitter, all clients would retry at the same instant."""
     retry_after_us = set()
     for seed in range(6):
         driver = make_driver(seed=seed, retry_advice_allowed=True, max_retry_after_us=300_000)
@@ -94,7 +94,7 @@
 
 
 def test_a_second_step_is_not_expected_to_take_as_long_as_a_first_step_of_many_parts(make_driver):
-    """Large second steps must not cause the next query to be rejected."""
+    """Otherwise a query that could meet its objective would be rejected for its second step."""
     driver = make_driver(overload_multiple=0.0)
     for _ in range(15):
         for send in actions_of_type(driver.query(2, [0]), policy.Send):
@@ -104,8 +104,8 @@
 
 def test_overload_sheds_the_class_of_least_priority_weight_first(make_driver):
     classes = (
-        policy.QueryClass("dear", OBJECTIVE_US, 2 * OBJECTIVE_US, priority_weight=4.0),
-        policy.QueryClass("cheap", OBJECTIVE_US, 2 * OBJECTIVE_US, priority_weight=1.0),
+        policy.QueryClass("high", OBJECTIVE_US, 2 * OBJECTIVE_US, priority_weight=4.0),
+        policy.QueryClass("low", OBJECTIVE_US, 2 * OBJECTIVE_US, priority_weight=1.0),
     )
     driver = make_driver(classes=classes, priority_scales_with_work=True)
     rejected = {0: 0, 1: 0}
@@ -123,7 +123,7 @@
 
 def test_a_tenant_over_its_quota_is_shed_first(make_driver):
     driver = make_driver(
-        tenants=(policy.Tenant("in", 1000.0), policy.Tenant("over", 1.0)),
+        tenants=(policy.Tenant("within", 1000.0), policy.Tenant("over", 1.0)),
         over_quota_weight=0.1,
         priority_scales_with_work=True,
     )
@@ -150,7 +150,7 @@
 
 
 def test_an_aggregator_with_few_parts_in_flight_sheds_by_recent_latencies(make_driver):
-    """Overload that in-flight counts do not show: few parts at each endpoint, all of them slow."""
+    """Few but slow parts at each endpoint are overload that in-flight counts don't show."""
     rejected = {}
     for latency_us in (40_000, 900_000):
         driver = make_driver(seed=3, replica_groups=60, shards=60)
@@ -167,7 +167,7 @@
 
 
 def test_a_query_for_a_shard_with_slow_busy_replicas_is_rejected_while_others_are_admitted(make_driver):
-    """The other replicas of the shard are gone, so the last one holds up every query that needs it."""
+    """The other replicas of the shard are gone, so the last one delays every query that needs it."""
     driver = make_driver()
     driver.step(
         0,
@@ -187,7 +187,7 @@
 
 
 def test_one_large_work_hint_does_not_dominate_the_mean_latency(make_driver):
-    """The mean latency is a mean over responses, not a rate for each unit of hinted work."""
+    """The mean latency is a mean of responses and not of latencies per unit of hinted work."""
     driver = make_driver()
     for job in range(30):
         work_hint_us = 1_000 if job % 10 == 0 else 100_000
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -1,4 +1,4 @@
-"""Aggregators that send to each endpoint seldom: a sample must count until the next one."""
+"""Aggregators that rarely send to each endpoint: a sample must count until the next one."""
 
 from heathwell import benchlink, policy
 
@@ -8,7 +8,7 @@
 
 
 def low_traffic_driver() -> AggregatorDriver:
-    """Return a driver of 60 endpoints with about four responses in each latency objective, all healthy."""
+    """Return a driver with 60 healthy endpoints and four responses in total per latency objective."""
     driver = AggregatorDriver(
         make_settings(shards=ENDPOINT_COUNT, replica_groups=ENDPOINT_COUNT, slow_start_duration_us=60_000_000)
     )
@@ -21,14 +21,14 @@
 
 
 def endpoint_serving(driver: AggregatorDriver, shard: int, after: int) -> str:
-    """Return the endpoint that a part of this shard is sent to; it responds at once."""
+    """Send a query for one shard; return the endpoint that its part is sent to, which responds at once."""
     (send,) = actions_of_type(driver.query(1, [shard], after_us=after), policy.Send)
     driver.end(send)
     return send.node
 
 
 def reject_parts(driver: AggregatorDriver, node: str, times: int) -> list[str]:
-    """Reject parts at one endpoint, `times` in all, and answer all others; return the operator log lines."""
+    """Reject `times` parts at one endpoint and answer all others; return the operator log lines."""
     lines: list[str] = []
     while times:
         for send in actions_of_type(driver.query(1, [int(node[1:])], after_us=10_000), policy.Send):
@@ -106,7 +106,7 @@
 
 
 def test_a_part_without_retry_budget_waits_for_it_while_its_query_can_meet_its_objective():
-    """Abandoned at once, the client would retry the entire query."""
+    """If the query were abandoned at once, the client would retry all its parts."""
     driver = low_traffic_driver()
     exhaust_retry_budget(driver)
     sends = actions_of_type(driver.query(1, [7, 17, 27]), policy.Send)
@@ -127,8 +127,8 @@
 
 
 def test_a_penalty_decays_by_the_objective_where_each_endpoint_responds_within_one():
-    """A memory of three times the interval between attempts would keep the penalty of a cancelled attempt for
-    three objectives, and healthy endpoints would be avoided.
+    """If the penalty decayed over three intervals between attempts, as samples do at low traffic, healthy
+    endpoints would be avoided for three objectives after a cancelled attempt.
     """
     driver = AggregatorDriver(make_settings(shards=6, replica_groups=6, slow_start_duration_us=60_000_000))
     for number in range(60):
--- a/tests/test_module_rules.py
+++ b/tests/test_module_rules.py
@@ -1,4 +1,4 @@
-"""Discovery polls, shared calls and unknown ids, by the actions that events cause."""
+"""Discovery polls, shared calls and unknown ids, tested by the actions that events cause."""
 
 from __future__ import annotations
 
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejection, half-open trials and queries of death, by the actions that events cause."""
+"""Ejection, half-open trials and queries of death, tested by the actions that events cause."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_a_query_that_broke_a_connection_next_sends_a_part_of_another_shard(make_driver):
-    """A query of death must not break both replicas of a shard that has two."""
+    """A query of death must not crash both replicas of a shard that has two."""
     driver = make_driver(overload_multiple=0.0)
     warm_up(driver, rounds=2)
     # A crash is recent from here on.
@@ -18,11 +18,11 @@
     second = actions_of_type(driver.end(first[0], policy.Outcome.BROKEN), policy.Send)
     assert len(second) == 1 and second[0].id != first[0].id
     more = actions_of_type(driver.end(second[0]), policy.Send)
-    assert [send.id for send in more] == [first[0].id]  # cleared by a response, the broken part is sent again
+    assert [send.id for send in more] == [first[0].id]  # after a response the failed part is sent again
 
 
 def test_one_fast_response_does_not_clear_the_relative_latency_of_a_slow_endpoint(make_driver):
-    """The relative latency fades with time and is not replaced by a single sample."""
+    """The relative latency decays with time and is not replaced by a single sample."""
     driver = make_driver(overload_multiple=0.0)
     warm_up(driver)
     endpoint = driver.aggregator.endpoints["s0"]
@@ -102,7 +102,7 @@
 
 
 def test_after_a_crash_one_part_is_sent_as_a_canary_and_the_others_once_it_is_answered(make_driver):
-    """A query of death then breaks one endpoint, not as many as it has parts."""
+    """A query of death then crashes one endpoint instead of one for each of its parts."""
     driver = make_driver()
     driver.end(actions_of_type(driver.query(1, [0]), policy.Send)[0], policy.Outcome.BROKEN)
     first = actions_of_type(driver.query(0, [1, 2, 3, 4]), policy.Send)
--- a/tests/test_part_ranking.py
+++ b/tests/test_part_ranking.py
@@ -1,4 +1,4 @@
-"""The ranking of parts: the same choices as ranking anew before each choice, at a cost linear in parts."""
+"""Part ranking: the same choices as a full ranking before each choice, at a cost linear in the parts."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 
 
 class NaiveAggregator(Aggregator):
-    """Ranks all parts not yet chosen anew before each choice, as `docs/design.md` states the rule."""
+    """Ranks all remaining parts before each choice, as `docs/design.md` states the rule."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.rankings = 0
-        self.selector.in_rank_order = self.rank_anew
+        self.selector.in_rank_order = self.rank_all_before_each
 
-    def rank_anew(self, parts):
-        """Yield the parts in order of rank, ranking those that are left before each."""
+    def rank_all_before_each(self, parts):
+        """Yield the parts by rank; rank all remaining parts before each choice."""
         self.rankings += 1
-        left = list(parts)
-        while left:
-            best = min(left, key=self.selector.part_rank)
-            left.remove(best)
+        remaining = list(parts)
+        while remaining:
+            best = min(remaining, key=self.selector.part_rank)
+            remaining.remove(best)
             yield best
 
 
 def build_aggregator(
     aggregator_type: type[Aggregator], seed: int, parts_per_call: int = 1, endpoint_count: int = 24
 ) -> Aggregator:
-    """Return an aggregator whose endpoints differ in latency and load by draws of the seed."""
+    """Return an aggregator whose endpoints have random latencies and loads."""
     query_class = policy.QueryClass(
         "s", OBJECTIVE_US, 2 * OBJECTIVE_US, required_fraction=0.75, minimum_fraction=0.75
     )
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("seed", range(60))
 @pytest.mark.parametrize("parts_per_call", [1, 4])
 def test_the_same_parts_are_sent_to_the_same_endpoints_as_by_ranking_anew(seed, parts_per_call):
-    """Any two parts with one draw tie, so ties go by shard here: every choice must then agree."""
+    """All random numbers are equal, so ties are broken by shard and all choices must agree."""
     chosen = []
     for aggregator_type in (Aggregator, NaiveAggregator):
         aggregator = build_aggregator(aggregator_type, seed, parts_per_call)
@@ -111,18 +111,18 @@
     select = aggregator.selector.select
 
     def counting_select(part):
-        """Count the call and select as before."""
+        """Count the call and select a replica."""
         nonlocal selection_count
         selection_count += 1
         return select(part)
 
     aggregator.selector.select = counting_select
     send_query(aggregator, 2000, parts, 240)
-    assert parts <= selection_count < 12 * parts  # under one a part the calls would no longer be counted
+    assert parts <= selection_count < 12 * parts  # below one per part, calls would go uncounted
 
 
 def test_latency_samples_are_dropped_once_they_count_no_more():
-    """An aggregator that sheds by in-flight counts never reads its samples; their number has a bound."""
+    """Samples are dropped even by an aggregator that sheds by in-flight counts and never reads them."""
     aggregator = build_aggregator(Aggregator, 5, endpoint_count=3)
     now_us = 10_000
     for job in range(3000):
--- a/tests/test_policy_components.py
+++ b/tests/test_policy_components.py
@@ -1,4 +1,4 @@
-"""Components of the decision module, each alone, with constructed inputs and without an aggregator."""
+"""Unit tests of the components of the decision module, without an aggregator."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Components:
-    """The lower components over six listed endpoints, one in each replica group."""
+    """The components below the aggregator, with one listed endpoint in each replica group."""
 
     def __init__(self, seed: int = 1, endpoints: int = 6, **changes) -> None:
         self.context = DecisionContext(make_settings(**changes), seed)
@@ -60,7 +60,7 @@
         return self.table.by_node[f"s{index}"]
 
     def advance(self, duration_us: int) -> list[policy.Action]:
-        """Begin a batch `duration_us` later; return the actions of the one before."""
+        """Begin a batch `duration_us` later; return the actions of the previous one."""
         actions = self.context.actions
         self.context.begin_batch(self.context.now_us + duration_us)
         return actions
@@ -83,7 +83,7 @@
         self.attempts.end(attempt.part.id, attempt.seq, outcome)
 
     def fail(self, index: int, outcome: policy.Outcome, query_class: int = ALL) -> Attempt:
-        """Return an attempt of a new query at an endpoint that failed at once with this outcome."""
+        """Return an attempt of a new query at an endpoint, which fails at once with this outcome."""
         name = f"f{len(self.queries.by_id)}"
         attempt = self.send(self.query(query_class, (index,), name).parts[0], index)
         self.end(attempt, outcome)
@@ -116,7 +116,7 @@
     assert not components.endpoint(0).live
     components.advance(21 * OBJECTIVE_US)
     components.table.on_update(policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL))
-    assert "s0" in components.table.by_node  # an attempt is still in flight
+    assert "s0" in components.table.by_node  # its attempt is still in flight
     components.end(attempt, policy.Outcome.TIMED_OUT)
     components.table.on_update(policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL))
     assert "s0" not in components.table.by_node
@@ -128,7 +128,7 @@
     failed = policy.EndpointUpdate(policy.UpdateKind.FAILED)
     waits = []
     for _ in range(6):
-        components.advance(20 * OBJECTIVE_US)  # beyond the interval of one operator event a topic
+        components.advance(20 * OBJECTIVE_US)  # longer than the interval between operator events of one topic
         components.table.on_update(failed)
         (degraded,) = actions_of_type(components.context.actions, policy.DiscoveryDegraded)
         waits.append(degraded.retry_after_us)
@@ -151,7 +151,7 @@
     assert components.due(TimerKind.TRIAL) == [endpoint]
     components.outliers.on_trial_due(endpoint)
     assert actions_of_type(components.context.actions, policy.Probe) == [policy.Probe("s0")]
-    assert not components.outliers.accepts_attempts(endpoint, ALL)  # not before the probe's outcome
+    assert not components.outliers.accepts_attempts(endpoint, ALL)  # not before the probe has ended
     components.outliers.on_probe_ended(policy.ProbeEnded("s0", policy.Outcome.TIMED_OUT))
     second = endpoint.ejections[ALL_CLASSES]
     assert second.duration_us == 2 * first_us
@@ -168,7 +168,7 @@
     components.outliers.on_probe_ended(policy.ProbeEnded("s0", policy.Outcome.OK))
     assert components.outliers.accepts_attempts(endpoint, ALL)
     trial = components.send(components.query(name="trial").parts[0], 0)
-    assert not components.outliers.accepts_attempts(endpoint, ALL)  # one at a time
+    assert not components.outliers.accepts_attempts(endpoint, ALL)  # one trial at a time
     components.advance(50_000)
     components.end(trial, policy.Outcome.OK)
     components.outliers.record_response(trial)
@@ -256,7 +256,7 @@
 
 
 def test_a_restart_without_a_start_in_the_endpoint_list_is_inferred_from_missing_responses():
-    """A long time without responses and a failed probe are taken for a restart."""
+    """A long time without responses together with a failed probe counts as a restart."""
     components = Components(probing_allowed=True)
     endpoint = components.endpoint(0)
     components.respond(0)
@@ -319,7 +319,7 @@
 
 
 def test_the_first_credit_of_slow_start_is_drawn_at_random():
-    """Many aggregators that each have less than one attempt of capacity must not all send one at once."""
+    """Aggregators with a share of less than one attempt each must not all send one at the same time."""
     initial_credits = []
     for seed in range(300):
         components = Components(seed)
--- a/tests/test_query_completion.py
+++ b/tests/test_query_completion.py
@@ -1,4 +1,4 @@
-"""Final replies: complete, partial, rejected and failed, by the actions that events cause."""
+"""Final replies: complete, partial, rejected and failed, tested by the actions that events cause."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def test_a_first_step_is_answered_as_partial_early_enough_for_the_second_step(make_driver):
-    """An answer to the first step a tick before the deadline would leave the query without a final reply."""
+    """If the first step were answered a tick before the deadline, the query would get no final reply."""
     driver = make_driver()
     sends = actions_of_type(driver.query(6, [0, 1, 2, 3]), policy.Send)
     driver.end(sends[0], latency_us=100_000)
@@ -56,7 +56,7 @@
 
 
 def test_an_expired_query_and_a_batch_after_a_stall_have_one_final_reply(make_driver):
-    """After a stall all pending events arrive in one batch, some of them after the deadline."""
+    """After a stall all pending events arrive in one batch, which may be after the deadline."""
     driver = make_driver()
     warm_up(driver)
     actions = driver.query(1, [0, 1], timeout_us=-5_000)
@@ -74,7 +74,7 @@
 
 
 def test_a_two_step_query_has_one_final_reply_whenever_its_minimum_fraction_is_reached(make_driver):
-    """Sixteen instants up to the deadline, for a short and a usual timeout."""
+    """Tested at sixteen instants up to the deadline, for a short and a normal timeout."""
     for timeout_us in (OBJECTIVE_US // 2, 2 * OBJECTIVE_US):
         for pause_us in range(0, timeout_us, timeout_us // 16):
             driver = make_driver()
--- a/tests/test_replica_selection.py
+++ b/tests/test_replica_selection.py
@@ -1,4 +1,4 @@
-"""Replica selection and hedging: n parts are sent, a late one is hedged, the query is answered at n."""
+"""Replica selection and hedging: the required parts are sent, late ones hedged, and queries answered."""
 
 from heathwell import policy
 
@@ -42,7 +42,7 @@
 
 
 def attempt_reasons(actions):
-    """Return the reason of each attempt that is sent, and whether it counts as an additional attempt."""
+    """Return the reason of each attempt and whether it counts as an additional attempt."""
     return [(send.reason, send.is_additional) for send in actions_of_type(actions, policy.Send)]
 
 
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -1,4 +1,4 @@
-"""Retries, hedges and their budget, by the actions that events cause."""
+"""Retries, hedges and their budget, tested by the actions that events cause."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def test_a_non_idempotent_part_that_may_have_run_is_not_retried_and_its_query_fails(make_driver):
     driver = make_driver(hedging_allowed=True, cancellation_allowed=True)
     send = actions_of_type(driver.query(4, [0]), policy.Send)[0]
-    actions = driver.end(send, policy.Outcome.ERROR)  # at once: no response is pending
+    actions = driver.end(send, policy.Outcome.ERROR)  # the query ends at once, as nothing is in flight
     assert actions_of_type(actions, policy.Send) == [] and actions_of_type(actions, policy.Reject) == []
     assert actions_of_type(actions, policy.Fail) == [policy.Fail("q1")]
 
@@ -76,7 +76,7 @@
 
 
 def test_attempts_of_a_disconnected_client_are_cancelled(make_driver):
-    """Endpoints must not work for a client that disconnected long before its deadline."""
+    """Endpoints must not go on working for a client that has disconnected."""
     driver = make_driver(cancellation_allowed=True)
     sends = actions_of_type(driver.query(1, [0, 1]), policy.Send)
     driver.step(200_000)
@@ -85,7 +85,7 @@
 
 
 def test_a_late_part_is_cancelled_only_where_a_later_attempt_at_its_endpoint_was_answered_first(make_driver):
-    """An endpoint that answers in order still has the part in its queue; one that does not has lost it."""
+    """An endpoint that responds in order still has the part in its queue, unless it answered a later one."""
     for overtaken in (False, True):
         driver = make_driver(cancellation_allowed=True, endpoint_count=6)
         early = actions_of_type(driver.query(1, [0, 0, 0]), policy.Send)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Endpoints that drain, were removed or are in slow start, by the actions that events cause."""
+"""Draining, removed and slow-starting endpoints, tested by the actions that events cause."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def test_removed_endpoints_do_not_raise_the_slow_start_capacity_of_the_others(make_driver):
-    """The capacity of an endpoint in slow start is not measured by how few endpoints are left."""
+    """The capacity estimate of an endpoint in slow start must not rise as other endpoints are removed."""
     attempt_counts = []
     for removed in ((), (2, 3, 4, 5)):
         driver = make_driver()
@@ -71,7 +71,7 @@
 
 
 def test_many_small_aggregators_do_not_all_send_a_new_endpoint_its_first_attempt(make_driver):
-    """The credit of each aggregator is far under one attempt, and that of all together is a few."""
+    """Each aggregator has credit for much less than one attempt, and all together for a few."""
     first_attempts = 0
     for seed in range(40):
         driver = make_driver(seed=seed)
