--- a/heathwell/policy/hedging.py
+++ b/heathwell/policy/hedging.py
@@ -84,8 +84,10 @@
         cost the work twice.
         """
         endpoint = attempt.endpoint
-        in_turn = endpoint.last_send_with_response_at_us <= attempt.sent_at_us < endpoint.last_response_at_us
-        if in_turn or not self._budget.has_budget():
+        still_queued = (
+            endpoint.last_send_with_response_at_us <= attempt.sent_at_us < endpoint.last_response_at_us
+        )
+        if still_queued or not self._budget.has_budget():
             self._recheck_later(attempt)
             return
         if self._window_has_ended(attempt.part):
--- a/heathwell/policy/latency.py
+++ b/heathwell/policy/latency.py
@@ -135,8 +135,8 @@
         since_last_us = self._context.now_us - endpoint.relative_latency.updated_at_us
         pause_us = min(len(self._endpoints) / rate, since_last_us)
         decay_us = LATENCY_DECAY_OBJECTIVES * self._context.shortest_objective_us
-        forgotten = 1 - exp(-2 * pause_us / decay_us)
-        return max(LATENCY_GAIN, LATENCY_GAIN_AFTER_PAUSE * forgotten)
+        decayed = 1 - exp(-2 * pause_us / decay_us)
+        return max(LATENCY_GAIN, LATENCY_GAIN_AFTER_PAUSE * decayed)
 
     # Recent latency
 
@@ -171,7 +171,7 @@
     # Rate of responses
 
     def completion_rate(self) -> float:
-        """Return the recent rate of responses in parts per microsecond; rejections don't count."""
+        """Return the recent rate of responses in parts per microsecond; a rejection shows no capacity."""
         window_us = self.rate_window_us
         elapsed_us = max(self._context.elapsed_us, self._context.settings.tick_us)
         windows = elapsed_us / window_us
--- a/heathwell/policy/retries.py
+++ b/heathwell/policy/retries.py
@@ -39,7 +39,7 @@
         return min(deadline_us, min(sent_at_us) + query_class.idempotency_window_us)
 
     def wait_for_budget(self, part: Part) -> bool:
-        """Let a part wait whose next attempt is prevented by the own budget or the quota alone.
+        """Let a part wait whose next attempt is prevented by the local budget or the quota alone.
 
         It waits only if that attempt can still meet the objective. If the query were abandoned instead, its
         client would request all parts again. Return whether the part waits.
@@ -47,7 +47,7 @@
         if part.waiting:
             return True
         wait_us = self.retry_wait_us(part)
-        if self._budget.has_own_budget() or self._misses_objective(part, wait_us):
+        if self._budget.has_local_budget() or self._misses_objective(part, wait_us):
             return False
         if not self._may_repeat(part) or not self._budget.has_budget(is_free=True):
             return False
--- a/heathwell/policy/retry_budget.py
+++ b/heathwell/policy/retry_budget.py
@@ -1,4 +1,4 @@
-"""Budgets of additional attempts: that of the settings, this aggregator's own, and the fleet's quota."""
+"""Budgets of additional attempts: that of the settings, the local token bucket, and the fleet's quota."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 # Earned attempts that are kept at most: enough for the parts of one endpoint that stops.
 TOKEN_CAPACITY = 10.0
 
-# Outcomes after which an additional attempt takes no token of the own budget: a part that was lost with its
+# Outcomes after which an additional attempt takes no token of the local budget: a part that was lost with its
 # connection was not late, and one that reached no endpoint caused no load.
 FREE_OUTCOMES = (Outcome.CONNECTION_LOST, Outcome.UNREACHABLE, Outcome.NEVER_SENT)
 
@@ -20,7 +20,7 @@
 class RetryBudget:
     """Owns the counts of admitted parts and additional attempts, the token bucket and the quota.
 
-    The own budget, a token bucket, limits how much additional attempts can add to an overload. It only
+    The local budget, a token bucket, limits how much additional attempts can add to an overload. It only
     estimates what all aggregators together may do, so a quota replaces it.
     """
 
@@ -63,16 +63,16 @@
         return True
 
     def has_budget(self, *, is_free: bool = False) -> bool:
-        """Return whether the budget of the settings and, unless ``is_free``, the own one allow an attempt."""
+        """Return whether the budget of the settings and, unless ``is_free``, the local one allow one more."""
         settings = self._context.settings
         now_us = self._context.now_us
         earned = settings.additional_attempt_ratio * self._admitted.count(now_us)
         limit = settings.free_additional_attempts + earned
-        own = is_free or self.bucket.has_token() or self._quota is not None
-        if not own:
+        is_allowed_locally = is_free or self.bucket.has_token() or self._quota is not None
+        if not is_allowed_locally:
             return False
         return not settings.attempt_budget_window_us or self._additional.count(now_us) + 1 <= limit
 
-    def has_own_budget(self) -> bool:
-        """Return whether the quota or, without one, the own budget allows an attempt."""
+    def has_local_budget(self) -> bool:
+        """Return whether the quota or, without one, the local budget allows an attempt."""
         return self.bucket.has_token() if self._quota is None else self._quota >= 1
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -93,7 +93,7 @@
 
 
 def exhaust_retry_budget(driver: AggregatorDriver) -> None:
-    """Spend all tokens of the aggregator's own retry budget."""
+    """Spend all tokens of the local retry budget."""
     driver.aggregator.retry_budget.bucket.tokens = 0.0
 
 
--- a/tests/test_policy_components.py
+++ b/tests/test_policy_components.py
@@ -334,17 +334,17 @@
 # Retry budget and rules
 
 
-def test_a_quota_allows_retries_where_the_own_retry_budget_is_empty():
+def test_a_quota_allows_retries_where_the_local_retry_budget_is_empty():
     components = Components()
     components.budget.bucket.tokens = 0.0
     assert not components.budget.has_budget()
     assert components.budget.has_budget(is_free=True)
-    assert not components.budget.has_own_budget()
+    assert not components.budget.has_local_budget()
     components.budget.set_quota(1)
     assert components.budget.has_budget()
-    assert components.budget.has_own_budget()
+    assert components.budget.has_local_budget()
     components.budget.spend_quota()
-    assert not components.budget.has_own_budget()
+    assert not components.budget.has_local_budget()
     assert not components.budget.has_quota()
     assert actions_of_type(components.context.actions, policy.QuotaExhausted) == [policy.QuotaExhausted()]
 
