--- a/heathwell/policy/outlier_detection.py
+++ b/heathwell/policy/outlier_detection.py
@@ -19,7 +19,7 @@
 
 # Time without a response after which a late part counts against its endpoint.
 UNRESPONSIVE_LATENCIES = 4.0
-# Attempts in flight without a response that eject an endpoint: a single one may have met a short pause, or be
+# Attempts in flight without a response that eject an endpoint: a single one may have met a pause, or be
 # a heavy part itself.
 UNRESPONSIVE_ATTEMPTS = 2
 # Largest fraction of the live endpoints that is ejected for missing responses or rejections: if more of them
