--- a/heathwell/policy/endpoint_table.py
+++ b/heathwell/policy/endpoint_table.py
@@ -19,7 +19,7 @@
 from heathwell.policy.operator_events import DiscoveryDegraded
 from heathwell.policy.records import ALL_CLASSES, Endpoint, Part, TimerKind
 
-# First backoff, as a fraction of the time within which changes must be known.
+# Initial backoff, doubled before each wait, as a fraction of the time within which changes must be known.
 POLL_BACKOFF_FIRST_FRACTION = 0.1
 # Longest backoff, as a fraction of the same time, so that two calls fit into it.
 POLL_BACKOFF_MAXIMUM_FRACTION = 0.45
