--- a/heathwell/gateway/settings_from_platform.py
+++ b/heathwell/gateway/settings_from_platform.py
@@ -123,7 +123,7 @@
         retry_advice_allowed=bool(limits.get("retry-after")),
         max_retry_after_us=int(limits.get("max-retry-after-us") or 0),
         poll_mode=setup.get("registry-mode") == POLL_MODE_WORD,
-        poll_within_us=int(rules.get("must-ask-in-us") or 0),
+        max_poll_interval_us=int(rules.get("must-ask-in-us") or 0),
         parts_per_call=int(deployment.get("parts-a-call") or 1),
         clients_mark_retries=bool(clients.get("marks-retry")),
         drain_grace_us=int(rules.get("drain-grace-us") or 0),
@@ -135,7 +135,7 @@
         additional_attempt_ratio=float(rules.get("further-ratio") or 0.0),
         attempt_budget_window_us=int(rules.get("counted-over-us") or 0),
         endpoints_cache_keys=bool(deployment.get("warm-keys")),
-        weight_by_work=setup.get("value-by") == WEIGHT_BY_WORK_WORD,
+        priority_scales_with_work=setup.get("value-by") == WEIGHT_BY_WORK_WORD,
         over_quota_weight=float(setup.get("over-share-worth", 1.0)),
         tenants=tuple(_tenants(setup)),
     )
--- a/heathwell/policy/query_arrival.py
+++ b/heathwell/policy/query_arrival.py
@@ -1,4 +1,4 @@
-"""Queries from their arrival to their end: the table of queries, their objective and their timers."""
+"""Arrival of queries: the table of queries without a final answer, their objectives and timers."""
 
 from __future__ import annotations
 
@@ -11,16 +11,24 @@
 from heathwell.policy.retry_budget import RetryBudget
 from heathwell.policy.settings import QueryClass
 
-CUT_RETRY_FRACTION = 0.95  # of its class's usual timeout, under which a query counts as a cut retry
-TIMEOUT_SAMPLES = 64  # latest timeouts of a class that give the usual one
-TIMEOUT_STEPS = 64  # of the class's timeout, in which timeouts are counted
-SECOND_STEP_LATENCIES = 2.0  # that a second step takes: the slowest of a few parts, not an average one
-SECOND_STEP_MAXIMUM_OBJECTIVES = 0.5  # of the class, reserved for a second step at most
-SECOND_STEP_DEFAULT_OBJECTIVES = 0.25  # of the class, reserved while no latency is known
+# Fraction of the most common timeout of a class, under which a query counts as a retry whose client has
+# shortened its timeout.
+SHORTENED_TIMEOUT_FRACTION = 0.95
+# Latest timeouts of a class from which the most common one is taken.
+TIMEOUT_SAMPLES = 64
+# Histogram bins into which the timeouts up to the one of the class are sorted.
+TIMEOUT_BINS = 64
+# Expected duration of a second step, in mean latencies of its class: it lasts as long as the slowest of a few
+# parts and not as an average one.
+SECOND_STEP_LATENCIES = 2.0
+# Longest time reserved for a second step, as a fraction of the class's latency objective.
+SECOND_STEP_MAXIMUM_OBJECTIVES = 0.5
+# Time reserved for a second step while no latency is known, as a fraction of the class's latency objective.
+SECOND_STEP_DEFAULT_OBJECTIVES = 0.25
 
 
 class QueryTable:
-    """Owns the queries without a final answer and the usual timeouts of their classes."""
+    """Owns the queries without a final answer and the latest timeouts of each class."""
 
     def __init__(self, context: DecisionContext, latency: LatencyModel, budget: RetryBudget) -> None:
         self._context = context
@@ -41,12 +49,12 @@
         return list(self.by_id.values())
 
     def remove(self, query: Query) -> None:
-        """Remove a query that has ended; its attempts stay counted until their outcomes come."""
+        """Remove a query that has ended; its attempts stay in flight until they have an outcome."""
         self.by_id.pop(query.id, None)
         self._by_job.pop(query.job, None)
 
     def on_query_arrived(self, event: QueryArrived) -> None:
-        """Add a query, whose parts follow, and set its timers."""
+        """Add a query and set its timers; its parts arrive as separate events."""
         context = self._context
         spec = context.settings.classes[event.query_class]
         self._budget.record_admission()
@@ -56,10 +64,10 @@
         self._by_job[event.job] = query
         self._schedule_end(query)
         if spec.second_step_parts and spec.allows_partial:
-            self._schedule_cut(query)
+            self._schedule_first_step_cutoff(query)
 
     def on_part_arrived(self, event: PartArrived) -> Query | None:
-        """Add a part to its query; return that, or None where it has ended."""
+        """Add a part to its query; return the query, or None if it has ended."""
         self._budget.record_admission()
         query = self._by_job.get(event.job)
         if query is not None:
@@ -70,25 +78,26 @@
     def _objective_at_us(self, event: QueryArrived, spec: QueryClass) -> int:
         """Return the instant of the objective, counted from when the client first sent the query.
 
-        A timeout shorter than most of the class's means a retry whose time has been cut. Its deadline then
-        shows when the client first sent it. First attempts are alike, while a last one may have more time.
+        A timeout shorter than the most common one of the class indicates a retry that has only the remaining
+        time of its client. Its deadline then shows when the client first sent it. First attempts have the
+        same timeout, while the last retry of a client may have more time.
         """
         now_us = self._context.now_us
         objective_us = spec.latency_objective_us + int(spec.objective_hint_ratio * (event.work_hint_us or 0))
         timeout_us = event.deadline_us - now_us
-        usual_timeout_us = self._record_timeout(event.query_class, timeout_us, spec)
+        most_common_timeout_us = self._record_timeout(event.query_class, timeout_us, spec)
         objective_at_us = min(now_us + objective_us, event.deadline_us)
         may_be_retry = event.is_retry or not self._context.settings.clients_mark_retries
-        if may_be_retry and timeout_us < CUT_RETRY_FRACTION * usual_timeout_us:
+        if may_be_retry and timeout_us < SHORTENED_TIMEOUT_FRACTION * most_common_timeout_us:
             return min(objective_at_us, event.deadline_us - spec.timeout_us + objective_us)
         return objective_at_us
 
     def _record_timeout(self, query_class: int, timeout_us: int, spec: QueryClass) -> float:
-        """Count a timeout; return the most common one among the latest of the class."""
+        """Record a timeout; return the most common one among the latest of the class."""
         timeouts = self._recent_timeouts[query_class]
-        timeouts.append(TIMEOUT_STEPS * timeout_us // spec.timeout_us)
-        most_common_step = Counter(timeouts).most_common(1)[0][0]
-        return most_common_step * spec.timeout_us / TIMEOUT_STEPS
+        timeouts.append(TIMEOUT_BINS * timeout_us // spec.timeout_us)
+        most_common_bin = Counter(timeouts).most_common(1)[0][0]
+        return most_common_bin * spec.timeout_us / TIMEOUT_BINS
 
     def _schedule_end(self, query: Query) -> None:
         context = self._context
@@ -97,13 +106,13 @@
         if context.now_us + tick_us < query.objective_at_us < query.deadline_us:
             context.schedule(query.objective_at_us - tick_us, TimerKind.OBJECTIVE, query)
 
-    def _schedule_cut(self, query: Query) -> None:
-        """Cut the first step while the second one still has time before the objective."""
+    def _schedule_first_step_cutoff(self, query: Query) -> None:
+        """Set the timer that ends the first step while the second one still has time before the objective."""
         objective_us = query.spec.latency_objective_us
         usual_us = SECOND_STEP_LATENCIES * self._latency.mean_latency_us[query.query_class].value
         reserved_us = min(
             usual_us or objective_us * SECOND_STEP_DEFAULT_OBJECTIVES,
             objective_us * SECOND_STEP_MAXIMUM_OBJECTIVES,
         )
-        cut_at_us = query.objective_at_us - self._context.settings.tick_us - int(reserved_us)
-        self._context.schedule(cut_at_us, TimerKind.CUT, query)
+        cutoff_at_us = query.objective_at_us - self._context.settings.tick_us - int(reserved_us)
+        self._context.schedule(cutoff_at_us, TimerKind.FIRST_STEP_CUTOFF, query)
--- a/heathwell/policy/settings.py
+++ b/heathwell/policy/settings.py
@@ -1,6 +1,6 @@
-"""Settings of one aggregator: query classes, tenants, limits and the parameters of the rules.
+"""Settings of one aggregator: query classes, tenants, limits and parameters of the rules.
 
-Types only; nothing here decides. Spans end in ``_us`` and are integers in microseconds.
+Types only, without decisions. Durations end in ``_us`` and are integers in microseconds.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryClass:
-    """One class of query.
+    """One query class.
 
-    ``required_fraction`` is the fraction of the first step's weight that makes a complete answer,
-    ``minimum_fraction`` the least that may be answered at all, and ``second_step_parts`` the number of parts
-    of a second step (0: none). ``priority_weight`` is the value of a query answered in its objective;
-    ``late_weight`` and ``partial_weight`` are the fractions of it that a late or a partial answer keeps.
-    ``objective_hint_ratio`` stretches the objective by that much of the query's work hint.
+    ``required_fraction`` is the fraction of the first step's weight that makes an answer complete,
+    ``minimum_fraction`` the smallest fraction that may be answered, and ``second_step_parts`` the number of
+    parts of a second step (0: there is none). ``priority_weight`` is the value of a query answered within its
+    objective; ``late_weight`` and ``partial_weight`` are the fractions of that value which a late or a
+    partial answer has. ``objective_hint_ratio`` times the query's work hint is added to the objective.
     ``idempotency_window_us`` is how long the servers of a keyed class recognise a repeated part.
 
-    Raises :class:`ValueError` naming the class and the field that is out of range.
+    Raises :class:`ValueError` that names the class and the field that is out of range.
     """
 
     name: str
@@ -46,35 +46,43 @@
 
     def __post_init__(self) -> None:
         if self.latency_objective_us <= 0 or self.timeout_us < self.latency_objective_us:
-            raise ValueError(f"class {self.name}: needs 0 < latency_objective_us <= timeout_us")
+            raise ValueError(
+                f"class {self.name}: latency_objective_us must be over 0 and at most timeout_us "
+                f"({self.timeout_us}), is {self.latency_objective_us}"
+            )
         if self.idempotency not in tuple(Idempotency):
-            raise ValueError(f"class {self.name}: idempotency {self.idempotency!r} is not known")
+            known = ", ".join(Idempotency)
+            raise ValueError(
+                f"class {self.name}: idempotency must be one of {known}, is {self.idempotency!r}"
+            )
         for field in ("required_fraction", "minimum_fraction"):
             fraction = getattr(self, field)
             if not 0 < fraction <= 1:
-                raise ValueError(f"class {self.name}: {field} {fraction} is not a fraction in (0, 1]")
+                raise ValueError(f"class {self.name}: {field} must be in (0, 1], is {fraction}")
         if self.second_step_parts < 0:
-            raise ValueError(f"class {self.name}: second_step_parts {self.second_step_parts} is negative")
+            raise ValueError(
+                f"class {self.name}: second_step_parts must not be negative, is {self.second_step_parts}"
+            )
 
     @property
     def allows_partial(self) -> bool:
-        """Whether less than a complete answer may be given."""
+        """Whether a partial answer may be given."""
         return self.minimum_fraction < self.required_fraction
 
     @property
-    def least_fraction(self) -> float:
-        """The least fraction of the first step's weight that may be answered."""
+    def effective_minimum_fraction(self) -> float:
+        """The smallest fraction of the first step's weight that may be answered, complete or partial."""
         return min(self.minimum_fraction, self.required_fraction)
 
     @property
     def allows_duplicates(self) -> bool:
-        """Whether a part may be sent while or after another attempt may have run it."""
+        """Whether a part may be sent while, or after, another attempt may have executed it."""
         return self.idempotency != Idempotency.NON_IDEMPOTENT
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and the query rate, over all aggregators, within its quota (0: no quota)."""
+    """A tenant and its quota, a query rate over all aggregators (0: no quota)."""
 
     name: str
     quota_rps: float = 0.0
@@ -84,24 +92,33 @@
 class Settings:
     """Settings of one aggregator.
 
-    Placement: shard ``s`` lies on ``groups_per_shard`` replica groups in a row, from group ``s`` modulo
-    ``replica_groups`` on; ``aggregator_count`` aggregators share the endpoints, and ``zone`` is this one's.
+    Placement: shard ``s`` is on ``groups_per_shard`` consecutive replica groups, beginning with group ``s``
+    modulo ``replica_groups``. ``aggregator_count`` aggregators share the endpoints; ``zone`` is the zone of
+    this one.
+
+    Limits and permissions: ``max_attempts`` per part; ``max_open`` queries and parts at once (0: no limit);
+    ``hedging_allowed`` (two attempts of a part in flight); ``cancellation_allowed``; ``probing_allowed``;
+    ``retry_advice_allowed``, of at most ``max_retry_after_us``; ``parts_per_call``, the number of parts that
+    may share a call.
+
+    Clients: with ``clients_mark_retries`` only a query marked as a retry is taken for one. The priority of
+    queries by which a tenant exceeds its quota is multiplied by ``over_quota_weight``. With
+    ``priority_scales_with_work`` a query's priority is its class's weight times its work. With
+    ``endpoints_cache_keys`` endpoints do less work for recently used keys.
 
-    Permissions: ``max_attempts`` per part, ``max_open`` queries and parts held at once (0: no limit),
-    ``hedging_allowed`` (two attempts of a part in flight), ``cancellation_allowed``, ``probing_allowed``,
-    ``retry_advice_allowed`` up to ``max_retry_after_us``, ``parts_per_call`` parts that share a call.
+    Discovery: with ``poll_mode`` the aggregator polls for changes, which count as known
+    ``max_poll_interval_us`` after they were made; otherwise they are pushed. A draining endpoint gets no new
+    attempts later than ``drain_grace_us`` after the update that says so.
 
-    Discovery: with ``poll_mode`` changes are asked for, and count as known ``poll_within_us`` after they were
-    made; otherwise they are pushed. Nothing new goes to a draining endpoint ``drain_grace_us`` after the
-    update.
+    Slow start: an endpoint starts with a fraction ``slow_start_capacity`` of its capacity and has all of it
+    after ``slow_start_duration_us``. A load of more than ``overload_multiple`` times its capacity for
+    ``overload_after_us`` overloads it.
 
-    Slow start: an endpoint starts with ``slow_start_capacity`` of its capacity and has all of it after
-    ``slow_start_duration_us``; more than ``overload_multiple`` times its capacity for ``overload_after_us``
-    overloads it.
+    Attempt budget: in a window of ``attempt_budget_window_us`` (0: no budget),
+    ``free_additional_attempts`` are allowed, plus ``additional_attempt_ratio`` times the admitted queries and
+    parts. ``tick_us`` is how long before a deadline the final answer is given.
 
-    Attempt budget: within ``attempt_budget_window_us`` (0: none is stated) ``free_additional_attempts``, and
-    ``additional_attempt_ratio`` of the queries and parts taken. ``tick_us`` is how much before a deadline the
-    final answer is given. Raises :class:`ValueError` naming the field that is out of range.
+    Raises :class:`ValueError` that names the field that is out of range.
     """
 
     classes: tuple[QueryClass, ...]
@@ -119,7 +136,7 @@
     retry_advice_allowed: bool = False
     max_retry_after_us: int = 0
     poll_mode: bool = False
-    poll_within_us: int = 0
+    max_poll_interval_us: int = 0
     parts_per_call: int = 1
     clients_mark_retries: bool = False
     drain_grace_us: int = 0
@@ -131,13 +148,13 @@
     additional_attempt_ratio: float = 0.0
     attempt_budget_window_us: int = 0
     endpoints_cache_keys: bool = False
-    weight_by_work: bool = False
+    priority_scales_with_work: bool = False
     over_quota_weight: float = 1.0
     tenants: tuple[Tenant, ...] = ()
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise ValueError("classes: at least one is needed")
+            raise ValueError("classes: must name at least one query class, is empty")
         positive = (
             "shards",
             "replica_groups",
@@ -152,10 +169,11 @@
                 raise ValueError(f"{name}: must be at least 1, is {getattr(self, name)}")
         if self.groups_per_shard > self.replica_groups:
             raise ValueError(
-                f"groups_per_shard: {self.groups_per_shard} is over replica_groups, {self.replica_groups}"
+                f"groups_per_shard: must be at most replica_groups ({self.replica_groups}), "
+                f"is {self.groups_per_shard}"
             )
         if not 0 < self.slow_start_capacity <= 1:
-            raise ValueError(f"slow_start_capacity: {self.slow_start_capacity} is not a fraction in (0, 1]")
+            raise ValueError(f"slow_start_capacity: must be in (0, 1], is {self.slow_start_capacity}")
         for name in ("additional_attempt_ratio", "free_additional_attempts", "attempt_budget_window_us"):
             if getattr(self, name) < 0:
-                raise ValueError(f"attempt budget: {name} {getattr(self, name)} is negative")
+                raise ValueError(f"attempt budget: {name} must not be negative, is {getattr(self, name)}")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings and a driver of one aggregator that the tests share; no model of endpoints."""
+"""Shared settings and a driver for one aggregator; endpoints are not modelled."""
 
 from __future__ import annotations
 
@@ -10,30 +10,50 @@
 
 from heathwell import Aggregator, Settings, policy
 
-hypothesis_settings.register_profile("same", derandomize=True, deadline=None, max_examples=150, database=None)
-hypothesis_settings.load_profile("same")
+hypothesis_settings.register_profile(
+    "deterministic", derandomize=True, deadline=None, max_examples=150, database=None
+)
+hypothesis_settings.load_profile("deterministic")
 
 pytest_plugins = ["tests.known_red"]
 
-AIM = 1_000_000
-"""Latency objective of every query class, in microseconds; their timeout is twice as long."""
+OBJECTIVE_US = 1_000_000
+"""Latency objective of all query classes, in microseconds; their timeout is twice as long."""
 TICK_US: Final = 5_000
 START_US: Final = 10_000_000
 QUERY_CLASSES: Final = (
-    policy.QueryClass("sample", AIM, 2 * AIM, required_fraction=0.75, minimum_fraction=0.75, late_weight=0.3),
-    policy.QueryClass("all", AIM, 2 * AIM, late_weight=0.3),
-    policy.QueryClass("two", AIM, 2 * AIM, second_step_parts=2),
     policy.QueryClass(
-        "keyed", AIM, 2 * AIM, idempotency=policy.Idempotency.KEYED, idempotency_window_us=700_000
+        "sample",
+        OBJECTIVE_US,
+        2 * OBJECTIVE_US,
+        required_fraction=0.75,
+        minimum_fraction=0.75,
+        late_weight=0.3,
+    ),
+    policy.QueryClass("all", OBJECTIVE_US, 2 * OBJECTIVE_US, late_weight=0.3),
+    policy.QueryClass("two", OBJECTIVE_US, 2 * OBJECTIVE_US, second_step_parts=2),
+    policy.QueryClass(
+        "keyed",
+        OBJECTIVE_US,
+        2 * OBJECTIVE_US,
+        idempotency=policy.Idempotency.KEYED,
+        idempotency_window_us=700_000,
     ),
-    policy.QueryClass("unsafe", AIM, 2 * AIM, idempotency=policy.Idempotency.NON_IDEMPOTENT),
     policy.QueryClass(
-        "partial", AIM, 2 * AIM, required_fraction=1.0, minimum_fraction=0.5, partial_weight=0.9
+        "unsafe", OBJECTIVE_US, 2 * OBJECTIVE_US, idempotency=policy.Idempotency.NON_IDEMPOTENT
+    ),
+    policy.QueryClass(
+        "partial",
+        OBJECTIVE_US,
+        2 * OBJECTIVE_US,
+        required_fraction=1.0,
+        minimum_fraction=0.5,
+        partial_weight=0.9,
     ),
     policy.QueryClass(
         "both",
-        AIM,
-        2 * AIM,
+        OBJECTIVE_US,
+        2 * OBJECTIVE_US,
         required_fraction=0.8,
         minimum_fraction=0.4,
         second_step_parts=2,
@@ -42,13 +62,13 @@
 )
 """Query classes of `make_settings`; tests refer to them by index.
 
-Class 0 requires three quarters of its parts, 1 all of them; 2 has a second step of two parts; 3 is keyed, 4
-not idempotent; 5 accepts a partial answer; 6 accepts one and has a second step.
+Class 0 requires three quarters of its parts, class 1 all of them. Class 2 has a second step of two parts.
+Class 3 is keyed, class 4 not idempotent. Classes 5 and 6 allow partial answers; class 6 has a second step.
 """
 
 
 def make_settings(**changes: object) -> Settings:
-    """Return settings of six replica groups, each shard on three of them, with `changes` applied."""
+    """Return settings with six shards, each on three of six replica groups, with `changes` applied."""
     values: dict[str, Any] = {
         "classes": QUERY_CLASSES,
         "shards": 6,
@@ -75,11 +95,11 @@
     return policy.EndpointEntry(f"s{index}", index, state, started_at_us)
 
 
-class Driver:
-    """Passes events to one aggregator on a clock of its own and returns the actions.
+class AggregatorDriver:
+    """Passes events to one aggregator, on its own clock, and returns the actions.
 
-    Construction passes a complete list of `endpoint_count` endpoints, one in each replica group;
-    `initial_actions` holds the actions that it caused.
+    The constructor passes a full list of `endpoint_count` endpoints, one in each replica group;
+    `initial_actions` are the actions that this caused.
     """
 
     def __init__(self, config: Settings, seed: int = 1, endpoint_count: int | None = None) -> None:
@@ -104,13 +124,13 @@
         self,
         query_class: int,
         shards: list[int],
-        timeout_us: int = 2 * AIM,
+        timeout_us: int = 2 * OBJECTIVE_US,
         after_us: int = TICK_US,
         *,
         tenant: int = 0,
         is_retry: bool = False,
     ) -> list[policy.Action]:
-        """Send a query with one part for each shard; the ids are `q<job>` and `q<job>/<number>`."""
+        """Send a query with one part for each shard; the ids are `q<job>` and `q<job>/<index>`."""
         self.query_count += 1
         name = f"q{self.query_count}"
         self.now_us += after_us
@@ -140,7 +160,7 @@
         seq: int = 0,
         latency_us: int = 80_000,
     ) -> list[policy.Action]:
-        """End one attempt with an outcome, after a latency of `latency_us` microseconds."""
+        """End one attempt `after_us` later with an outcome and a reported latency of `latency_us`."""
         return self.step(after_us, policy.AttemptEnded(send.id, seq, send.node, outcome, latency_us))
 
     def wait(self, duration_us: int) -> list[policy.Action]:
@@ -151,25 +171,25 @@
         return actions
 
 
-def of(actions: list[policy.Action], kind: type) -> list[Any]:
-    """Return the actions of one kind, in order."""
+def actions_of_type(actions: list[policy.Action], kind: type) -> list[Any]:
+    """Return the actions of one type, in order."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 def warm_up(driver, shards=range(6), rounds=20):
-    """Answer some queries, so that mean latencies and completion rates have samples."""
+    """Answer `rounds` queries for each shard, so that mean latencies and completion rates have samples."""
     for _ in range(rounds):
         for shard in shards:
-            for send in of(driver.query(1, [shard]), policy.Send):
+            for send in actions_of_type(driver.query(1, [shard]), policy.Send):
                 driver.end(send, after_us=20_000, latency_us=20_000)
 
 
 @pytest.fixture
-def drive() -> Callable[..., Driver]:
+def make_driver() -> Callable[..., AggregatorDriver]:
     """Return a function that builds a driver on the settings of `make_settings` with changes."""
 
-    def build(seed: int = 1, endpoint_count: int | None = None, **changes: object) -> Driver:
+    def build(seed: int = 1, endpoint_count: int | None = None, **changes: object) -> AggregatorDriver:
         """Return a driver at the start of its clock, with `endpoint_count` endpoints listed."""
-        return Driver(make_settings(**changes), seed, endpoint_count)
+        return AggregatorDriver(make_settings(**changes), seed, endpoint_count)
 
     return build
--- a/tests/test_policy_components.py
+++ b/tests/test_policy_components.py
@@ -1,4 +1,4 @@
-"""Components of the decision module, each alone, with constructed inputs and without an aggregator."""
+"""Unit tests of the components of the decision module, without an aggregator."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from heathwell.policy.endpoint_table import EndpointTable
 from heathwell.policy.latency import LatencyModel
 from heathwell.policy.load import LoadModel
-from heathwell.policy.outlier_detection import OutlierDetector, QueryOfDeath, judge_query_of_death
+from heathwell.policy.outlier_detection import OutlierDetector, QueryOfDeathVerdict, judge_query_of_death
 from heathwell.policy.query_arrival import QueryTable
 from heathwell.policy.query_completion import QueryCompletion
 from heathwell.policy.records import ALL_CLASSES, Attempt, Endpoint, Part, Query, TimerKind
 from heathwell.policy.replica_selection import ReplicaSelector
 from heathwell.policy.retries import RetryRules
-from heathwell.policy.retry_budget import CAPACITY, RetryBudget
+from heathwell.policy.retry_budget import TOKEN_CAPACITY, RetryBudget
 from heathwell.policy.slow_start import SlowStart
 
-from .conftest import AIM, entry, make_settings, of
+from .conftest import OBJECTIVE_US, actions_of_type, entry, make_settings
 
 START_US = 10_000_000
 
@@ -34,7 +34,7 @@
 
 
 class Components:
-    """The lower components over six listed endpoints, one in each replica group."""
+    """The components below the aggregator, with one listed endpoint in each replica group."""
 
     def __init__(self, seed: int = 1, endpoints: int = 6, **changes) -> None:
         self.context = DecisionContext(make_settings(**changes), seed)
@@ -60,14 +60,14 @@
         return self.table.by_node[f"s{index}"]
 
     def advance(self, duration_us: int) -> list[policy.Action]:
-        """Begin a batch `duration_us` later; return the actions of the one before."""
+        """Begin a batch `duration_us` later; return the actions of the previous one."""
         actions = self.context.actions
         self.context.begin_batch(self.context.now_us + duration_us)
         return actions
 
     def query(self, query_class: int = ALL, shards: tuple[int, ...] = (0,), name: str = "q") -> Query:
         """Admit a query with one part for each shard."""
-        deadline_us = self.context.now_us + 2 * AIM
+        deadline_us = self.context.now_us + 2 * OBJECTIVE_US
         job = len(self.queries.by_id)
         self.queries.on_query_arrived(policy.QueryArrived(name, job, query_class, deadline_us, len(shards)))
         for number, shard in enumerate(shards):
@@ -83,7 +83,7 @@
         self.attempts.end(attempt.part.id, attempt.seq, outcome)
 
     def fail(self, index: int, outcome: policy.Outcome, query_class: int = ALL) -> Attempt:
-        """Return an attempt of a new query at an endpoint that failed at once with this outcome."""
+        """Return an attempt of a new query at an endpoint, which fails at once with this outcome."""
         name = f"f{len(self.queries.by_id)}"
         attempt = self.send(self.query(query_class, (index,), name).parts[0], index)
         self.end(attempt, outcome)
@@ -114,9 +114,9 @@
     gone = policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL, (entry(0, state=policy.EndpointState.GONE),))
     components.table.on_update(gone)
     assert not components.endpoint(0).live
-    components.advance(21 * AIM)
+    components.advance(21 * OBJECTIVE_US)
     components.table.on_update(policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL))
-    assert "s0" in components.table.by_node  # an attempt is still in flight
+    assert "s0" in components.table.by_node  # its attempt is still in flight
     components.end(attempt, policy.Outcome.TIMED_OUT)
     components.table.on_update(policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL))
     assert "s0" not in components.table.by_node
@@ -124,13 +124,13 @@
 
 
 def test_failed_polls_back_off_with_jitter_up_to_the_limit():
-    components = Components(poll_mode=True, poll_within_us=1_000_000)
+    components = Components(poll_mode=True, max_poll_interval_us=1_000_000)
     failed = policy.EndpointUpdate(policy.UpdateKind.FAILED)
     waits = []
     for _ in range(6):
-        components.advance(20 * AIM)  # beyond the interval of one operator event a topic
+        components.advance(20 * OBJECTIVE_US)  # longer than the interval between operator events of one topic
         components.table.on_update(failed)
-        (degraded,) = of(components.context.actions, policy.DiscoveryDegraded)
+        (degraded,) = actions_of_type(components.context.actions, policy.DiscoveryDegraded)
         waits.append(degraded.retry_after_us)
     assert 100_000 <= waits[0] <= 200_000
     assert all(225_000 <= wait <= 450_000 for wait in waits[2:])
@@ -145,13 +145,13 @@
     components.fail(0, policy.Outcome.UNREACHABLE)
     endpoint = components.endpoint(0)
     first_us = endpoint.ejections[ALL_CLASSES].duration_us
-    assert first_us == AIM
+    assert first_us == OBJECTIVE_US
     assert not components.outliers.accepts_attempts(endpoint, ALL)
     components.advance(first_us)
     assert components.due(TimerKind.TRIAL) == [endpoint]
     components.outliers.on_trial_due(endpoint)
-    assert of(components.context.actions, policy.Probe) == [policy.Probe("s0")]
-    assert not components.outliers.accepts_attempts(endpoint, ALL)  # not before the probe's outcome
+    assert actions_of_type(components.context.actions, policy.Probe) == [policy.Probe("s0")]
+    assert not components.outliers.accepts_attempts(endpoint, ALL)  # not before the probe has ended
     components.outliers.on_probe_ended(policy.ProbeEnded("s0", policy.Outcome.TIMED_OUT))
     second = endpoint.ejections[ALL_CLASSES]
     assert second.duration_us == 2 * first_us
@@ -163,17 +163,19 @@
     components = Components(probing_allowed=True)
     components.fail(0, policy.Outcome.UNREACHABLE)
     endpoint = components.endpoint(0)
-    components.advance(AIM)
+    components.advance(OBJECTIVE_US)
     components.outliers.on_trial_due(endpoint)
     components.outliers.on_probe_ended(policy.ProbeEnded("s0", policy.Outcome.OK))
     assert components.outliers.accepts_attempts(endpoint, ALL)
     trial = components.send(components.query(name="trial").parts[0], 0)
-    assert not components.outliers.accepts_attempts(endpoint, ALL)  # one at a time
+    assert not components.outliers.accepts_attempts(endpoint, ALL)  # one trial at a time
     components.advance(50_000)
     components.end(trial, policy.Outcome.OK)
     components.outliers.record_response(trial)
     assert endpoint.ejections == {}
-    assert of(components.context.actions, policy.EndpointReadmitted) == [policy.EndpointReadmitted("s0")]
+    assert actions_of_type(components.context.actions, policy.EndpointReadmitted) == [
+        policy.EndpointReadmitted("s0")
+    ]
 
 
 def test_ejections_double_up_to_the_maximum():
@@ -185,8 +187,8 @@
         durations.append(endpoint.ejections[ALL_CLASSES].duration_us)
         components.advance(durations[-1])
         components.outliers.on_trial_due(endpoint)
-    maximum_us = outlier_detection.EJECTION_MAXIMUM_OBJECTIVES * AIM
-    assert durations == [AIM, 2 * AIM, 4 * AIM, maximum_us, maximum_us, maximum_us]
+    maximum_us = outlier_detection.EJECTION_MAXIMUM_OBJECTIVES * OBJECTIVE_US
+    assert durations == [OBJECTIVE_US, 2 * OBJECTIVE_US, 4 * OBJECTIVE_US, maximum_us, maximum_us, maximum_us]
 
 
 def test_rejections_eject_up_to_the_maximum_fraction_and_a_lost_connection_beyond_it():
@@ -207,42 +209,44 @@
     endpoint = components.endpoint(0)
     assert not components.outliers.accepts_attempts(endpoint, KEYED)
     assert components.outliers.accepts_attempts(endpoint, ALL)
-    (event,) = of(components.context.actions, policy.EndpointEjected)
-    assert event == policy.EndpointEjected("s0", KEYED, policy.EjectionReason.CONSECUTIVE_ERRORS, AIM)
+    (event,) = actions_of_type(components.context.actions, policy.EndpointEjected)
+    assert event == policy.EndpointEjected(
+        "s0", KEYED, policy.EjectionReason.CONSECUTIVE_ERRORS, OBJECTIVE_US
+    )
 
 
 def test_missing_responses_eject_an_endpoint_only_while_others_respond():
     components = Components()
     query = components.query(shards=(0, 0, 1))
-    silent = [components.send(part, 0) for part in query.parts[:2]]
+    unresponsive = [components.send(part, 0) for part in query.parts[:2]]
     other = components.send(query.parts[2], 1)
-    components.advance(AIM)
-    components.outliers.eject_if_silent(silent[0])
+    components.advance(OBJECTIVE_US)
+    components.outliers.eject_if_unresponsive(unresponsive[0])
     assert components.endpoint(0).ejections == {}
     components.end(other, policy.Outcome.OK)
     components.outliers.record_response(other)
-    components.outliers.eject_if_silent(silent[0])
-    (event,) = of(components.context.actions, policy.EndpointEjected)
+    components.outliers.eject_if_unresponsive(unresponsive[0])
+    (event,) = actions_of_type(components.context.actions, policy.EndpointEjected)
     assert (event.node, event.reason) == ("s0", policy.EjectionReason.NO_RESPONSE)
 
 
 def test_a_query_of_death_gets_one_more_attempt_and_is_then_abandoned():
     query = Components().query(shards=(0, 1))
-    assert judge_query_of_death(query) is QueryOfDeath.NOT_SUSPECTED
+    assert judge_query_of_death(query) is QueryOfDeathVerdict.NOT_SUSPECTED
     query.broken_connections = 1
-    assert judge_query_of_death(query) is QueryOfDeath.NOT_SUSPECTED  # one more attempt
+    assert judge_query_of_death(query) is QueryOfDeathVerdict.NOT_SUSPECTED  # one more attempt
     query.broken_connections = 2
-    assert judge_query_of_death(query) is QueryOfDeath.ABANDON
+    assert judge_query_of_death(query) is QueryOfDeathVerdict.ABANDON
 
 
 def test_a_query_that_breaks_connections_in_its_second_step_is_not_suspected():
     """Its first step was answered, so its parts can be executed."""
     components = Components()
     query = components.query(TWO_STEPS, (0, 1))
-    query.answered = True
+    query.has_response = True
     query.step = 2
     query.broken_connections = 5
-    assert judge_query_of_death(query) is QueryOfDeath.NOT_SUSPECTED
+    assert judge_query_of_death(query) is QueryOfDeathVerdict.NOT_SUSPECTED
     components.fail(3, policy.Outcome.BROKEN)  # a crash is recent
     assert not components.outliers.sends_canary_first(query)
     assert components.outliers.sends_canary_first(components.query(name="fresh"))
@@ -252,18 +256,18 @@
 
 
 def test_a_restart_without_a_start_in_the_endpoint_list_is_inferred_from_missing_responses():
-    """A long time without responses and a failed probe are taken for a restart."""
+    """A long time without responses together with a failed probe counts as a restart."""
     components = Components(probing_allowed=True)
     endpoint = components.endpoint(0)
     components.respond(0)
     components.fail(0, policy.Outcome.REJECTED)
     components.fail(0, policy.Outcome.REJECTED)
     assert components.slow_start.fraction(endpoint) == 1.0  # it rejects, but is reachable
-    components.advance(2 * AIM)
+    components.advance(2 * OBJECTIVE_US)
     components.outliers.on_trial_due(endpoint)
     components.outliers.on_probe_ended(policy.ProbeEnded("s0", policy.Outcome.TIMED_OUT))
     assert components.slow_start.fraction(endpoint) == 0.2  # it may be starting at this moment
-    components.advance(2 * AIM)
+    components.advance(2 * OBJECTIVE_US)
     trial = components.send(components.query(name="trial").parts[0], 0)
     components.advance(50_000)
     components.end(trial, policy.Outcome.OK)
@@ -280,10 +284,10 @@
     components = Components(probing_allowed=True)
     endpoint = components.endpoint(0)
     components.respond(0)
-    components.advance(AIM // 10)
+    components.advance(OBJECTIVE_US // 10)
     components.fail(0, policy.Outcome.REJECTED)
     components.fail(0, policy.Outcome.REJECTED)
-    components.advance(AIM)
+    components.advance(OBJECTIVE_US)
     components.outliers.on_trial_due(endpoint)
     components.outliers.on_probe_ended(policy.ProbeEnded("s0", policy.Outcome.TIMED_OUT))
     trial = components.send(components.query(name="trial").parts[0], 0)
@@ -315,7 +319,7 @@
 
 
 def test_the_first_credit_of_slow_start_is_drawn_at_random():
-    """Many aggregators that each have less than one attempt of capacity must not all send one at once."""
+    """Aggregators with a share of less than one attempt each must not all send one at the same time."""
     initial_credits = []
     for seed in range(300):
         components = Components(seed)
@@ -330,29 +334,29 @@
 # Retry budget and rules
 
 
-def test_a_quota_allows_retries_where_the_own_retry_budget_is_empty():
+def test_a_quota_allows_retries_where_the_local_retry_budget_is_empty():
     components = Components()
     components.budget.bucket.tokens = 0.0
     assert not components.budget.has_budget()
     assert components.budget.has_budget(is_free=True)
-    assert not components.budget.has_own_budget()
+    assert not components.budget.has_local_budget()
     components.budget.set_quota(1)
     assert components.budget.has_budget()
-    assert components.budget.has_own_budget()
+    assert components.budget.has_local_budget()
     components.budget.spend_quota()
-    assert not components.budget.has_own_budget()
+    assert not components.budget.has_local_budget()
     assert not components.budget.has_quota()
-    assert of(components.context.actions, policy.QuotaExhausted) == [policy.QuotaExhausted()]
+    assert actions_of_type(components.context.actions, policy.QuotaExhausted) == [policy.QuotaExhausted()]
 
 
 def test_the_attempt_budget_of_the_settings_holds_whatever_the_quota():
-    components = Components(free_additional_attempts=2, attempt_budget_window_us=AIM)
+    components = Components(free_additional_attempts=2, attempt_budget_window_us=OBJECTIVE_US)
     components.budget.set_quota(100)
     for _ in range(2):
         assert components.budget.has_budget()
         components.budget.record_additional_attempt(policy.Outcome.ERROR)
     assert not components.budget.has_budget()
-    components.advance(AIM + 1)
+    components.advance(OBJECTIVE_US + 1)
     assert components.budget.has_budget()
 
 
@@ -360,18 +364,18 @@
     components = Components()
     for outcome in (policy.Outcome.CONNECTION_LOST, policy.Outcome.UNREACHABLE, policy.Outcome.NEVER_SENT):
         components.budget.record_additional_attempt(outcome)
-    assert components.budget.bucket.tokens == CAPACITY
+    assert components.budget.bucket.tokens == TOKEN_CAPACITY
     components.budget.record_additional_attempt(policy.Outcome.ERROR)
-    assert components.budget.bucket.tokens == CAPACITY - 1
+    assert components.budget.bucket.tokens == TOKEN_CAPACITY - 1
 
 
 @pytest.mark.parametrize(
     ("query_class", "outcome", "send_by_us"),
     [
-        (ALL, policy.Outcome.ERROR, 2 * AIM),
+        (ALL, policy.Outcome.ERROR, 2 * OBJECTIVE_US),
         (KEYED, policy.Outcome.ERROR, 700_000),
-        (KEYED, policy.Outcome.REJECTED, 2 * AIM),
-        (NON_IDEMPOTENT, policy.Outcome.REJECTED, 2 * AIM),
+        (KEYED, policy.Outcome.REJECTED, 2 * OBJECTIVE_US),
+        (NON_IDEMPOTENT, policy.Outcome.REJECTED, 2 * OBJECTIVE_US),
     ],
 )
 def test_a_part_that_may_have_run_is_sent_again_as_the_idempotency_of_its_class_allows(
@@ -441,11 +445,11 @@
         components.end(attempt, policy.Outcome.OK)
         components.completion.record_part(attempt.part)
     assert query.received_weight == 0.5
-    assert of(components.context.actions, policy.Answer) == []
+    assert actions_of_type(components.context.actions, policy.Answer) == []
     components.advance(300_000 - components.context.settings.tick_us)
     assert query in components.due(TimerKind.DEADLINE)
     components.completion.on_timer(query, TimerKind.DEADLINE)
-    assert of(components.context.actions, policy.Answer) == [policy.Answer("q", complete=False)]
+    assert actions_of_type(components.context.actions, policy.Answer) == [policy.Answer("q", complete=False)]
     assert query not in components.queries
 
 
@@ -454,9 +458,9 @@
     query = components.query(TWO_STEPS_PARTIAL, (0, 1))
     components.end(components.send(query.parts[0], 0), policy.Outcome.OK)
     assert components.completion.record_part(query.parts[0])
-    assert of(components.context.actions, policy.Answer) == []
-    components.completion.on_timer(query, TimerKind.CUT)
-    assert of(components.context.actions, policy.Answer) == [policy.Answer("q", complete=False)]
+    assert actions_of_type(components.context.actions, policy.Answer) == []
+    components.completion.on_timer(query, TimerKind.FIRST_STEP_CUTOFF)
+    assert actions_of_type(components.context.actions, policy.Answer) == [policy.Answer("q", complete=False)]
     assert (query.step, query.received_weight) == (2, 0.0)
     assert not components.completion.is_awaited(query.parts[1])
     assert components.completion.required_weight(query) == 1.0
@@ -477,7 +481,7 @@
     query = components.query(query_class)
     components.end(components.send(query.parts[0], 0), outcome)
     components.completion.abandon_if_unanswerable(query)
-    (ended,) = of(components.context.actions, action)
+    (ended,) = actions_of_type(components.context.actions, action)
     assert ended.reason is policy.EndReason.TOO_FEW_PARTS
     if action is policy.Reject:
         assert 200_000 <= ended.retry_after_us <= 400_000
