--- a/heathwell/eventloop/clock.py
+++ b/heathwell/eventloop/clock.py
@@ -17,7 +17,7 @@
     """The machine's monotonic clock, shared by all processes of the machine."""
 
     def now(self) -> int:
-        """Return microseconds since the machine's own start."""
+        """Return microseconds since the machine booted."""
         return time.monotonic_ns() // 1000
 
 
@@ -51,5 +51,5 @@
     def advance(self, to_us: int) -> None:
         """Set the time; raise :class:`ValueError` if it lies in the past."""
         if to_us < self._now_us:
-            raise ValueError(f"clock: {to_us} lies before {self._now_us}")
+            raise ValueError(f"clock: cannot go back from {self._now_us} us to {to_us} us")
         self._now_us = to_us
--- a/heathwell/eventloop/epoll.py
+++ b/heathwell/eventloop/epoll.py
@@ -23,7 +23,7 @@
 
 
 class EpollPoller:
-    """Polls `select.epoll`; a socket pair lets other threads and signals end a wait."""
+    """Polls `select.epoll`; other threads and signals end a wait by writing to a socket pair."""
 
     def __init__(self, clock: Clock | None = None) -> None:
         self._epoll = select.epoll()
--- a/heathwell/eventloop/errors.py
+++ b/heathwell/eventloop/errors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 CONNECTION_RESET = "ECONNRESET"
-CONNECT_TIMED_OUT = "no connection in time"
+CONNECT_TIMED_OUT = "connect timed out"
 
 
 class EventLoopError(Exception):
@@ -19,7 +19,7 @@
 
 
 class StalledError(EventLoopError):
-    """On virtual time: tasks wait, but nothing is left that could wake them."""
+    """A deadlock on virtual time: every task waits, and no timer is set that could wake one."""
 
 
 class StreamBrokenError(EventLoopError):
@@ -30,16 +30,16 @@
     """The peer reads too slowly: its buffer reached ``limit_bytes`` and the stream was reset."""
 
     def __init__(self, peer: str, limit_bytes: int) -> None:
-        super().__init__(f"{peer} reads too slowly: over {limit_bytes} bytes wait for it")
+        super().__init__(f"{peer} reads too slowly: more than {limit_bytes} bytes are queued for it")
         self.peer = peer
         self.limit_bytes = limit_bytes
 
 
 class ConcurrentReadError(EventLoopError, RuntimeError):
-    """A second task tried to read a stream while another one waits for its bytes."""
+    """A task tried to read a stream while another task waits for its bytes."""
 
     def __init__(self) -> None:
-        super().__init__("two tasks read one stream")
+        super().__init__("another task is already reading this stream")
 
 
 class ConnectError(EventLoopError):
@@ -56,7 +56,7 @@
 
 
 class WorkerQueueFullError(EventLoopError, RuntimeError):
-    """The worker thread's queue holds as many jobs as it may."""
+    """The job queue of the worker thread is full."""
 
     def __init__(self) -> None:
-        super().__init__("worker: too many jobs wait")
+        super().__init__("worker: the job queue is full")
--- a/heathwell/eventloop/garbage_collection.py
+++ b/heathwell/eventloop/garbage_collection.py
@@ -4,8 +4,11 @@
 
 import gc
 
-YOUNG_COLLECTION_THRESHOLD = 20_000  # allocations, less deallocations, between collections of the youngest
-MIDDLE_COLLECTION_THRESHOLD = 20  # collections of a generation between collections of the next older one
+# Allocations minus deallocations that trigger a collection of the youngest generation.
+YOUNG_COLLECTION_THRESHOLD = 20_000
+# Collections of the youngest generation per collection of the middle one, and of that one per collection of
+# the oldest.
+MIDDLE_COLLECTION_THRESHOLD = 20
 OLD_COLLECTION_THRESHOLD = 20
 
 
--- a/heathwell/eventloop/loop.py
+++ b/heathwell/eventloop/loop.py
@@ -24,7 +24,8 @@
 Callback = Callable[..., None]
 Arguments = tuple[object, ...]
 
-MIN_CANCELLED_TO_COMPACT = 512  # cancelled timers in the heap from which it may be rebuilt without them
+# The heap of timers is rebuilt only if it holds more cancelled timers than this.
+MIN_CANCELLED_TO_COMPACT = 512
 
 
 class Poller(Protocol):
@@ -62,7 +63,8 @@
 class Task(Generic[T_co]):
     """A running coroutine. Its children are cancelled when it ends.
 
-    ``parent.children`` and ``loop.tasks`` are dictionaries for their order: that of the tasks' start.
+    ``parent.children`` and ``loop.tasks`` are dictionaries instead of sets: they keep the order in which the
+    tasks were started, so that runs are reproducible.
     """
 
     __slots__ = (
@@ -162,7 +164,7 @@
 
 
 def _print_to_stderr(name: str, error: BaseException) -> None:
-    print(f"task {name} ended by an error", file=sys.stderr)
+    print(f"unhandled error in task {name}", file=sys.stderr)
     traceback.print_exception(error)
 
 
@@ -177,8 +179,8 @@
         self._calls: deque[tuple[Callback, Arguments]] = deque()
         self._threadsafe_calls: deque[tuple[Callback, Arguments]] = deque()
         self._timers: list[tuple[int, int, Timer]] = []
-        self._timers_started = 0  # orders timers of the same instant by their start
-        self._cancelled_timers = 0  # of those in the heap
+        self._timers_started = 0  # a timer's number; timers due at the same time fire in this order
+        self._cancelled_timers = 0  # cancelled timers that are still in the heap
         self._hooks: list[Callable[[], None]] = []
         self._stopping = False
         self.tasks: dict[Task[object], None] = {}
@@ -199,7 +201,7 @@
         return task
 
     def call_at(self, at_us: int, call: Callback, *args: object) -> Timer:
-        """Schedule a call at a clock time; within the next turn if that has passed."""
+        """Schedule a call at a clock time, or within the next turn if that time has passed."""
         timer = Timer(self, at_us, call, args)
         self._timers_started += 1
         heapq.heappush(self._timers, (at_us, self._timers_started, timer))
@@ -312,7 +314,7 @@
 
 
 def sleep(loop: Loop, duration_us: int) -> Coro[None]:
-    """Wait for a duration; with 0 the other ready tasks run once."""
+    """Wait for a duration; with 0, only until the other ready tasks have run once."""
 
     def wait_for_timer(task: Task[object]) -> Abort:
         """Wake the task when the duration is over."""
--- a/heathwell/eventloop/net.py
+++ b/heathwell/eventloop/net.py
@@ -1,4 +1,4 @@
-"""Streams, listeners and nets: what sockets and virtual time have in common."""
+"""Interfaces of streams, listeners and nets, implemented on sockets and on virtual time."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from heathwell.eventloop.loop import Abort, Coro, Loop, Task, sleep
 
 READ_SIZE_BYTES = 65_536
-HIGH_WATER_BYTES = 262_144  # queued for sending, above which `drain` waits
-HARD_LIMIT_BYTES = 16_777_216  # queued for sending, above which a stream is reset
-MAX_CONSECUTIVE_READS = 16  # reads without a wait, after which the other tasks get a turn
-LINGER_DURATION_US = 5_000_000  # how long a closed stream may still send its queued bytes
-MAX_CONNECTIONS = 20_000  # default of a listener
+HIGH_WATER_BYTES = 262_144  # `drain` waits while more bytes than this are queued for sending
+HARD_LIMIT_BYTES = 16_777_216  # a stream is reset if more bytes than this would be queued for sending
+MAX_CONSECUTIVE_READS = 16  # after this many reads without a wait a reader lets the other tasks run
+LINGER_DURATION_US = 5_000_000  # time for which a closed stream may still send its queued bytes
+MAX_CONNECTIONS = 20_000  # default limit of a listener
 MAX_PORT = 65_535
 
 
 class Stream(ABC):
     """A two-way stream of bytes with bounded buffers.
 
-    ``queued`` counts all bytes written and ``sent`` those handed to the transport: the bytes beyond ``sent``
-    have provably not left this process.
+    ``queued`` counts all bytes written, and ``sent`` those handed to the transport. Bytes beyond ``sent``
+    have certainly not left this process.
 
     Subclasses are transports: they implement :meth:`_receive`, :meth:`_flush`, :meth:`_send_eof` and
     :meth:`_drop`.
@@ -39,9 +39,9 @@
         self.sent = 0
         self.queued = 0
         self.on_close: Callable[[], None] | None = None
-        self.on_flushed: Callable[[], None] | None = None  # called when no byte is queued any more
+        self.on_flushed: Callable[[], None] | None = None  # called once no byte is queued any more
         self.on_hangup: Callable[[], None] | None = None
-        self.hung_up = False  # the peer sent its end or reset the stream; earlier bytes may be unread
+        self.hung_up = False  # whether the peer has ended or reset the stream; earlier bytes may be unread
         self._ending = False
         self._eof_sent = False
         self._reader: Task[object] | None = None
@@ -83,7 +83,7 @@
         """Return the next bytes, b"" at the end; raise :class:`StreamBrokenError` on a lost connection."""
         while True:
             if self.closed:
-                raise StreamBrokenError("closed")
+                raise StreamBrokenError("the stream is closed")
             data = self._unread.popleft() if self._unread else self._receive(size)
             if data is not None:
                 self._consecutive_reads += 1
@@ -100,7 +100,7 @@
         Raise :class:`StreamBrokenError`, or :class:`StreamOverrunError` over the hard limit.
         """
         if self.closed or self._ending:
-            raise StreamBrokenError("closed")
+            raise StreamBrokenError("the stream is closed for writing")
         if self.unsent + len(data) > self.hard_limit:
             self.abort()
             raise StreamOverrunError(self.peer, self.hard_limit)
@@ -110,7 +110,7 @@
         self._flush()
 
     def offer(self, data: bytes) -> None:
-        """Write as :meth:`write` does, but ignore a broken stream: its reader receives the error."""
+        """Write as :meth:`write` does, but ignore a broken stream, whose reader receives the error."""
         with contextlib.suppress(StreamBrokenError):
             self.write(data)
 
@@ -119,7 +119,7 @@
         while self.unsent > self.high_water and not self.closed:
             yield self._park_drainer
         if self.closed:
-            raise StreamBrokenError("closed")
+            raise StreamBrokenError("the stream is closed")
 
     def end(self) -> None:
         """Send the queued bytes, then the end; the peer's bytes can still be read."""
@@ -171,14 +171,14 @@
         return self._receive(READ_SIZE_BYTES)
 
     def _report_hangup(self) -> None:
-        """Note that the peer has ended or reset the stream."""
+        """Record that the peer has ended or reset the stream, and call ``on_hangup`` once."""
         if not self.hung_up:
             self.hung_up = True
             if self.on_hangup is not None:
                 self.on_hangup()
 
     def _flushed(self) -> None:
-        """Handle that the transport has accepted bytes; to be called by each transport."""
+        """Finish an ending stream and wake waiting writers; called by a transport that accepted bytes."""
         if self._ending and not self.unsent and not self._eof_sent and not self.closed:
             self._eof_sent = True
             self._send_eof()
@@ -251,9 +251,9 @@
         self.max_connections = max_connections
         self.open = 0
         self.accepted = 0
-        self.rejected = 0  # over max_connections
-        self.accept_backoffs = 0  # waits for descriptors or memory
-        self.delayed_accepts = 0  # waits that `accept_delay_us` returned
+        self.rejected = 0  # connections closed at once because `max_connections` were open
+        self.accept_backoffs = 0  # pauses because the process was out of descriptors or memory
+        self.delayed_accepts = 0  # pauses requested by `accept_delay_us`
         self.accept_delay_us: Callable[[], int] | None = None
         self.on_accept: Callable[[], None] | None = None
 
@@ -269,7 +269,7 @@
 
     @abstractmethod
     def close(self) -> None:
-        """Accept no more connections; open ones are served on."""
+        """Accept no more connections; open ones are still served."""
 
 
 class Net(Protocol):
@@ -288,7 +288,7 @@
 
 
 class HostPort(NamedTuple):
-    """An address in its two parts."""
+    """The host and the port of an address."""
 
     host: str
     port: int
@@ -298,5 +298,5 @@
     """Return host and port of an address; raise :class:`ValueError`."""
     host, colon, port = address.rpartition(":")
     if not colon or not port.isdigit() or int(port) > MAX_PORT:
-        raise ValueError(f"address {address!r} is not host:port")
+        raise ValueError(f"expected an address host:port, got {address!r}")
     return HostPort(host.strip("[]"), int(port))
--- a/heathwell/eventloop/sockets.py
+++ b/heathwell/eventloop/sockets.py
@@ -24,7 +24,7 @@
 RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 MIN_ACCEPT_BACKOFF_US = 20_000
 MAX_ACCEPT_BACKOFF_US = 1_000_000
-MAX_CONSECUTIVE_ACCEPTS = 64  # after which the other tasks get a turn
+MAX_CONSECUTIVE_ACCEPTS = 64  # after this many accepts in a row a listener lets the other tasks run
 MAX_CHUNKS_PER_SEND = 16
 LISTEN_BACKLOG = 4096
 LINGER_ZERO = struct.pack("ii", 1, 0)  # struct linger {on, 0 seconds}: close() sends a reset
@@ -39,7 +39,8 @@
         self._poller = poller
         self._sock = sock
         self._descriptor = sock.fileno()
-        self._can_read = True  # as far as known: no call has failed with EAGAIN since the last event
+        # Whether calls may succeed: false from a failure with EAGAIN until the next readiness event.
+        self._can_read = True
         self._can_write = True
         sock.settimeout(0)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -173,7 +174,7 @@
         self._accept()
 
     def _back_off(self) -> None:
-        """Accept again after a while: edge triggered, epoll reports waiting connections only once."""
+        """Accept again after a pause: edge-triggered epoll does not report the waiting connections again."""
         self.accept_backoffs += 1
         self._net.loop.call_at(self._net.loop.now() + self._backoff_us, self._accept)
         self._backoff_us = min(self._backoff_us * 2, MAX_ACCEPT_BACKOFF_US)
@@ -220,10 +221,10 @@
                 stream.abort()
 
     def _wait_connected(self, stream: SocketStream, sock: socket.socket, timeout_us: int) -> Coro[None]:
-        """Wait for the end of a connect, and register the stream; raise :class:`ConnectError`."""
+        """Wait until a connect has ended, and register the stream; raise :class:`ConnectError`."""
 
         def wait_for_writable(task: Task[object]) -> Abort:
-            """Wake the task with True once the socket is writable, with None at the timeout."""
+            """Wake the task with True once the socket is writable, or with None at the timeout."""
             timer = self.loop.call_at(self.loop.now() + timeout_us, task.wake)
 
             def on_event(mask: int) -> None:
--- a/heathwell/eventloop/virtual.py
+++ b/heathwell/eventloop/virtual.py
@@ -18,7 +18,7 @@
 from heathwell.eventloop.loop import Coro, Loop, sleep
 from heathwell.eventloop.net import MAX_CONNECTIONS, Handler, Listener, Stream
 
-WINDOW_BYTES = 262_144  # in transit or unread, in one direction of a stream
+WINDOW_BYTES = 262_144  # limit of the bytes in transit or unread in one direction of a stream
 DEFAULT_DELAY_US = 100
 FIRST_PORT = 10_000
 
@@ -32,13 +32,13 @@
     def poll(self, until_us: int | None) -> None:
         """Advance the clock; raise :class:`StalledError` if no timer is set."""
         if until_us is None:
-            raise StalledError("every task waits and no timer is set")
+            raise StalledError("deadlock: every task waits and no timer is set")
         if until_us > self.clock.now():
             self.clock.advance(until_us)
 
     def wake(self) -> None:
-        """Raise :class:`RuntimeError`: virtual time has one thread."""
-        raise RuntimeError("virtual time has no other threads")
+        """Raise :class:`RuntimeError`: a loop on virtual time is single-threaded."""
+        raise RuntimeError("a loop on virtual time cannot be woken from another thread")
 
     def close(self) -> None:
         """Do nothing: there are no resources to release."""
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class _Pipe:
-    """One direction of a stream: ``held`` segments wait for the end of a partition."""
+    """One direction of a stream; ``held`` are segments that wait for the end of a partition."""
 
     unread: deque[bytes] = field(default_factory=deque)
     size_bytes: int = 0  # in transit or unread
@@ -100,7 +100,7 @@
         self._flushed()
 
     def on_window_update(self) -> None:
-        """Send on: the peer has read bytes."""
+        """Continue sending, as the peer has read bytes."""
         self._flush()
 
     def _send_eof(self) -> None:
@@ -138,7 +138,7 @@
 
 
 class VirtualNet:
-    """A net in memory, in which one direction between two hosts may be cut.
+    """A net in memory, in which each direction between two hosts can be cut.
 
     ``delay(source, target)`` returns the one-way delay between two hosts in microseconds.
     """
@@ -233,7 +233,7 @@
             self._last_port += 1
             address = f"{host}:{self._last_port}"
         if address in self.listeners:
-            raise OSError(f"address {address} is taken")
+            raise OSError(f"address {address} is already in use")
         listener = VirtualListener(self, address, handler, name, max_connections)
         self.listeners[address] = listener
         return listener
--- a/tests/test_event_orderings_random.py
+++ b/tests/test_event_orderings_random.py
@@ -15,6 +15,7 @@
 
 from heathwell import policy
 from heathwell.eventloop import ConnectError, StreamBrokenError, sleep
+from heathwell.eventloop.errors import CONNECT_TIMED_OUT
 from heathwell.testing.standins.platform_node import PlatformNode
 
 from .event_ordering_world import SETTINGS_VARIANTS, settings_variant
@@ -55,7 +56,7 @@
         delay_us = self.delays_us.get(address, 0)
         yield from sleep(self.loop, min(delay_us, timeout_us))
         if delay_us >= timeout_us:
-            raise ConnectError("no connection in time")
+            raise ConnectError(CONNECT_TIMED_OUT)
         return (yield from self.net.connect(address, timeout_us))
 
 
