--- a/heathwell/broker/idle_connections.py
+++ b/heathwell/broker/idle_connections.py
@@ -1,4 +1,4 @@
-"""The idle time of a connection, by one timer that looks again rather than one a part."""
+"""The idle timeout of a connection."""
 
 from __future__ import annotations
 
@@ -7,38 +7,47 @@
 from heathwell.eventloop import Loop, Timer
 
 
-class IdleTime:
-    """Closes a connection that was idle for ``span_us``; ``busy`` returns whether a reply is awaited."""
+class IdleTimeout:
+    """Closes a connection that was idle for ``timeout_us``; ``is_busy`` returns whether a reply is awaited.
 
-    def __init__(self, loop: Loop, span_us: int, busy: Callable[[], bool], close: Callable[[], None]) -> None:
+    There is one timer for the connection, which checks the idle time when it fires, rather than one for each
+    part.
+    """
+
+    def __init__(
+        self, loop: Loop, timeout_us: int, is_busy: Callable[[], bool], close: Callable[[], None]
+    ) -> None:
         self._loop = loop
-        self._span = span_us
-        self._busy = busy
+        self._timeout_us = timeout_us
+        self._is_busy = is_busy
         self._close = close
-        self._since = loop.now()
+        self._idle_since_us = loop.now()
         self._timer: Timer | None = None
 
     def rests(self) -> None:
-        """Something has ended: the time runs from now, unless something else is waited for."""
-        self._since = self._loop.now()
-        if self._timer is None and not self._busy():
-            self._timer = self._loop.call_at(self._since + self._span, self._look)
+        """Begin the idle time anew, and start the timer unless a reply is awaited."""
+        self._idle_since_us = self._loop.now()
+        if self._timer is None and not self._is_busy():
+            self._timer = self._loop.call_at(self._idle_since_us + self._timeout_us, self._check)
 
     def cancel(self) -> None:
-        """The connection is gone: nothing of it is held on to, so that it goes without the collector."""
+        """Stop, and drop the references to the closed connection.
+
+        Without them it is in no reference cycle, and is freed without the garbage collector.
+        """
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self._busy = _always
-        self._close = _nothing
+        self._is_busy = _always
+        self._close = _no_op
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         self._timer = None
-        if self._busy():
+        if self._is_busy():
             return
-        left = self._since + self._span - self._loop.now()
-        if left > 0:
-            self._timer = self._loop.call_at(self._loop.now() + left, self._look)
+        remaining_us = self._idle_since_us + self._timeout_us - self._loop.now()
+        if remaining_us > 0:
+            self._timer = self._loop.call_at(self._loop.now() + remaining_us, self._check)
         else:
             self._close()
 
@@ -47,5 +56,5 @@
     return True
 
 
-def _nothing() -> None:
-    """Nobody is left to be closed."""
+def _no_op() -> None:
+    """Do nothing: the connection is closed already."""
--- a/heathwell/gateway/node_connection.py
+++ b/heathwell/gateway/node_connection.py
@@ -19,7 +19,7 @@
 
 from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey
-from heathwell.broker.idle_connections import IdleTime
+from heathwell.broker.idle_connections import IdleTimeout
 from heathwell.codec import nodeframes as nf
 from heathwell.eventloop import ConnectError, Coro, Stream, StreamBrokenError, Task
 from heathwell.gateway.node_attempts import (
@@ -61,7 +61,7 @@
         self._sent_probes: deque[int] = deque()  # in the order of sending, in which they are answered
         self._unsent_probes: list[int] = []
         self._waiting_since_us: int | None = None
-        self._idle_time = IdleTime(
+        self._idle_timeout = IdleTimeout(
             self.loop, int(link.limits.idle_us * IDLE_TIME_FRACTION), lambda: self.is_busy, self.close
         )
         self._end_outcome = policy.Outcome.UNREACHABLE
@@ -297,7 +297,7 @@
             self.close()
             return
         self.link.pool_limit.mark_idle(self)
-        self._idle_time.rests()
+        self._idle_timeout.rests()
 
     def _finish(self) -> None:
         """End what is in flight: what had not been written completely never ran, the rest may have."""
@@ -306,7 +306,7 @@
         self._finished = True
         self.link.pool_limit.release(self)
         self.link.on_connection_closed(self)
-        self._idle_time.cancel()
+        self._idle_timeout.cancel()
         self._count_close_after_answer()
         in_flight = self.in_flight
         self.in_flight = {}
--- a/heathwell/service/host_link.py
+++ b/heathwell/service/host_link.py
@@ -8,7 +8,7 @@
 
 from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey
-from heathwell.broker.idle_connections import IdleTime
+from heathwell.broker.idle_connections import IdleTimeout
 from heathwell.codec import frames, inner_protocol
 from heathwell.eventloop import (
     ConnectError,
@@ -101,7 +101,7 @@
         self._task: Task[None] | None = None
         self._probes: dict[int, Timer] = {}
         self._probe_number = 0
-        self._idle = IdleTime(
+        self._idle = IdleTimeout(
             loop,
             idle_timeout_us,
             lambda: self.stream is None or bool(self.in_flight or self._probes),
