--- a/heathwell/broker/idle_connections.py
+++ b/heathwell/broker/idle_connections.py
@@ -24,7 +24,7 @@
         self._idle_since_us = loop.now()
         self._timer: Timer | None = None
 
-    def rests(self) -> None:
+    def restart(self) -> None:
         """Begin the idle time anew, and start the timer unless a reply is awaited."""
         self._idle_since_us = self._loop.now()
         if self._timer is None and not self._is_busy():
--- a/heathwell/gateway/node_connection.py
+++ b/heathwell/gateway/node_connection.py
@@ -297,7 +297,7 @@
             self.close()
             return
         self.link.pool_limit.mark_idle(self)
-        self._idle_timeout.rests()
+        self._idle_timeout.restart()
 
     def _finish(self) -> None:
         """End what is in flight: what had not been written completely never ran, the rest may have."""
--- a/heathwell/service/host_link.py
+++ b/heathwell/service/host_link.py
@@ -133,7 +133,7 @@
                 parts[:] = [part for part in parts if (part.id, part.seq) != key]
         elif self.stream is not None:
             self._write(frames.encode(frames.CancelPart(*key)))
-        self._idle.rests()
+        self._idle.restart()
         return True
 
     def withdraw(self, key: AttemptKey) -> bool:
@@ -183,7 +183,7 @@
                 sendable = self.owner.parts_to_send(self.node, parts)
                 if sendable:
                     self._write_call(sendable)
-            self._idle.rests()
+            self._idle.restart()
             yield from inner_protocol.listen(stream, self._on_message)
             seen = True
             if self.in_flight:
@@ -222,7 +222,7 @@
                 else:
                     outcome = OUTCOMES.get(message.outcome, policy.Outcome.ERROR)
                     self.owner.on_attempt_result(self.node, key, outcome, message)
-                self._idle.rests()
+                self._idle.restart()
             case frames.ScoreBound(id=part, seq=seq, best=best):
                 if (part, seq) in self.in_flight:
                     self.owner.on_score_bound(self.node, (part, seq), best)
@@ -268,4 +268,4 @@
         if timer is not None:
             timer.cancel()
             self.owner.on_probe_result(self.node, outcome)
-            self._idle.rests()
+            self._idle.restart()
