--- a/heathwell/codec/memcached.py
+++ b/heathwell/codec/memcached.py
@@ -1,8 +1,8 @@
 """The server's side of the memcached text protocol: classic and meta commands.
 
-Source: the project's protocol.txt and "meta commands" pages of memcached 1.6. :class:`Requests` parses bytes
-to commands. An invalid line gives a :class:`MalformedCommand` in its place, and parsing continues behind it.
-Data blocks are discarded, as this server stores nothing.
+Source: memcached's own protocol.txt and "meta commands" pages, version 1.6. :class:`CommandParser` parses
+bytes to commands. An invalid line gives a :class:`MalformedCommand` in its place, and parsing continues
+behind it. Data blocks are discarded, as this server stores nothing.
 """
 
 from __future__ import annotations
@@ -106,7 +106,7 @@
     bytes_left: int
 
 
-class Requests:
+class CommandParser:
     """The incremental parser of one connection.
 
     ``max_line_bytes`` bounds the buffered bytes of a line and ``max_keys`` the keys of one get.
@@ -269,7 +269,7 @@
     def _parse_verbosity(self, name: bytes, args: list[bytes]) -> Command:
         return ServerCommand(name.decode(), tuple(args), quiet=args[-1:] == [b"noreply"])
 
-    _PARSERS: ClassVar[dict[bytes, Callable[[Requests, bytes, list[bytes]], Command | None]]] = {
+    _PARSERS: ClassVar[dict[bytes, Callable[[CommandParser, bytes, list[bytes]], Command | None]]] = {
         b"get": _parse_get,
         b"gets": _parse_get,
         b"gat": _parse_get_and_touch,
--- a/heathwell/servers/memcached_connection.py
+++ b/heathwell/servers/memcached_connection.py
@@ -92,7 +92,7 @@
         self.opened_at_us = server.broker.loop.now()
         self.pending: deque[PendingReply] = deque()
         self._server = server
-        self._parser = protocol.Requests(limits.line, limits.keys_a_get)
+        self._parser = protocol.CommandParser(limits.line, limits.keys_a_get)
         self._max_pending = limits.pipelined
         self._command_count = 0
         self._is_quitting = False
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -23,7 +23,7 @@
 
 def parse_commands(chunks):
     """Return the commands that a parser reads from chunks of bytes."""
-    parser = memcached.Requests(max_line_bytes=400)
+    parser = memcached.CommandParser(max_line_bytes=400)
     return [command for chunk in chunks for command in parser.feed(chunk)]
 
 
@@ -81,7 +81,7 @@
 
 @given(st.binary(max_size=400))
 def test_arbitrary_bytes_raise_no_error_and_the_next_line_is_parsed(data):
-    parser = memcached.Requests(max_line_bytes=100)
+    parser = memcached.CommandParser(max_line_bytes=100)
     for _ in parser.feed(data):
         pass
     if parser._block is None:
@@ -90,7 +90,7 @@
 
 
 def test_a_line_over_the_limit_is_rejected_once_and_is_not_buffered():
-    parser = memcached.Requests(max_line_bytes=1000)
+    parser = memcached.CommandParser(max_line_bytes=1000)
     commands = []
     for _ in range(100):
         commands += parser.feed(b"get " + b"k" * 1000)
@@ -116,7 +116,7 @@
     ],
 )
 def test_an_invalid_command_is_a_client_error_that_states_the_cause(line, word):
-    malformed, following = list(memcached.Requests().feed(line + b"\r\nmn\r\n"))
+    malformed, following = list(memcached.CommandParser().feed(line + b"\r\nmn\r\n"))
     assert (
         isinstance(malformed, memcached.MalformedCommand)
         and malformed.line.startswith(b"CLIENT_ERROR")
@@ -127,7 +127,7 @@
 
 def test_a_meta_response_returns_the_requested_flags():
     key = base64.b64encode("sale:åke:1".encode())
-    request = next(iter(memcached.Requests().feed(b"mg " + key + b" b k f s t c v O77\r\n")))
+    request = next(iter(memcached.CommandParser().feed(b"mg " + key + b" b k f s t c v O77\r\n")))
     assert request.key.decode() == "sale:åke:1"
     assert memcached.meta_value(request, 5, b"hey", 9) == b"VA 3 b k" + key + b" f5 s3 t-1 c9 O77\r\nhey\r\n"
     assert memcached.meta_miss(request) == b"EN b k" + key + b" O77\r\n"
