--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -86,7 +86,7 @@
     def __init__(self, address: str) -> None:
         self._socket = MemcachedConnection(address).socket
         self._socket.sendall(frames.encode(frames.Hello(frames.VERSION, "bench", "bench")))
-        self._decoder = frames.Frames()
+        self._decoder = frames.FrameDecoder()
         self._request_count = 0
 
     def get(self, key: str, shard: int) -> frames.Result:
--- a/heathwell/codec/frames/__init__.py
+++ b/heathwell/codec/frames/__init__.py
@@ -26,8 +26,8 @@
 from heathwell.codec.frames.framing import (
     MAX_FRAME_BYTES,
     VERSION,
+    FrameDecoder,
     FrameError,
-    Frames,
     FrameTooLongError,
     HelloError,
     check_hello,
@@ -54,7 +54,7 @@
     "VERSION",
     "FrameError",
     "FrameTooLongError",
-    "Frames",
+    "FrameDecoder",
     "HelloError",
     "check_hello",
     "encode",
--- a/heathwell/codec/frames/framing.py
+++ b/heathwell/codec/frames/framing.py
@@ -56,11 +56,11 @@
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
-class Frames:
+class FrameDecoder:
     """The incremental decoder of one connection.
 
-    With ``greeted=False`` its first message must be a valid :class:`Hello`. ``skipped`` counts messages of
-    unknown types, which a newer peer may send.
+    With ``greeted=False`` its first message must be a valid :class:`Hello`. ``skipped`` counts the
+    messages of unknown types, which a newer peer may send.
     """
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES, *, greeted: bool = True) -> None:
--- a/heathwell/codec/inner_protocol.py
+++ b/heathwell/codec/inner_protocol.py
@@ -21,7 +21,7 @@
     stream: Stream, on_message: MessageHandler, max_frame_bytes: int = frames.MAX_FRAME_BYTES
 ) -> Coro[None]:
     """Pass on each message, the hello first, until the peer's end; raise :class:`FrameError`."""
-    decoder = frames.Frames(max_frame_bytes, greeted=False)
+    decoder = frames.FrameDecoder(max_frame_bytes, greeted=False)
     while data := (yield from stream.read()):
         for message in decoder.feed(data):
             on_message(message)
@@ -58,7 +58,7 @@
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port)), timeout_seconds) as sock:
         sock.sendall(frames.encode(frames.Hello(frames.VERSION, name, role)) + frames.encode(message))
-        decoder = frames.Frames()
+        decoder = frames.FrameDecoder()
         while data := sock.recv(READ_SIZE_BYTES):
             for reply in decoder.feed(data):
                 if isinstance(reply, reply_type):
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -143,13 +143,13 @@
             frames.Pong(3),
         )
     )
-    messages = list(frames.Frames().feed(wire))
-    parser = frames.Frames()
+    messages = list(frames.FrameDecoder().feed(wire))
+    parser = frames.FrameDecoder()
     assert [message for byte in wire for message in parser.feed(bytes([byte]))] == messages and len(
         messages
     ) == 4
     newer = msgspec.msgpack.encode({"type": "pong", "n": 1, "brand_new": [1, 2]})
-    assert list(frames.Frames().feed(len(newer).to_bytes(4, "big") + newer)) == [frames.Pong(1)]
+    assert list(frames.FrameDecoder().feed(len(newer).to_bytes(4, "big") + newer)) == [frames.Pong(1)]
 
 
 @pytest.mark.parametrize(
@@ -162,7 +162,7 @@
 )
 def test_a_malformed_frame_raises_a_frame_error(data, word):
     with pytest.raises(frames.FrameError, match=word):
-        list(frames.Frames().feed(data))
+        list(frames.FrameDecoder().feed(data))
 
 
 def test_a_hello_of_an_unknown_version_raises_an_error_that_names_it():
@@ -194,7 +194,7 @@
 
 def test_an_unknown_message_type_is_skipped_and_a_malformed_known_one_raises_an_error():
     """A peer of a newer version may send types and fields that this one does not define."""
-    decoder = frames.Frames(greeted=False)
+    decoder = frames.FrameDecoder(greeted=False)
     messages = list(
         decoder.feed(
             frames.encode(frames.Hello(frames.VERSION, "b0", "broker"))
@@ -206,4 +206,4 @@
     with pytest.raises(frames.FrameError, match="not a message"):
         list(decoder.feed(encode_frame({"type": "ping", "n": "three"})))
     with pytest.raises(frames.FrameError):
-        list(frames.Frames(greeted=False).feed(encode_frame({"type": "later"})))
+        list(frames.FrameDecoder(greeted=False).feed(encode_frame({"type": "later"})))
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -337,7 +337,7 @@
 def frames_until_end(stream):
     """Return the frames that a stream delivers until it ends."""
     received = []
-    decoder = frames.Frames()
+    decoder = frames.FrameDecoder()
     try:
         while data := (yield from stream.read()):
             received += decoder.feed(data)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -133,7 +133,7 @@
         reply = MembershipReply(state, 3, 8, "why")
         sent = frames.encode(messages.renewal_reply_to_frame(QuotaRenewalReply(reply, 7, 11, "k0.1")))
         assert state.value.encode() in sent
-        received = messages.renewal_reply_from_frame(next(iter(frames.Frames().feed(sent))))
+        received = messages.renewal_reply_from_frame(next(iter(frames.FrameDecoder().feed(sent))))
         assert received.membership == reply
 
 
--- a/tests/test_version_compatibility.py
+++ b/tests/test_version_compatibility.py
@@ -90,14 +90,14 @@
 
 @pytest.mark.parametrize("frame", FRAMES, ids=tag_of)
 def test_an_old_frame_is_decoded_and_encoded_to_the_same_bytes(frame: bytes) -> None:
-    (message,) = frames.Frames().feed(frame)
+    (message,) = frames.FrameDecoder().feed(frame)
     assert type(message).__struct_config__.tag == tag_of(frame)
     assert frames.encode(message) == frame
 
 
 @pytest.mark.parametrize("frame", FRAMES, ids=tag_of)
 def test_an_old_frame_sets_every_field_of_its_message(frame: bytes) -> None:
-    (message,) = frames.Frames().feed(frame)
+    (message,) = frames.FrameDecoder().feed(frame)
     assert_no_defaults(message)
 
 
