--- a/heathwell/codec/frames/framing.py
+++ b/heathwell/codec/frames/framing.py
@@ -59,14 +59,14 @@
 class FrameDecoder:
     """The incremental decoder of one connection.
 
-    With ``greeted=False`` its first message must be a valid :class:`Hello`. ``skipped`` counts the
+    With ``hello_received=False`` its first message must be a valid :class:`Hello`. ``skipped`` counts the
     messages of unknown types, which a newer peer may send.
     """
 
-    def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES, *, greeted: bool = True) -> None:
+    def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES, *, hello_received: bool = True) -> None:
         self.max_frame_bytes = max_frame_bytes
         self.skipped = 0
-        self._greeted = greeted
+        self._hello_received = hello_received
         self._buffer = bytearray()
 
     @property
@@ -91,13 +91,13 @@
                 try:
                     message = _decoder.decode(body)
                 except msgspec.MsgspecError as error:
-                    if self._greeted and _is_unknown(body):
+                    if self._hello_received and _is_unknown(body):
                         self.skipped += 1
                         continue
                     raise FrameError(f"a frame that is not a message: {error}") from None
-                if not self._greeted:
+                if not self._hello_received:
                     check_hello(message)
-                    self._greeted = True
+                    self._hello_received = True
                 yield message
         finally:
             del self._buffer[:position]
--- a/heathwell/codec/inner_protocol.py
+++ b/heathwell/codec/inner_protocol.py
@@ -21,7 +21,7 @@
     stream: Stream, on_message: MessageHandler, max_frame_bytes: int = frames.MAX_FRAME_BYTES
 ) -> Coro[None]:
     """Pass on each message, the hello first, until the peer's end; raise :class:`FrameError`."""
-    decoder = frames.FrameDecoder(max_frame_bytes, greeted=False)
+    decoder = frames.FrameDecoder(max_frame_bytes, hello_received=False)
     while data := (yield from stream.read()):
         for message in decoder.feed(data):
             on_message(message)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -194,7 +194,7 @@
 
 def test_an_unknown_message_type_is_skipped_and_a_malformed_known_one_raises_an_error():
     """A peer of a newer version may send types and fields that this one does not define."""
-    decoder = frames.FrameDecoder(greeted=False)
+    decoder = frames.FrameDecoder(hello_received=False)
     messages = list(
         decoder.feed(
             frames.encode(frames.Hello(frames.VERSION, "b0", "broker"))
@@ -206,4 +206,4 @@
     with pytest.raises(frames.FrameError, match="not a message"):
         list(decoder.feed(encode_frame({"type": "ping", "n": "three"})))
     with pytest.raises(frames.FrameError):
-        list(frames.FrameDecoder(greeted=False).feed(encode_frame({"type": "later"})))
+        list(frames.FrameDecoder(hello_received=False).feed(encode_frame({"type": "later"})))
