--- a/heathwell/codec/varint.py
+++ b/heathwell/codec/varint.py
@@ -7,10 +7,10 @@
 VALUE_MASK = 0x7F
 BITS_PER_BYTE = 7
 
-Decoded = tuple[int, int]  # the number, and the offset of the byte behind it
+Decoded = tuple[int, int]  # the number, and the offset of the byte that follows it
 
 
-def put(value: int) -> bytes:
+def encode(value: int) -> bytes:
     """Return the bytes of a number; raise :class:`ValueError` for a negative one."""
     if value < 0:
         raise ValueError(f"varint: {value} is negative")
@@ -22,8 +22,8 @@
     return bytes(encoded)
 
 
-def take(data: bytes, offset: int) -> Decoded:
-    """Return the number at an offset; raise :class:`ValueError` if there is no complete one."""
+def decode(data: bytes, offset: int) -> Decoded:
+    """Return the number at an offset; raise :class:`ValueError` if it is incomplete or too long."""
     value = 0
     for index in range(MAX_BYTES):
         if offset + index >= len(data):
@@ -32,4 +32,4 @@
         value |= (byte & VALUE_MASK) << (BITS_PER_BYTE * index)
         if byte < CONTINUATION_BIT:
             return value, offset + index + 1
-    raise ValueError("varint: ends too early")
+    raise ValueError(f"varint: no end within the data or within {MAX_BYTES} bytes at offset {offset}")
--- a/heathwell/service/coverage/cover_codec.py
+++ b/heathwell/service/coverage/cover_codec.py
@@ -28,7 +28,7 @@
     stamp = NO_DATA if cover.oldest_source_us is None else cover.oldest_source_us + 1
     if stamp < 0:
         raise CoverError("a source time before its zero")
-    return bytes([MAGIC]) + varint.put(stamp) + _encode_set(cover.requested) + _encode_set(cover.answered)
+    return bytes([MAGIC]) + varint.encode(stamp) + _encode_set(cover.requested) + _encode_set(cover.answered)
 
 
 def decode_cover(data: bytes) -> Cover:
@@ -36,7 +36,7 @@
     if not data or data[0] != MAGIC:
         raise CoverError("not an encoded cover")
     try:
-        stamp, offset = varint.take(data, 1)
+        stamp, offset = varint.decode(data, 1)
         requested, offset = _decode_set(data, offset)
         answered, offset = _decode_set(data, offset)
     except ValueError as problem:
@@ -48,7 +48,7 @@
 
 def _encode_set(bits: int) -> bytes:
     raw = bits.to_bytes((bits.bit_length() + 7) // 8, "little")
-    as_bits = bytes([FORM_BITS]) + varint.put(len(raw)) + raw
+    as_bits = bytes([FORM_BITS]) + varint.encode(len(raw)) + raw
     as_runs = _encode_runs(bits)
     return as_runs if len(as_runs) < len(as_bits) else as_bits
 
@@ -62,16 +62,16 @@
         bits >>= gap
         length = (~bits & (bits + 1)).bit_length() - 1
         bits >>= length
-        runs += varint.put(gap) + varint.put(length)
+        runs += varint.encode(gap) + varint.encode(length)
         run_count += 1
-    return bytes([FORM_RUNS]) + varint.put(run_count) + bytes(runs)
+    return bytes([FORM_RUNS]) + varint.encode(run_count) + bytes(runs)
 
 
 def _decode_set(data: bytes, offset: int) -> _DecodedSet:
     if offset >= len(data):
         raise CoverError("a cover that ends too early")
     form = data[offset]
-    count, offset = varint.take(data, offset + 1)
+    count, offset = varint.decode(data, offset + 1)
     if form == FORM_BITS:
         raw = data[offset : offset + count]
         if len(raw) < count or count * 8 > MAXIMUM_PARTS + 7:
@@ -86,8 +86,8 @@
     bits = 0
     part = 0
     for _ in range(run_count):
-        gap, offset = varint.take(data, offset)
-        length, offset = varint.take(data, offset)
+        gap, offset = varint.decode(data, offset)
+        length, offset = varint.decode(data, offset)
         part += gap
         if part + length > MAXIMUM_PARTS:
             raise CoverError(f"a part number over {MAXIMUM_PARTS - 1}")
--- a/heathwell/service/freshness/consistency_token.py
+++ b/heathwell/service/freshness/consistency_token.py
@@ -35,20 +35,20 @@
     if not positions:
         return ""
     least = min(positions.values())
-    body = bytearray([BY_SHARD]) + varint.put(least)
+    body = bytearray([BY_SHARD]) + varint.encode(least)
     previous_shard = 0
     for shard in sorted(positions):
-        body += varint.put(shard - previous_shard) + varint.put(positions[shard] - least)
+        body += varint.encode(shard - previous_shard) + varint.encode(positions[shard] - least)
         previous_shard = shard
     text = _seal(bytes(body))
-    return text if len(text) <= MAXIMUM_CHARACTERS else _seal(bytes([LEAST_ONLY]) + varint.put(least))
+    return text if len(text) <= MAXIMUM_CHARACTERS else _seal(bytes([LEAST_ONLY]) + varint.encode(least))
 
 
 def read_token(text: str) -> TokenPositions:
     """Return the positions in a token; raise :class:`TokenError`."""
     body = _unseal(text)
     try:
-        least, offset = varint.take(body, 1)
+        least, offset = varint.decode(body, 1)
         if body[0] == LEAST_ONLY and offset == len(body):
             return TokenPositions(least=least)
         positions = _read_positions(body, offset, least) if body[0] == BY_SHARD else {}
@@ -63,8 +63,8 @@
     positions = {}
     shard = 0
     while offset < len(body):
-        gap, offset = varint.take(body, offset)
-        excess, offset = varint.take(body, offset)
+        gap, offset = varint.decode(body, offset)
+        excess, offset = varint.decode(body, offset)
         shard += gap
         positions[shard] = least + excess
     return positions
