--- a/heathwell/codec/http.py
+++ b/heathwell/codec/http.py
@@ -62,7 +62,7 @@
         self.served = 0
 
     @property
-    def midway(self) -> bool:
+    def has_partial_request(self) -> bool:
         """Whether a request has begun and is not complete."""
         buffered, _ = self._connection.trailing_data
         return self._head is not None or bool(buffered)
--- a/heathwell/codec/memcached.py
+++ b/heathwell/codec/memcached.py
@@ -126,7 +126,7 @@
         return len(self._buffer)
 
     @property
-    def midway(self) -> bool:
+    def has_partial_command(self) -> bool:
         """Whether a command has begun and not ended."""
         return bool(self._buffer) or self._skipping or self._block is not None
 
--- a/heathwell/gateway/front.py
+++ b/heathwell/gateway/front.py
@@ -209,7 +209,7 @@
             self._dispatch(event)
         elif side.closing:
             self.stream.close()
-        elif side.midway and self not in self.front.receiving:
+        elif side.has_partial_request and self not in self.front.receiving:
             self.leave_queues()
             if side.served:
                 self.since_us = self._arrived_at_us
@@ -273,7 +273,7 @@
             self.stream.close()
             return
         self.front.on_answered(self)
-        if side.midway:
+        if side.has_partial_request:
             self._arrived_at_us = self.since_us
             self.loop.call_soon(self._continue)
 
--- a/heathwell/servers/memcached_connection.py
+++ b/heathwell/servers/memcached_connection.py
@@ -104,7 +104,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether no command is in progress, none is partly received and no reply partly sent."""
-        return not self.pending and not self.stream.unsent and not self._parser.midway
+        return not self.pending and not self.stream.unsent and not self._parser.has_partial_command
 
     def run(self) -> Coro[None]:
         """Serve until the client ends its requests and every one is answered."""
--- a/heathwell/servers/vector_connection.py
+++ b/heathwell/servers/vector_connection.py
@@ -66,7 +66,7 @@
 
     @property
     def _is_receiving(self) -> bool:
-        return bool(self._unparsed) or self._protocol.midway
+        return bool(self._unparsed) or self._protocol.has_partial_request
 
     def run(self) -> Coro[None]:
         """Serve until either side ends the connection."""
