--- a/heathwell/codec/memcached.py
+++ b/heathwell/codec/memcached.py
@@ -49,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MetaGet:
-    """``mg``; ``shown`` is the key as the client sent it, which may be encoded in base64."""
+    """``mg``; ``key_token`` is the key as the client sent it, in base64 if it set the flag ``b``."""
 
     key: bytes
-    shown: bytes
+    key_token: bytes
     flags: tuple[bytes, ...]
 
     @property
@@ -227,15 +227,15 @@
     def _parse_meta_get(self, _name: bytes, args: list[bytes]) -> Command:
         if not args:
             raise _client_error("bad command line format")
-        shown = args[0]
+        key_token = args[0]
         flags = tuple(args[1:])
         for flag in flags:
             _check_meta_get_flag(flag)
         if len({flag[:1] for flag in flags}) != len(flags):
             raise _client_error("duplicate flag")
-        _check_key(shown)
-        key = _decode_key(shown) if b"b" in flags else shown
-        return MetaGet(key, shown, flags)
+        _check_key(key_token)
+        key = _decode_key(key_token) if b"b" in flags else key_token
+        return MetaGet(key, key_token, flags)
 
     def _parse_noop(self, _name: bytes, _args: list[bytes]) -> Command:
         return Noop()
@@ -311,9 +311,9 @@
         raise _client_error("opaque token too long")
 
 
-def _decode_key(shown: bytes) -> bytes:
+def _decode_key(key_token: bytes) -> bytes:
     try:
-        key = base64.b64decode(shown, validate=True)
+        key = base64.b64decode(key_token, validate=True)
     except (binascii.Error, ValueError):
         key = b""
     if not key:
@@ -361,7 +361,7 @@
         case b"O" | b"b":
             return flag
         case b"k":
-            return b"k" + request.shown
+            return b"k" + request.key_token
         case b"f":
             return b"f%d" % flags
         case b"s":
@@ -381,7 +381,7 @@
     if request.quiet:
         return b""
     returned = [
-        b"k" + request.shown if flag == b"k" else flag
+        b"k" + request.key_token if flag == b"k" else flag
         for flag in request.flags
         if flag[:1] in (b"O", b"k", b"b")
     ]
