--- a/heathwell/codec/http.py
+++ b/heathwell/codec/http.py
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A complete response; ``kind`` is its content type."""
+    """A complete response."""
 
     status: int
     body: bytes
-    kind: str = "text/plain; charset=utf-8"
+    content_type: str = "text/plain; charset=utf-8"
     headers: tuple[Header, ...] = ()
 
 
@@ -150,7 +150,7 @@
     def respond(self, response: Response) -> bytes:
         """Return the bytes of a response, after which the next request can be yielded."""
         headers = [
-            ("content-type", response.kind),
+            ("content-type", response.content_type),
             ("content-length", str(len(response.body))),
             *response.headers,
         ]
