--- a/heathwell/eventloop/net.py
+++ b/heathwell/eventloop/net.py
@@ -141,7 +141,7 @@
         else:
             self._shut(reset=False)
 
-    def close_if_quiet(self) -> bool:
+    def close_unless_readable(self) -> bool:
         """Close the stream unless received bytes are unread: those are passed to its reader.
 
         Return whether the stream is closed or broken.
--- a/heathwell/gateway/front.py
+++ b/heathwell/gateway/front.py
@@ -88,12 +88,12 @@
         now = self.loop.now()
         for client in list(self.inactive):
             if client.side is not None or now - client.since_us >= NEW_CONNECTION_US:
-                client.stream.close_if_quiet()
+                client.stream.close_unless_readable()
 
     def _make_room(self) -> bool:
         for victim in [*islice(self.inactive, MAX_EVICTION_CANDIDATES), *islice(self.receiving, 1)]:
             is_idle = victim in self.inactive and not victim.failed
-            if is_idle and not victim.stream.close_if_quiet():
+            if is_idle and not victim.stream.close_unless_readable():
                 continue  # its next request has arrived
             self.counts["closed for another"] += 1
             self._forget(victim)
@@ -107,7 +107,7 @@
         self.kept_alive[client] = None
         if len(self.kept_alive) > self.max_kept_alive:
             victim = next(iter(self.kept_alive))
-            if victim.stream.close_if_quiet():
+            if victim.stream.close_unless_readable():
                 self.counts["let go"] += 1  # the name that the trace prints
                 self._forget(victim)
 
@@ -130,7 +130,7 @@
                 if client.failed:
                     client.stream.close()
                 else:
-                    client.stream.close_if_quiet()
+                    client.stream.close_unless_readable()
 
 
 class Client:
--- a/heathwell/servers/client_connection.py
+++ b/heathwell/servers/client_connection.py
@@ -44,7 +44,7 @@
         """
         if self._has_unread_request or not self.is_idle:
             return self.stream.closed
-        if self.stream.close_if_quiet():
+        if self.stream.close_unless_readable():
             return True
         self._has_unread_request = True
         return False
