--- a/heathwell/eventloop/net.py
+++ b/heathwell/eventloop/net.py
@@ -109,7 +109,7 @@
             self._chunks.append(data)
         self._flush()
 
-    def offer(self, data: bytes) -> None:
+    def try_write(self, data: bytes) -> None:
         """Write as :meth:`write` does, but ignore a broken stream, whose reader receives the error."""
         with contextlib.suppress(StreamBrokenError):
             self.write(data)
--- a/heathwell/fleet/control/link.py
+++ b/heathwell/fleet/control/link.py
@@ -75,7 +75,7 @@
         if silent_us > self.silence_us or self.stream.unsent > MAX_UNSENT_BYTES:
             self.stream.abort()
             return False
-        self.stream.offer(frames.encode(message))
+        self.stream.try_write(frames.encode(message))
         return True
 
     def close(self) -> None:
--- a/heathwell/fleet/control/node_agent.py
+++ b/heathwell/fleet/control/node_agent.py
@@ -315,9 +315,9 @@
     def _on_message(self, stream: Stream, message: frames.AnyMessage) -> None:
         match message:
             case frames.DesiredVersion():
-                stream.offer(frames.encode(self._reply_to(message)))
+                stream.try_write(frames.encode(self._reply_to(message)))
             case frames.MachineRequest():
-                stream.offer(frames.encode(self.view()))
+                stream.try_write(frames.encode(self.view()))
 
     def _reply_to(self, decision: frames.DesiredVersion) -> frames.DesiredVersionReply:
         reason = ""
--- a/heathwell/fleet/control/quota_coordinator.py
+++ b/heathwell/fleet/control/quota_coordinator.py
@@ -203,7 +203,7 @@
             return
         reply = self._reply_to(self.loop.now(), self.streams[stream], message)
         if reply is not None:
-            stream.offer(frames.encode(reply))
+            stream.try_write(frames.encode(reply))
 
     def _on_hello(self, stream: Stream, hello: frames.Hello) -> None:
         """Record the peer's name; refuse it if it is of another fleet, whose address this may have been."""
@@ -213,7 +213,7 @@
                 "error", "control: of another fleet", peer=hello.name, theirs=hello.fleet, ours=self.fleet
             )
             refusal = frames.VersionMismatch(f"this is a quota coordinator of fleet '{self.fleet}'")
-            stream.offer(frames.encode(refusal))
+            stream.try_write(frames.encode(refusal))
             stream.close()
         self.streams[stream] = hello.name
 
--- a/heathwell/fleet/control/rollout.py
+++ b/heathwell/fleet/control/rollout.py
@@ -370,4 +370,4 @@
 
     def _on_operator_message(self, stream: Stream, message: frames.AnyMessage) -> None:
         if isinstance(message, frames.OperatorCommand):
-            stream.offer(frames.encode(self.on_command(message)))
+            stream.try_write(frames.encode(self.on_command(message)))
--- a/heathwell/gateway/node_connection.py
+++ b/heathwell/gateway/node_connection.py
@@ -278,7 +278,7 @@
 
     def _write(self, data: bytes) -> None:
         if self.stream is not None:
-            self.stream.offer(data)  # if the stream is broken the reading side reports it
+            self.stream.try_write(data)  # if the stream is broken the reading side reports it
 
     def _start_waiting(self) -> None:
         if self._waiting_since_us is None:
--- a/heathwell/service/host_link.py
+++ b/heathwell/service/host_link.py
@@ -243,7 +243,7 @@
 
     def _write(self, data: bytes) -> None:
         if self.stream is not None:
-            self.stream.offer(data)  # the reading side reports that a connection is broken
+            self.stream.try_write(data)  # the reading side reports that a connection is broken
 
     def _on_connection_lost(self, stream: Stream | None, outcome: policy.Outcome) -> None:
         """Report the outcomes of a lost connection: what was unsent provably never ran, the rest may have."""
--- a/tests/test_event_orderings_timeouts.py
+++ b/tests/test_event_orderings_timeouts.py
@@ -293,7 +293,7 @@
         reopened, target = discovery.calls[2]
         assert reopened is not stream and target == "/api/targets?from=5&hold_ms=0"
         if not stream.closed:
-            stream.offer(old[upto:])
+            stream.try_write(old[upto:])
         reopened.write(list_response(8, [{**node.entry, "state": "draining"}], is_complete=False))
         yield from world.wait_until(world.has_change(node, "draining"))
         yield from world.wait_until(lambda: len(discovery.calls) == 4)
