--- a/heathwell/eventloop/virtual.py
+++ b/heathwell/eventloop/virtual.py
@@ -67,10 +67,10 @@
 class VirtualStream(Stream):
     """One end of a stream in memory."""
 
-    def __init__(self, net: VirtualNet, here: str, peer: str) -> None:
+    def __init__(self, net: VirtualNet, local_address: str, peer: str) -> None:
         super().__init__(net.loop, peer)
         self.net = net
-        self.here = here
+        self.local_address = local_address
         self.other: VirtualStream  # the peer's end, set by VirtualNet.connect
         self.inbox = _Pipe()
 
@@ -170,7 +170,7 @@
 
     def carry(self, stream: VirtualStream, segment: _Segment) -> None:
         """Deliver a segment to the stream's other end, in order and after the delay."""
-        direction = (self.host(stream.here), self.host(stream.peer))
+        direction = (self.host(stream.local_address), self.host(stream.peer))
         pipe = stream.other.inbox
         if direction in self.cuts or pipe.held:
             if not pipe.held:
@@ -181,7 +181,7 @@
 
     def _schedule(self, stream: VirtualStream, segment: _Segment) -> None:
         pipe = stream.other.inbox
-        delay_us = self.delay(self.host(stream.here), self.host(stream.peer))
+        delay_us = self.delay(self.host(stream.local_address), self.host(stream.peer))
         pipe.last_arrival_at_us = max(pipe.last_arrival_at_us, self.loop.now() + delay_us)
         self.loop.call_at(pipe.last_arrival_at_us, stream.other.on_segment, segment)
 
@@ -216,12 +216,12 @@
     def _accept(self, listener: VirtualListener, source: str) -> VirtualStream:
         self._last_port += 1
         client = VirtualStream(self, f"{source}:{self._last_port}", listener.address)
-        server = VirtualStream(self, listener.address, client.here)
+        server = VirtualStream(self, listener.address, client.local_address)
         client.other = server
         server.other = client
         listener.accepted += 1
         listener.open += 1
-        self.loop.spawn(listener.serve(server), f"{listener.name} {client.here}")
+        self.loop.spawn(listener.serve(server), f"{listener.name} {client.local_address}")
         return client
 
     def listen(
--- a/heathwell/testing/simulation/simulated_scenario.py
+++ b/heathwell/testing/simulation/simulated_scenario.py
@@ -334,7 +334,7 @@
         except ConnectError:
             return
         # The broker names requests by the client's address and their number on the connection.
-        request_id = f"{stream.here}#1"  # type: ignore[attr-defined]
+        request_id = f"{stream.local_address}#1"  # type: ignore[attr-defined]
         timeout_us = max(query_class.timeout_us for query_class in classes)
         self.record_event("ask", req=request_id, keys=keys, broker=f"b{broker}", limit=timeout_us)
         try:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -142,7 +142,7 @@
     def get(self, *keys: str, command: str = "get"):
         """Request keys; return the answered values by key as (flags, data), and the reply's last line."""
         self.request_count += 1
-        request_id = f"{self.stream.here}#{self.request_count}"
+        request_id = f"{self.stream.local_address}#{self.request_count}"
         self._record_request(request_id, keys)
         self.stream.write(f"{command} {' '.join(keys)}\r\n".encode())
         try:
