--- a/heathwell/eventloop/virtual.py
+++ b/heathwell/eventloop/virtual.py
@@ -71,7 +71,7 @@
         super().__init__(net.loop, peer)
         self.net = net
         self.local_address = local_address
-        self.other: VirtualStream  # the peer's end, set by VirtualNet.connect
+        self.peer_stream: VirtualStream  # the peer's end, set by VirtualNet.connect
         self.inbox = _Pipe()
 
     def _receive(self, size: int) -> bytes | None:
@@ -82,8 +82,8 @@
                 pipe.unread.appendleft(data[size:])
                 data = data[:size]
             pipe.size_bytes -= len(data)
-            if not self.other.closed:
-                self.other.on_window_update()
+            if not self.peer_stream.closed:
+                self.peer_stream.on_window_update()
             return data
         if pipe.broken:
             self._shut(reset=False)
@@ -91,7 +91,7 @@
         return b"" if pipe.ended else None
 
     def _flush(self) -> None:
-        pipe = self.other.inbox
+        pipe = self.peer_stream.inbox
         while self._chunks and pipe.size_bytes < WINDOW_BYTES:
             data = self._chunks.popleft()
             self.sent += len(data)
@@ -164,14 +164,14 @@
         """End a cut, and deliver the held segments in order."""
         self.cuts.discard((source, target))
         for stream in self._held.pop((source, target), []):
-            pipe = stream.other.inbox
+            pipe = stream.peer_stream.inbox
             while pipe.held:
                 self._schedule(stream, pipe.held.popleft())
 
     def carry(self, stream: VirtualStream, segment: _Segment) -> None:
         """Deliver a segment to the stream's other end, in order and after the delay."""
         direction = (self.host(stream.local_address), self.host(stream.peer))
-        pipe = stream.other.inbox
+        pipe = stream.peer_stream.inbox
         if direction in self.cuts or pipe.held:
             if not pipe.held:
                 self._held.setdefault(direction, []).append(stream)
@@ -180,10 +180,10 @@
         self._schedule(stream, segment)
 
     def _schedule(self, stream: VirtualStream, segment: _Segment) -> None:
-        pipe = stream.other.inbox
+        pipe = stream.peer_stream.inbox
         delay_us = self.delay(self.host(stream.local_address), self.host(stream.peer))
         pipe.last_arrival_at_us = max(pipe.last_arrival_at_us, self.loop.now() + delay_us)
-        self.loop.call_at(pipe.last_arrival_at_us, stream.other.on_segment, segment)
+        self.loop.call_at(pipe.last_arrival_at_us, stream.peer_stream.on_segment, segment)
 
     def connect(self, address: str, timeout_us: int, source: str = "client") -> Coro[Stream]:
         """Open a connection from a host; raise :class:`ConnectError`."""
@@ -217,8 +217,8 @@
         self._last_port += 1
         client = VirtualStream(self, f"{source}:{self._last_port}", listener.address)
         server = VirtualStream(self, listener.address, client.local_address)
-        client.other = server
-        server.other = client
+        client.peer_stream = server
+        server.peer_stream = client
         listener.accepted += 1
         listener.open += 1
         self.loop.spawn(listener.serve(server), f"{listener.name} {client.local_address}")
