--- a/heathwell/eventloop/virtual.py
+++ b/heathwell/eventloop/virtual.py
@@ -96,7 +96,7 @@
             data = self._chunks.popleft()
             self.sent += len(data)
             pipe.size_bytes += len(data)
-            self.net.carry(self, _Segment(data))
+            self.net.transmit(self, _Segment(data))
         self._flushed()
 
     def on_window_update(self) -> None:
@@ -104,11 +104,11 @@
         self._flush()
 
     def _send_eof(self) -> None:
-        self.net.carry(self, _Segment())
+        self.net.transmit(self, _Segment())
 
     def _drop(self, *, reset: bool) -> None:
         if reset or not self._eof_sent:
-            self.net.carry(self, _Segment(is_reset=True))
+            self.net.transmit(self, _Segment(is_reset=True))
 
     def on_segment(self, segment: _Segment) -> None:
         """Handle the arrival of bytes, the end or a reset."""
@@ -168,7 +168,7 @@
             while pipe.held:
                 self._schedule(stream, pipe.held.popleft())
 
-    def carry(self, stream: VirtualStream, segment: _Segment) -> None:
+    def transmit(self, stream: VirtualStream, segment: _Segment) -> None:
         """Deliver a segment to the stream's other end, in order and after the delay."""
         direction = (self.host(stream.local_address), self.host(stream.peer))
         pipe = stream.peer_stream.inbox
