--- a/heathwell/codec/nodeframes.py
+++ b/heathwell/codec/nodeframes.py
@@ -1,8 +1,8 @@
 """Frames between a broker and the platform's nodes: a sans-I/O codec with limits on every length.
 
-A frame is a length (four bytes, most significant first), one letter and a body; the length covers letter and
-body. The letters, the status codes and the names of a part's fields are mapped to the field's terms here, and
-nowhere else.
+A frame is a length (four bytes, most significant first), a frame type (one byte, an ASCII letter) and a body;
+the length covers type and body. The frame types, the status codes and the names of a part's fields are mapped
+to this project's terms here, and nowhere else.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from heathwell.codec.errors import CodecError
 
-# The letters of the platform's protocol. A probe and its answer have the same one.
+# The frame types of the platform's protocol. A probe and its answer have the same one.
 CALL = b"D"
 CANCEL = b"K"
 PROBE = b"I"
@@ -96,9 +96,9 @@
 Message = PartAnswer | ProbeAnswer | FrameRejected
 
 
-def encode_frame(letter: bytes, body: bytes = b"") -> bytes:
+def encode_frame(frame_type: bytes, body: bytes = b"") -> bytes:
     """Return one frame."""
-    return _LENGTH.pack(len(letter) + len(body)) + letter + body
+    return _LENGTH.pack(len(frame_type) + len(body)) + frame_type + body
 
 
 def encode_part(
@@ -198,10 +198,10 @@
                 end = start + LENGTH_BYTES + length
                 if len(buffer) < end:
                     break
-                letter = bytes(buffer[body_start - 1 : body_start])
+                frame_type = bytes(buffer[body_start - 1 : body_start])
                 body = bytes(buffer[body_start:end])
                 start = end
-                yield self._decode(letter, body)
+                yield self._decode(frame_type, body)
         finally:
             del buffer[:start]
 
@@ -213,13 +213,13 @@
         return _part_id_of(bytes(self._buffer[body_start : body_start + MAX_LINE_BYTES]).split(b" ", 1)[0])
 
     @staticmethod
-    def _decode(letter: bytes, body: bytes) -> Message:
-        if letter == ANSWER:
+    def _decode(frame_type: bytes, body: bytes) -> Message:
+        if frame_type == ANSWER:
             return decode_answer(body)
-        if letter == PROBE:
+        if frame_type == PROBE:
             if body not in PROBE_RESULT_OF_CODE:
                 raise NodeFrameError("an invalid answer to a probe")
             return ProbeAnswer(PROBE_RESULT_OF_CODE[body])
-        if letter == FRAME_REJECTED:
+        if frame_type == FRAME_REJECTED:
             return FrameRejected(body[:MAX_REASON_BYTES].decode("latin-1"))
-        raise NodeFrameError(f"a frame of unknown letter {letter!r}")
+        raise NodeFrameError(f"unknown frame type {frame_type!r}")
