--- a/heathwell/codec/frames/clocks.py
+++ b/heathwell/codec/frames/clocks.py
@@ -6,7 +6,7 @@
 
 
 class ClockRequest(Message, tag="askclock", rename={"number": "n"}):
-    """Requests the time of the source's clock."""
+    """Requests the time of the source's clock; the reply has the same ``number``."""
 
     number: int
 
--- a/heathwell/codec/frames/coordination.py
+++ b/heathwell/codec/frames/coordination.py
@@ -11,7 +11,8 @@
 class QuotaDemand(msgspec.Struct, omit_defaults=True):
     """A broker's demand for one budget.
 
-    ``goes_by`` holds the grant that it uses of each fraction: (fraction, owner, number).
+    ``goes_by`` lists the grants that the broker currently uses, one for each fraction, as (fraction, owner of
+    the fraction, number of the grant).
     """
 
     budget: str
@@ -22,7 +23,11 @@
 class RenewalRequest(Message, tag="renew", rename={"last_reply_number": "heard"}):
     """A broker's request to a quota coordinator: its identity and its demands.
 
-    ``asked_us`` is a time of the broker's own clock, which the reply repeats.
+    ``asked_us`` is the time of the request by the broker's own clock, which the reply repeats. ``run`` is the
+    coordinator's incarnation that the broker last heard from, ``last_reply_number`` the number of that
+    coordinator's last reply. ``leaves`` announces that the broker leaves the fleet. ``needs`` are its demands
+    and ``seen`` its reports on zones; ``cut_off`` is set if it reaches almost nothing in other zones, so that
+    it is more likely isolated itself than all of them unhealthy.
     """
 
     name: str
@@ -41,7 +46,7 @@
 
 
 class Granted(msgspec.Struct, omit_defaults=True):
-    """A grant of one fraction of a budget."""
+    """A grant of one fraction of a budget; ``length_us`` is its duration from the time of the request."""
 
     budget: str
     fraction: int
@@ -51,7 +56,12 @@
 
 
 class RenewalReply(Message, tag="renewed"):
-    """A coordinator's reply: the broker's membership state, and grants of the fractions that it owns."""
+    """A coordinator's reply: the broker's membership state, and grants of the fractions that it owns.
+
+    ``run`` is the coordinator's incarnation, ``number`` the reply's number within it and ``incarnation`` the
+    broker's. ``least`` is the lowest incarnation under which the broker may rejoin, if its state is final;
+    ``why`` is the reason for a rejection.
+    """
 
     run: str
     number: int
@@ -65,7 +75,7 @@
 
 
 class LeaseRequest(Message, tag="claim"):
-    """A coordinator's process requests the lease of a fraction."""
+    """A request of the coordinator ``claimant`` for the lease of a fraction; ``asked_us`` is by its clock."""
 
     fraction: int
     claimant: str
@@ -74,7 +84,10 @@
 
 
 class LeaseVote(Message, tag="vote"):
-    """A coordinator's vote on a lease: the owner that it supports; empty if it may not support any yet."""
+    """A coordinator's vote on a lease.
+
+    ``owner`` is the coordinator that it votes for, or empty while it may not vote for any.
+    """
 
     fraction: int
     voter: str
--- a/heathwell/codec/frames/faults.py
+++ b/heathwell/codec/frames/faults.py
@@ -6,7 +6,7 @@
 
 
 class FaultCommand(Message, tag="control"):
-    """Injects a fault into a stand-in: its kind, its parameter and its duration."""
+    """Injects a fault into a stand-in: its kind, its parameter (``value``, ``text``) and its duration."""
 
     kind: str
     value: float = 0.0
@@ -15,6 +15,6 @@
 
 
 class FaultCommandReply(Message, tag="done"):
-    """A fault was injected."""
+    """The reply to a :class:`FaultCommand`; ``text`` is the error, empty if the fault was injected."""
 
     text: str = ""
--- a/heathwell/codec/frames/fleet_status.py
+++ b/heathwell/codec/frames/fleet_status.py
@@ -12,7 +12,11 @@
 
 
 class MemberStatus(msgspec.Struct, omit_defaults=True, rename={"last_contact_age_us": "heard_us"}):
-    """A row of a coordinator's membership table; times are ages."""
+    """A row of a coordinator's membership table.
+
+    ``since_us`` is the time since the member joined, ``state_us`` that since its state changed, and
+    ``last_contact_age_us`` that since its last report.
+    """
 
     name: str
     incarnation: int
@@ -26,7 +30,7 @@
 
 
 class MemberShare(msgspec.Struct, omit_defaults=True):
-    """What one member may use of one fraction, and the remaining time."""
+    """What one member may use of one fraction of a budget, and for how long (``left_us``)."""
 
     budget: str
     fraction: int
@@ -37,7 +41,11 @@
 
 
 class QuotaStatus(msgspec.Struct, omit_defaults=True):
-    """One budget at a coordinator; rates are in thousandths per second."""
+    """One budget as a coordinator knows it; rates are in thousandths per second.
+
+    ``whole`` is its total, of which ``aside`` is reserved in equal parts for up to ``most`` brokers.
+    ``apart`` may be used in addition to it. ``each`` names a scope such as "host", each of which has one.
+    """
 
     name: str
     kind: str
@@ -49,7 +57,11 @@
 
 
 class FleetView(Message, tag="fleetview", rename={"coordinator": "keeper"}):
-    """A coordinator's reply to :class:`FleetRequest`."""
+    """A coordinator's reply to :class:`FleetRequest`.
+
+    ``run`` is its incarnation and ``owned`` the remaining lease time (us) of each fraction that it owns;
+    ``wholes`` are the budgets and ``shares`` what members may use of them.
+    """
 
     coordinator: str
     run: str
--- a/heathwell/codec/frames/framing.py
+++ b/heathwell/codec/frames/framing.py
@@ -1,6 +1,6 @@
 """Encoding of messages as frames, and the incremental decoder of a connection.
 
-A frame is four bytes of length, big-endian, and a msgpack map tagged by ``type``.
+A frame is a length of four bytes, big-endian, and a msgpack map whose field ``type`` names the message.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class FrameError(CodecError):
-    """Bytes that are not frames of this protocol; the connection can't be used any further."""
+    """Received bytes that are not frames of this protocol; the connection can't be used any further."""
 
 
 class FrameTooLongError(FrameError):
     """A frame of ``size_bytes``, over ``limit_bytes``."""
 
     def __init__(self, size_bytes: int, limit_bytes: int) -> None:
-        super().__init__(f"a frame of {size_bytes} bytes is over the limit of {limit_bytes}")
+        super().__init__(f"a frame of {size_bytes} bytes is over the limit of {limit_bytes} bytes")
         self.size_bytes = size_bytes
         self.limit_bytes = limit_bytes
 
@@ -37,7 +37,7 @@
 
 
 class _MessageType(msgspec.Struct):
-    """Any message: its type only."""
+    """Any message, of which only the type is decoded."""
 
     type: str
 
@@ -71,7 +71,7 @@
 
     @property
     def buffered(self) -> int:
-        """Bytes of an unfinished frame."""
+        """Number of buffered bytes of an incomplete frame."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[AnyMessage]:
@@ -94,7 +94,7 @@
                     if self._hello_received and _is_unknown(body):
                         self.skipped += 1
                         continue
-                    raise FrameError(f"a frame that is not a message: {error}") from None
+                    raise FrameError(f"the frame is not a message of this protocol: {error}") from None
                 if not self._hello_received:
                     check_hello(message)
                     self._hello_received = True
--- a/heathwell/codec/frames/machines.py
+++ b/heathwell/codec/frames/machines.py
@@ -34,7 +34,11 @@
 
 
 class BrokerStatus(msgspec.Struct, omit_defaults=True, rename={"desired_version": "wanted"}):
-    """One broker of a machine. Sums are those of its serving process, numbered ``run``."""
+    """One broker of a machine; counters are those of its serving process, numbered ``run``.
+
+    ``failed`` is the reason why the desired version failed, and ``silent`` is set while the process does not
+    answer polls.
+    """
 
     broker: str
     zone: str
@@ -59,7 +63,11 @@
 
 
 class OperatorCommand(Message, tag="order"):
-    """An operator's command to a controller: hold, resume, undo or status."""
+    """An operator's command ``word``, with the operator's name ``who`` and the reason ``why``.
+
+    A rollout controller accepts hold, resume, undo and status; a coordinator that decides on zones accepts
+    leave, return, pin, unpin and status.
+    """
 
     word: str
     who: str = ""
@@ -68,7 +76,7 @@
 
 
 class RolloutStatus(Message, tag="course"):
-    """The state of a rollout."""
+    """The state of a rollout; ``text`` is the error of a rejected command."""
 
     text: str
     record: dict[str, object] = {}
--- a/heathwell/codec/frames/message.py
+++ b/heathwell/codec/frames/message.py
@@ -6,4 +6,4 @@
 
 
 class Message(msgspec.Struct, tag_field="type", omit_defaults=True):
-    """A message. Within a protocol version fields may be added, but not removed or changed."""
+    """The base of all messages. Within a protocol version, fields may be added but not removed or changed."""
--- a/heathwell/codec/frames/parts.py
+++ b/heathwell/codec/frames/parts.py
@@ -25,7 +25,7 @@
 
 
 class Call(Message, tag="call"):
-    """Attempts that share a frame; each has its own result."""
+    """Attempts that are sent in one frame; each has its own result."""
 
     parts: list[PartRequest]
 
@@ -55,7 +55,7 @@
 
 
 class ScoreBound(Message, tag="bound"):
-    """Sent before the work: an upper bound of the best row's score, by search."""
+    """Sent by a host before it begins the work: an upper bound of the best row's score, for each search."""
 
     id: str
     seq: int
--- a/heathwell/codec/frames/session.py
+++ b/heathwell/codec/frames/session.py
@@ -8,8 +8,8 @@
 class Hello(Message, tag="hello"):
     """The first frame of each side.
 
-    ``quiet_us`` is the silence after which the listening side may close the connection; 0: never. ``fleet``
-    names the fleet of a member of fleet control: a connection from another fleet is rejected.
+    ``quiet_us`` is the silence after which the sender lets its peer close the connection; 0 means never.
+    ``fleet`` names the fleet of a member of fleet control: a connection from another fleet is rejected.
     """
 
     version: int
@@ -26,13 +26,13 @@
 
 
 class Ping(Message, tag="ping", rename={"number": "n"}):
-    """A probe."""
+    """A probe; its answer has the same number."""
 
     number: int
 
 
 class Pong(Message, tag="pong", rename={"number": "n"}):
-    """A probe's answer."""
+    """The answer to a :class:`Ping`; ``inflight`` is the host's number of requests in flight."""
 
     number: int
     inflight: int = 0
--- a/heathwell/codec/frames/zones.py
+++ b/heathwell/codec/frames/zones.py
@@ -19,7 +19,11 @@
 
 
 class ZoneDirective(msgspec.Struct, omit_defaults=True):
-    """The decision on one zone: the share of its usual first attempts, or the classes that leave it."""
+    """The decision on one zone.
+
+    ``share`` of its usual first attempts goes there. ``only`` are the query classes that are evacuated, if
+    not all are. ``why`` is the reason.
+    """
 
     state: str
     share: float
--- a/heathwell/codec/http.py
+++ b/heathwell/codec/http.py
@@ -15,7 +15,7 @@
 
 MAX_BODY_BYTES = 1 << 20
 MAX_HEAD_BYTES = 65_536
-HEADER_SEPARATOR_BYTES = 4  # the colon, the space and the line end of a header
+HEADER_SEPARATOR_BYTES = 4  # colon, space and line end, which each header has besides its name and value
 Header = tuple[str, str]  # name and value
 
 
@@ -111,7 +111,7 @@
         self._body = bytearray()
         names = [name for name, _ in head.headers]
         if b"content-length" in names and b"transfer-encoding" in names:
-            # Request smuggling: a proxy may place the end of such a request elsewhere; its body isn't read.
+            # Request smuggling: a proxy may find the end of such a request elsewhere, so its body isn't read.
             self.closing = True
             yield Response(400, b"both Content-Length and Transfer-Encoding\n")
             return
@@ -208,14 +208,14 @@
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return None
                 if isinstance(event, h11.ConnectionClosed):
-                    raise HttpError("the server closed")
+                    raise HttpError("the server closed the connection before the end of its response")
                 if isinstance(event, h11.Response):
                     self._status = event.status_code
                     self._body = bytearray()
                 elif isinstance(event, h11.Data):
                     self._body += event.data
                     if len(self._body) > self._max_body_bytes:
-                        raise HttpError(f"a body longer than {self._max_body_bytes} bytes")
+                        raise HttpError(f"response body longer than {self._max_body_bytes} bytes")
                 elif isinstance(event, h11.EndOfMessage):
                     if self._connection.our_state is h11.DONE and self._connection.their_state is h11.DONE:
                         self._connection.start_next_cycle()
--- a/heathwell/codec/inner_protocol.py
+++ b/heathwell/codec/inner_protocol.py
@@ -1,6 +1,6 @@
-"""The inner protocol on a stream, on either side of a connection.
+"""The inner protocol on a stream, for either side of a connection, and on a blocking socket.
 
-And one request and its reply on a blocking socket, for programs without an event loop.
+The latter sends one request and reads its reply, for programs without an event loop.
 """
 
 from __future__ import annotations
@@ -20,7 +20,10 @@
 def listen(
     stream: Stream, on_message: MessageHandler, max_frame_bytes: int = frames.MAX_FRAME_BYTES
 ) -> Coro[None]:
-    """Pass on each message, the hello first, until the peer's end; raise :class:`FrameError`."""
+    """Call ``on_message`` with each message, the hello first, until the peer's end.
+
+    Raise :class:`FrameError`.
+    """
     decoder = frames.FrameDecoder(max_frame_bytes, hello_received=False)
     while data := (yield from stream.read()):
         for message in decoder.feed(data):
@@ -50,7 +53,7 @@
     reply_type: type[Reply],
     timeout_seconds: float,
 ) -> Reply:
-    """Send a message and return the reply of a type, each read taking up to ``timeout_seconds``.
+    """Send a message and return the first reply of a type, each read taking up to ``timeout_seconds``.
 
     Raise :class:`OSError`, :class:`FrameError`, or :class:`ValueError` for a malformed address or a missing
     reply.
@@ -63,4 +66,4 @@
             for reply in decoder.feed(data):
                 if isinstance(reply, reply_type):
                     return reply
-    raise ValueError("closed without an answer")
+    raise ValueError(f"the connection was closed without a reply of type {reply_type.__name__}")
--- a/heathwell/codec/memcached.py
+++ b/heathwell/codec/memcached.py
@@ -20,7 +20,7 @@
 MAX_BLOCK_BYTES = 1 << 31
 MAX_ERROR_TEXT_BYTES = 480
 NOT_IN_KEYS = bytes(range(33)) + b"\x7f"  # control characters and the space
-# Storage commands by the number of their arguments, without `noreply`.
+# The number of arguments of each storage command, without `noreply`.
 STORAGE_COMMANDS = {b"set": 4, b"add": 4, b"replace": 4, b"append": 4, b"prepend": 4, b"cas": 5}
 CLASSIC_WRITES = (b"delete", b"incr", b"decr", b"touch", b"flush_all", b"cache_memlimit")
 META_WRITES = (b"md", b"ma")
@@ -28,7 +28,7 @@
 META_GET_RETURN_FLAGS = b"bcfhklqstv"
 META_GET_TOKEN_FLAGS = b"OTE"
 META_GET_STORING_FLAGS = b"NR"
-TOO_LONG_LINE = b"\n"  # in place of a discarded line; no line contains its own end
+TOO_LONG_LINE = b"\n"  # stands for a discarded line; no parsed line can equal it, as line ends are removed
 
 
 class CommandError(CodecError):
@@ -116,13 +116,13 @@
         self.max_line_bytes = max_line_bytes
         self.max_keys = max_keys
         self._buffer = bytearray()
-        self._scanned_bytes = 0  # of the buffer, which hold no line end
-        self._skipping = False  # in a line that is over the limit
+        self._scanned_bytes = 0  # leading bytes of the buffer that are known to contain no line end
+        self._skipping = False  # whether the rest of a line over the limit is being discarded
         self._block: _DataBlock | None = None
 
     @property
     def buffered(self) -> int:
-        """Bytes held for an unfinished line."""
+        """Number of buffered bytes of an incomplete line."""
         return len(self._buffer)
 
     @property
@@ -152,7 +152,7 @@
                 yield parsed
 
     def _next_line(self) -> bytes | None:
-        """Return the next complete line without its end; ``TOO_LONG_LINE`` in place of one over the limit."""
+        """Return the next complete line without its end, or ``TOO_LONG_LINE`` for one over the limit."""
         end = self._buffer.find(b"\n", self._scanned_bytes)
         if end < 0:
             if len(self._buffer) > self.max_line_bytes:
@@ -341,13 +341,13 @@
 
 
 def server_error(text: str) -> bytes:
-    """Return a ``SERVER_ERROR`` line, which clients raise as an error, so that it can't pass as a miss."""
+    """Return a ``SERVER_ERROR`` line, which clients raise as an error and don't take for a miss."""
     one_line = text.replace("\r", " ").replace("\n", " ")
     return b"SERVER_ERROR " + one_line.encode()[:MAX_ERROR_TEXT_BYTES] + b"\r\n"
 
 
 def meta_value(request: MetaGet, flags: int, data: bytes, cas: int) -> bytes:
-    """Return the hit of an ``mg``: ``VA`` with the data if the request has the flag ``v``, else ``HD``."""
+    """Return the reply to an ``mg`` that hits: ``VA`` with the data if it has the flag ``v``, else ``HD``."""
     returned = [_returned_flag(flag, request, flags, data, cas) for flag in request.flags]
     returned_flags = b"".join(b" " + text for text in returned if text)
     if request.returns_value:
@@ -377,7 +377,7 @@
 
 
 def meta_miss(request: MetaGet) -> bytes:
-    """Return the miss of an ``mg``; nothing in quiet mode."""
+    """Return the reply to an ``mg`` that misses; nothing in quiet mode."""
     if request.quiet:
         return b""
     returned = [
--- a/heathwell/codec/nodeframes.py
+++ b/heathwell/codec/nodeframes.py
@@ -30,7 +30,7 @@
 # The field of a load report that is read.
 IN_FLIGHT_FIELD = b"inflight"
 
-MAX_FRAME_BYTES = 16_384  # of what nodes send: a line and one value
+MAX_FRAME_BYTES = 16_384  # limit of a frame received from a node, which holds one line and one value
 MAX_LINE_BYTES = 512
 MAX_REASON_BYTES = 200
 LENGTH_BYTES = 4
@@ -54,9 +54,9 @@
 
 
 class NodeFrameError(CodecError):
-    """Bytes that break the protocol.
+    """Received bytes that violate the protocol.
 
-    ``part_id`` is the id of the part that they answer, None where it cannot be read.
+    ``part_id`` is the id of the part that they answer, or None if it cannot be read.
     """
 
     def __init__(self, text: str, part_id: str | None = None) -> None:
@@ -148,25 +148,32 @@
     items = line.split(b" ")
     part_id = _part_id_of(items[0])
     if not newline or len(line) > MAX_LINE_BYTES:
-        raise NodeFrameError("an answer's line does not end", part_id)
+        raise NodeFrameError(f"answer: expected a line of at most {MAX_LINE_BYTES} bytes", part_id)
     if len(items) != ANSWER_LINE_ITEMS or part_id is None:
-        raise NodeFrameError(f"an answer's line of {len(items)} items", part_id)
+        raise NodeFrameError(
+            f"answer: expected {ANSWER_LINE_ITEMS} items that begin with a part id, "
+            f"got {len(items)} items and the id {items[0][:32]!r}",
+            part_id,
+        )
     _, code, score, report = items
     status = STATUS_OF_CODE.get(code)
     if status is None:
-        raise NodeFrameError(f"an answer of unknown status {code[:16]!r}", part_id)
+        raise NodeFrameError(f"answer: unknown status {code[:16]!r}", part_id)
     in_flight = decode_in_flight(report)
     if status != PartStatus.OK:
         return PartAnswer(part_id, status, 0.0, in_flight, b"")
     if not SCORE.fullmatch(score):
-        raise NodeFrameError(f"a score that is not a number: {score[:32]!r}", part_id)
+        raise NodeFrameError(f"answer: expected a number as the score, got {score[:32]!r}", part_id)
     if not VALUE.fullmatch(value):
-        raise NodeFrameError(f"an invalid value of {len(value)} bytes", part_id)
+        raise NodeFrameError(
+            f"answer: expected a value of 16 hexadecimal digits, got {len(value)} bytes {value[:32]!r}",
+            part_id,
+        )
     return PartAnswer(part_id, status, float(score), in_flight, value)
 
 
 def _part_id_of(item: bytes) -> str | None:
-    """Return the part id that an item is; None if it is not a valid one."""
+    """Return an item as a part id, or None if it is not a valid one."""
     return item.decode("latin-1") if PART_ID.fullmatch(item) else None
 
 
@@ -178,7 +185,7 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes of a frame that is incomplete so far."""
+        """Number of received bytes of an incomplete frame."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[Message]:
@@ -193,7 +200,10 @@
             while len(buffer) - start >= LENGTH_BYTES:
                 (length,) = _LENGTH.unpack_from(buffer, start)
                 if not 1 <= length <= MAX_FRAME_BYTES:
-                    raise NodeFrameError(f"a frame of {length} bytes", self._part_id_at(start))
+                    raise NodeFrameError(
+                        f"expected a frame of 1 to {MAX_FRAME_BYTES} bytes, got a length of {length}",
+                        self._part_id_at(start),
+                    )
                 body_start = start + LENGTH_BYTES + 1
                 end = start + LENGTH_BYTES + length
                 if len(buffer) < end:
@@ -218,7 +228,7 @@
             return decode_answer(body)
         if frame_type == PROBE:
             if body not in PROBE_RESULT_OF_CODE:
-                raise NodeFrameError("an invalid answer to a probe")
+                raise NodeFrameError(f"probe answer: expected status 200 or 500, got {body[:16]!r}")
             return ProbeAnswer(PROBE_RESULT_OF_CODE[body])
         if frame_type == FRAME_REJECTED:
             return FrameRejected(body[:MAX_REASON_BYTES].decode("latin-1"))
