--- a/heathwell/broker/call_batches.py
+++ b/heathwell/broker/call_batches.py
@@ -1,4 +1,4 @@
-"""The attempt requests of one batch of actions, grouped to calls by endpoint."""
+"""Grouping of the attempt requests of one batch of actions into calls to endpoints."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
         self._calls: dict[str, list[list[RequestT]]] = {}
 
     def add(self, node: str, request: RequestT) -> None:
-        """Add a request to the last call to an endpoint, or to a new one where that is full."""
+        """Add a request to the last call to an endpoint, or to a new call if that one is full."""
         calls = self._calls.setdefault(node, [])
         if not calls or len(calls[-1]) >= self._requests_per_call:
             calls.append([])
         calls[-1].append(request)
 
     def remove(self, node: str, key: AttemptKey) -> bool:
-        """Remove the request of an attempt; false if there is none."""
+        """Remove the request of an attempt; return false if there is none."""
         for requests in self._calls.get(node, []):
             for request in requests:
                 if (request.id, request.seq) == key:
@@ -41,7 +41,7 @@
         return False
 
     def __iter__(self) -> Iterator[OutgoingCall[RequestT]]:
-        """Return the calls, those of a node one after another."""
+        """Return the calls, grouped by node."""
         for node, calls in self._calls.items():
             for requests in calls:
                 yield OutgoingCall(node, requests)
--- a/heathwell/broker/driver.py
+++ b/heathwell/broker/driver.py
@@ -1,8 +1,8 @@
 """The driver: passes the events of a turn of the loop to the aggregator and carries out its actions.
 
-One batch is all that arrived during one turn of the loop. The driver never drops, reorders or invents an
-outcome: each ``Send`` gets exactly one ``AttemptEnded``. Its only timeout of its own is the client's
-deadline, at which the attempts of a query that are still in flight end as timed out.
+One batch holds all events that arrived during one turn of the loop. The driver never drops, reorders or
+invents an outcome: each ``Send`` gets exactly one ``AttemptEnded``. The only timeout that the driver applies
+itself is the client's deadline, at which the query's attempts that are still in flight end as timed out.
 
 What differs between the inner protocol and the platform is behind :mod:`heathwell.broker.driver_contract` and
 :mod:`heathwell.broker.driver_hooks`.
@@ -23,7 +23,7 @@
 from heathwell.broker.query_state import ExtensionT, PartT, QueryT, SentAttempt, SettingsVersion
 from heathwell.broker.replies import OnReply, Reply, ReplyKind
 
-IN_OBJECTIVE = "in aim"  # an interface: a metric has this label
+IN_OBJECTIVE = "in aim"  # value of a metric's label, so that it must not change
 
 
 class Driver(
@@ -55,10 +55,10 @@
             self.events("left", q=query.id)
             if query.queued:
                 query.queued = False
-                self._closed(query)
+                self._close_query(query)
                 return
             self._push(policy.ClientDisconnected(query.id), query.settings_version)
-            self._leaving.append(query)  # actions may name its parts until the batch is handled
+            self._disconnected.append(query)  # closed after the next batch, whose actions may name its parts
 
     def start_shutdown(self, until_us: int) -> None:
         """Start a graceful shutdown: every query, open or yet to come, gets its reply by ``until_us``."""
@@ -72,7 +72,10 @@
         self._push(policy.ShutdownStarted(until_us))
 
     def kill(self) -> None:
-        """Stop as by SIGKILL: nothing more is decided or sent. For simulated fleets within one process."""
+        """Stop as if by SIGKILL: nothing more is decided or sent.
+
+        For fleets that are simulated within one process.
+        """
         self.dead = True
         for query in self.queries.values():
             if query.timer is not None:
@@ -96,7 +99,7 @@
     def on_attempt_result(
         self, node: str, key: AttemptKey, outcome: policy.Outcome, result: ResultT | None
     ) -> None:
-        """Take the outcome of an attempt from its link; ignored if the attempt is not in flight."""
+        """Process the outcome of an attempt; ignored if the attempt is not in flight."""
         query = self.parts.get(key[0])
         if query is None or query.in_flight.pop(key, None) is None:
             return
@@ -110,20 +113,20 @@
                 part.seq = key[1]
                 self.on_part_answered(query, part, key, result)
                 if part.attempt_count > 1:
-                    # Additional attempts that still wait for their connection are not needed any more.
+                    # Additional attempts that still wait for a connection are no longer needed.
                     self._withdraw(query, key[0])
             else:
-                # Ends as an error of that endpoint: the aggregator retries elsewhere where its rules allow.
+                # Counts as an error of the endpoint: the aggregator retries elsewhere if its rules allow it.
                 outcome = policy.Outcome.ERROR
-        self._ended(query, key, node, outcome, result)
+        self._end_attempt(query, key, node, outcome, result)
 
     def on_probe_result(self, node: str, outcome: policy.Outcome) -> None:
-        """Take the outcome of a probe from its link."""
+        """Process the outcome of a probe."""
         self.counters["probe", outcome] += 1
         self.events("probed", node=node, outcome=outcome)
         self._push(policy.ProbeEnded(node, outcome))
 
-    def _ended(
+    def _end_attempt(
         self, query: QueryT, key: AttemptKey, node: str, outcome: policy.Outcome, result: ResultT | None
     ) -> None:
         self.counters["attempt", self._query_class(query).name, outcome] += 1
@@ -144,9 +147,9 @@
         """End the attempts that are still in flight at the client's deadline."""
         query.timer = None
         if query.on_reply is not None and not query.queued and not query.woken:
-            # After a stall of the loop the aggregator's own timer, a tick earlier, fires in the same turn and
-            # must go first. This needs a timer of the next turn: a call by call_soon would still run in this
-            # one, before its batch is handled.
+            # After a stall of the loop, the aggregator's own timer, which is due one tick earlier, fires in
+            # this same turn, and its event must be handled first. Hence a timer for the next turn: a call by
+            # call_soon would still run in this turn, before its batch is handled.
             query.woken = True
             self._push(policy.TimerFired("due"), query.settings_version)
             query.timer = self.loop.call_at(self.loop.now() + 1, self._deadline, query)
@@ -154,9 +157,9 @@
         for key, node in list(query.in_flight.items()):
             del query.in_flight[key]
             self._link(node).abandon(key)
-            self._ended(query, key, node, policy.Outcome.TIMED_OUT, None)
+            self._end_attempt(query, key, node, policy.Outcome.TIMED_OUT, None)
         if query.on_reply is not None:
-            # The aggregator should have replied a tick earlier: reaching this is a bug, and is logged as one.
+            # The aggregator should have replied a tick earlier, so this is a bug and logged as an error.
             self.log("error", "query overdue", query=query.id)
             self.counters["overdue",] += 1
             on_reply = query.on_reply
@@ -166,13 +169,13 @@
         self._release(query)
 
     def _turn_end(self) -> None:
-        self._handling = True
+        self._handling_batches = True
         if not self.dead:
             for version in tuple(self.versions):
                 if version.inbox:
                     self._handle_batch(version)
             self._remove_finished_versions()
-        self._handling = False
+        self._handling_batches = False
 
     def _remove_finished_versions(self) -> None:
         replaced = self.versions[:-1]
@@ -195,14 +198,14 @@
         for action in actions:
             try:
                 self._execute(action, calls, version)
-            except Exception as error:  # noqa: BLE001  # an action that fails must not cost the others
-                self.loop.report(f"carrying out {action}", error)
-        leaving = self._leaving
-        self._leaving = []
-        for query in leaving:
-            self._closed(query)
+            except Exception as error:  # noqa: BLE001  # the other actions are still executed
+                self.loop.report(f"action {action}", error)
+        disconnected = self._disconnected
+        self._disconnected = []
+        for query in disconnected:
+            self._close_query(query)
         if self.events.is_enabled:
-            self.events.flush()  # before the sends and replies recorded
+            self.events.flush()  # events are written before the sends and replies that they record
         self._send_calls(calls)
         self._give_replies()
 
@@ -222,16 +225,16 @@
         for on_reply, reply in replies:
             try:
                 on_reply(reply)
-            except Exception as error:  # noqa: BLE001  # one fault must not cost the others
+            except Exception as error:  # noqa: BLE001  # the other replies are still given
                 self.loop.report(f"reply to {reply.query}", error)
 
     def _is_still_needed(self, node: str, key: AttemptKey) -> bool:
-        """Whether the query still awaits its reply; a later action of the same batch may have ended it."""
+        """Whether an attempt's query still awaits its reply; the batch may have ended it after the send."""
         query = self.parts.get(key[0])
         if query is not None and query.on_reply is not None:
             return True
         if query is not None and query.in_flight.pop(key, None) is not None:
-            self._ended(query, key, node, policy.Outcome.NEVER_SENT, None)
+            self._end_attempt(query, key, node, policy.Outcome.NEVER_SENT, None)
         return False
 
     def _execute(  # noqa: C901  # one case for each type of action
@@ -245,7 +248,7 @@
                 if query is not None and (part_id, seq) in query.in_flight:
                     node = query.in_flight.pop((part_id, seq))
                     self._abandon(calls, node, (part_id, seq))
-                    self._ended(query, (part_id, seq), node, policy.Outcome.CANCELLED, None)
+                    self._end_attempt(query, (part_id, seq), node, policy.Outcome.CANCELLED, None)
             case policy.Answer(id=query_id, complete=complete):
                 self._answer(query_id, complete=complete)
             case policy.Reject():
@@ -274,7 +277,7 @@
         part.attempt_count += 1
         now = self.loop.now()
         if query.on_reply is None or now >= query.deadline_us or not self.acquire_quota(action, key):
-            # Its client disconnected, or its deadline or the quota ran out while this was decided.
+            # While this was decided, the client disconnected, the deadline passed or the quota ran out.
             self.events("unsent", p=part_id, seq=key[1], node=node)
             self._push(
                 policy.AttemptEnded(part_id, key[1], node, policy.Outcome.NEVER_SENT), query.settings_version
@@ -298,7 +301,7 @@
         calls.add(node, self.attempt_request(query, part, key[1], query.deadline_us - now))
 
     def _abandon(self, calls: CallBatches[RequestT], node: str, key: AttemptKey) -> None:
-        """Cancel an attempt, which may be of this very batch and not with its link yet."""
+        """Cancel an attempt, which may be one of this batch that its link has not been given yet."""
         if not calls.remove(node, key):
             self._link(node).abandon(key)
 
@@ -316,7 +319,7 @@
     def _answer(self, query_id: str, *, complete: bool) -> None:
         query = self.queries.get(query_id)
         if query is None or query.on_reply is None:
-            return  # its client disconnected within this very batch
+            return  # its client disconnected during this batch
         if query.step == 1 and self._query_class(query).second_step_parts:
             query.step = 2
             self.events("first", q=query.id, whole=complete)
@@ -339,13 +342,13 @@
         self.on_reply_made(query, reply, duration_us)
         if self.on_final is not None:
             self.on_final(query, reply, duration_us)
-        self._closed(query)
-        if self._handling:
+        self._close_query(query)
+        if self._handling_batches:
             self._replies.append((on_reply, reply))
         else:
             self.loop.call_soon(on_reply, reply)
 
-    def _closed(self, query: QueryT) -> None:
+    def _close_query(self, query: QueryT) -> None:
         """Stop counting a query as open; its attempts may still be in flight."""
         self.open_count -= 1 + len(query.parts)
         self.on_query_closed(query)
@@ -357,7 +360,7 @@
         for key, node in list(query.in_flight.items()):
             if target in (None, key, key[0]) and self._link(node).withdraw(key):
                 del query.in_flight[key]
-                self._ended(query, key, node, policy.Outcome.NEVER_SENT, None)
+                self._end_attempt(query, key, node, policy.Outcome.NEVER_SENT, None)
 
     def _link(self, node: str) -> Link[RequestT]:
         link = self.links.get(node)
--- a/heathwell/broker/driver_contract.py
+++ b/heathwell/broker/driver_contract.py
@@ -1,7 +1,6 @@
-"""Protocols between the driver and what it drives: links to endpoints and the source of the endpoint list;
-and what the components of a broker use of their driver.
+"""Interfaces between the driver and its links, its source of the endpoint list, and a broker's components.
 
-The module owns no state and imports nothing of the driver, so that links need not import it either.
+The module has no state and imports nothing of the driver, so that links don't depend on it either.
 """
 
 from __future__ import annotations
@@ -18,23 +17,23 @@
 
 
 Counters = Counter[tuple[str, ...]]
-"""Numbers of occurrences, by labels."""
+"""Event counts by their labels."""
 
 
 class PlannedPart(Protocol):
-    """What the driver reads of the plan of a part."""
+    """The attributes of a planned part that the driver reads."""
 
     @property
     def shard(self) -> int:
-        """The shard that the part asks."""
+        """The shard that the part queries."""
 
     @property
     def weight(self) -> float:
-        """The part's fraction of the weight of its step."""
+        """The part's fraction of the total weight of its step."""
 
 
 class AttemptRequest(Protocol):
-    """What a link is given to send for one attempt."""
+    """The request that a link sends for one attempt."""
 
     @property
     def id(self) -> str:
@@ -49,11 +48,11 @@
 
 
 class AttemptResult(Protocol):
-    """What an endpoint answered to an attempt."""
+    """An endpoint's answer to an attempt."""
 
     @property
     def inflight(self) -> float | None:
-        """The endpoint's own count of requests in flight; ``None`` if it reports none."""
+        """The number of requests in flight that the endpoint reports, ``None`` if it reports none."""
 
     @property
     def data(self) -> bytes:
@@ -75,20 +74,20 @@
         """Send attempts in one call."""
 
     def abandon(self, key: AttemptKey) -> bool:
-        """Stop waiting for an attempt whose outcome the caller records itself; true if it was in flight."""
+        """Stop waiting for an attempt whose outcome the caller records; return whether it was in flight."""
 
     def withdraw(self, key: AttemptKey) -> bool:
-        """Take back an attempt if none of its bytes were sent; true if so, and then none will be."""
+        """Cancel an attempt if none of its bytes were sent; return whether it was, so that none will be."""
 
     def probe(self) -> None:
-        """Probe the endpoint; its outcome is reported once."""
+        """Probe the endpoint; the outcome is reported once."""
 
     def close(self) -> None:
         """Close the connections; attempts in flight end as broken."""
 
 
 class EndpointSource(Protocol):
-    """The source of the endpoint list; each request is answered by at least one ``EndpointUpdate``."""
+    """The source of the endpoint list; it answers each request with at least one ``EndpointUpdate``."""
 
     def start(self) -> None:
         """Subscribe now if updates are pushed; otherwise do nothing."""
@@ -101,7 +100,10 @@
 
 
 class DriverContext(Protocol):
-    """What the components of a broker use of its driver; each adds what it needs beyond, beside itself."""
+    """The attributes of a broker's driver that all of its components use.
+
+    A component that needs more extends this protocol in its own module.
+    """
 
     @property
     def name(self) -> str:
@@ -113,7 +115,7 @@
 
     @property
     def dead(self) -> bool:
-        """Whether the broker is killed; nothing more is decided or sent."""
+        """Whether the broker was killed; if so, nothing more is decided or sent."""
 
     @property
     def events(self) -> EventLog:
--- a/heathwell/broker/driver_hooks.py
+++ b/heathwell/broker/driver_hooks.py
@@ -1,4 +1,4 @@
-"""What a subclass of the driver provides: how parts are requested, checked and merged; what it observes."""
+"""The methods by which subclasses of the driver request, check and merge parts and observe attempts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DriverHooks(Generic[QueryT, PartT, ResultT, RequestT]):
-    """The methods that a subclass of the driver overrides; the driver calls them, and only from its loop."""
+    """The methods that a subclass of the driver overrides; they are called in the thread of the loop."""
 
     def new_link(self, node: str) -> Link[RequestT]:
         """Return a link to an endpoint that has none yet."""
@@ -29,7 +29,7 @@
         raise NotImplementedError
 
     def merge(self, query: QueryT, *, complete: bool) -> Reply:
-        """Return the reply from the parts that were answered."""
+        """Return the reply, merged from the parts that were answered."""
         raise NotImplementedError
 
     def is_usable(self, query: QueryT, part: PartT, node: str, key: AttemptKey, result: ResultT) -> bool:  # noqa: ARG002  # part of a hook
@@ -37,16 +37,16 @@
         return True
 
     def on_part_answered(self, query: QueryT, part: PartT, key: AttemptKey, result: ResultT) -> None:
-        """A part took the answer of an attempt as its data."""
+        """Called once the answer of an attempt has become the data of its part."""
 
     def on_attempt_sent(self, node: str, key: AttemptKey) -> None:
-        """An attempt was decided; its link gets it at the end of the batch."""
+        """Called when an attempt was decided; its link is given it at the end of the batch."""
 
     def on_attempt_ended(self, node: str, key: AttemptKey, outcome: policy.Outcome, took_us: int) -> None:
-        """An attempt ended ``took_us`` after it was decided."""
+        """Called when an attempt has ended, ``took_us`` after it was decided."""
 
     def subject(self, query: QueryT) -> int | None:  # noqa: ARG002  # part of a hook
-        """Return the number of the query's subject (such as a user), ``None`` if it has none."""
+        """Return a number that identifies whom the query is about (such as a user), ``None`` for nobody."""
         return None
 
     def retry_after_us(self, query: QueryT, after_us: int) -> int:  # noqa: ARG002  # part of a hook
@@ -54,24 +54,24 @@
         return after_us
 
     def quota_update(self) -> policy.QuotaUpdate | None:
-        """Return what fleet-wide quotas leave this broker now; ``None`` where no quota is configured.
+        """Return what this broker may use of fleet-wide quotas now, ``None`` if no quota is configured.
 
-        Called once before each batch; the update is the batch's first event.
+        Called once before each batch; the update becomes the batch's first event.
         """
         return None
 
     def acquire_quota(self, send: policy.Send, key: AttemptKey) -> bool:  # noqa: ARG002  # part of a hook
-        """Acquire a unit of quota for an attempt; false if none is left, and then it is not sent."""
+        """Acquire a unit of quota for an attempt; if false is returned, the attempt is not sent."""
         return True
 
     def on_quota_exhausted(self) -> None:
-        """The aggregator would have sent an additional attempt, but its quota is exhausted."""
+        """Called when the aggregator did not send an additional attempt because the quota is exhausted."""
 
     def on_reply_made(self, query: QueryT, reply: Reply, took_us: int) -> None:
-        """A reply was made, ``took_us`` after the query arrived; it is given to the client afterwards."""
+        """Called with each reply, ``took_us`` after its query arrived and before the client is given it."""
 
     def on_query_closed(self, query: QueryT) -> None:
-        """A query got its reply or lost its client; attempts may still be in flight."""
+        """Called when a query has its reply or its client disconnected; attempts may still be in flight."""
 
     def on_late_answer(self, node: str) -> None:
-        """An answer came to an attempt whose outcome was already reported; it is ignored."""
+        """Called for an answer to an attempt whose outcome was already reported; the answer is ignored."""
--- a/heathwell/broker/endpoint_entries.py
+++ b/heathwell/broker/endpoint_entries.py
@@ -1,4 +1,4 @@
-"""Makes entries of the endpoint list from endpoints that the decision module lists."""
+"""Conversion of the decision module's endpoints to entries of the endpoint list."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def to_endpoint_entry(endpoint: Endpoint, state: policy.EndpointState) -> policy.EndpointEntry:
-    """Return the entry of a listed endpoint in another state, or in the same."""
+    """Return the entry of a listed endpoint, with the given state in place of its own."""
     return policy.EndpointEntry(
         endpoint.node,
         endpoint.replica_group,
--- a/heathwell/broker/operator_log.py
+++ b/heathwell/broker/operator_log.py
@@ -1,4 +1,4 @@
-"""Log lines for events of the decision module, with their fields."""
+"""Log lines for those events of the decision module that operators need to see."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def log_operator_event(log: Log, event: policy.OperatorEvent) -> None:
-    """Write one line for an event, with node, scope, reason and duration where it has them."""
+    """Write one line for an event, with its node, scope, reason and duration if it has them."""
     match event:
         case policy.EndpointEjected():
             log(
--- a/heathwell/broker/query_registry.py
+++ b/heathwell/broker/query_registry.py
@@ -19,10 +19,10 @@
 class QueryRegistry(
     DriverHooks[QueryT, PartT, ResultT, RequestT], Generic[QueryT, PartT, ResultT, RequestT, ExtensionT]
 ):
-    """Holds queries from admission to their last outcome and queues the events about them.
+    """Holds queries from admission to their last outcome, and queues the events about them.
 
-    ``open_count`` is the number of queries and parts held; ``decision_time_ns`` is CPU time spent in the
-    aggregator; ``on_final`` is called with each query, its reply and its duration (us).
+    ``open_count`` is the number of open queries and parts, ``decision_time_ns`` the CPU time spent in the
+    aggregator. ``on_final`` is called with each query, its reply and its duration (us).
     """
 
     def __init__(
@@ -49,14 +49,14 @@
         self.last_job = 0
         self.stopping = False
         self.dead = False
-        self.shutdown_at_us: int | None = None  # end of the process by the loop's clock, once known
+        self.shutdown_at_us: int | None = None  # time by which all replies are given, once a shutdown began
         self.idle = Event()
         self.counters: Counters = Counters()
         self.on_final: Callable[[QueryT, Reply, int], None] | None = None
         self.decision_time_ns = 0
         self._replies: list[tuple[OnReply, Reply]] = []
-        self._leaving: list[QueryT] = []
-        self._handling = True  # until the first turn ends
+        self._disconnected: list[QueryT] = []
+        self._handling_batches = True  # until the first turn ends
         self._sent_at_us: dict[AttemptKey, int] = {}
 
     @property
@@ -76,10 +76,10 @@
         version: str,
         extension: ExtensionT,
     ) -> SettingsVersion[ExtensionT]:
-        """Decide queries that are admitted from now on under other settings; open queries keep theirs.
+        """Apply new settings to queries that are admitted from now on; open queries keep theirs.
 
-        Call it between two batches. The new aggregator starts with the list of live endpoints and learns
-        the rest anew. ``extension`` is stored in the version.
+        To be called between two batches. The new aggregator starts with the list of live endpoints and
+        without the statistics of the old one. ``extension`` is stored in the version.
         """
         live_endpoints = tuple(
             to_endpoint_entry(endpoint, policy.EndpointState.LIVE)
@@ -100,7 +100,7 @@
         return self.last_job
 
     def admit(self, query: QueryT) -> Handle:
-        """Register a query and start its deadline timer; it is held until its last attempt has ended."""
+        """Register a query, which is held until its last attempt has ended, and start its deadline timer."""
         self.queries[query.id] = query
         if self.shutdown_at_us is not None:
             query.deadline_us = min(query.deadline_us, self.shutdown_at_us)
@@ -120,7 +120,7 @@
         retry: bool = False,
         tenant: int = 0,
     ) -> None:
-        """Queue the arrival of a query with ``count`` parts; ``hint_us`` is the work expected of all."""
+        """Queue the arrival of a query with ``count`` parts; ``hint_us`` is their total expected work."""
         query.queued = False
         self._push(
             policy.QueryArrived(
@@ -161,7 +161,7 @@
         self.open_count += 1
 
     def is_full(self, parts: int) -> bool:
-        """Whether a query with this number of parts would exceed ``max_open``; 0 means no limit."""
+        """Whether a query with this number of parts would exceed the setting ``max_open`` (0: no limit)."""
         limit = self.settings.max_open
         return bool(limit) and self.open_count + 1 + parts > limit
 
@@ -172,13 +172,14 @@
 
     def _push(self, event: policy.Event, version: SettingsVersion[ExtensionT] | None = None) -> None:
         """Queue an event for the next batch of one settings version, or of all if ``version`` is ``None``."""
-        if self._handling and not any(known.inbox for known in self.versions):
-            self.loop.call_soon(_nothing)  # events of a batch being handled belong to the next turn
+        if self._handling_batches and not any(known.inbox for known in self.versions):
+            # An event that a batch causes while it is handled belongs to the next turn, which this requests.
+            self.loop.call_soon(_no_op)
         for recipient in self.versions if version is None else (version,):
             recipient.inbox.append(event)
 
     def _set_timer(self, version: SettingsVersion[ExtensionT], at_us: int, label: str) -> None:
-        """Keep one timer for each label, the earliest; the aggregator sets it again whenever it fires."""
+        """Keep only the earliest timer of each label: the aggregator sets it again whenever it fires."""
         pending = version.timers.get(label)
         if pending is not None and pending.call is not None:
             if pending.at_us <= at_us:
@@ -208,9 +209,9 @@
         raise NotImplementedError
 
     def on_client_disconnected(self, query_id: str) -> None:
-        """The client of a query has disconnected."""
+        """Called when the client of a query has disconnected."""
         raise NotImplementedError
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     """Do nothing; scheduled so that the loop makes another turn."""
--- a/heathwell/broker/query_state.py
+++ b/heathwell/broker/query_state.py
@@ -1,4 +1,4 @@
-"""State of open queries, of their parts, and of the settings version that each query is decided under."""
+"""State of open queries, their parts, and the settings versions under which they are decided."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentAttempt:
-    """An attempt that was given to the link of its endpoint."""
+    """An attempt that was passed to the link of its endpoint."""
 
     node: str
     reason: policy.AttemptReason
@@ -44,8 +44,8 @@
 class PartState:
     """A part of an open query.
 
-    ``data``, ``node`` and ``seq`` are set by the attempt whose answer was taken; ``status`` is the outcome of
-    the attempt that ended last.
+    ``data``, ``node`` and ``seq`` are those of the attempt whose answer is used; ``status`` is the outcome of
+    the attempt that ended last, "out" while one is in flight, or "not sent".
     """
 
     id: str
@@ -59,7 +59,7 @@
     sent_attempts: list[SentAttempt] = field(default_factory=list)
 
     def attempted_nodes(self) -> list[str]:
-        """Return the endpoints that the part was sent to, in order; one occurs once an attempt."""
+        """Return the endpoint of each attempt, in the order of sending."""
         return [attempt.node for attempt in self.sent_attempts]
 
 
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HintedPart(Generic[PartT]):
-    """A part to register, with the work that it is expected to take; ``None`` where that is not known."""
+    """A part to register, with the work that it is expected to take, ``None`` if that is not known."""
 
     part: PartT
     work_hint_us: int | None
@@ -78,8 +78,9 @@
 class QueryState(Generic[PartT, ExtensionT]):
     """A query from its arrival until its last attempt has ended.
 
-    ``on_reply`` is ``None`` once the reply was given or the client has disconnected; ``in_flight`` maps each
-    attempt without an outcome to its endpoint.
+    ``on_reply`` is ``None`` once the reply was given or the client has disconnected. ``in_flight`` maps each
+    attempt without an outcome to its endpoint. ``queued`` is set while the query waits for its admission.
+    ``woken`` is set once its deadline has passed and the aggregator was told so, for a last decision.
     """
 
     id: str
@@ -98,7 +99,7 @@
 
     @property
     def settings_version(self) -> SettingsVersion[ExtensionT]:
-        """The version that the query is decided under; defined from its admission on."""
+        """The version under which the query is decided; available once it is admitted."""
         assert self.admitted_under is not None
         return self.admitted_under
 
@@ -110,7 +111,7 @@
     """Receives the disconnects of clients."""
 
     def on_client_disconnected(self, query_id: str) -> None:
-        """The client of a query has disconnected."""
+        """Called when the client of a query has disconnected."""
 
 
 class Handle:
@@ -123,5 +124,5 @@
         self.query = query
 
     def disconnect(self) -> None:
-        """Report that the client has disconnected: no reply will be given."""
+        """Report that the client has disconnected; no reply will be given."""
         self._listener.on_client_disconnected(self.query)
--- a/heathwell/broker/replies.py
+++ b/heathwell/broker/replies.py
@@ -1,4 +1,4 @@
-"""What a broker gives to the servers of client protocols: the one final reply to each query."""
+"""The final reply to a query, which a broker passes to the servers of client protocols."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
     ANSWERED = "answered"
     REFUSED = "refused"
-    """Rejected or shed: a repeat is harmless."""
+    """Rejected or shed before any effect: a retry is safe."""
     FAILED = "failed"
-    """Ended without a promise about its effect."""
+    """Ended without an answer; it is unknown whether the query had an effect."""
     MISS = "miss"
     """Answered: the record does not exist."""
 
 
 JsonObject = dict[str, Any]
-"""The body of a reply, as endpoints' answers were merged to it."""
+"""The body of a reply, merged from the answers of endpoints."""
 
 
 @dataclass(frozen=True, slots=True)
 class Coverage:
-    """Which parts a reply rests on; ``weight`` is a fraction of the first step's.
+    """The parts that a reply is based on; ``weight`` is their fraction of the first step's weight.
 
-    ``missing`` are the shards without an answer, of which ``superseded`` could not have changed the reply;
-    ``second_step_requested`` and ``second_step_answered`` count the second step's parts; ``cover`` holds the
-    same as sets of shards, to be merged with those of other replies.
+    ``missing`` are the shards without an answer, of which ``superseded`` could not have changed the reply.
+    ``second_step_requested`` and ``second_step_answered`` count the second step's parts. ``cover`` holds the
+    requested and answered parts as sets of shards, which can be merged with those of other replies.
     """
 
     requested_parts: int = 0
@@ -50,11 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The one final reply to a query.
+    """The final reply to a query.
 
-    ``retry_after_us`` is advice when to retry, 0 for none. ``reason`` is a text for the client. ``body`` is
-    the JSON object that the answers of endpoints were merged to. ``end_reason`` is why the decision module
-    ended the query without an answer; clients are not sent it.
+    ``retry_after_us`` advises the client when to retry, 0 for no advice. ``reason`` is a text for the client.
+    ``body`` is the JSON object merged from the answers of endpoints. ``end_reason`` is why the decision
+    module ended the query without an answer; it is not sent to clients.
     """
 
     kind: ReplyKind
@@ -71,11 +71,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Age:
-    """How old a reply's data is: ``bound_us`` is its greatest possible age at ``at_us``, None if unknown.
+    """The age of a reply's data: ``bound_us`` is its greatest possible age at ``at_us``, None if unknown.
 
-    ``stale`` is true where that exceeds the age that the class asks for, ``consistent`` is false where item
-    detail is older than the totals it belongs to; ``behind`` are shards whose data is older than what the
-    client has received already, by its token.
+    ``stale`` is set if that exceeds the age that the query class wants. ``consistent`` is false if item
+    details are older than the totals that they belong to. ``behind`` are the shards whose data is older than
+    what the client has already received, as its consistency token states; ``token`` is the next such token.
     """
 
     bound_us: int | None = None
@@ -90,5 +90,5 @@
 
 
 def rejection(query_class: str, retry_after_us: int, reason: str, query_id: str = "") -> Reply:
-    """Return the reply to a query that is rejected at admission, or while it is queued."""
+    """Return the reply to a query that is rejected at admission or while it is queued."""
     return Reply(ReplyKind.REFUSED, query_id, query_class, retry_after_us=retry_after_us, reason=reason)
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -302,7 +302,7 @@
             query = self.parts.get(part.id)
             self._link(node).abandon(key)
             if query is not None and query.in_flight.pop(key, None) is not None:
-                self._ended(query, key, node, policy.Outcome.NEVER_SENT, None)
+                self._end_attempt(query, key, node, policy.Outcome.NEVER_SENT, None)
         return [part for part in parts if part not in expired]
 
     # Hooks of the driver.
