--- a/heathwell/broker/replies.py
+++ b/heathwell/broker/replies.py
@@ -16,7 +16,7 @@
 
     ANSWERED = "answered"
     REFUSED = "refused"
-    """Rejected or shed before any effect: a retry is safe."""
+    """Rejected, shed or ended without an answer; a retry does no harm."""
     FAILED = "failed"
     """Ended without an answer; it is unknown whether the query had an effect."""
     MISS = "miss"
--- a/heathwell/gateway/__init__.py
+++ b/heathwell/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocols: clients and discovery over HTTP, nodes by frames, one broker per process."""
+"""A broker on the platform, one per process: clients and discovery over HTTP, nodes over framed TCP."""
--- a/heathwell/gateway/__main__.py
+++ b/heathwell/gateway/__main__.py
@@ -1,9 +1,9 @@
-"""`python -m heathwell.gateway`: one broker on the platform, by its environment."""
+"""`python -m heathwell.gateway`: one broker on the platform, configured by its environment."""
 
 import signal
 import sys
 
-# Signals are noted from the first instant: what follows takes a while to import.
+# Signals are recorded from here on and handled after the start, as the imports below take a while.
 pending: list[int] = []
 for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGINT):
     signal.signal(number, lambda given, _frame: pending.append(given))
--- a/heathwell/gateway/broker.py
+++ b/heathwell/gateway/broker.py
@@ -1,4 +1,4 @@
-"""The broker of the platform: the driver between checked requests, nodes and discovery.
+"""The broker on the platform: the driver with checked requests as its input, and nodes and discovery.
 
 :class:`PlatformBroker` owns the links to nodes, their addresses and the watch of discovery; the driver that
 it extends owns queries and attempts. Imports the driver, the node links and discovery, never the front.
@@ -28,15 +28,15 @@
 from heathwell.gateway.targets import Targets, endpoint_state, to_endpoint_update
 from heathwell.observability.event_log import EventLog
 
-# Kept back of a client's timeout: the network both ways, and the delay of the loop.
+# Subtracted from a client's timeout for the transit of request and reply and for the delay of the loop.
 DEADLINE_MARGIN_US = 8_000
 SECOND_STEP_SUFFIX = ".fetch"
-AT_CAPACITY = "full"  # why a query was rejected at admission, as metrics and replies name it
+AT_CAPACITY = "full"  # reason of a rejection at admission, as named in metrics and replies
 
 
 @dataclass(slots=True)
 class PlatformPart(PartState):
-    """A part with its score, by which a second step's shards are chosen."""
+    """A part with the score of its answer; the shards of a second step are those of the highest scores."""
 
     plan: RequestedPart
     score: float = 0.0
@@ -57,7 +57,7 @@
 class PlatformBroker(Driver[PlatformQuery, PlatformPart, nf.PartAnswer, NodeRequest, None]):
     """One broker on the platform.
 
-    ``unix_us`` returns Unix time; it is read once, to convert the starts of nodes to the loop's clock.
+    ``unix_us`` returns Unix time. It is read once, to convert the start times of nodes to the loop's clock.
     """
 
     links: dict[str, NodeLink]  # type: ignore[assignment]
@@ -94,9 +94,9 @@
             rev=config.known.rev if config.known.all and config.known.targets else None,
         )
         initial_update = self._endpoint_update(config.known, requested=False)
-        # Where lists are pushed, discovery's list is in effect from the process's first moment, and the
-        # configured one may be older: it is not used before discovery has answered or failed. Queries wait
-        # for that.
+        # If lists are pushed, discovery's list binds the broker from the start of the process, and the
+        # configured list may be older. So that one is not used, and queries wait, until discovery has
+        # answered or failed.
         self._initial_update = None if config.settings.poll_mode else initial_update
         self.begin_service(self.watch, initial_update.endpoints if self.ready else ())
 
@@ -106,9 +106,9 @@
         return self._initial_update is None
 
     def begin(self, request: ClientRequest, on_reply: OnReply, arrived_at_us: int) -> Handle | None:
-        """Start the query of a checked request; its only reply is given to ``on_reply`` after this returns.
+        """Start the query of a checked request; ``on_reply`` gets its only reply, after this has returned.
 
-        At capacity the request is rejected, never reaches the module, and ``None`` is returned.
+        At capacity the request is rejected without reaching the decision module, and ``None`` is returned.
         """
         spec = self.settings.classes[request.query_class]
         if self.is_full(len(request.parts)):
@@ -165,7 +165,7 @@
         )
 
     def on_targets(self, targets: Targets | None) -> None:
-        """Take over an answer of discovery, ``None`` for a failure."""
+        """Apply an answer of discovery, or ``None`` for a failed call."""
         initial_update = self._initial_update
         if initial_update is not None:
             self._initial_update = None
@@ -175,14 +175,14 @@
             return
         unavailable = self._update_addresses(targets)
         self.on_endpoint_update(self._endpoint_update(targets))
-        # Unsent attempts are reported after the update, so that replicas are selected from the new list.
+        # Unsent attempts are reported only after the update, so that replicas are selected from the new list.
         unavailable |= {
             target.uid for target in targets.targets if endpoint_state(target) != policy.EndpointState.LIVE
         }
         self._update_links(unavailable)
 
     def _update_links(self, unavailable: set[str]) -> None:
-        """Apply the addresses to the links; nothing unsent goes to a node that is ``unavailable``."""
+        """Apply the addresses to the links, and withdraw what is unsent to ``unavailable`` nodes."""
         for node, link in list(self.links.items()):
             if node not in self.addresses:
                 link.on_endpoint_removed()
@@ -204,7 +204,7 @@
         )
 
     def _update_addresses(self, targets: Targets) -> set[str]:
-        """Take over addresses and starts of the listed nodes; return the nodes that were restarted."""
+        """Store addresses and start times of the listed nodes; return the nodes that were restarted."""
         restarted = {
             target.uid
             for target in targets.targets
@@ -240,7 +240,7 @@
     def attempt_request(
         self, query: PlatformQuery, part: PlatformPart, seq: int, remaining_us: int
     ) -> NodeRequest:
-        """Return an attempt of a part, to be waited for ``remaining_us`` from now on."""
+        """Return the request of an attempt, whose deadline is ``remaining_us`` from now."""
         is_second_step = part.step == 2
         return NodeRequest(
             part.id,
@@ -264,11 +264,11 @@
         key: AttemptKey,  # noqa: ARG002  # part of a hook
         result: nf.PartAnswer,  # noqa: ARG002  # part of a hook
     ) -> None:
-        """Keep the score, by which the shards of a second step are chosen."""
+        """Store the score of the answer, by which the shards of a second step are chosen."""
         part.score = result.score
 
     def second_step(self, query: PlatformQuery, *, complete: bool) -> Iterator[HintedPart[PlatformPart]]:
-        """Yield parts, without hints, at the shards of the highest scores among those answered."""
+        """Yield a part, without a work hint, for each of the shards that answered with the highest scores."""
         answered = [part for part in query.parts.values() if part.data is not None]
         query.answered_shards = tuple(sorted(part.plan.shard for part in answered))
         query.complete = complete
@@ -278,7 +278,7 @@
             yield HintedPart(PlatformPart(part.id + SECOND_STEP_SUFFIX, plan, 2), None)
 
     def merge(self, query: PlatformQuery, *, complete: bool) -> Reply:
-        """Return the reply with the values of the last step's answered parts, as the nodes gave them."""
+        """Return the reply with the unchanged values of the last step's answered parts."""
         values = [
             {"id": part.plan.shard, "data": part.data.decode("ascii")}
             for part in query.parts.values()
@@ -294,7 +294,7 @@
 
     def on_reply_made(self, query: PlatformQuery, reply: Reply, took_us: int) -> None:
         """Log the reply."""
-        if self.events.is_enabled:  # the lists are costly to make
+        if self.events.is_enabled:  # building the fields is costly
             used = {part.id: part.seq for part in query.parts.values() if part.data is not None}
             self.events(
                 "final",
--- a/heathwell/gateway/config.py
+++ b/heathwell/gateway/config.py
@@ -1,7 +1,7 @@
-"""The configuration that the platform gives a broker at its start and at SIGHUP, checked completely.
+"""The configuration that the platform gives a broker at its start and at SIGHUP, with all of its checks.
 
-Each error names its field. Pure but for :func:`load`, which reads the file. Imports the conversion of
-settings and the decoder of endpoint lists.
+Each error names its field. All functions but :func:`load`, which reads the file, are pure. Imports the
+conversion of settings and the decoder of endpoint lists.
 """
 
 from __future__ import annotations
@@ -27,8 +27,10 @@
 MIN_SOCKETS = 64
 MAX_NUMBER = 1 << 53
 NO_TIMEOUT_US = 1 << 53
-DEFAULT_HOLD_US = 1_500_000  # of a watch, if the settings state no poll interval
-RESERVED_SOCKETS = 24  # standard streams, the poller, the listener, discovery, and those of the runtime
+MAX_SHOWN_CHARACTERS = 64  # of a rejected value in an error message
+DEFAULT_HOLD_US = 1_500_000  # hold time of a watch if the settings state no poll interval
+# Descriptors for the standard streams, the poller, the listener, discovery and the Python runtime.
+RESERVED_SOCKETS = 24
 
 
 class ConfigError(GatewayError):
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """A broker's configuration; ``known`` is the latest endpoint list that the platform had."""
+    """A broker's configuration; ``known`` is the latest endpoint list that the platform knew of."""
 
     name: str
     listen: str
@@ -60,7 +62,10 @@
 
     @property
     def hold_us(self) -> int:
-        """How long a watch of discovery waits: no call is due sooner, and discovery serves many brokers."""
+        """Hold time of a watch of discovery, as long as the poll interval allows.
+
+        Discovery serves many brokers, so that it is not called more often than necessary.
+        """
         return self.settings.poll_within_us or DEFAULT_HOLD_US
 
     @property
@@ -75,16 +80,19 @@
 
     @property
     def kept_clients(self) -> int:
-        """Inactive clients' connections that stay open: half of those that they use at most for requests."""
+        """Maximum number of idle client connections that stay open.
+
+        Half of what clients may open: together they have a third of the descriptors.
+        """
         return self.sockets // 6
 
 
 class _Table:
-    """A JSON object of the file; its reading methods raise :class:`ConfigError`, which names the field."""
+    """A JSON object of the file; its methods raise :class:`ConfigError`, which names the field."""
 
     def __init__(self, value: object, name: str) -> None:
         if not isinstance(value, dict):
-            raise ConfigError(f"{name}: an object is expected")
+            raise ConfigError(f"{name}: expected an object, got {_describe(value)}")
         self.name = name
         self.values: dict[str, object] = value
 
@@ -96,15 +104,15 @@
         """Return a text that is not empty."""
         value = self.values.get(field)
         if not isinstance(value, str) or not value:
-            raise ConfigError(f"{field}: missing, or not text")
+            raise ConfigError(f"{field}: expected a text that is not empty, got {_describe(value)}")
         return value
 
     def address(self, field: str) -> str:
-        """Return an address; only the one to listen on may have port 0."""
+        """Return an address; port 0 is allowed only for the address to listen on."""
         return _check_address(self.text(field), field)
 
     def number(self, field: str, minimum: int) -> int:
-        """Return a number of at least ``minimum``, cut to an integer; 0 if absent and ``minimum`` is 0."""
+        """Return a number of at least ``minimum``, truncated to an integer; 0 if absent and allowed."""
         value = self.values.get(field)
         if value is None and minimum == 0:
             return 0
@@ -113,22 +121,28 @@
             or not isinstance(value, int | float)
             or not minimum <= value <= MAX_NUMBER
         ):
-            raise ConfigError(f"{self.name}.{field}: a number of at least {minimum} is expected")
+            expected = f"a number from {minimum} to {MAX_NUMBER}"
+            raise ConfigError(f"{self.name}.{field}: expected {expected}, got {_describe(value)}")
         return int(value)
 
 
+def _describe(value: object) -> str:
+    """Return a value as an error message shows it."""
+    return "nothing" if value is None else repr(value)[:MAX_SHOWN_CHARACTERS]
+
+
 def _check_address(value: str, field: str) -> str:
     try:
         host, port = split_address(value)
     except ValueError as problem:
         raise ConfigError(f"{field}: {problem}") from None
     if not host or (field != "listen" and not port):
-        raise ConfigError(f"{field}: address {value!r} is not host:port")
+        raise ConfigError(f"{field}: expected an address host:port, got {value!r}")
     return value
 
 
 def read(data: bytes) -> Config:
-    """Return the configuration of a file's bytes; raises :class:`ConfigError`."""
+    """Return the configuration in a file's bytes; raise :class:`ConfigError`."""
     try:
         table = _Table(json.loads(data), "the file")
     except (ValueError, RecursionError) as problem:
@@ -158,7 +172,7 @@
     try:
         return int(seed, 16)
     except ValueError:
-        raise ConfigError(f"seed: {seed!r} is not a hexadecimal number") from None
+        raise ConfigError(f"seed: expected a hexadecimal number, got {seed!r}") from None
 
 
 def _settings(setup: _Table) -> policy.Settings:
@@ -171,7 +185,7 @@
 def _zones(setup: _Table) -> Sequence[str]:
     zones = setup.values.get("zones") or []
     if not isinstance(zones, list) or not all(isinstance(zone, str) for zone in zones):
-        raise ConfigError("settings.zones: a list of names is expected")
+        raise ConfigError(f"settings.zones: expected a list of names, got {_describe(zones)}")
     return tuple(zones)
 
 
@@ -183,7 +197,10 @@
 
 
 def _connections(limits: _Table, settings: policy.Settings) -> Connections:
-    """Limits of connections; if not stated: one part, no idle timeout, and no longer wait than a client's."""
+    """Return the limits of a connection to a node.
+
+    Defaults: one part in flight, no idle timeout, and the shortest timeout of a class to connect.
+    """
     return Connections(
         limits.number(STREAMS_PER_CONNECTION_FIELD, 0) or 1,
         limits.number(IDLE_TIMEOUT_US_FIELD, 0) or NO_TIMEOUT_US,
@@ -192,15 +209,15 @@
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """Return the configuration that the environment names.
+    """Return the configuration that the environment names; raise :class:`ConfigError`.
 
-    Raises :class:`ConfigError`, also for a file that cannot be read. Name and address must agree with the
-    file, as it is unknown which one is meant otherwise. Discovery may have moved since the variable was set:
-    it must be an address, and the file's is used.
+    ``GW_NAME`` and ``GW_LISTEN`` must agree with the file, as otherwise it is unknown which of the two is
+    meant. ``GW_DISCOVERY`` need only be an address: discovery may have moved since the variable was set, and
+    the file's address is used.
     """
     path = environment.get("GW_CONFIG")
     if not path:
-        raise ConfigError("GW_CONFIG: missing")
+        raise ConfigError("GW_CONFIG: expected the path of the configuration file, got nothing")
     try:
         data = Path(path).read_bytes()
     except OSError as problem:
@@ -209,10 +226,10 @@
     for variable, value in (("GW_NAME", config.name), ("GW_LISTEN", config.listen)):
         expected = environment.get(variable)
         if expected is not None and expected != value:
-            raise ConfigError(f"{variable}: {expected!r}, but the file says {value!r}")
+            raise ConfigError(f"{variable}: expected {value!r} as in the file, got {expected!r}")
     if "GW_DISCOVERY" in environment:
         discovery = environment["GW_DISCOVERY"]
         if not discovery:
-            raise ConfigError("GW_DISCOVERY: missing, or not text")
+            raise ConfigError("GW_DISCOVERY: expected an address host:port, got an empty text")
         _check_address(discovery, "GW_DISCOVERY")
     return config
--- a/heathwell/gateway/discovery.py
+++ b/heathwell/gateway/discovery.py
@@ -1,13 +1,15 @@
-"""The platform's discovery over HTTP: a watch that continues, call after call, from the version that is held.
-
-The module decides when to poll; from then on each answer is passed on until a call fails. The failure is
-passed on too, and the module decides when to poll again. The only timeouts are those of a call, so that a
-silent connection is noticed. :class:`Discovery` owns its connection and the version held; what an answer
-means is for its listener. Imports the HTTP codec, the decoder of answers and the event loop.
-
-Discovery serves all brokers in turn, and each line costs it work. So a call asks for what changed since the
-version held, which the configuration gives at the start, also after a failed call; the complete list is
-requested if no version is held, or discovery moved to another address.
+"""The platform's discovery over HTTP: a watch by long polling, from one revision of the list to the next.
+
+The decision module decides when to poll. From then on each answer is passed to the listener until a call
+fails; the failure is passed to it too, and the module decides when to poll again. The only timeouts are those
+of a call, by which a dead connection is noticed. :class:`Discovery` owns its connection and the revision of
+the broker's list; the listener interprets the answers. Imports the HTTP codec, the decoder of answers and the
+event loop.
+
+Discovery serves all brokers in turn, and each entry of an answer costs it work. So a call requests only what
+changed since the broker's revision, also after a failed call; at the start that is the revision of the
+configured list. The complete list is requested if there is none, or if discovery has moved to another
+address.
 """
 
 from __future__ import annotations
@@ -20,32 +22,34 @@
 from heathwell.gateway.errors import GatewayError
 from heathwell.gateway.targets import Targets, TargetsError
 
-MAX_HOLD_US = 60_000_000  # of a watch, by the platform's protocol
-CALL_TIMEOUT_US = 1_500_000  # of a call that does not wait
-# Of a call that waits, beyond its wait: half of the time after which what it misses takes effect.
+MAX_HOLD_US = 60_000_000  # longest hold time of a watch that the platform's protocol allows
+CALL_TIMEOUT_US = 1_500_000  # timeout of a call without a hold time
+# Timeout of a call beyond its hold time: half of EFFECTIVE_AFTER_WAIT_US, after which a missed change binds.
 WATCH_GRACE_US = 1_000_000
 CONNECT_TIMEOUT_US = 500_000
-# By the platform's protocol a change takes effect this long after discovery fell silent, or this long after
-# the end of a wait if that is later.
+# By the platform's protocol a change takes effect EFFECTIVE_AFTER_SILENCE_US after discovery stopped
+# responding, or EFFECTIVE_AFTER_WAIT_US after the end of a hold time if that is later.
 EFFECTIVE_AFTER_SILENCE_US = 6_000_000
 EFFECTIVE_AFTER_WAIT_US = 2_000_000
-# After SIGHUP the list at the new address takes effect within this time, by the platform's protocol.
+# By the platform's protocol the list at a new address takes effect within this time after SIGHUP.
 EFFECTIVE_AFTER_MOVE_US = 4_000_000
-# Pauses between calls while a change that was missed may take effect.
+# Bounds of the pause between calls during the time in which a missed change may take effect.
 MIN_RETRY_PAUSE_US = 100_000
 MAX_RETRY_PAUSE_US = 800_000
-# A watch waits a random fraction of its hold time, so that brokers started together poll apart.
+# The hold time of each call is reduced by a random fraction, so that brokers that were started together do
+# not poll at the same time. This is the smallest fraction that remains.
 MIN_HOLD_FRACTION = 0.75
 PATH = "/api/targets"
 MAX_BODY_BYTES = 1 << 20
 
 
 def longest_wait(grace_us: int) -> int:
-    """Return the longest wait (us) of a watch that can fall silent and be replaced in time.
+    """Return the longest hold time (us) of a watch that can be replaced in time if it gets no response.
 
-    It must be noticed, opened again and answered before what it missed binds: a change takes effect
-    ``EFFECTIVE_AFTER_SILENCE_US`` after the silence, or ``EFFECTIVE_AFTER_WAIT_US`` after the wait, and a
-    drain binds ``grace_us`` later. In the worst case the watch falls silent as it begins.
+    The missing response must be noticed, and the watch reopened and answered, before a missed change binds: a
+    change takes effect ``EFFECTIVE_AFTER_SILENCE_US`` after discovery stopped responding, or
+    ``EFFECTIVE_AFTER_WAIT_US`` after the hold time, and a drain binds ``grace_us`` later. In the worst case
+    discovery stops responding as the call begins.
     """
     renewed_us = WATCH_GRACE_US + CONNECT_TIMEOUT_US + CALL_TIMEOUT_US
     if renewed_us <= EFFECTIVE_AFTER_WAIT_US + grace_us:
@@ -54,17 +58,17 @@
 
 
 class DiscoverySilentError(GatewayError):
-    """A call was not answered in its time: its connection may be lost without a sign."""
+    """A call was not answered within its timeout; its connection may be dead."""
 
 
 class Discovery:
     """Watches the endpoint list at one address, which may change.
 
-    ``rev`` is the version of the list held at the start, ``None`` for no list; ``hold_us`` is how long a
-    watch waits at most. ``pushed``: the watch is on from the start, as a change takes effect whether it was
-    requested or not. ``grace_us`` after a change takes effect it binds: until then a call that fails for a
-    watch that fell silent, or at a new address, is repeated soon; other failures wait for the module.
-    ``listener`` gets each answer, and ``None`` for a failure.
+    ``rev`` is the revision of the list at the start, ``None`` without a list; ``hold_us`` is the longest hold
+    time of a call. With ``pushed`` the watch begins with the process, as changes take effect whether they
+    were requested or not. A change binds ``grace_us`` after it takes effect. Until then, failed calls are
+    retried soon if the watch timed out or discovery has moved; after other failures the decision module
+    decides when to poll. ``listener`` gets each answer, and ``None`` for a failure.
     """
 
     def __init__(
@@ -94,16 +98,16 @@
         self.pushed = pushed
         self.grace_us = grace_us
         self._urgent_until_us = 0
-        self._answered = False  # since the watch was last opened
+        self._answered = False  # whether a call was answered since the watch was last opened
         self._task: Task[None] | None = None
 
     def start(self) -> None:
-        """Watch if lists are pushed; otherwise the module polls first."""
+        """Begin to watch if lists are pushed; otherwise the decision module requests the first poll."""
         if self.pushed:
             self.ask()
 
     def ask(self) -> None:
-        """Begin to watch, if no watch is on."""
+        """Begin to watch, unless a watch is in progress."""
         if self._task is None or self._task.done:
             self._task = self.loop.spawn(self._watch(self.address), "discovery")
 
@@ -122,8 +126,8 @@
             self._task = None
 
     def _watch(self, address: str) -> Coro[None]:
-        # What a silent watch missed is requested without a wait; so is the first answer where lists are
-        # pushed, as it may have taken effect.
+        # Changes that a timed-out watch may have missed are requested without a hold time. So is the first
+        # answer if lists are pushed, as it may already be in effect.
         at_once = self.pushed
         pause_us = MIN_RETRY_PAUSE_US
         while True:
@@ -134,7 +138,7 @@
                 if self._answered or not at_once:
                     at_once = True
                     pause_us = MIN_RETRY_PAUSE_US
-                    self.log("info", "discovery: the watch fell silent, it is opened anew")
+                    self.log("info", "discovery: watch timed out, reopening it", why=str(problem))
                     continue
                 failure: Exception = problem
             except (ConnectError, StreamBrokenError, HttpError, TargetsError) as problem:
@@ -149,7 +153,7 @@
         self.listener(None)
 
     def _call_repeatedly(self, address: str, *, at_once: bool) -> Coro[None]:
-        """Call over one connection after another until a call fails; raises what ended it."""
+        """Call until a call fails, over one connection after another; raise the error of that call."""
         stream: Stream | None = None
         try:
             stream = yield from self.net.connect(address, CONNECT_TIMEOUT_US)
@@ -177,7 +181,7 @@
         return PATH if self.rev is None else f"{PATH}?from={self.rev}&hold_ms={wait_us // 1000}"
 
     def _watch_call(self, stream: Stream, side: ClientSide, path: str, wait_us: int) -> Coro[Targets]:
-        """One call; if it falls silent while waiting, what it missed is urgent until it binds."""
+        """Make one call; if it times out during its hold time, retry soon until a missed change binds."""
         began_at_us = self.loop.now()
         timeout_us = wait_us + WATCH_GRACE_US if wait_us else CALL_TIMEOUT_US
         try:
@@ -193,7 +197,7 @@
 
     def _on_targets(self, targets: Targets) -> None:
         if not targets.all and self.rev is not None and targets.rev < self.rev:
-            self.rev = None  # changes of a list older than ours: only a complete one helps
+            self.rev = None  # changes relative to a list older than ours: the complete list is needed
             return
         self.rev = targets.rev
         self._answered = True
@@ -201,7 +205,7 @@
         self.listener(targets)
 
     def _call(self, stream: Stream, side: ClientSide, path: str, timeout_us: int) -> Coro[Targets]:
-        """One call; raises what ends a watch."""
+        """Make one call and return its answer; raise the errors that end a watch."""
         self.calls += 1
         stream.write(side.request("GET", path))
         timeout_at_us = self.loop.now() + timeout_us
@@ -213,11 +217,11 @@
                 if response is None:
                     continue
                 if response.status != 200:
-                    raise HttpError(f"status {response.status}")
+                    raise HttpError(f"expected status 200, got {response.status}")
                 return Targets.from_bytes(response.body)
         except StreamBrokenError:
             if self.loop.now() >= timeout_at_us:
-                raise DiscoverySilentError("no answer in time") from None
+                raise DiscoverySilentError(f"no response within {timeout_us // 1000} ms") from None
             raise
         finally:
             timer.cancel()
--- a/heathwell/gateway/errors.py
+++ b/heathwell/gateway/errors.py
@@ -4,4 +4,4 @@
 
 
 class GatewayError(Exception):
-    """Input that does not have the form that the platform's pages state, or a peer that does not answer."""
+    """Input that violates the platform's specification, or a peer that does not answer."""
--- a/heathwell/gateway/front.py
+++ b/heathwell/gateway/front.py
@@ -1,8 +1,8 @@
-"""Clients over HTTP: each request is checked completely, handed to the broker, and answered once.
+"""The HTTP server: each request is checked completely, passed to the broker, and answered once.
 
-:class:`Front` owns the clients' connections, within bounds of head, body, time and number; the broker owns
-the queries. The front adds no retry, cache or timeout to a query: its timeouts are only those of a request
-that does not arrive completely, and of a connection without a request. Imports the HTTP codec and the broker.
+:class:`Front` owns the clients' connections, and limits their number and the size and time of a request; the
+broker owns the queries. The front adds no retry, cache or timeout to a query: its timeouts apply only to
+incomplete requests and to connections without a request. Imports the HTTP codec and the broker.
 """
 
 from __future__ import annotations
@@ -22,26 +22,28 @@
 
 MAX_HEAD_BYTES = 16_384
 MAX_BODY_BYTES = 65_536
-REQUEST_TIMEOUT_US = 2_500_000  # until a request is complete; of the first from the connect on
-FIRST_REQUEST_TIMEOUT_US = 2_100_000  # of a connection that never sent a request
-IDLE_TIMEOUT_US = 8_000_000  # of a connection that has been answered
+# Time within which a request must be complete; it begins with the connect for a connection's first request.
+REQUEST_TIMEOUT_US = 2_500_000
+FIRST_REQUEST_TIMEOUT_US = 2_100_000  # idle timeout of a connection that never sent a request
+IDLE_TIMEOUT_US = 8_000_000  # idle timeout of a connection that has been answered
 MAX_EVICTION_CANDIDATES = 8  # idle connections examined to make room for a new one
-# During shutdown the first request of a connection younger than this may be on its way.
+# During shutdown the first request of a connection younger than this may still be in transit.
 NEW_CONNECTION_US = 200_000
-LINGER_US = 800_000  # between an error and the close, so that the error is read first
-CHECK_INTERVAL_US = 200_000  # between checks of all connections' timeouts
-MAX_DISCARDED_BYTES = 131_072  # read and thrown away after an error
-MAX_READ_AHEAD_BYTES = 65_536  # read while a request is in progress
-MAX_UNREAD_BYTES = 262_144  # that a client leaves unread before it is cut off
+LINGER_US = 800_000  # delay between an error and the close, so that the client can read the error
+CHECK_INTERVAL_US = 200_000  # time between checks of all connections' timeouts
+MAX_DISCARDED_BYTES = 131_072  # bytes read and discarded after an error, before reading stops
+MAX_READ_AHEAD_BYTES = 65_536  # bytes read while a request is in progress
+MAX_UNREAD_BYTES = 262_144  # queued response bytes above which a connection is reset
 JSON_CONTENT_TYPE = "application/json"
-REQUEST_TIMEOUT_BODY = b"the request was not whole in time\n"  # on the wire: it stays as clients have it
+REQUEST_TIMEOUT_BODY = b"the request was not whole in time\n"  # sent to clients, so that it must not change
 
 
 class Front:
-    """Serves at most ``max_clients`` connections; the one inactive for longest is closed for a new one.
+    """Serves at most ``max_clients`` connections, and closes the longest inactive one in favour of a new one.
 
-    Of those that have been answered and are inactive at most ``max_kept_alive`` stay open: clients may open
-    only so many between them, and an inactive one may keep another client from connecting.
+    At most ``max_kept_alive`` connections that have been answered and are inactive stay open: the number of
+    connections that all clients together may open is limited, and an inactive one may keep another client
+    from connecting.
     """
 
     def __init__(
@@ -52,10 +54,10 @@
         self.log = log
         self.loop = broker.loop
         self.max_kept_alive = max_kept_alive
-        # Each in the order in which its clients entered it.
+        # Queues of clients, each in the order in which they were added to it.
         self.kept_alive: OrderedDict[Client, None] = OrderedDict()  # answered and inactive
         self.inactive: OrderedDict[Client, None] = OrderedDict()  # without a request, or failed
-        self.receiving: OrderedDict[Client, None] = OrderedDict()  # whose request is incomplete
+        self.receiving: OrderedDict[Client, None] = OrderedDict()  # with an incomplete request
         self.checker = RequestChecker(broker.settings)
         self.clients: dict[Client, None] = {}
         self.counts: Counter[str] = Counter()
@@ -80,11 +82,11 @@
             client.on_connection_lost()
 
     def drain(self) -> None:
-        """Close each connection with its next answer from now on."""
+        """Close each connection with its next response from now on."""
         self.draining = True
 
     def close_idle(self) -> None:
-        """Close the inactive connections, but for those whose request is arriving."""
+        """Close the inactive connections, except those whose request is arriving."""
         now = self.loop.now()
         for client in list(self.inactive):
             if client.side is not None or now - client.since_us >= NEW_CONNECTION_US:
@@ -102,13 +104,13 @@
         return False
 
     def on_answered(self, client: Client) -> None:
-        """A client was answered and is inactive; beyond ``max_kept_alive`` the oldest is closed."""
+        """Called when a client was answered: if more than ``max_kept_alive`` are idle, close the oldest."""
         self.inactive[client] = None
         self.kept_alive[client] = None
         if len(self.kept_alive) > self.max_kept_alive:
             victim = next(iter(self.kept_alive))
             if victim.stream.close_unless_readable():
-                self.counts["let go"] += 1  # the name that the trace prints
+                self.counts["let go"] += 1  # printed by the trace under this name
                 self._forget(victim)
 
     def _forget(self, client: Client) -> None:
@@ -116,7 +118,7 @@
         client.leave_queues()
 
     def _check_timeouts(self) -> None:
-        """Apply the timeouts of all connections, by one timer."""
+        """Apply the timeouts of all connections; one timer serves them all."""
         if self.broker.dead:
             return
         now = self.loop.now()
@@ -134,14 +136,14 @@
 
 
 class Client:
-    """One connection: one request at a time; a disconnect is noticed while one is in progress."""
+    """A client's connection: it serves one request at a time, and notices a disconnect meanwhile."""
 
     def __init__(self, front: Front, stream: Stream) -> None:
         self.front = front
         self.stream = stream
         self.loop = front.loop
         stream.hard_limit = MAX_UNREAD_BYTES
-        self.side: ServerSide | None = None  # created with the first byte: many never send one
+        self.side: ServerSide | None = None  # created with the first byte, as many connections never send one
         self.since_us = self.loop.now()
         self.handle: Handle | None = None
         self.busy = False
@@ -154,7 +156,7 @@
 
     @property
     def idle_timeout_us(self) -> int:
-        """How long it may stay inactive."""
+        """How long the connection may stay inactive."""
         if self.failed:
             return LINGER_US
         return IDLE_TIMEOUT_US if self.side is not None and self.side.served else FIRST_REQUEST_TIMEOUT_US
@@ -169,7 +171,7 @@
             if self.failed:
                 discarded += len(data)
                 continue
-            if self.stream.hung_up:  # the client disconnected: no reply could reach it
+            if self.stream.hung_up:  # the client has disconnected, so no response can reach it
                 return
             self._arrived_at_us = self.loop.now()
             if self.side is None:
@@ -179,13 +181,13 @@
                 self._advance()
                 continue
             self._read_ahead_bytes += len(data)
-            # The request in progress is answered before more is read; a disconnect is noticed meanwhile.
+            # No more is read until the request in progress is answered; a disconnect is noticed meanwhile.
             while self.busy and self._read_ahead_bytes > MAX_READ_AHEAD_BYTES:
                 if self.stream.hung_up:
                     return
                 self._answered.clear()
                 yield from self._answered.wait()
-        while not self.stream.closed:  # what more it sends stays unread until the timeout
+        while not self.stream.closed:  # further bytes stay unread until the timeout closes the connection
             yield self._park
 
     def _park(self, task: object) -> Callable[[], None]:
@@ -228,7 +230,7 @@
         try:
             client_request = front.checker.check(request)
             if client_request.id in front.broker.queries:
-                raise BadRequestError(  # noqa: TRY301  # answered as any other bad request, below
+                raise BadRequestError(  # noqa: TRY301  # handled as any other bad request, below
                     f"Req-Id: {client_request.id} is open already", 409
                 )
         except BadRequestError as problem:
@@ -278,12 +280,12 @@
             self.loop.call_soon(self._continue)
 
     def _continue(self) -> None:
-        """Dispatch the next request if it was read ahead."""
+        """Dispatch the next request, of which bytes were read ahead, if it is complete."""
         if not (self.busy or self.failed or self.stream.closed or self.stream.hung_up):
             self._advance()
 
     def fail(self, response: Response) -> None:
-        """Answer with an error, then close once it is read; no further request is served."""
+        """Respond with an error and close after ``LINGER_US``; no further request is served."""
         if self.failed or self.stream.closed or self.side is None:
             return
         self.leave_queues()
@@ -300,7 +302,7 @@
         self.front.inactive[self] = None
 
     def on_connection_lost(self) -> None:
-        """The connection is lost: the request in progress is waited for no more."""
+        """Called when the connection has ended: the request in progress is abandoned."""
         self._answered.set()
         handle = self.handle
         self.handle = None
--- a/heathwell/gateway/node_attempts.py
+++ b/heathwell/gateway/node_attempts.py
@@ -1,7 +1,7 @@
-"""Records of the attempts that travel over connections to the platform's nodes.
+"""Records of the attempts on connections to the platform's nodes.
 
-The module owns no connection: it holds what :mod:`heathwell.gateway.node_connection` keeps for each attempt.
-Imports the module's outcomes, the driver's key and the frame codec only.
+:mod:`heathwell.gateway.node_connection` keeps one for each attempt; this module owns no connection. Imports
+the decision module's outcomes, the driver's key and the frame codec only.
 """
 
 from __future__ import annotations
@@ -19,11 +19,12 @@
     nf.PartStatus.ERROR: policy.Outcome.ERROR,
     nf.PartStatus.REJECTED: policy.Outcome.REJECTED,
 }
-# How long the id of an abandoned attempt is remembered on its connection: a node may hang for long.
+# Time for which a connection remembers the id of an abandoned attempt: a node may hang long before it
+# answers.
 ABANDONED_ID_RETENTION_US = 60_000_000
-# How long an answered id is remembered: a duplicate answer follows the first closely.
+# Time for which a connection remembers an answered id: a duplicate follows soon after the first answer.
 ANSWERED_ID_RETENTION_US = 1_000_000
-MAX_RECENT_IDS = 1024  # for each connection and kind; beyond it the oldest is dropped
+MAX_RECENT_IDS = 1024  # limit of the ids of each kind that a connection remembers; the oldest is dropped
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +32,7 @@
     """One attempt to be sent.
 
     ``encode`` returns the attempt's line and text within a call, given the remaining time in milliseconds;
-    ``deadline_at_us`` is the loop's time until which the attempt is waited for.
+    ``deadline_at_us`` is the attempt's deadline by the loop's clock.
     """
 
     id: str
@@ -47,9 +48,9 @@
 
 @dataclass(slots=True)
 class InFlightAttempt:
-    """An attempt on a connection, since ``sent_at_us``.
+    """An attempt that was passed to a connection at ``sent_at_us``.
 
-    ``frame_end`` is the offset in the stream at which its frame ends, ``None`` while it is not written.
+    ``frame_end`` is the offset in the stream at which its frame ends, ``None`` until it is written.
     """
 
     key: AttemptKey
@@ -58,7 +59,7 @@
 
 
 class RecentIds:
-    """A set of ids that drops each after ``retention_us``, and holds ``MAX_RECENT_IDS`` at most."""
+    """A set that keeps each id for ``retention_us``, and at most ``MAX_RECENT_IDS`` ids."""
 
     def __init__(self, retention_us: int) -> None:
         self._retention_us = retention_us
@@ -68,7 +69,7 @@
         return name in self._added_at_us
 
     def add(self, name: str, now_us: int) -> None:
-        """Add an id and drop those that are expired or too many."""
+        """Add an id, and drop the expired ones and the oldest beyond the maximum."""
         self._added_at_us[name] = now_us
         while self._is_oldest_due(now_us):
             self._added_at_us.popitem(last=False)
--- a/heathwell/gateway/node_connection.py
+++ b/heathwell/gateway/node_connection.py
@@ -1,16 +1,16 @@
-"""One connection to a node of the platform: parts as frames, and a truthful outcome for every attempt on it.
+"""One connection to a node of the platform: it sends parts as frames and reports the outcome of each attempt.
 
 A :class:`NodeConnection` owns its stream and what is in flight on it; its owner, the link in
 :mod:`heathwell.gateway.node_pool`, owns the connection. Imports the frame codec and the event loop.
 
-The id on the wire is that of the part, not of the attempt. So an id is sent at most once over a connection:
-a further attempt of a part at the same node uses another connection, and an answer can only belong to the
-attempt that the connection carried. Abandoned ids are remembered until they are answered or expire; their
+The wire names the part and not the attempt. So an id is sent at most once over a connection, and a further
+attempt of a part at the same node uses another connection: an answer can then only belong to the attempt that
+the connection has sent. Ids of abandoned attempts are remembered until they are answered or expire; their
 answers are counted and dropped.
 
-A connection that breaks is no evidence about its node: if the process died the next connect is refused, if
-the machine is lost it is not answered. So the attempts in flight are reported once a new connection was
-established (connection lost: the attempt may have run) or failed (broken with its node).
+A broken connection does not show that its node failed: if the process died, the next connect is refused, and
+if the machine is lost, that connect is not answered. So the attempts in flight are reported only once a new
+connection was established (connection lost: the attempt may have run) or has failed (broken with its node).
 """
 
 from __future__ import annotations
@@ -32,11 +32,12 @@
 )
 from heathwell.gateway.node_owners import ConnectionOwner
 
-# Fraction of the idle time after which nodes close: ours closes first, so that no part crosses the close.
+# The broker closes an idle connection after this fraction of the node's idle timeout. It closes first, so
+# that it does not send a part while the node closes.
 IDLE_TIME_FRACTION = 0.8
-# A close by the node within this time of an answer counts as caused by it.
+# A close by the node within this time after an answer counts as a close after an answer.
 CLOSE_AFTER_ANSWER_US = 50_000
-# A connection that had more answers than this is taken to have closed after one by chance.
+# If a connection had more answers than this, its close soon after an answer counts as coincidence.
 MAX_ANSWERS_BEFORE_CLOSE = 2
 
 
@@ -54,11 +55,11 @@
         self.stream: Stream | None = None
         self._reader = nf.FrameReader()
         self._unsent_calls: deque[list[NodeRequest]] = deque()
-        # Attempts of a connection that broke, whose outcome the connect of this one decides.
+        # Attempts of a broken connection, by part id; the result of this connect decides their outcome.
         self.orphaned: dict[str, AttemptKey] = {}
         self.answered_at_us: int | None = None
         self.answer_count = 0
-        self._sent_probes: deque[int] = deque()  # in the order of sending, in which they are answered
+        self._sent_probes: deque[int] = deque()  # in the order of sending, which is that of their answers
         self._unsent_probes: list[int] = []
         self._waiting_since_us: int | None = None
         self._idle_timeout = IdleTimeout(
@@ -73,7 +74,7 @@
     # Called by the pool.
 
     def can_carry(self, part_id: str) -> bool:
-        """Whether this part may be sent here now: its id is unused, and a stream is free."""
+        """Whether this part may be sent now: its id is unused here, and the limit of parts is not reached."""
         if self.link.is_single_part and (self.in_flight or self._was_just_answered):
             return False
         if self.retired or not self.is_unused_id(part_id):
@@ -81,14 +82,14 @@
         return len(self.in_flight) < self.link.limits.streams
 
     def is_unused_id(self, part_id: str) -> bool:
-        """Whether an answer of this id could belong to no earlier attempt on this connection."""
+        """Whether no earlier attempt on this connection could receive an answer of this id."""
         return (
             part_id not in self.in_flight and part_id not in self.abandoned and part_id not in self.answered
         )
 
     @property
     def is_silent(self) -> bool:
-        """Whether something was sent and no byte received for the silence timeout.
+        """Whether no byte was received for the silence timeout after something was sent.
 
         What was sent may have been abandoned since.
         """
@@ -98,7 +99,7 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether an attempt or a probe is waited for here."""
+        """Whether an attempt or a probe of this connection is awaited."""
         if self.in_flight:
             return True
         return any(self.link.is_probe_pending(number) for number in self._probes())
@@ -110,7 +111,8 @@
     def close_if_outlived(self, sent_at_us: int) -> None:
         """Close if silent, as an attempt sent later over another connection was answered.
 
-        The connection is lost and its node is not: what is in flight here ends as timed out, it may have run.
+        This connection is dead although its node is alive. What is in flight on it ends as timed out, as it
+        may have run.
         """
         if self.is_silent and self._waiting_since_us is not None and self._waiting_since_us < sent_at_us:
             self._end_outcome = policy.Outcome.TIMED_OUT
@@ -125,7 +127,7 @@
         self._write_calls()
 
     def abandon(self, part_id: str) -> None:
-        """Stop waiting for an attempt whose result the owner set itself; cancel it at the node if sent."""
+        """Stop waiting for an attempt whose outcome the owner has set; cancel it at the node if sent."""
         if self.orphaned.pop(part_id, None) is not None:
             return
         attempt = self.in_flight.pop(part_id)
@@ -136,14 +138,14 @@
             self.abandoned.add(part_id, self.loop.now())
             self._write(nf.encode_frame(nf.CANCEL, part_id.encode()))
             if self.stream is not None and not self.stream.closed and self.stream.unsent:
-                # Behind a full socket the cancel has not left, and the owner may resend the part at once.
-                self.link.log_info("connection closed", "the node does not read")
+                # The socket is full, so the cancel was not sent, and the owner may resend the part at once.
+                self.link.log_info("connection closed", "the node does not read, a cancel could not be sent")
                 self.close()
                 return
         self._check_idle()
 
     def probe(self, number: int) -> None:
-        """Send a probe, once the connection is established."""
+        """Send a probe as soon as the connection is established."""
         self.link.pool_limit.mark_busy(self)
         if self.stream is None:
             self._unsent_probes.append(number)
@@ -151,7 +153,7 @@
             self._send_probe(number)
 
     def close(self) -> None:
-        """Close; what is in flight ends as broken unless another outcome was set."""
+        """Close; attempts in flight end as broken unless another outcome was set."""
         self._closed_by_us = True
         self._task.cancel()
         self._finish()
@@ -170,16 +172,17 @@
             if self.in_flight:
                 self.link.log_info("connection lost", str(problem))
         except nf.NodeFrameError as problem:
-            # The part has run, and nothing behind the invalid frame can be read.
+            # The part has run, and no frame after the invalid one can be read.
             self.link.invalid_answers += 1
             if self.in_flight:
-                self.link.log_info("malformed answer", f"{problem.part_id or 'of no part'}: {problem}")
+                part = "unknown part" if problem.part_id is None else f"part {problem.part_id}"
+                self.link.log_info("malformed answer", f"{part}: {problem}")
             self._end_outcome = policy.Outcome.ERROR
         finally:
             self._finish()
 
     def _connect(self) -> Coro[Stream]:
-        """Connect, with one retry if the connection is reset while it is established."""
+        """Connect, with one retry if the connection is reset while it is being established."""
         try:
             return (yield from self.link.net.connect(self.address, self.link.limits.connect_us))
         except ConnectError as problem:
@@ -211,10 +214,10 @@
                 case nf.ProbeAnswer(ok=ok):
                     self._on_probe_answer(ok=ok)
                 case nf.FrameRejected(reason=reason):
-                    self.link.log_info("a frame could not be used", reason)
-                    raise StreamBrokenError("the node could not use a frame")
+                    self.link.log_info("frame rejected by the node", reason)
+                    raise StreamBrokenError("the node rejected a frame")
         if self._reader.buffered_bytes and not self.in_flight and not self._sent_probes:
-            raise nf.NodeFrameError("bytes that belong to nothing")
+            raise nf.NodeFrameError(f"{self._reader.buffered_bytes} bytes while no answer is expected")
         self._waiting_since_us = self.loop.now() if self.in_flight or self._sent_probes else None
         self._check_idle()
 
@@ -227,15 +230,15 @@
             self.link.on_attempt_ended(attempt.key, OUTCOME_OF_STATUS[message.status], message)
             self.link.on_response(self, attempt.sent_at_us)
         elif message.id in self.abandoned or message.id in self.answered:
-            # The attempt's result was reported already, or this is a duplicate: it has no effect.
+            # The outcome of the attempt was already reported, or this is a duplicate: it has no effect.
             self.link.late_answers += 1
             self.link.owner.on_late_answer(self.link.node)
         else:
-            raise nf.NodeFrameError(f"an answer of unknown id {message.id[:64]!r}")
+            raise nf.NodeFrameError(f"answer: no attempt of the part id {message.id[:64]!r} was sent")
 
     def _on_probe_answer(self, *, ok: bool) -> None:
         if not self._sent_probes:
-            raise nf.NodeFrameError("an answer to no probe")
+            raise nf.NodeFrameError("probe answer: no probe is awaited")
         outcome = policy.Outcome.OK if ok else policy.Outcome.ERROR
         self.link.on_probe_ended(self._sent_probes.popleft(), outcome)
 
@@ -250,10 +253,10 @@
     def _write_calls(self) -> None:
         """Write calls while the socket accepts them.
 
-        A call that waits here has not been sent, so its attempts can be reported as never sent.
+        The remaining calls are not sent at all, so that their attempts can be reported as never sent.
         """
         stream = self.stream
-        if stream is None or self._writing_calls:  # on_flushed may be called while a call is written
+        if stream is None or self._writing_calls:  # on_flushed may be called while a call is being written
             return
         self._writing_calls = True
         while self._unsent_calls and not (stream.closed or stream.unsent):
@@ -278,7 +281,7 @@
 
     def _write(self, data: bytes) -> None:
         if self.stream is not None:
-            self.stream.try_write(data)  # if the stream is broken the reading side reports it
+            self.stream.try_write(data)  # a broken stream is reported to `_run`, which reads
 
     def _start_waiting(self) -> None:
         if self._waiting_since_us is None:
@@ -290,7 +293,7 @@
     # The end.
 
     def _check_idle(self) -> None:
-        """If nothing is waited for, start the idle time, or close a retired connection."""
+        """If nothing is awaited, start the idle timeout, or close a retired connection."""
         if self._finished or self.stream is None or self.is_busy:
             return
         if self.retired:
@@ -300,7 +303,7 @@
         self._idle_timeout.restart()
 
     def _finish(self) -> None:
-        """End what is in flight: what had not been written completely never ran, the rest may have."""
+        """Report what is in flight: attempts not written completely never ran, the others may have."""
         if self._finished:
             return
         self._finished = True
@@ -327,7 +330,7 @@
             self.link.consecutive_closes = 0
 
     def _close_stream(self, *, abort: bool) -> int:
-        """Close the stream, at once if ``abort`` or if bytes are unsent; return the bytes sent over it."""
+        """Close the stream, by a reset if ``abort`` or if bytes are unsent; return the bytes sent over it."""
         stream = self.stream
         if stream is None:
             return 0
@@ -339,13 +342,13 @@
         return written_bytes
 
     def _end_unsent(self, in_flight: dict[str, InFlightAttempt], written_bytes: int) -> None:
-        """Report the attempts that had not been written completely, and remove them from ``in_flight``."""
+        """Report the attempts that were not written completely, and remove them from ``in_flight``."""
         unsent = [
             attempt
             for attempt in in_flight.values()
             if attempt.frame_end is None or attempt.frame_end > written_bytes
         ]
-        # Only a connection that was never established shows that its node is unreachable.
+        # The node counts as unreachable only if the connection was never established.
         never_established = self.stream is None and not self._closed_by_us
         outcome = policy.Outcome.UNREACHABLE if never_established else policy.Outcome.NEVER_SENT
         for attempt in unsent:
@@ -353,7 +356,7 @@
             del in_flight[attempt.key[0]]
 
     def _end_sent(self, in_flight: dict[str, InFlightAttempt]) -> None:
-        """Report the attempts that may have run, and the probes; a break is for the pool to report."""
+        """Report the attempts that may have run, and the probes; after a break the pool reports them."""
         probes = self._probes()
         if self._end_outcome == policy.Outcome.BROKEN and not self.link.closing:
             self.link.on_connection_broken(
--- a/heathwell/gateway/node_owners.py
+++ b/heathwell/gateway/node_owners.py
@@ -1,6 +1,6 @@
-"""Protocols by which connections report to their link, and links to the broker.
+"""Interfaces by which connections report to their link, and links to the broker.
 
-They keep the imports of the node modules free of cycles; the module owns no state. Implemented by
+They keep the imports of the node modules free of cycles. Implemented by
 :class:`heathwell.gateway.node_pool.NodeLink` and :class:`heathwell.gateway.broker.PlatformBroker`.
 """
 
@@ -22,7 +22,7 @@
     def on_attempt_result(
         self, node: str, key: AttemptKey, outcome: policy.Outcome, result: nf.PartAnswer | None
     ) -> None:
-        """Called exactly once for each attempt; ``result`` is given if the node answered."""
+        """Called exactly once for each attempt; ``result`` is the node's answer, if it gave one."""
 
     def on_probe_result(self, node: str, outcome: policy.Outcome) -> None:
         """Called exactly once for each probe."""
@@ -32,7 +32,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection uses of the pool that owns it."""
+    """The attributes and methods of a link that its connections use."""
 
     loop: Loop
     net: Net
@@ -53,27 +53,27 @@
 
     @property
     def silence_timeout_us(self) -> int:
-        """Time without a byte from which a connection counts as silent."""
+        """Time without a received byte after which a connection counts as silent."""
 
     def is_probe_pending(self, number: int) -> bool:
         """Whether a probe has no result yet."""
 
     def on_response(self, connection: Connection, sent_at_us: int) -> None:
-        """An attempt sent at ``sent_at_us`` was answered over ``connection``."""
+        """Called when an attempt sent at ``sent_at_us`` was answered over ``connection``."""
 
     def on_attempt_ended(
         self, key: AttemptKey, outcome: policy.Outcome, result: nf.PartAnswer | None
     ) -> None:
-        """An attempt ended on its connection."""
+        """Called when an attempt has ended on its connection."""
 
     def on_probe_ended(self, number: int, outcome: policy.Outcome) -> None:
-        """A probe ended on its connection."""
+        """Called when a probe has ended on its connection."""
 
     def on_connection_broken(self, keys: list[AttemptKey], probes: list[int]) -> None:
-        """A connection broke with these in flight."""
+        """Called when a connection broke with these attempts and probes in flight."""
 
     def on_connection_closed(self, connection: Connection) -> None:
-        """A connection closed; the results of what was in flight on it follow."""
+        """Called when a connection has closed, before the outcomes of what was in flight on it."""
 
     def log_info(self, event: str, reason: str) -> None:
         """Log one line about the node."""
--- a/heathwell/gateway/node_pool.py
+++ b/heathwell/gateway/node_pool.py
@@ -1,10 +1,11 @@
 """The pool of connections from one broker to one node.
 
-A :class:`NodeLink` owns its connections and chooses one for each call; every attempt and probe given to it is
-reported exactly once to its owner. Imports :mod:`heathwell.gateway.node_connection`, never the broker.
+A :class:`NodeLink` owns its connections and selects one for each call; it reports every attempt and probe
+exactly once to its owner. Imports :mod:`heathwell.gateway.node_connection`, never the broker.
 
-A node that closes right after an answer takes down whatever else is in flight on that connection. While a
-node does so each connection carries a single part, and is used again only once it has outlived its answer.
+If a node closes a connection right after an answer, all other attempts in flight on it are lost. While a node
+does so, each connection carries a single part at a time, and is reused only if it stays open after the
+answer.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 from heathwell.gateway.node_owners import AttemptOwner
 from heathwell.gateway.node_pool_limit import Connection, ConnectionPoolLimit
 
-# Multiple of the usual response time without a byte after which a connection gets no more attempts.
+# A connection gets no more attempts after this multiple of the mean response time without a received byte.
 SILENCE_FACTOR = 4
 MIN_SILENCE_TIMEOUT_US = 40_000
 MAX_SILENCE_TIMEOUT_US = 1_000_000
-RESPONSE_TIME_GAIN = 0.1  # weight of one answer in a node's usual response time
-MAX_CONNECTIONS = 4  # to one node
-MAX_SINGLE_PART_CONNECTIONS = 16  # to one node whose connections carry a single part each
-# Connections in a row that a node closed right after an answer, from which each carries a single part.
+RESPONSE_TIME_GAIN = 0.1  # weight of one answer in the moving average of a node's response time
+MAX_CONNECTIONS = 4  # limit of the connections to one node
+MAX_SINGLE_PART_CONNECTIONS = 16  # the same for a node whose connections carry a single part each
+# Connections carry a single part each once the node has closed this many in a row right after an answer.
 SINGLE_PART_AFTER_CLOSES = 3
 
 
@@ -61,14 +62,14 @@
         self.connects = 0
         self.breaks = 0
         self.closes_after_answer = 0  # connections that the node closed right after an answer
-        self.consecutive_closes = 0  # the same, in a row
+        self.consecutive_closes = 0  # such connections in a row
         self.closing = False
-        self._usual_response_us = float(MIN_SILENCE_TIMEOUT_US)
+        self._mean_response_us = float(MIN_SILENCE_TIMEOUT_US)
         self._probe_timers: dict[int, Timer] = {}
         self._last_probe = 0
 
     def statistics(self) -> dict[str, int]:
-        """Counters since the start, by the names that the trace prints."""
+        """Return the counters since the start, by the names that the trace prints."""
         return {
             "connects": self.connects,
             "breaks": self.breaks,
@@ -89,12 +90,12 @@
 
     @property
     def silence_timeout_us(self) -> int:
-        """Time without a byte from which a connection counts as silent."""
-        timeout_us = max(SILENCE_FACTOR * self._usual_response_us, MIN_SILENCE_TIMEOUT_US)
+        """Time without a received byte after which a connection counts as silent."""
+        timeout_us = max(SILENCE_FACTOR * self._mean_response_us, MIN_SILENCE_TIMEOUT_US)
         return int(min(timeout_us, MAX_SILENCE_TIMEOUT_US))
 
     def send(self, requests: list[NodeRequest]) -> None:
-        """Send attempts in one call; each will have one result."""
+        """Send attempts in one call; each has exactly one outcome."""
         if not requests:
             return
         connection = self._select([request.id for request in requests])
@@ -113,7 +114,7 @@
         connection.send(requests)
 
     def abandon(self, key: AttemptKey) -> bool:
-        """Stop waiting for an attempt whose result the owner set itself; true if it was in flight."""
+        """Stop waiting for an attempt whose outcome the owner has set; return whether it was in flight."""
         connection = self.in_flight.pop(key, None)
         if connection is None:
             return False
@@ -121,15 +122,15 @@
         return True
 
     def withdraw(self, key: AttemptKey) -> bool:
-        """Abandon an attempt of which nothing was written; false if it is not in flight, or was written.
+        """Abandon an attempt of which nothing was written; return whether it was abandoned.
 
-        True also for an attempt that lost its connection and of which nothing is to leave again.
+        It is not if it is not in flight or was written, even partly.
         """
         connection = self.in_flight.get(key)
         return connection is not None and connection.is_unsent(key[0]) and self.abandon(key)
 
     def withdraw_unsent(self) -> None:
-        """Report all unsent attempts as never sent: the node takes nothing new, or moved or restarted."""
+        """Report all unsent attempts as never sent, as the node accepts no new ones, moved or restarted."""
         for key, connection in list(self.in_flight.items()):
             if connection.is_unsent(key[0]):
                 del self.in_flight[key]
@@ -137,7 +138,7 @@
                 self.owner.on_attempt_result(self.node, key, policy.Outcome.NEVER_SENT, None)
 
     def probe(self) -> None:
-        """Probe the node; it has one result. Silent connections are not used for it."""
+        """Probe the node over a connection that is not silent; the probe has exactly one outcome."""
         self._last_probe += 1
         number = self._last_probe
         timeout_at_us = self.loop.now() + self.limits.connect_us
@@ -151,19 +152,19 @@
             connection.probe(number)
 
     def set_address(self, address: str) -> None:
-        """Connect to another address from now on; what was written to the old one continues."""
+        """Connect to another address from now on; attempts that were written to the old one continue."""
         if address != self.address:
             self.address = address
             self._retire(self.connections)
             self.withdraw_unsent()
 
     def on_endpoint_removed(self) -> None:
-        """The node left the endpoint list: what is in flight may end, then the connections close."""
+        """Called when the node was removed from the endpoint list: close once nothing is in flight."""
         self.withdraw_unsent()
         self._retire(self.connections)
 
     def close(self) -> None:
-        """Close all connections; what is in flight ends as broken."""
+        """Close all connections; attempts in flight end as broken."""
         self.closing = True
         for connection in list(self.connections):
             connection.close()
@@ -175,9 +176,9 @@
         return number in self._probe_timers
 
     def on_response(self, connection: Connection, sent_at_us: int) -> None:
-        """An attempt sent at ``sent_at_us`` was answered over ``connection``."""
+        """Called when an attempt sent at ``sent_at_us`` was answered over ``connection``."""
         response_us = self.loop.now() - sent_at_us
-        self._usual_response_us += (response_us - self._usual_response_us) * RESPONSE_TIME_GAIN
+        self._mean_response_us += (response_us - self._mean_response_us) * RESPONSE_TIME_GAIN
         for other in list(self.connections):
             if other is not connection:
                 other.close_if_outlived(sent_at_us)
@@ -185,19 +186,19 @@
     def on_attempt_ended(
         self, key: AttemptKey, outcome: policy.Outcome, result: nf.PartAnswer | None
     ) -> None:
-        """An attempt ended on its connection; ignored if it was abandoned."""
+        """Called when an attempt has ended on its connection; ignored if it was abandoned."""
         if self.in_flight.pop(key, None) is not None:
             self.owner.on_attempt_result(self.node, key, outcome, result)
 
     def on_probe_ended(self, number: int, outcome: policy.Outcome) -> None:
-        """A probe ended or timed out; only the first result of a probe is reported."""
+        """Called when a probe has ended or timed out; only its first outcome is reported."""
         timer = self._probe_timers.pop(number, None)
         if timer is not None:
             timer.cancel()
             self.owner.on_probe_result(self.node, outcome)
 
     def on_connection_broken(self, keys: list[AttemptKey], probes: list[int]) -> None:
-        """A connection broke with these in flight; the connect of a new one decides their outcome."""
+        """Called when a connection broke with these in flight; a new connect decides their outcome."""
         if not keys and not probes:
             return
         self.breaks += 1
@@ -215,7 +216,7 @@
             connection.probe(number)
 
     def on_connection_closed(self, connection: Connection) -> None:
-        """A connection closed; the results of what was in flight on it follow."""
+        """Called when a connection has closed, before the outcomes of what was in flight on it."""
         self.connections[:] = [other for other in self.connections if other is not connection]
 
     def log_info(self, event: str, reason: str) -> None:
@@ -225,7 +226,7 @@
     # The pool.
 
     def _select(self, part_ids: list[str]) -> NodeConnection | None:
-        """Return a connection for these parts, a new one if none may carry them, ``None`` if none can."""
+        """Return a connection for these parts, a new one if no open one can carry them, else ``None``."""
         self._retire([connection for connection in self.connections if connection.is_silent])
         for connection in self.connections:
             if all(connection.can_carry(part_id) for part_id in part_ids) and not connection.retired:
@@ -233,7 +234,7 @@
         opened = self._open()
         if opened is not None:
             return opened
-        # Beyond the number of parts that a node reads at once, parts wait on the connection.
+        # All connections have as many parts as the node processes at once: the parts queue on one of them.
         usable = [c for c in self.connections if all(c.is_unused_id(part_id) for part_id in part_ids)]
         return min(usable, key=lambda c: len(c.in_flight), default=None)
 
--- a/heathwell/gateway/node_pool_limit.py
+++ b/heathwell/gateway/node_pool_limit.py
@@ -1,4 +1,4 @@
-"""The limit on connections to nodes that all links of a broker share.
+"""The limit on connections to nodes, which all links of a broker share.
 
 :class:`ConnectionPoolLimit` owns the count and the order of idle connections. Imports nothing of the project.
 """
@@ -10,16 +10,16 @@
 
 
 class Connection(Protocol):
-    """A connection that can be closed for another one."""
+    """A connection that can be closed in favour of another one."""
 
     def close(self) -> None:
-        """Close at once, and release its place."""
+        """Close at once, which releases the connection's place in the pool."""
 
 
 class ConnectionPoolLimit:
-    """The number of connections to nodes, over all links, that may be open: ``capacity``.
+    """Limits the connections to nodes, over all links, to ``capacity``.
 
-    Where it is reached the connection that has been idle longest is closed in favour of a new one.
+    At the limit, the connection that has been idle for longest is closed in favour of a new one.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -28,7 +28,7 @@
         self.idle: OrderedDict[Connection, None] = OrderedDict()
 
     def acquire(self) -> bool:
-        """Reserve one connection; false if all are open and none is idle."""
+        """Reserve the place of one connection; return false if the limit is reached and none is idle."""
         if self.open >= self.capacity and self.idle:
             next(iter(self.idle)).close()
         if self.open >= self.capacity:
@@ -37,15 +37,15 @@
         return True
 
     def release(self, connection: Connection) -> None:
-        """Give back the place of a connection that closed."""
+        """Release the place of a closed connection."""
         self.open -= 1
         self.mark_busy(connection)
 
     def mark_idle(self, connection: Connection) -> None:
-        """Make a connection the latest of those that may be closed for a new one."""
+        """Allow a connection to be closed for a new one, after those that became idle earlier."""
         self.idle[connection] = None
         self.idle.move_to_end(connection)
 
     def mark_busy(self, connection: Connection) -> None:
-        """Exempt a connection from being closed for a new one."""
+        """Don't allow a connection to be closed for a new one."""
         self.idle.pop(connection, None)
--- a/heathwell/gateway/process.py
+++ b/heathwell/gateway/process.py
@@ -22,19 +22,21 @@
 from heathwell.gateway.front import Front
 from heathwell.gateway.trace import Trace
 
-ACCEPT_AFTER_TERMINATE_US = 600_000  # after SIGTERM, during which clients still connect
+ACCEPT_AFTER_TERMINATE_US = 600_000  # time after SIGTERM during which new connections are still accepted
 SHUTDOWN_CHECK_INTERVAL_US = 20_000
-# By the platform's protocol SIGKILL follows SIGTERM after the longest timeout of a class, which counts as
-# MAX_KILL_TIMEOUT_US at most, plus KILL_GRACE_US.
+# By the platform's protocol SIGKILL follows SIGTERM after the longest timeout of a class, limited to
+# MAX_KILL_TIMEOUT_US, plus KILL_GRACE_US.
 MAX_KILL_TIMEOUT_US = 3_000_000
 KILL_GRACE_US = 700_000
-SHUTDOWN_MARGIN_US = 100_000  # before that: replies leave, and the process ends by itself
+# The process exits this long before SIGKILL, and the last replies are given this long before its exit.
+SHUTDOWN_MARGIN_US = 100_000
+# Connections accepted beyond the limit of clients, so that the front can respond with 503.
 LISTEN_BACKLOG_MARGIN = 8
 MAX_LINES_PER_SECOND = 20
 
 
 class Log:
-    """Writes lines to standard error, at most ``MAX_LINES_PER_SECOND``; counts the others."""
+    """Writes at most ``MAX_LINES_PER_SECOND`` lines to standard error, and counts the dropped ones."""
 
     def __init__(self, name: str, clock: Clock) -> None:
         self._name = name
@@ -85,7 +87,7 @@
             Trace(self.broker, self.front)
 
     def run(self, pending: list[int]) -> int:
-        """Serve until shut down by SIGTERM; ``pending`` are the signals that came before."""
+        """Serve until shut down by SIGTERM; ``pending`` are earlier signals, which are handled first."""
         handlers = {signal.SIGTERM: self.terminate, signal.SIGINT: self.terminate, signal.SIGHUP: self.reload}
         for number, handler in handlers.items():
             self.poller.on_signal(number, handler)
@@ -109,7 +111,7 @@
         return 0
 
     def terminate(self) -> None:
-        """Start graceful shutdown: accept clients for a while, then finish the open queries.
+        """Start a graceful shutdown: accept connections for a while, then finish the open queries.
 
         A second call has no effect.
         """
@@ -132,13 +134,13 @@
         if self.listener is not None:
             self.listener.close()
         self.broker.drain()
-        # Clients that connected just now are served first: their tasks have not begun yet.
+        # Connections accepted by the close of the listener are served first: their tasks have not begun yet.
         self.loop.call_at(self.loop.now() + SHUTDOWN_CHECK_INTERVAL_US, self._check_shutdown)
 
     def _check_shutdown(self) -> None:
-        """Close idle clients, and stop when none is left or the time is over."""
+        """Close idle connections, and stop once none is left or the time for the shutdown has passed."""
         self.front.close_idle()
-        # An open query has its client among the front's.
+        # Without a connection there is no open query either.
         if self.loop.now() >= self._shutdown_by_us or not self.front.clients:
             self.log("info", "ended", open=len(self.front.clients))
             self.broker.close()
@@ -147,14 +149,14 @@
             self.loop.call_at(self.loop.now() + SHUTDOWN_CHECK_INTERVAL_US, self._check_shutdown)
 
     def reload(self) -> None:
-        """Read the configuration again, completely; if it is valid use its address of discovery."""
+        """Read and check the complete configuration again; if it is valid, use its address of discovery."""
         try:
             config = load(self.environment)
         except ConfigError as problem:
-            self.log("error", "configuration refused, the old one stays", why=str(problem))
+            self.log("error", "configuration refused, the previous one still applies", why=str(problem))
             return
         moved = config.discovery != self.config.discovery
-        # Everything else stays as it was at the start, also if the file differs.
+        # All other settings remain those of the start, even if the file differs.
         effective = dataclasses.replace(self.config, discovery=config.discovery, known=config.known)
         deferred = [
             field.name
@@ -182,7 +184,7 @@
 
 
 def raise_limit(sockets: int) -> None:
-    """Raise the soft limit of descriptors to ``sockets``, as far as the hard limit allows."""
+    """Raise the soft limit of open descriptors to ``sockets``, or to the hard limit if that is lower."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     limit = sockets if hard == resource.RLIM_INFINITY else min(sockets, hard)
     if soft != resource.RLIM_INFINITY and soft < limit:
@@ -190,10 +192,9 @@
 
 
 def main(pending: list[int]) -> int:
-    """Run a broker process, and return its exit code.
+    """Run a broker process and return its exit code.
 
-    The code is 0 after SIGTERM, 2 for a configuration that cannot be used, and 3 for an address that cannot
-    be listened on.
+    The code is 0 after SIGTERM, 2 for an invalid configuration, and 3 if the address can't be listened on.
     """
     try:
         config = load(os.environ)
--- a/heathwell/gateway/requests.py
+++ b/heathwell/gateway/requests.py
@@ -1,7 +1,7 @@
-"""A client's request, checked completely before anything of it is accepted.
+"""Checks of a client's request, which is accepted as a whole or not at all.
 
-Pure: no I/O; :class:`RequestChecker` owns nothing but indexes of the settings. Imports the HTTP codec's
-request and the module's settings.
+The module does no I/O; :class:`RequestChecker` owns nothing but indexes of the settings. Imports the HTTP
+codec's request and the decision module's settings. Messages of errors are sent to clients.
 """
 
 from __future__ import annotations
@@ -16,15 +16,16 @@
 from heathwell.codec.http import Request
 from heathwell.gateway.errors import GatewayError
 
-REQUEST_ID = re.compile(r"[0-9A-Za-z_-]{1,64}")  # no dot: a part's id is this, a dot and the shard
+# A request id has no dot, as a part's id is the request id, a dot and the shard.
+REQUEST_ID = re.compile(r"[0-9A-Za-z_-]{1,64}")
 TAG = re.compile(r"[0-9a-fA-F]{16}")
-# Printable, no blank and no comma: the key is an item of a part's list on the wire.
+# Printable characters without space and comma, which separate fields in the line of a part on the wire.
 IDEMPOTENCY_KEY = re.compile(r"[!-+\--~]{1,128}")
 TIMEOUT = re.compile(r"([0-9]{1,15}(?:\.[0-9]{1,9})?)([mu])")
 MICROSECONDS_PER_UNIT = {"m": 1000.0, "u": 1.0}
 MAX_TEXT_BYTES = 32_768
 MAX_HINT_US = 3_600_000_000
-WEIGHT_TOLERANCE = 5e-3  # how far from 1 rounding may leave the sum of weights
+WEIGHT_TOLERANCE = 5e-3  # allowed difference of the sum of weights from 1, as clients round them
 
 
 class BadRequestError(GatewayError):
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestedPart:
-    """One part; weights of a request add up to 1; ``hint_us`` is the client's estimate of its work."""
+    """One part of a request, whose weights add up to 1; ``hint_us`` is the client's estimate of its work."""
 
     shard: int
     weight: float
@@ -63,8 +64,9 @@
 class ClientRequest:
     """A checked request.
 
-    ``wait_us`` is how long the client waits from when it sent the request; ``tenant`` is the index of its
-    owner among the settings' tenants, and their number for an owner that is not among them.
+    ``wait_us`` is how long the client waits for the reply, from when it sent the request. ``tenant`` is the
+    index of the request's owner in the settings' list of tenants, or the length of that list if the owner is
+    not in it.
     """
 
     id: str
@@ -78,7 +80,7 @@
 
 
 class RequestChecker:
-    """Checks requests against the settings of the start."""
+    """Checks requests against the settings with which the process started."""
 
     def __init__(self, settings: policy.Settings) -> None:
         self._settings = settings
@@ -86,7 +88,7 @@
         self._tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
 
     def check(self, request: Request) -> ClientRequest:
-        """Return the query of a request; raises :class:`BadRequestError`."""
+        """Return the checked request; raise :class:`BadRequestError`."""
         headers = request.headers
         query_class = self._query_class(request)
         request_id = headers.get("req-id", "")
@@ -119,7 +121,6 @@
         if kind not in self._classes:
             raise BadRequestError(f"Req-Kind: no class {kind[:64]!r}", 404)
         if path != kind:
-            # A text of the wire, which clients receive.
             raise BadRequestError(f"Req-Kind: {kind!r}, but the path says {path[:64]!r}")
         if request.method != "POST":
             raise BadRequestError(f"{request.method}: a query is a POST", 405)
--- a/heathwell/gateway/settings_from_platform.py
+++ b/heathwell/gateway/settings_from_platform.py
@@ -1,7 +1,7 @@
-"""The start settings from the platform's object, which the bench's wire and a broker's configuration hold.
+"""Conversion of the platform's settings object, which is in the bench's wire and a broker's configuration.
 
-The object's field names and words are mapped to the field's terms here, and nowhere else. Standard library
-only, as the bench adapter uses it.
+The object's field names and values are mapped to this project's terms here, and nowhere else. Uses the
+standard library only, as the bench adapter imports it.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
     "idempotency_key": policy.Idempotency.KEYED,
     "non_idempotent": policy.Idempotency.NON_IDEMPOTENT,
 }
-POLL_MODE_WORD = "ask"  # of the field "registry-mode"
-WEIGHT_BY_WORK_WORD = "work"  # of the field "value-by"
+POLL_MODE_WORD = "ask"  # value of the field "registry-mode"
+WEIGHT_BY_WORK_WORD = "work"  # value of the field "value-by"
 
 # Nested objects of the platform's object.
 DEPLOYMENT_FIELD = "specifics"
@@ -32,19 +32,19 @@
 
 DEFAULT_TICK_US = 1000
 
-JsonValue: TypeAlias = Any  # decoded JSON of any type, which is checked where it is read
+JsonValue: TypeAlias = Any  # decoded JSON of any type; the type is checked when a field is read
 JsonObject: TypeAlias = dict[str, JsonValue]
 CodeT = TypeVar("CodeT")
 
 
 class WireError(GatewayError):
-    """Input that violates the wire's contract; the message names the field."""
+    """Input that violates the wire's specification; the message names the field."""
 
 
 def need(message: JsonValue, field: str, where: str) -> JsonValue:
     """Return a field's value; raise :class:`WireError` if it is missing."""
     if not isinstance(message, dict):
-        raise WireError(f"{where}: an object is expected")
+        raise WireError(f"{where}: expected an object, got {type(message).__name__}")
     if field not in message:
         raise WireError(f"{where}: field '{field}' is missing")
     return message[field]
@@ -63,7 +63,7 @@
 def _numeric(message: JsonValue, field: str, where: str) -> int | float:
     value = need(message, field, where)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise WireError(f"{where}: field '{field}' is not a number")
+        raise WireError(f"{where}: field '{field}': expected a number, got {type(value).__name__}")
     return value
 
 
@@ -71,15 +71,15 @@
     """Return a text."""
     value = need(message, field, where)
     if not isinstance(value, str):
-        raise WireError(f"{where}: field '{field}' is not text")
+        raise WireError(f"{where}: field '{field}': expected a string, got {type(value).__name__}")
     return value
 
 
 def coded(message: JsonValue, field: str, where: str, codes: Mapping[str, CodeT]) -> CodeT:
-    """Return what a text stands for by ``codes``."""
+    """Return the value that ``codes`` has for a text."""
     code = text(message, field, where)
     if code not in codes:
-        raise WireError(f"{where}: field '{field}' has the unknown value {code!r}")
+        raise WireError(f"{where}: field '{field}': expected one of {', '.join(codes)}, got {code!r}")
     return codes[code]
 
 
@@ -87,7 +87,7 @@
     """Return an array."""
     value = need(message, field, where)
     if not isinstance(value, list):
-        raise WireError(f"{where}: field '{field}' is not an array")
+        raise WireError(f"{where}: field '{field}': expected an array, got {type(value).__name__}")
     return value
 
 
@@ -101,10 +101,10 @@
 
 
 def settings_from(setup: JsonValue) -> policy.Settings:
-    """Return the start settings of the platform's object.
+    """Return the start settings in the platform's object.
 
     Raise :class:`WireError` if it is malformed, and ValueError, TypeError or AttributeError for a value that
-    cannot be converted.
+    can't be converted.
     """
     deployment, limits, rules, clients = _sections(setup)
     return policy.Settings(
@@ -142,7 +142,7 @@
 
 
 def _sections(setup: JsonValue) -> _Sections:
-    """The nested objects; all but the clients' have to be there."""
+    """Return the nested objects, of which only that of the clients is optional."""
     deployment = need(setup, DEPLOYMENT_FIELD, "setup")
     limits = need(setup, LIMITS_FIELD, "setup")
     rules = need(setup, RULES_FIELD, "setup")
@@ -155,12 +155,12 @@
     )
     for field, value in sections:
         if not isinstance(value, dict):
-            raise WireError(f"setup: field '{field}' is not an object")
+            raise WireError(f"setup: field '{field}': expected an object, got {type(value).__name__}")
     return _Sections(deployment, limits, rules, clients)
 
 
 def _classes(setup: JsonValue, deployment: JsonObject) -> list[policy.QueryClass]:
-    """The query classes; their fractions stand in arrays of the deployment, by the class's index."""
+    """Return the query classes; some of their values are in arrays of the deployment, by class index."""
     required_fractions = deployment.get("class-need") or []
     minimum_fractions = deployment.get("min-share") or []
     partial_weights = deployment.get("incomplete-worth") or []
@@ -188,7 +188,7 @@
 
 
 def _float_at(values: list[JsonValue], index: int, default: float) -> float:
-    """The value at an index; ``default`` beyond the end."""
+    """Return the value at an index, or ``default`` beyond the end."""
     return float(values[index]) if index < len(values) else default
 
 
--- a/heathwell/gateway/targets.py
+++ b/heathwell/gateway/targets.py
@@ -1,6 +1,6 @@
-"""Answers of the platform's discovery: decoding, checks, and conversion to the module's endpoint updates.
+"""Answers of the platform's discovery: decoding, checks, and conversion to endpoint updates.
 
-Pure: no I/O and no state. Imports the module's messages only.
+The module has no I/O and no state. Imports the decision module's messages only.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 
 class TargetsError(GatewayError):
-    """An answer that does not have discovery's form."""
+    """An answer of discovery that does not have the specified form."""
 
 
 class Target(msgspec.Struct, frozen=True):
-    """One node; ``boot_ms`` is its latest start in Unix time, 0 for long ago."""
+    """One node; ``boot_ms`` is the Unix time of its latest start, 0 if that was long ago."""
 
     uid: str
     endpoint: str
@@ -38,7 +38,7 @@
 
 
 class Targets(msgspec.Struct, frozen=True):
-    """The complete list (``all``) or the changes since an earlier version; ``rev`` is its version."""
+    """The complete list (``all``), or the changes since an earlier revision; ``rev`` is the new revision."""
 
     rev: int
     all: bool
@@ -46,7 +46,7 @@
 
     @classmethod
     def from_json(cls, value: object) -> Targets:
-        """Convert decoded JSON; raises :class:`TargetsError`."""
+        """Convert decoded JSON; raise :class:`TargetsError`."""
         try:
             return msgspec.convert(value, cls)
         except msgspec.ValidationError as problem:
@@ -54,7 +54,7 @@
 
     @classmethod
     def from_bytes(cls, data: bytes) -> Targets:
-        """Decode an answer's body; raises :class:`TargetsError`."""
+        """Decode an answer's body; raise :class:`TargetsError`."""
         try:
             return _decoder.decode(data)
         except (msgspec.MsgspecError, UnicodeDecodeError) as problem:
@@ -65,7 +65,7 @@
 
 
 def endpoint_state(target: Target) -> policy.EndpointState:
-    """The module's state of a node; a state that is unknown counts as draining."""
+    """Return a node's state as the decision module names it; an unknown state counts as draining."""
     return ENDPOINT_STATES.get(target.state, policy.EndpointState.DRAINING)
 
 
@@ -77,10 +77,10 @@
     *,
     requested: bool = True,
 ) -> policy.EndpointUpdate:
-    """Convert an answer to the module's update.
+    """Convert an answer to an update for the decision module.
 
-    Starts of nodes are moved to the caller's clock, which is behind Unix time by ``unix_offset_us``. A node
-    of a replica group that does not exist is left out.
+    Start times of nodes are converted to the caller's clock, which is ``unix_offset_us`` behind Unix time.
+    Nodes of a replica group that does not exist are left out.
     """
     zone_indexes = {name: index for index, name in enumerate(zones)}
     return policy.EndpointUpdate(
