--- a/heathwell/broker/driver.py
+++ b/heathwell/broker/driver.py
@@ -146,11 +146,11 @@
     def _deadline(self, query: QueryT) -> None:
         """End the attempts that are still in flight at the client's deadline."""
         query.timer = None
-        if query.on_reply is not None and not query.queued and not query.woken:
+        if query.on_reply is not None and not query.queued and not query.deadline_reported:
             # After a stall of the loop, the aggregator's own timer, which is due one tick earlier, fires in
             # this same turn, and its event must be handled first. Hence a timer for the next turn: a call by
             # call_soon would still run in this turn, before its batch is handled.
-            query.woken = True
+            query.deadline_reported = True
             self._push(policy.TimerFired("due"), query.settings_version)
             query.timer = self.loop.call_at(self.loop.now() + 1, self._deadline, query)
             return
--- a/heathwell/broker/query_state.py
+++ b/heathwell/broker/query_state.py
@@ -80,7 +80,7 @@
 
     ``on_reply`` is ``None`` once the reply was given or the client has disconnected. ``in_flight`` maps each
     attempt without an outcome to its endpoint. ``queued`` is set while the query waits for its admission.
-    ``woken`` is set once its deadline has passed and the aggregator was told so, for a last decision.
+    ``deadline_reported`` is set once the aggregator was told that the deadline has passed.
     """
 
     id: str
@@ -94,7 +94,7 @@
     step: int = 1
     timer: Timer | None = None
     queued: bool = False
-    woken: bool = False
+    deadline_reported: bool = False
     admitted_under: SettingsVersion[ExtensionT] | None = None
 
     @property
