--- a/heathwell/broker/driver.py
+++ b/heathwell/broker/driver.py
@@ -260,7 +260,7 @@
                 self._link(node).probe()
             case policy.WatchEndpoints():
                 self.events("watch")
-                self.discovery.ask()
+                self.discovery.request_update()
             case policy.SetTimer(at_us=at_us, label=label):
                 self._set_timer(version, at_us, label)
             case policy.EndpointEjected() | policy.EndpointReadmitted() | policy.DiscoveryDegraded():
--- a/heathwell/broker/driver_contract.py
+++ b/heathwell/broker/driver_contract.py
@@ -92,7 +92,7 @@
     def start(self) -> None:
         """Subscribe now if updates are pushed; otherwise do nothing."""
 
-    def ask(self) -> None:
+    def request_update(self) -> None:
         """Request the list, or subscribe to it."""
 
     def close(self) -> None:
--- a/heathwell/gateway/discovery.py
+++ b/heathwell/gateway/discovery.py
@@ -104,9 +104,9 @@
     def start(self) -> None:
         """Begin to watch if lists are pushed; otherwise the decision module requests the first poll."""
         if self.pushed:
-            self.ask()
+            self.request_update()
 
-    def ask(self) -> None:
+    def request_update(self) -> None:
         """Begin to watch, unless a watch is in progress."""
         if self._task is None or self._task.done:
             self._task = self.loop.spawn(self._watch(self.address), "discovery")
@@ -117,7 +117,7 @@
         self.rev = None
         self._urgent_until_us = self.loop.now() + EFFECTIVE_AFTER_MOVE_US + self.grace_us
         self.close()
-        self.ask()
+        self.request_update()
 
     def close(self) -> None:
         """End the watch."""
--- a/heathwell/service/discovery.py
+++ b/heathwell/service/discovery.py
@@ -79,7 +79,7 @@
         if self.is_pushed:
             self._task = self.loop.spawn(self._watch(), "discovery")
 
-    def ask(self) -> None:
+    def request_update(self) -> None:
         """Request the endpoint list; the answer is the list, its changes, or a failure."""
         self._pending_requests += 1
         if self._stream is not None:
