--- a/heathwell/gateway/config.py
+++ b/heathwell/gateway/config.py
@@ -79,7 +79,7 @@
         return self.sockets - self.node_sockets - RESERVED_SOCKETS
 
     @property
-    def kept_clients(self) -> int:
+    def max_kept_alive_clients(self) -> int:
         """Maximum number of idle client connections that stay open.
 
         Half of what clients may open: together they have a third of the descriptors.
--- a/heathwell/gateway/process.py
+++ b/heathwell/gateway/process.py
@@ -79,7 +79,7 @@
         self.log = Log(config.name, self.loop.clock)
         self.loop.on_error = self._on_task_error
         self.broker = PlatformBroker(self.loop, self.net, config, log=self.log)
-        self.front = Front(self.broker, config.client_sockets, config.kept_clients, self.log)
+        self.front = Front(self.broker, config.client_sockets, config.max_kept_alive_clients, self.log)
         self.listener: Listener | None = None
         self._terminated_at_us: int | None = None
         self._shutdown_by_us = 0
--- a/heathwell/testing/simulation/multi_broker_scenario.py
+++ b/heathwell/testing/simulation/multi_broker_scenario.py
@@ -112,7 +112,7 @@
         config = self._config(number)
         net = self.net.at(f"b{number}")
         broker = PlatformBroker(self.loop, net, config, log=_discard_log, unix_us=lambda: UNIX_TIME_US)
-        front = Front(broker, config.client_sockets, config.kept_clients, _discard_log)
+        front = Front(broker, config.client_sockets, config.max_kept_alive_clients, _discard_log)
         return _BrokerProcess(broker, front, net.listen(config.listen, front.serve, "client"))
 
     def restart(self, number: int) -> None:
--- a/tests/event_ordering_world.py
+++ b/tests/event_ordering_world.py
@@ -182,7 +182,9 @@
         self.config = read(encode_config(**config_fields))
         self.lines: list[str] = []
         self.broker = PlatformBroker(self.loop, self.connect_gate, self.config, log=self.log)
-        self.front = Front(self.broker, self.config.client_sockets, self.config.kept_clients, self.log)
+        self.front = Front(
+            self.broker, self.config.client_sockets, self.config.max_kept_alive_clients, self.log
+        )
         self.listener = self.net.listen("127.0.0.1:0", self.front.serve, "client")
         self.class_names = [entry["name"] for entry in self.settings["classes"]]
 
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -68,7 +68,9 @@
             events=ListEvents(self.events, "n1", "broker", self.loop.clock),
             unix_us=lambda: UNIX_US,
         )
-        self.front = Front(self.broker, self.config.client_sockets, self.config.kept_clients, self.log)
+        self.front = Front(
+            self.broker, self.config.client_sockets, self.config.max_kept_alive_clients, self.log
+        )
         self.listener = self.net.at("broker").listen("broker:7070", self.front.serve, "client")
 
     def node(self, number: int, replica_group: int | None = None) -> PlatformNode:
