--- a/heathwell/benchlink.py
+++ b/heathwell/benchlink.py
@@ -18,8 +18,8 @@
     coded,
     need,
     number,
+    real_number,
     settings_from,
-    share,
     text,
 )
 from heathwell.policy.aggregator import Aggregator
@@ -97,7 +97,7 @@
             id=text(message, "xid", kind),
             job=number(message, "job-no", kind),
             shard=shard,
-            weight=share(message, "amount", kind),
+            weight=real_number(message, "amount", kind),
             work_hint_us=hint,
             key=message.get("key"),
         )
--- a/heathwell/gateway/settings_from_platform.py
+++ b/heathwell/gateway/settings_from_platform.py
@@ -55,7 +55,7 @@
     return int(_numeric(message, field, where))
 
 
-def share(message: JsonValue, field: str, where: str) -> float:
+def real_number(message: JsonValue, field: str, where: str) -> float:
     """Return a number as a float."""
     return float(_numeric(message, field, where))
 
