--- a/heathwell/benchlink.py
+++ b/heathwell/benchlink.py
@@ -16,9 +16,9 @@
     WireError,
     array,
     coded,
-    need,
     number,
     real_number,
+    required_field,
     settings_from,
     text,
 )
@@ -233,7 +233,7 @@
         kind = "new-instance"
         seed = number(message, "nonce64", kind)
         try:
-            return Aggregator(settings_from(need(message, "setup", kind)), seed)
+            return Aggregator(settings_from(required_field(message, "setup", kind)), seed)
         except ValueError as error:
             raise WireError(f"new-instance: {error}") from None
 
--- a/heathwell/gateway/settings_from_platform.py
+++ b/heathwell/gateway/settings_from_platform.py
@@ -41,7 +41,7 @@
     """Input that violates the wire's specification; the message names the field."""
 
 
-def need(message: JsonValue, field: str, where: str) -> JsonValue:
+def required_field(message: JsonValue, field: str, where: str) -> JsonValue:
     """Return a field's value; raise :class:`WireError` if it is missing."""
     if not isinstance(message, dict):
         raise WireError(f"{where}: expected an object, got {type(message).__name__}")
@@ -61,7 +61,7 @@
 
 
 def _numeric(message: JsonValue, field: str, where: str) -> int | float:
-    value = need(message, field, where)
+    value = required_field(message, field, where)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise WireError(f"{where}: field '{field}': expected a number, got {type(value).__name__}")
     return value
@@ -69,7 +69,7 @@
 
 def text(message: JsonValue, field: str, where: str) -> str:
     """Return a text."""
-    value = need(message, field, where)
+    value = required_field(message, field, where)
     if not isinstance(value, str):
         raise WireError(f"{where}: field '{field}': expected a string, got {type(value).__name__}")
     return value
@@ -85,7 +85,7 @@
 
 def array(message: JsonValue, field: str, where: str) -> list[JsonValue]:
     """Return an array."""
-    value = need(message, field, where)
+    value = required_field(message, field, where)
     if not isinstance(value, list):
         raise WireError(f"{where}: field '{field}': expected an array, got {type(value).__name__}")
     return value
@@ -143,9 +143,9 @@
 
 def _sections(setup: JsonValue) -> _Sections:
     """Return the nested objects, of which only that of the clients is optional."""
-    deployment = need(setup, DEPLOYMENT_FIELD, "setup")
-    limits = need(setup, LIMITS_FIELD, "setup")
-    rules = need(setup, RULES_FIELD, "setup")
+    deployment = required_field(setup, DEPLOYMENT_FIELD, "setup")
+    limits = required_field(setup, LIMITS_FIELD, "setup")
+    rules = required_field(setup, RULES_FIELD, "setup")
     clients = setup.get(CLIENTS_FIELD) or {}
     sections = (
         (DEPLOYMENT_FIELD, deployment),
