--- a/heathwell/broker/query_registry.py
+++ b/heathwell/broker/query_registry.py
@@ -110,7 +110,7 @@
         self.open_count += 1
         return Handle(self, query.id)
 
-    def enter(
+    def queue_arrival(
         self,
         query: QueryT,
         parts: Iterable[HintedPart[PartT]],
--- a/heathwell/gateway/broker.py
+++ b/heathwell/gateway/broker.py
@@ -129,7 +129,7 @@
         self._log_arrival(query, spec)
         handle = self.admit(query)
         hints_us = [part.hint_us for part in request.parts if part.hint_us is not None]
-        self.enter(
+        self.queue_arrival(
             query,
             (
                 HintedPart(PlatformPart(f"{query.id}.{part.shard}", part, 1), part.hint_us)
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -147,7 +147,7 @@
         """Pass a query to the decision module."""
         parts = query.plan.parts
         work_us = part_work_us(query.plan, query.settings_version)
-        self.enter(
+        self.queue_arrival(
             query,
             self._planner.first_step(query),
             len(parts),
