--- a/tests/event_ordering_world.py
+++ b/tests/event_ordering_world.py
@@ -26,8 +26,8 @@
 
 MAX_LOOP_TURNS: Final = 20_000  # some seconds, for a state that is never reached
 SETTINGS_VARIANTS: dict[str, dict[str, Any]] = {
-    "asked": {},
-    "asked, short grace, calls of many parts, copies": {
+    "poll mode": {},
+    "poll mode, short grace, batched calls, hedges": {
         "classes": [
             {
                 "name": "range-search",
@@ -58,7 +58,7 @@
             "parts-a-call": 8,
         },
     },
-    "pushed, unsafe, no cancels, tenants": {
+    "push mode, non-idempotent, no cancellation, tenants": {
         "registry-mode": "push",
         "accounts": [
             {"name": "valley", "quota-rps": 20.0, "share": 0.6},
@@ -160,7 +160,9 @@
 class World:
     """One node per replica group, discovery and one broker over loopback sockets."""
 
-    def __init__(self, name: str = "asked", *, width: int = 1, registry: bool = True, **changes: Any) -> None:
+    def __init__(
+        self, name: str = "poll mode", *, width: int = 1, registry: bool = True, **changes: Any
+    ) -> None:
         self.clock = AdvancedClock()
         self.loop, self.net, self.poller = socket_loop(clock=self.clock)
         self.errors: list[tuple[str, BaseException]] = []
--- a/tests/test_event_orderings.py
+++ b/tests/test_event_orderings.py
@@ -369,7 +369,7 @@
     sock.recv(65_536)
 
 
-@pytest.mark.parametrize("cause", ["the end", "its patience", "too many at rest", "room for another"])
+@pytest.mark.parametrize("cause", ["shutdown", "idle timeout", "too many idle connections", "new connection"])
 def test_a_request_in_the_socket_as_its_idle_connection_is_to_close_is_served(cause):
     """The broker has not read the request yet: if it closed the connection, the client would have to retry
     (during shutdown, at another broker).
@@ -380,19 +380,19 @@
         sock = world.open_client_socket()
         yield from serve_one_request(world, sock)
         (client,) = world.front.clients
-        if cause == "its patience":
+        if cause == "idle timeout":
             client.since_us = LONG_AGO_US
-        if cause == "too many at rest":
+        if cause == "too many idle connections":
             world.front.max_kept_alive = 0
-        if cause == "room for another":
+        if cause == "new connection":
             world.front.max_clients = 1
         sock.send(world.request_bytes("q2", SHARD))  # the broker does not run between here and the close
-        if cause == "the end":
+        if cause == "shutdown":
             world.front.drain()
             world.front.close_idle()
-        elif cause == "its patience":
+        elif cause == "idle timeout":
             world.front._check_timeouts()
-        elif cause == "too many at rest":
+        elif cause == "too many idle connections":
             world.front.on_answered(client)
         else:
             assert not world.front._make_room()
@@ -409,7 +409,7 @@
     assert world.run(main()).startswith(b"HTTP/1.1 200")
 
 
-@pytest.mark.parametrize("cause", ["the end", "its patience", "too many at rest", "room for another"])
+@pytest.mark.parametrize("cause", ["shutdown", "idle timeout", "too many idle connections", "new connection"])
 def test_an_idle_connection_with_nothing_in_its_socket_is_closed(cause):
     """By the same four causes."""
     world = World()
@@ -418,12 +418,12 @@
         sock = world.open_client_socket()
         yield from serve_one_request(world, sock)
         (client,) = world.front.clients
-        if cause == "the end":
+        if cause == "shutdown":
             world.front.close_idle()
-        elif cause == "its patience":
+        elif cause == "idle timeout":
             client.since_us = LONG_AGO_US
             world.front._check_timeouts()
-        elif cause == "too many at rest":
+        elif cause == "too many idle connections":
             world.front.max_kept_alive = 0
             world.front.on_answered(client)
         else:
@@ -616,7 +616,7 @@
     world.run(main())
 
 
-@pytest.mark.parametrize("phase", ["connecting", "half an answer", "waiting"])
+@pytest.mark.parametrize("phase", ["connecting", "partial response", "waiting"])
 def test_discovery_moves_in_each_phase_of_its_watch_and_a_response_of_the_old_one_has_no_effect(phase):
     """The old address is connecting, has sent half a response, or holds the call."""
     world = World(registry=False)
@@ -626,7 +626,7 @@
     def main():
         def serve(stream):
             requests.append((yield from stream.read()))
-            if phase == "half an answer":
+            if phase == "partial response":
                 stream.write(b'HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n{"rev": 9, ')
                 half_answered.append(stream)
             yield from stream.read()
@@ -640,7 +640,7 @@
                 listener.address in world.connect_gate.connect_attempts if phase == "connecting" else requests
             )
         )
-        if phase == "half an answer":
+        if phase == "partial response":
             yield from world.wait_until(lambda: half_answered)
         world.publish_change(world.nodes[2], "draining")
         world.broker.watch.move(world.registry.address)
@@ -705,7 +705,7 @@
 
 def test_a_tenant_is_identified_by_the_settings_accounts():
     """A query without an account belongs to no tenant: it can't be over a tenant's quota."""
-    world = World("pushed, unsafe, no cancels, tenants")
+    world = World("push mode, non-idempotent, no cancellation, tenants")
     seen = []
     handle = world.broker.aggregator.handle
 
--- a/tests/test_event_orderings_processes.py
+++ b/tests/test_event_orderings_processes.py
@@ -212,7 +212,7 @@
     assert len(seen) > 20 and not (seen - answered), (seen - answered, disconnected)
 
 
-@pytest.mark.parametrize("phase", ["connecting", "half an answer", "twice", "while it ends"])
+@pytest.mark.parametrize("phase", ["connecting", "partial response", "twice", "during shutdown"])
 def test_sighup_in_each_phase_of_the_watch_moves_it_and_ends_nothing(running, phase):
     """The broker goes on serving; a shutdown in progress is completed."""
     world = running(has_discovery=False)
@@ -220,7 +220,7 @@
 
     def serve(stream):
         requests.append((yield from stream.read()))
-        if phase == "half an answer":
+        if phase == "partial response":
             stream.write(b'HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n{"rev": 9, ')
         yield from stream.read()
 
@@ -231,7 +231,7 @@
         if phase != "connecting":
             yield from wait_until(world, lambda: requests)
         world.write_config(world.discoveries[1].address)
-        if phase == "while it ends":
+        if phase == "during shutdown":
             world.process.send_signal(signal.SIGTERM)
             yield from world.wait_for_log("terminating")
         world.process.send_signal(signal.SIGHUP)
@@ -239,7 +239,7 @@
             world.process.send_signal(signal.SIGHUP)
         yield from wait_until(world, lambda: world.discoveries[1].queries)
         status = (yield from world.client().send_query("q1", "price-search", [0, 1, 2, 3])).status
-        if phase != "while it ends":
+        if phase != "during shutdown":
             assert world.process.poll() is None
             world.process.send_signal(signal.SIGTERM)
         return status, (yield from world.wait_for_exit())
--- a/tests/test_event_orderings_random.py
+++ b/tests/test_event_orderings_random.py
@@ -29,14 +29,14 @@
     "remove",
     "return",
     "reset",
-    "mute",
+    "toggle silence",
     "slow connects",
     "watch silent",
     "watch reset",
     "discovery down",
     "older list",
-    "spoil",
-    "end",
+    "malformed response",
+    "shutdown",
 )
 
 
@@ -84,14 +84,14 @@
             "remove": lambda node: self.world.registry.publish({**node.entry, "state": "removed"}),
             "return": lambda node: self.world.registry.publish(node.entry),
             "reset": lambda node: abort_all(node.streams),
-            "mute": self._toggle_silence,
+            "toggle silence": self._toggle_silence,
             "slow connects": self._slow_connects,
             "watch silent": lambda _node: self.world.registry.mute_connections(),
             "watch reset": lambda _node: abort_all(self.world.registry.streams),
             "discovery down": self._toggle_discovery,
             "older list": self._reset_revision,
-            "spoil": self._answer_with_noise,
-            "end": self._start_shutdown,
+            "malformed response": self._answer_with_noise,
+            "shutdown": self._start_shutdown,
         }
 
     def run(self) -> None:
--- a/tests/test_event_orderings_servers.py
+++ b/tests/test_event_orderings_servers.py
@@ -104,7 +104,7 @@
 
     request = GET
     end = b"END\r\n"
-    causes = ("cut off", "room for another", "the end")
+    causes = ("cut off", "new connection", "shutdown")
 
     def __init__(self, servers: Servers) -> None:
         self.servers = servers
@@ -117,7 +117,7 @@
 
     def close(self, cause: str) -> None:
         """Close idle connections for a cause other than a new client."""
-        if cause == "the end":
+        if cause == "shutdown":
             self.server.hand_over()
             return
         now = self.servers.loop.now()
@@ -135,7 +135,7 @@
 
     request = COLLECTIONS
     end = b"}"
-    causes = ("its patience", "room for another")
+    causes = ("idle timeout", "new connection")
 
     def __init__(self, servers: Servers) -> None:
         self.servers = servers
@@ -148,7 +148,7 @@
 
     def close(self, cause: str) -> None:
         """Close idle connections for a cause other than a new client."""
-        assert cause == "its patience"
+        assert cause == "idle timeout"
         for connection in self.connections():
             connection._quiet_since_us = LONG_AGO_US
             connection._check_timeouts()
@@ -170,7 +170,7 @@
 
 def close_by(servers, clients, cause):
     """Close idle connections for that cause; a new client takes the place of an idle one."""
-    if cause == "room for another":
+    if cause == "new connection":
         servers.loop.spawn(clients.server.serve(servers.new_streams.pop()), "another client")
     else:
         clients.close(cause)
@@ -211,7 +211,7 @@
         close_by(servers, clients, cause)
         yield from sleep(servers.loop, 0)
         closed = [connection.stream.closed for connection in connections]
-        assert closed == ([True, False, False] if cause == "room for another" else [True] * 3)
+        assert closed == ([True, False, False] if cause == "new connection" else [True] * 3)
         data = yield from servers.received(socks[0], clients.end)
         assert data == b"<closed>"
 
--- a/tests/test_hash_seeds.py
+++ b/tests/test_hash_seeds.py
@@ -169,7 +169,7 @@
 
 def random_event_orderings() -> object:
     """Return the events of a random schedule of drains, resets and endpoint updates."""
-    return play_event_orderings("asked", 3, span_us=3 * SECOND_US)
+    return play_event_orderings("poll mode", 3, span_us=3 * SECOND_US)
 
 
 def random_fault_script() -> object:
