--- a/tests/event_ordering_world.py
+++ b/tests/event_ordering_world.py
@@ -1,8 +1,8 @@
 """A broker, its front and scripted peers in one loop over loopback sockets, with a forced order of events.
 
-A peer waits for a named state of the broker (``wait_until``) before it writes its next byte; connects of the
-broker are held at a :class:`ConnectGate`. Nothing sleeps for a fixed time, the kernel chooses the ports, and
-the tests check what nodes and clients received.
+A peer waits for a state of the broker (``wait_until``) before it writes its next byte, and a
+:class:`ConnectGate` holds back connects of the broker. Nothing sleeps for a fixed time, the kernel selects
+the ports, and the tests check what nodes and clients received.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from heathwell.testing.standins.platform_discovery import PlatformDiscovery
 from heathwell.testing.standins.platform_node import PlatformNode
 
-MAX_LOOP_TURNS: Final = 20_000  # some seconds, for a state that is never reached
+MAX_LOOP_TURNS: Final = 20_000  # limit of a wait for a state, which takes a few seconds
 SETTINGS_VARIANTS: dict[str, dict[str, Any]] = {
     "poll mode": {},
     "poll mode, short grace, batched calls, hedges": {
@@ -97,7 +97,7 @@
 
 
 def settings_variant(name: str, **specifics: Any) -> dict[str, Any]:
-    """Return a settings object of that name; keys that its tables leave out keep their default values."""
+    """Return the settings of a variant; keys that the variant does not set keep their default values."""
     settings: dict[str, Any] = platform_settings()
     for key, value in SETTINGS_VARIANTS[name].items():
         settings[key] = {**settings[key], **value} if isinstance(value, dict) else value
@@ -106,7 +106,7 @@
 
 
 class AdvancedClock(MonotonicClock):
-    """The machine's clock plus ``offset_us``, which a test sets to simulate a stall of the loop."""
+    """The machine's clock plus ``offset_us``, which a test increases to simulate a stall of the loop."""
 
     offset_us = 0
 
@@ -116,8 +116,9 @@
 
 
 class ConnectGate:
-    """The broker's network: a connect to a held address waits; each error set for an address fails one
-    connect.
+    """The broker's network, in which connects to held addresses wait.
+
+    Each error in ``connect_errors`` fails one connect to its address.
     """
 
     def __init__(self, net: Any) -> None:
@@ -140,11 +141,11 @@
         return stream
 
     def hold(self, address: str) -> None:
-        """Let connects to an address wait from now on."""
+        """Make connects to an address wait from now on."""
         self.held_addresses[address] = Event()
 
     def open(self, address: str) -> None:
-        """Let the connects that wait for an address go on."""
+        """Let the connects that wait for an address continue."""
         self.held_addresses.pop(address).set()
 
 
@@ -201,8 +202,9 @@
     def start_query(
         self, name: str, shard: int, class_index: int = 0, client: PlatformClient | None = None, **more: Any
     ) -> Any:
-        """Send a query of one part and return its task. The client waits a minute, so that the timeout of
-        the query class is the one that applies.
+        """Send a query of one part and return its task.
+
+        The client waits for a minute, so that the timeout of the query class applies.
         """
         generator = self._send_query(name, shard, class_index, client or self.client(), more)
         return self.loop.spawn(generator, name)
@@ -232,14 +234,14 @@
         return sock
 
     def hold_parts(self) -> list[HeldPart]:
-        """Let all nodes leave received parts unanswered; return the list to which these are added."""
+        """Make all nodes leave received parts unanswered; return the list to which these are added."""
         held: list[HeldPart] = []
         for node in self.nodes:
             node.responder = lambda node, stream, part: held.append(HeldPart(node, stream, part))
         return held
 
     def answer_parts(self) -> None:
-        """Let all nodes answer the parts that they receive from now on."""
+        """Make all nodes answer the parts that they receive from now on."""
         for node in self.nodes:
             node.responder = None
 
@@ -251,12 +253,12 @@
         return sock
 
     def wait_until(self, condition: Callable[[], Any], what: str = "") -> Coro[None]:
-        """Turn the loop until ``condition`` is true. Raise AssertionError if it never is."""
+        """Run the loop until ``condition`` is true; raise AssertionError after ``MAX_LOOP_TURNS`` checks."""
         for _ in range(MAX_LOOP_TURNS):
             if condition():
                 return
             yield from sleep(self.loop, 200)
-        raise AssertionError(f"never reached: {what or condition}; {self.lines[-5:]}")
+        raise AssertionError(f"state not reached: {what or condition}; last log lines: {self.lines[-5:]}")
 
     def run(self, generator: Coro[Any]) -> Any:
         """Run a coroutine to its end and return its result; stop the broker and the loop afterwards."""
@@ -269,7 +271,7 @@
             self.loop.shutdown()
 
     def stall_until(self, at_us: int) -> None:
-        """Advance the loop's clock to ``at_us``, unless that is past."""
+        """Advance the loop's clock to ``at_us``, unless that time has passed."""
         self.clock.offset_us += max(at_us - self.loop.now(), 0)
 
     def publish_change(self, node: PlatformNode, change: str) -> None:
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -1,5 +1,6 @@
-"""The platform on virtual time: a broker with its front, stand-in nodes and discovery, and the auditor's
-verdict over their event logs.
+"""The platform on virtual time: a broker with its front, and stand-ins for nodes and discovery.
+
+The auditor judges the event logs of broker and nodes.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
         self.loop, self.net = virtual_loop(seed)
         self.errors: list[tuple[str, BaseException]] = []
         self.loop.on_error = lambda task, error: self.errors.append((task, error))
-        self.minimum_transit_us = 100  # of bytes from the broker to a node
+        self.minimum_transit_us = 100  # shortest transit time of bytes from the broker to a node
         self.lines: list[str] = []
         self.events: list[dict[str, Any]] = []
         self.nodes = [self.node(number) for number in range(REPLICA_GROUPS)]
@@ -94,13 +95,13 @@
         return PlatformClient(self.loop, self.net.at(name), "broker:7070")
 
     def run(self, generator: Any, *, errors: bool = False) -> Any:
-        """Run a coroutine to its end and return its result; failed tasks are an error unless ``errors``."""
+        """Run a coroutine to its end and return its result; failed tasks fail the test unless ``errors``."""
         result = self.loop.run(self.loop.spawn(generator, "main"))
         assert errors or not self.errors, self.errors
         return result
 
     def respond_with(self, responder: Any) -> None:
-        """Let all nodes handle received parts by ``responder``; None restores their usual responses."""
+        """Make all nodes handle received parts by ``responder``; None restores their default responses."""
         for node in self.nodes:
             node.responder = responder
 
@@ -113,7 +114,7 @@
         return self.run(main())
 
     def delay_nodes(self, delay_us: int) -> None:
-        """Delay what passes between the broker and the nodes."""
+        """Set the one-way delay between the broker and the nodes."""
         usual_delay = self.net.delay
 
         def delay(source: str, target: str) -> int:
@@ -168,8 +169,8 @@
 class AuditTranslator:
     """Translates events of the platform into the auditor's records.
 
-    The wire names parts and not attempts: an arrival is assigned to the latest send that can have arrived by
-    then, and parts are numbered as the auditor counts them.
+    The wire names parts and not attempts. So an arrival is assigned to the latest send that can have arrived
+    by then, and parts are numbered in the order in which the auditor expects them.
     """
 
     def __init__(self, minimum_transit_us: int) -> None:
@@ -215,7 +216,7 @@
         else:
             sequence = self.arrived.get((event["node"], event.get("n", -1)), -1)
         if sequence < 0:
-            return None  # a cancelled part: the wire does not state which attempt
+            return None  # a cancelled part: the wire does not name its attempt
         return {
             **event,
             "p": names[event["p"]],
--- a/tests/test_event_orderings.py
+++ b/tests/test_event_orderings.py
@@ -1,5 +1,5 @@
 """Concurrent events in a forced order: parts that wait to be sent, clients that disconnect, idle connections,
-updates of the endpoint list, and shutdown.
+updates of the endpoint list, and shutdown. What nodes and clients receive is checked.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
 
 
 class PausedReader:
-    """A node's listener that reads nothing until ``resume`` is set, then collects the ids of received parts
-    in order. ``ends`` holds how each connection ended: "end" or "reset".
+    """A node's listener that reads nothing until ``resume`` is set, and then collects the ids of the received
+    parts in order. ``ends`` lists how its connections ended: "end" or "reset".
     """
 
     def __init__(self, world, number):
@@ -83,9 +83,9 @@
 
 
 def block_sends(world, node, wait):
-    """Let what is sent to a node wait for its "connect", a "second connect" or a "full socket".
+    """Make attempts to a node wait: for its "connect", a "second connect" or a "full socket".
 
-    Return the paused reader behind a full socket, else None.
+    Return the paused reader at the other end of the full socket, else None.
     """
     if wait == "full socket":
         return (yield from fill_socket(world, node))
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("wait", ["connect", "second connect", "full socket"])
 @pytest.mark.usefixtures("without_silence_timeout")
 def test_a_waiting_part_is_not_sent_to_a_node_that_drains_is_removed_or_moves(name, change, wait):
-    """The drain grace applies to a part's first byte, and a wait for a connect may outlast the grace."""
+    """No part may be sent to a node after the drain grace, and the wait for a connect may outlast it."""
     world = World(name)
     node = world.nodes[SHARD]
 
@@ -133,8 +133,8 @@
     status, other, reader = world.run(main())
     seen = reader.ids if reader is not None else [part.id for part in node.parts]
     assert not [part for part in seen if part.startswith("q1")]
-    # A moved node receives the part at its new address. Else the shard has no replica: the query is rejected,
-    # and 503 states that nothing has run, so that a retry is safe.
+    # A moved node receives the part at its new address. Otherwise the shard has no replica left: the query is
+    # rejected with 503, which states that nothing has run and a retry is safe.
     assert (status, [part.id for part in other.parts]) == (
         (200, ["q1.3"]) if change == "moved" else (503, [])
     )
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("change", ["draining", "restarted"])
 def test_a_withdrawn_unsent_part_is_sent_to_another_replica_even_if_non_idempotent(name, change):
-    """A restarted node is in slow start: it is not the endpoint for which a waiting part was chosen."""
+    """A restarted node is in slow start, so that it no longer has the state for which it was selected."""
     world = World(name, width=3)
 
     def main():
@@ -165,7 +165,7 @@
 
     status, chosen = world.run(main())
     assert status == 200 and not chosen.parts
-    assert [part.id for node in world.nodes for part in node.parts] == ["q1.3"]  # once, by all nodes together
+    assert [part.id for node in world.nodes for part in node.parts] == ["q1.3"]  # received once in total
 
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
@@ -173,7 +173,7 @@
 @pytest.mark.parametrize("wait", ["connect", "second connect", "full socket"])
 @pytest.mark.usefixtures("without_silence_timeout")
 def test_a_waiting_part_is_not_sent_after_its_client_disconnected(name, disconnect, wait):
-    """Neither after a connect nor from the buffer of a full socket."""
+    """The part waits for a connect or behind a full socket when the client disconnects."""
     world = World(name)
     node = world.nodes[SHARD]
 
@@ -202,7 +202,7 @@
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("between", ["steps", "attempts"])
 def test_no_second_step_and_no_retry_is_sent_after_the_client_disconnected(disconnect, between):
-    """The response that would lead to it is held until the broker has noticed the disconnect."""
+    """The response that would lead to it is held back until the broker has noticed the disconnect."""
     world = World(width=3)
     fetches = world.settings["specifics"]["class-fetch"]
     class_index = next(index for index, fetch in enumerate(fetches) if bool(fetch) == (between == "steps"))
@@ -225,8 +225,9 @@
 
 @pytest.mark.parametrize("disconnect", ["close", "reset"])
 def test_a_disconnect_is_noticed_behind_more_requests_than_are_read_ahead(disconnect):
-    """A client may pipeline hundreds of requests and disconnect. None of those behind the first is sent to a
-    node, though the bound of read-ahead bytes keeps the broker from reading up to the end of the stream.
+    """A client may pipeline hundreds of requests and disconnect. The broker stops reading at its limit of
+    read-ahead bytes, before the end of the stream, and must still notice the disconnect: no request after the
+    first is sent to a node.
     """
     world = World()
     node = world.nodes[SHARD]
@@ -253,7 +254,7 @@
 
 
 def test_a_request_received_together_with_its_clients_disconnect_is_not_sent():
-    """Request and end of stream are both in the socket before the broker reads."""
+    """The request and the end of the stream are both in the socket before the broker reads."""
     world = World()
 
     def main():
@@ -278,7 +279,7 @@
 
 
 def send_second_attempt(world, query, part, node):
-    """Send a part's second attempt through the driver, where the settings allow no hedges."""
+    """Send a second attempt of a part in place of the driver, for settings that allow no hedges."""
     part.attempt_count = 2
     query.in_flight[part.id, 1] = node.uid
     world.broker._link(node.uid).send([world.broker.attempt_request(query, part, 1, 100_000)])
@@ -299,7 +300,7 @@
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_a_waiting_additional_attempt_is_not_sent_once_the_first_is_answered(name):
-    """A part after it on the same connection shows that the connection is usable."""
+    """Another part is then sent over the same connection, which shows that the connection is usable."""
     world = World(name, width=3)
 
     def main():
@@ -333,7 +334,9 @@
 
 @pytest.mark.usefixtures("without_silence_timeout")
 def test_cancelling_an_attempt_behind_a_full_socket_resets_the_connection():
-    """A CANCEL frame that can't be sent cancels nothing, while the part is sent to another replica."""
+    """A CANCEL frame that waits behind a full socket does not cancel the attempt, and the part is sent to
+    another replica meanwhile. The reset keeps the node from receiving the rest.
+    """
     world = World()
     ended = []
 
@@ -371,8 +374,8 @@
 
 @pytest.mark.parametrize("cause", ["shutdown", "idle timeout", "too many idle connections", "new connection"])
 def test_a_request_in_the_socket_as_its_idle_connection_is_to_close_is_served(cause):
-    """The broker has not read the request yet: if it closed the connection, the client would have to retry
-    (during shutdown, at another broker).
+    """The broker has not read the request yet. If it closed the connection, the client would have to retry,
+    during shutdown at another broker.
     """
     world = World()
 
@@ -411,7 +414,7 @@
 
 @pytest.mark.parametrize("cause", ["shutdown", "idle timeout", "too many idle connections", "new connection"])
 def test_an_idle_connection_with_nothing_in_its_socket_is_closed(cause):
-    """By the same four causes."""
+    """The causes of the close are the same four."""
     world = World()
 
     def main():
@@ -436,8 +439,8 @@
 
 @pytest.mark.parametrize("first", ["write", "end"])
 def test_a_connection_that_ends_during_a_write_does_not_make_its_node_unreachable(first):
-    """A part that the kernel accepted may have run: the connection was lost. One that the kernel rejected was
-    never sent.
+    """A part that the kernel accepted before the end may have run: its connection was lost. A part that is
+    written after the end was never sent.
     """
     world = World(width=1)
 
@@ -469,7 +472,7 @@
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_the_endpoint_list_is_watched_from_the_start_and_after_a_lost_connection_in_each_mode(name):
-    """Also where lists are pushed: the broker does not stay with the list of its start."""
+    """A broker to which lists are pushed must not keep the list of its start either."""
     world = World(name)
 
     def main():
@@ -491,7 +494,7 @@
 
 
 def test_a_rejecting_discovery_is_polled_with_backoff_where_no_poll_interval_is_set():
-    """A backoff of zero would call discovery in each turn of the loop."""
+    """With a backoff of zero the broker would call discovery in each turn of its loop."""
     world = Platform(settings={"registry-mode": "push", "invariants": {"drain-grace-us": 0}})
     world.registry.down = True
     world.wait(1.0)
@@ -500,9 +503,9 @@
 
 @pytest.mark.parametrize("grace_us", [0, 250_000, 400_000, 999_999, 1_000_000, 3_000_000])
 def test_a_watch_call_is_short_enough_to_recover_from_silence_before_a_drain_is_binding(grace_us):
-    """The platform's times: a silence that begins with the call is noticed one second after its hold time,
-    the connect takes half a second, the response one and a half. A drain counts as announced after six
-    seconds, or two after the hold time, and is binding a grace later.
+    """The worst case by the platform's times: discovery stops responding as the call begins. That is noticed
+    one second after the hold time; then the connect takes half a second and the response one and a half. A
+    drain counts as announced after six seconds, or two seconds after the hold time, and binds a grace later.
     """
     for wait in (longest_wait(grace_us), longest_wait(grace_us) // 2):
         assert wait + 1_000_000 + 500_000 + 1_500_000 <= max(6_000_000, wait + 2_000_000) + grace_us
@@ -511,7 +514,7 @@
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_a_watch_silent_from_its_first_byte_recovers_before_a_drain_is_binding(name):
-    """Discovery takes 1.4 of the allowed 1.5 s to answer the reopened watch. Virtual time."""
+    """Discovery takes 1.4 s of the allowed 1.5 s to answer the reopened watch. Runs on virtual time."""
     settings = settings_variant(name)
     world = Platform(settings=settings)
     registry = world.registry
@@ -530,8 +533,8 @@
 @pytest.mark.parametrize("draw", [0.0, 0.5, 1.0])
 @pytest.mark.parametrize("failing", ["refused", "503"])
 def test_a_failed_reopened_watch_recovers_before_a_drain_is_binding(failing, draw):
-    """Discovery recovers just after the drain counts as announced. The module's own backoff, of one to two
-    seconds and then two to four, would end after the grace at its shorter and middle draws.
+    """Discovery recovers just after the drain counts as announced. The decision module's backoff, a random
+    one to two seconds and then two to four, would in the short and the middle case end only after the grace.
     """
     world = Platform()
     world.broker.aggregator.random.uniform = lambda low, high: low + draw * (high - low)
@@ -573,7 +576,7 @@
 
 @pytest.mark.parametrize("revision", [1, 2, 50])
 def test_a_restarted_discovery_is_followed_at_an_older_an_equal_or_a_newer_revision(revision):
-    """An older revision shows only after the hold time of the first call, hence the virtual time."""
+    """An older revision is noticed only after the hold time of the first call, so this uses virtual time."""
     world = Platform(known=False)
     registry = world.registry
     world.wait(0.1)
@@ -597,7 +600,7 @@
 
 
 def test_an_endpoint_list_may_be_indented_json():
-    """The format of the JSON text does not matter."""
+    """White space in the JSON text has no meaning."""
     world = World(registry=False)
     body = json.dumps(
         {"rev": 2, "all": False, "targets": [{**world.nodes[2].entry, "state": "draining"}]}, indent=4
@@ -618,7 +621,7 @@
 
 @pytest.mark.parametrize("phase", ["connecting", "partial response", "waiting"])
 def test_discovery_moves_in_each_phase_of_its_watch_and_a_response_of_the_old_one_has_no_effect(phase):
-    """The old address is connecting, has sent half a response, or holds the call."""
+    """The broker connects to the old address, has half a response from it, or waits in the hold time."""
     world = World(registry=False)
     requests = []
     half_answered = []
@@ -660,8 +663,8 @@
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_every_query_is_answered_before_the_shutdown_deadline(name):
-    """Also where the timeout of a class is longer than the 3 s after which SIGKILL may follow: it is cut
-    then. Virtual time.
+    """A timeout of a class that is longer than the 3 s after which SIGKILL may follow is shortened to these.
+    Runs on virtual time.
     """
     settings = settings_variant(name)
     world = Platform(settings=settings)
@@ -704,7 +707,7 @@
 
 
 def test_a_tenant_is_identified_by_the_settings_accounts():
-    """A query without an account belongs to no tenant: it can't be over a tenant's quota."""
+    """A query of an unknown account, or of none, belongs to no tenant and can't exceed a tenant's quota."""
     world = World("push mode, non-idempotent, no cancellation, tenants")
     seen = []
     handle = world.broker.aggregator.handle
@@ -739,7 +742,7 @@
     ],
 )
 def test_connection_limits_that_the_settings_leave_out_have_safe_defaults(ceilings, limits):
-    """A limit that is absent or zero."""
+    """A limit of zero is treated as absent."""
     world = Platform(settings={"ceilings": {"max-attempts": 3, **ceilings}})
     connections = world.config.connections
     assert (connections.streams, connections.idle_us, connections.connect_us) == limits
--- a/tests/test_event_orderings_processes.py
+++ b/tests/test_event_orderings_processes.py
@@ -1,4 +1,4 @@
-"""Signals in each phase of a broker, with processes of `run`; what clients and nodes received is checked."""
+"""Signals in each phase of a broker process; what clients and nodes received is checked."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 MAX_WAIT_TURNS: Final = 30_000  # of 2 ms
 ONE_PART: Final = json.dumps({"parts": [{"id": 3, "w": 1.0}], "expr": "c41e77d0"}).encode()
 
-# A program that signals itself once it has read its configuration, before it has a listener or a loop.
+# A broker program that signals itself once it has read its configuration, before it has a listener or a loop.
 BEFORE_THE_LOOP = """
 import os, runpy, signal, sys
 import heathwell.gateway.process as process
@@ -79,12 +79,12 @@
 
 
 def wait_until(world, condition):
-    """Turn the loop until ``condition`` is true. Raise AssertionError if it is not within a minute or so."""
+    """Run the loop until ``condition`` is true; raise AssertionError after about a minute."""
     for _ in range(MAX_WAIT_TURNS):
         if condition():
             return
         yield from sleep(world.loop, 2_000)
-    raise AssertionError(f"never reached: {world.log_path.read_text()}")
+    raise AssertionError(f"state not reached; the broker's log: {world.log_path.read_text()}")
 
 
 @pytest.mark.parametrize(
@@ -105,7 +105,7 @@
 
 
 def test_a_sighup_before_the_listener_exists_is_carried_out_and_the_broker_serves(running):
-    """The configuration is read again, and the start goes on."""
+    """The broker reads its configuration again and continues its start."""
     world = running(program=("-c", BEFORE_THE_LOOP.format(numbers=[int(signal.SIGHUP)])))
 
     def main():
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_after_sigterm_queries_to_unresponsive_nodes_are_answered_and_the_process_exits(running, name):
-    """The longest timeout in one variant is 4 s, more than the 3.7 s after which SIGKILL may follow."""
+    """In one variant the longest timeout is 4 s, which exceeds the 3.7 s after which SIGKILL may follow."""
     settings = settings_variant(name)
     world = running(settings=settings)
     for node in world.nodes:
@@ -143,7 +143,7 @@
 
 
 def test_a_request_half_read_when_the_listener_closes_is_completed_and_answered(running):
-    """After SIGTERM, on a connection that was accepted before."""
+    """The connection was accepted before SIGTERM."""
     world = running()
     request = raw_request("q1", ONE_PART)
 
@@ -172,8 +172,8 @@
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_during_shutdown_each_query_that_reached_a_node_is_answered(running, name):
-    """Five clients send one request after another and reconnect while the broker accepts connections, up to
-    its exit.
+    """Five clients send one request after another, and reconnect until the broker accepts no more
+    connections.
     """
     settings = settings_variant(name)
     world = running(settings=settings)
@@ -214,7 +214,7 @@
 
 @pytest.mark.parametrize("phase", ["connecting", "partial response", "twice", "during shutdown"])
 def test_sighup_in_each_phase_of_the_watch_moves_it_and_ends_nothing(running, phase):
-    """The broker goes on serving; a shutdown in progress is completed."""
+    """The broker continues to serve, and a shutdown in progress is completed."""
     world = running(has_discovery=False)
     requests = []
 
@@ -248,7 +248,7 @@
 
 
 def test_sighup_applies_a_new_discovery_address_alone_and_logs_what_needs_a_restart(running):
-    """The classes remain those of the start."""
+    """The query classes remain those of the start."""
     world = running()
     changed_class = {**world.settings["classes"][0], "name": "other", "hard-limit-us": 9_000_000}
     specifics = {
@@ -292,9 +292,9 @@
 
 
 def test_connections_in_the_backlog_when_the_listener_closes_are_served_before_the_exit():
-    """The clients have connected and sent their requests, and the broker has accepted none yet. It must not
-    exit in the same turn, before the tasks of these connections have begun. All in one process, so that the
-    kernel's queue is filled just before the listener closes.
+    """Clients have connected and sent requests, and the broker has not accepted them yet. It accepts them as
+    it closes the listener, and must not exit before the tasks of these connections have begun. Broker and
+    test share a process, so that the kernel's queue is filled just before the listener closes.
     """
     loop, net, _ = socket_loop()
     node = PlatformNode(loop, net, "127.0.0.1:0", "s3", 3, work_us=1)
--- a/tests/test_event_orderings_random.py
+++ b/tests/test_event_orderings_random.py
@@ -1,6 +1,6 @@
 """Random schedules of concurrent events under three settings variants, checked by the auditor.
 
-They run on virtual time; the order of tasks within a turn of the loop is drawn as well. The longer run is
+They run on virtual time, and the order of tasks within a turn of the loop is random too. The longer run is
 part of `make test-fleet`.
 """
 
@@ -22,8 +22,8 @@
 from .platform import Platform
 
 SPAN_US: Final = 6_000_000
-TRANSIT_US: Final = 2_000  # bytes take 100 us
-DISCONNECT_GRACE_US: Final = 300_000  # nothing is sent later for a client that has disconnected
+TRANSIT_US: Final = 2_000  # allowed transit time of bytes, which take 100 us
+DISCONNECT_GRACE_US: Final = 300_000  # after this time no part of a disconnected client may reach a node
 EVENTS: Final = (
     "drain",
     "remove",
@@ -61,7 +61,7 @@
 
 
 def respond_with_noise(node, stream, _part):
-    """Answer one part with bytes that are no frame."""
+    """Answer one part with bytes that are not a frame."""
     node.responder = None
     stream.write(b"\x00noise" * 9)
 
@@ -76,9 +76,9 @@
         self.world = Platform(seed=seed, settings=self.settings)
         self.net = SlowConnects(self.world.loop, self.world.broker.net)
         self.world.broker.net = self.net
-        self.left: dict[str, int] = {}  # when the client of a query disconnected
+        self.left: dict[str, int] = {}  # the time at which the client of a query disconnected
         self.answered: set[str] = set()
-        self.shutdown_deadlines_us: list[int] = []  # one at most
+        self.shutdown_deadlines_us: list[int] = []  # at most one
         self.event_handlers: dict[str, Callable[[PlatformNode], None]] = {
             "drain": lambda node: self.world.registry.publish({**node.entry, "state": "draining"}),
             "remove": lambda node: self.world.registry.publish({**node.entry, "state": "removed"}),
@@ -115,7 +115,7 @@
             yield from task.join()
 
     def _query(self, number):
-        """Send a query; its client may disconnect. Raise AssertionError if it is left unanswered."""
+        """Send a query, whose client may disconnect; raise AssertionError if it gets no reply."""
         query_class = self.draw.choice(self.settings["classes"])
         is_idempotent = query_class["idempotency"] == "read_like"
         shards = self.draw.sample(range(12), self.draw.choice([1, 2, 4]) if is_idempotent else 1)
@@ -135,7 +135,7 @@
             yield from task.join()
             self.answered.add(query)
         if query not in self.answered and query not in self.left and not self.shutdown_deadlines_us:
-            raise AssertionError(f"{query} has no answer")
+            raise AssertionError(f"{query} has no reply")
 
     def _inject(self, event: str, node: PlatformNode) -> None:
         self.event_handlers[event](node)
@@ -173,7 +173,7 @@
 
 
 def arrivals_after_disconnect(schedule: RandomSchedule) -> list[tuple[str, int]]:
-    """Return the parts that reached a node too long after their client had disconnected, and how long."""
+    """Return the parts that reached a node too late after their client's disconnect, with the time since."""
     return [
         (event["p"], event["t"] - schedule.left[query])
         for event in schedule.world.events
@@ -184,7 +184,10 @@
 
 
 def check_draining_nodes(events: list[dict[str, Any]], name: str, seed: int) -> None:
-    """Check that nothing is sent once the broker has the drain of a node: stricter than the drain grace."""
+    """Check that nothing is sent to a node once the broker knows of its drain.
+
+    This is stricter than the drain grace.
+    """
     leaving: dict[str, int] = {}
     for event in events:
         if event["ev"] == "news":
@@ -217,14 +220,14 @@
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_random_concurrent_events_break_no_rule(name, seed):
-    """Each query is answered, in time, and the auditor finds no breach."""
+    """Each query is answered in time, and the auditor finds no breach."""
     play(name, seed)
 
 
 @pytest.mark.fleet
 @pytest.mark.parametrize("part", range(12))
 def test_many_random_schedules_break_no_rule(part):
-    """The same over 300 seeds, in twelve parts."""
+    """The same for 300 seeds, divided into twelve tests."""
     for seed in range(100 + part, 400, 12):
         for name in SETTINGS_VARIANTS:
             play(name, seed)
--- a/tests/test_event_orderings_servers.py
+++ b/tests/test_event_orderings_servers.py
@@ -1,4 +1,4 @@
-"""The client protocols when an idle connection is about to be closed as its next request arrives.
+"""Requests that arrive as the broker is about to close their idle connection, for each client protocol.
 
 Broker, servers and client sockets share one loop, so that the order is forced: the bytes of the request are
 in the socket before the close, and the broker does not run between the two.
@@ -75,15 +75,15 @@
         yield from self.wait_until(lambda: len(self.new_streams) > count)
 
     def wait_until(self, condition: Callable[[], Any]):
-        """Turn the loop until ``condition`` is true. Raise AssertionError if it never is."""
+        """Run the loop until ``condition`` is true; raise AssertionError after ``MAX_LOOP_TURNS`` checks."""
         for _ in range(MAX_LOOP_TURNS):
             if condition():
                 return
             yield from sleep(self.loop, 200)
-        raise AssertionError("never reached")
+        raise AssertionError(f"state not reached: {condition}")
 
     def received(self, sock: socket.socket, end: bytes):
-        """Return what a client reads up to ``end``, or up to the close of its connection, marked as such."""
+        """Return what a client reads up to ``end``, or up to a close or reset, which is marked."""
         data = b""
         while not data.endswith(end):
             try:
@@ -158,7 +158,7 @@
 
 
 def three_idle_clients(servers, clients):
-    """Connect the maximum of clients, all from one address, each answered once; return their sockets."""
+    """Connect the maximum number of clients from one address, each answered once; return their sockets."""
     socks = [servers.connect(clients.address) for _ in range(3)]
     for sock in socks:
         sock.send(clients.request)
@@ -169,7 +169,7 @@
 
 
 def close_by(servers, clients, cause):
-    """Close idle connections for that cause; a new client takes the place of an idle one."""
+    """Close idle connections for a cause; a new client takes the place of an idle one."""
     if cause == "new connection":
         servers.loop.spawn(clients.server.serve(servers.new_streams.pop()), "another client")
     else:
@@ -179,7 +179,7 @@
 @pytest.mark.parametrize("times", [1, 2])
 @pytest.mark.parametrize(("protocol", "cause"), CASES)
 def test_a_request_in_the_socket_as_its_idle_connection_is_to_close_is_answered(protocol, cause, times):
-    """Also where two closes are attempted, one after the other, before the task that reads."""
+    """It is answered even if two closes are attempted, one after the other, before the reading task runs."""
     servers = Servers()
     clients = protocol(servers)
 
@@ -200,7 +200,7 @@
 
 @pytest.mark.parametrize(("protocol", "cause"), CASES)
 def test_an_idle_connection_with_nothing_in_its_socket_is_closed(protocol, cause):
-    """All of them, or the first where a new client needs its place."""
+    """All idle connections are closed, or only the first if a new client needs its place."""
     servers = Servers()
     clients = protocol(servers)
 
--- a/tests/test_event_orderings_timeouts.py
+++ b/tests/test_event_orderings_timeouts.py
@@ -1,5 +1,5 @@
-"""Events that coincide with an expired timeout: the clock of the loop is advanced at a named state of the
-broker, so that the order is forced.
+"""Events that coincide with the end of a timeout: the loop's clock is advanced when the broker has reached a
+certain state, so that the order is forced.
 """
 
 from __future__ import annotations
@@ -82,8 +82,8 @@
 
 @pytest.mark.parametrize(("name", "class_index"), cases(KEYED))
 def test_a_keyed_retry_that_waits_for_its_connect_is_not_sent_after_the_idempotency_window(name, class_index):
-    """The retry is decided within the idempotency window and its connect succeeds after it, when the effect
-    would be applied again. It is withdrawn as the window ends, and the client is answered then.
+    """The retry is decided within the idempotency window, but its connect succeeds after the window, when it
+    would have a second effect. So it is withdrawn at the end of the window, and the client is answered.
     """
     world = World(name, width=3)
     window_us = world.settings["classes"][class_index]["dedup-window-us"]
@@ -93,7 +93,7 @@
         others = [node.address for node in world.nodes if node is not first.node]
         for address in others:
             world.connect_gate.hold(address)
-        sent_at_us = world.loop.now()  # when the first attempt has arrived: it was sent before
+        sent_at_us = world.loop.now()  # the first attempt has arrived, so that it was sent before this time
         first.stream.write(encode_answer(first.part, 500))
         attempts = world.connect_gate.connect_attempts
         yield from world.wait_until(
@@ -133,7 +133,7 @@
 
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_a_part_carries_the_remaining_time_of_when_it_is_sent_not_of_when_it_was_decided(name):
-    """A part may wait for its connect in between."""
+    """A part may wait for its connect between the decision and the send."""
     world = World(name)
     timeout_us = world.settings["classes"][0]["hard-limit-us"]
 
@@ -160,7 +160,9 @@
 @pytest.mark.parametrize("first", ["answer", "deadline"])
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 def test_a_response_that_coincides_with_the_deadline_leads_to_one_reply(name, first):
-    """One in the socket when the loop wakes after the deadline counts; one after the reply is dropped."""
+    """A response that is in the socket when the loop wakes after the deadline is used. One that arrives after
+    the reply is dropped.
+    """
     world = World(name)
     class_index = one_step_class(world)
     unsafe = world.settings["classes"][class_index]["idempotency"] == "non_idempotent"
@@ -193,9 +195,9 @@
     ],
 )
 def test_a_response_that_coincides_with_its_part_becoming_late_is_used_once(name, class_index, first):
-    """A late part is hedged, or cancelled and sent to another replica, as the settings allow. A response in
-    the socket in that very turn counts first, and nothing is sent. A later one is used if the part was
-    hedged, and dropped if its attempt was cancelled.
+    """A late part is hedged, or cancelled and sent to another replica, as the settings allow. If its response
+    is in the socket in the turn in which it becomes late, the response is used and nothing is sent. A later
+    response is used if the part was hedged, and dropped if its attempt was cancelled.
     """
     world = World(name, width=3)
     hedges = world.settings["ceilings"]["second-copies"]
@@ -207,7 +209,7 @@
         late = held[0]
         if first == "answer":
             late.stream.write(encode_answer(late.part))
-        # After half of its objective the part is late, and its query has time.
+        # The part is late after half of its latency objective, and its query still has time.
         world.stall_until(world.loop.now() + objective_us * 11 // 20)
         if first == "cancel":
             yield from world.wait_until(lambda: len(held) == 2, "an additional attempt")
@@ -306,9 +308,9 @@
 @pytest.mark.parametrize("name", SETTINGS_VARIANTS)
 @pytest.mark.parametrize("discovery", ["answers late", "is down"])
 def test_a_new_process_uses_its_configured_list_until_the_current_one_is_binding(name, discovery):
-    """Where lists are pushed, the current one is binding from the start of a process and ``known`` may be
-    older: a query waits for the first response, lest a part is sent to a draining node. In poll mode, and
-    while discovery is down, the configured list applies.
+    """If lists are pushed, the current one is binding from the start of a process, and the configured one may
+    be older: a query waits for discovery's first response, so that no part is sent to a draining node. In
+    poll mode, and while discovery is down, the configured list applies.
     """
     world = World(name, registry=discovery == "answers late")
     pushed = world.settings["registry-mode"] != "ask"
--- a/tests/test_eventloop.py
+++ b/tests/test_eventloop.py
@@ -111,7 +111,7 @@
         try:
             yield from sleep(loop, 10_000_000)
         finally:
-            yield from sleep(loop, 1000)  # cleanup may wait
+            yield from sleep(loop, 1000)  # waiting is allowed during cleanup
             cleaned_up.append("parent")
 
     def main():
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -53,7 +53,7 @@
 
 
 def test_a_second_step_goes_to_the_highest_scores_and_names_the_parts_of_the_first():
-    """It states from which shards the scores came, and whether that was all of them."""
+    """Each of its parts states which shards answered the first step, and whether those were all."""
     world = Platform()
     status, body = query(world, "q2", "day-report", [4, 5, 6, 7])
     scores = {shard: int(generate_result(shard, b"c41e77d0"), 16) % 1000 for shard in (4, 5, 6, 7)}
@@ -78,7 +78,7 @@
 
 
 def test_a_lost_connection_does_not_eject_its_node():
-    """The parts may have run, and the node accepts connections."""
+    """A node that accepts a new connection is alive; only the parts in flight are lost, and may have run."""
     world = Platform()
 
     def abort_once(node, stream, _part):
@@ -98,7 +98,7 @@
 
 
 def test_a_terminated_node_breaks_its_attempts_and_is_ejected():
-    """Its connections end and new ones are rejected."""
+    """A terminated process ends its connections, and new ones are refused."""
     world = Platform()
     terminated = []
 
@@ -114,7 +114,7 @@
 
 
 def test_a_part_that_was_not_sent_is_reported_as_unreachable_not_as_broken():
-    """Unlike after a broken attempt, it is certain that the part has not run."""
+    """It is certain that an unsent part has not run, which is not so after a broken attempt."""
     world = Platform()
     for node in world.nodes:
         node.kill()  # new connections are refused
@@ -141,7 +141,7 @@
 
 
 def test_a_node_that_closes_after_each_response_gets_one_part_per_connection():
-    """Until it keeps its connections open again."""
+    """Each close would lose all other parts on its connection. The rule ends once connections stay open."""
     world = Platform()
 
     def respond_and_close(node, stream, part):
@@ -168,7 +168,7 @@
 
 
 def test_a_response_to_a_cancelled_attempt_is_not_taken_for_that_of_a_later_one():
-    """Attempts of the same part use different connections, as the wire states the part alone."""
+    """The wire names the part and not the attempt, so attempts of one part use different connections."""
     world = Platform()
     world.wait(0.1)
     node = world.nodes[3]
@@ -195,7 +195,7 @@
 
 
 def test_a_probe_uses_a_new_connection_after_a_silent_one():
-    """A probe that timed out on the old connection is no evidence against the node."""
+    """A probe on a dead connection would time out although the node is healthy."""
     world = Platform()
     query(world, "q1", "price-search", FOUR_SHARDS)
     uid, link = next((uid, link) for uid, link in world.broker.links.items() if link.up)
@@ -214,7 +214,7 @@
 
 
 def test_a_connection_that_becomes_silent_does_not_count_against_its_node():
-    """Queries are served over new connections, and no node is put in slow start."""
+    """Queries are served over new connections, and no node is put into slow start."""
     world = Platform()
     query(world, "q0", "price-search", list(range(12)))
     silent_streams = {stream for node in world.nodes for stream in node.streams}
@@ -244,7 +244,7 @@
 
 
 def test_no_part_is_sent_for_a_query_that_is_answered_while_its_parts_wait_for_a_connection():
-    """All connects take longer than the query's timeout."""
+    """The connects take longer than the query's timeout, so that its parts are never written."""
     world = Platform()
     for node in world.nodes:
         node.silent = True
@@ -264,7 +264,7 @@
 
 
 def test_after_a_stall_past_the_deadline_the_module_rejects_the_query_before_the_driver_ends_it():
-    """The driver's own end of an overdue query is logged and must not occur."""
+    """The driver ends a query that the module left without a reply, and logs that as an error."""
     world = Platform()
     for node in world.nodes:
         node.silent = True
@@ -281,7 +281,7 @@
 
 
 def test_start_times_of_nodes_are_converted_to_the_clock_of_the_broker():
-    """Discovery states them as Unix time."""
+    """Discovery states start times as Unix time."""
     world = Platform()
     assert world.registry is not None
     began_us = world.loop.now()
@@ -292,7 +292,7 @@
 
 
 def test_a_last_attempt_with_more_time_does_not_make_first_attempts_look_like_retries():
-    """The objective of a retry counts from its client's first attempt."""
+    """The latency objective of a retry counts from its client's first attempt."""
     driver = Driver(make_settings())
     for _ in range(20):
         (send,) = of(driver.query(0, [0], timeout_us=1_500_000), policy.Send)
@@ -307,7 +307,7 @@
 
 
 def test_the_query_of_a_client_that_disconnects_is_abandoned():
-    """It is counted, and its place in the table is free again."""
+    """The disconnect is counted, and the query is removed from the broker's table."""
     world = Platform()
 
     def main():
@@ -346,7 +346,7 @@
 
 
 def test_tables_do_not_grow_while_thousands_of_nodes_and_clients_are_replaced():
-    """Each of 2,000 rounds replaces a node and has a new client."""
+    """Guards against leaks: each of 2,000 rounds replaces a node and connects a new client."""
     world = Platform()
     assert world.registry is not None
     sizes = []
@@ -383,7 +383,7 @@
 
 
 def test_a_removed_endpoint_is_forgotten_only_after_the_time_of_a_slow_start(drive):
-    """When it returns after that, it is in slow start again."""
+    """If it returns after that time, it is in slow start again."""
     driver = drive()
     driver.step(0, incremental_update(policy.EndpointEntry("s1", 1, policy.EndpointState.GONE)))
     driver.step(5_000_000, incremental_update())
@@ -395,7 +395,7 @@
 
 
 def test_lost_connections_neither_shed_queries_nor_eject_endpoints(drive):
-    """Each lost part is retried once at another replica, outside of the retry budget."""
+    """Each lost part is retried once at another replica, and the retry does not use the retry budget."""
     driver = drive()
     first = None
     for _ in range(40):
@@ -414,7 +414,7 @@
 
 
 def test_a_lost_keyed_part_is_retried_within_its_idempotency_window_only(drive):
-    """A lost non-idempotent part is never retried, as it may have run."""
+    """After the window, a repeated key would have a second effect. Non-idempotent parts are never retried."""
     driver = drive()
     (send,) = of(driver.query(3, [0]), policy.Send)
     assert of(driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=100_000), policy.Send)
@@ -425,7 +425,7 @@
 
 
 def test_closed_connections_of_clients_and_nodes_are_freed_without_the_garbage_collector():
-    """They are in no reference cycle."""
+    """Guards against reference cycles, which keep memory until the collector runs."""
     world = Platform()
     seen = []
 
@@ -453,7 +453,7 @@
 
 
 def test_the_trace_prints_endpoint_states_table_sizes_and_changed_counters_once_a_second(capsys):
-    """A counter that has not changed is left out."""
+    """Counters that have not changed since the previous line are left out."""
     world = Platform()
     query(world, "q1", "price-search", FOUR_SHARDS)
     Trace(world.broker, world.front)
@@ -469,7 +469,7 @@
 
 
 def test_the_statistics_of_a_link_have_the_names_that_the_trace_prints():
-    """The printed names are an interface and stay."""
+    """Operators' tools read the printed names, so that these must not change."""
     world = Platform()
     query(world, "q1", "price-search", FOUR_SHARDS)
     link = next(link for link in world.broker.links.values() if link.up)
--- a/tests/test_gateway_faults.py
+++ b/tests/test_gateway_faults.py
@@ -1,5 +1,6 @@
-"""Faults of nodes and discovery through the whole gateway, single and at random, on virtual time; the auditor
-checks the rules.
+"""Faults of nodes and discovery, scripted and random, as seen through the entire gateway on virtual time.
+
+The auditor checks the rules.
 """
 
 from __future__ import annotations
@@ -69,7 +70,7 @@
 
 @pytest.mark.parametrize("trailing", [b"\xde\xad", b"noise that is longer than a length", None])
 def test_bytes_after_a_valid_response_do_not_fail_its_attempt(trailing):
-    """Noise, or the same response again."""
+    """The bytes are noise, or a duplicate of the response."""
     world = Platform()
 
     def respond(_node, stream, part):
@@ -89,7 +90,7 @@
 
 
 def test_a_response_may_arrive_in_single_bytes_and_an_incomplete_one_is_retried():
-    """Of two neighbouring replicas one sends incomplete responses."""
+    """Every other node sends incomplete responses, so that each shard has a replica that works."""
     world = Platform()
 
     def respond_in_single_bytes(_node, stream, part):
@@ -98,7 +99,7 @@
                 stream.write(bytes([byte]))
                 yield from sleep(world.loop, 500)
 
-        world.loop.spawn(write(), "drips")
+        world.loop.spawn(write(), "single bytes")
 
     def send_price_search(name):
         return (yield from world.client().send_query(name, "price-search", FOUR_SHARDS))
@@ -112,7 +113,7 @@
 
 
 def test_after_a_reset_parts_not_written_completely_are_unreachable_and_others_lost():
-    """An unreachable part has not run; a lost one may have."""
+    """A part that was not written completely has not run; the others may have."""
     world = Platform()
     node = world.nodes[3]
     ended = {}
@@ -139,7 +140,7 @@
 
 
 def test_a_drain_announced_while_a_part_waits_for_its_connection_keeps_the_grace():
-    """Nothing new is sent to the draining nodes after it."""
+    """A part that waits for a slow connect must not be sent after the drain grace, nor must new ones."""
     world = Platform()
     world.minimum_transit_us = 80_000
     world.delay_nodes(80_000)
@@ -164,7 +165,7 @@
 
 
 def test_a_restarted_node_receives_fewer_parts_during_its_slow_start():
-    """Less than two thirds of the average of the others."""
+    """It receives less than two thirds of the others' average."""
     world = Platform()
     assert world.registry is not None
     world.wait(0.2)
@@ -186,7 +187,7 @@
 
 
 def test_queries_are_served_while_discovery_is_down_and_its_changes_apply_once_it_recovers():
-    """Down at the start, then recovered, then silent."""
+    """Discovery is down at the start, recovers, and then stops responding."""
     world = Platform()
     registry = world.registry
     assert registry is not None
@@ -206,7 +207,7 @@
         failures = world.broker.watch.failures
         registry.silent = True
         yield from sleep(world.loop, world.config.hold_us + 3_500_000)
-        # Within a hold time and the time of a call, and that of the reopened one.
+        # The failure is noticed after a hold time, the timeout of that call and that of the reopened one.
         assert world.broker.watch.failures > failures
         registry.silent = False
         world.nodes[2].draining = True
@@ -218,7 +219,7 @@
 
 
 def test_a_watch_continues_from_its_revision_and_receives_changes_only():
-    """The configuration has a complete list."""
+    """The configuration contains a complete list, so that it is never requested."""
     world = Platform()
     registry = world.registry
     assert registry is not None
@@ -227,7 +228,7 @@
     world.wait(2.0)
     holds = [call.partition("&hold_ms=") for call in registry.queries]
     assert [start for start, _, _ in holds] == ["from=1", "from=2"]
-    # Held as long as a poll may be late, less a random part that keeps brokers apart.
+    # The hold time is the poll interval less a random part, so that brokers do not poll at the same time.
     assert all(7_500 <= int(hold) <= 10_000 for _, _, hold in holds) and holds[0] != holds[1]
     assert not world.broker.counters["news", policy.UpdateKind.FULL]
     assert not world.broker.aggregator.endpoints["s4"].live and world.broker.aggregator.endpoints["s3"].live
@@ -235,7 +236,7 @@
 
 @pytest.mark.parametrize("after", [0.2, 1.6, 2.9, 4.3, 6.0, 7.3])
 def test_a_drain_that_a_silent_watch_missed_is_applied_before_it_counts_as_announced(after):
-    """That is six seconds after the silence began, or two after the hold time."""
+    """It counts as announced six seconds after the silence began, or two seconds after the hold time."""
     world = Platform()
     registry = world.registry
     assert registry is not None
@@ -244,15 +245,15 @@
     announced_at_us = max(world.loop.now() + 6_000_000, registry.last_request_at_us + wait_us + 2_000_000)
     registry.mute_connections()
     registry.publish({**world.nodes[4].entry, "state": "draining"})
-    # Half a second is left for a busy discovery, and the grace.
+    # Half a second and the drain grace remain as a margin for a busy discovery.
     world.wait((announced_at_us - world.loop.now()) / 1e6 - 0.5)
     assert not world.broker.aggregator.endpoints["s4"].live
     assert world.broker.watch.failures == 0  # reopened at once: the module has no failure to back off from
 
 
 def test_after_a_failed_call_only_changes_are_requested():
-    """Each entry costs discovery time and it serves the brokers in turn: complete lists for all whose call
-    failed would keep it from serving any.
+    """Each entry costs discovery time, and it serves the brokers in turn. Complete lists for all brokers
+    whose call failed would keep it from serving any.
     """
     world = Platform()
     registry = world.registry
@@ -269,7 +270,7 @@
 
 
 def test_the_complete_list_is_requested_without_a_list_and_after_a_move_of_discovery():
-    """Otherwise changes since a revision are."""
+    """In all other cases only the changes since a revision are requested."""
     world = Platform(known=False)
     assert world.registry is not None
     world.wait(0.5)
@@ -280,7 +281,7 @@
 
 
 def test_changes_of_an_older_revision_lead_to_a_request_of_the_complete_list():
-    """Discovery has lost revisions."""
+    """Discovery has recovered with an older list and has lost its later revisions."""
     world = Platform()
     registry = world.registry
     assert registry is not None
@@ -296,7 +297,7 @@
 
 
 def test_a_node_that_moves_is_reached_at_its_new_address():
-    """It stays the same endpoint."""
+    """It remains the same endpoint for the decision module."""
     world = Platform()
     assert world.registry is not None
 
@@ -315,7 +316,7 @@
 
 @given(st.data())
 def test_a_request_is_parsed_the_same_however_it_is_split(data):
-    """The parser is incremental."""
+    """The request arrives in pieces that are cut at random."""
     body = b'{"parts":[{"id":1,"w":1.0}],"expr":"c4"}'
     stream = (
         b"POST /price-search?key=7f HTTP/1.1\r\nHost: b\r\nReq-Id: q1\r\nContent-Length: %d\r\n\r\n"
@@ -335,7 +336,7 @@
 
 @given(st.binary(max_size=400))
 def test_noise_from_a_client_is_an_error_or_a_request_with_a_path(data):
-    """Whatever a client sends, the parser does not fail."""
+    """The parser raises nothing, whatever a client sends."""
     side = ServerSide(4096, 4096)
     for message in side.feed(data + b"\r\n\r\n"):
         assert not isinstance(message, Request) or message.path
@@ -347,7 +348,7 @@
     def __init__(self, seed: int) -> None:
         self.draw = random.Random(seed)
         self.world = Platform(seed=seed)
-        self.statuses: list[int] = []  # of the queries whose client stayed
+        self.statuses: list[int] = []  # of the queries whose client did not disconnect
         self.silent_streams: set = set()
         self.world.respond_with(self._respond)
 
@@ -395,7 +396,7 @@
         client.stream.close()
 
     def _disconnect_early(self, client, request):
-        task = self.world.loop.spawn(request, "leaves")
+        task = self.world.loop.spawn(request, "disconnects early")
         yield from sleep(self.world.loop, 15_000)
         client.stream.abort()
         with contextlib.suppress(StreamBrokenError):  # it may have been rejected before
@@ -425,8 +426,8 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_random_faults_break_no_rule(seed):
-    """Resets, silent connections, malformed responses, errors, rejections, a terminated node, drains and
-    clients that disconnect.
+    """The faults are resets, silent connections, malformed responses, errors, rejections, a terminated node,
+    a drain, a cut link and clients that disconnect.
     """
     faults = RandomFaults(seed)
     world = faults.world
@@ -436,6 +437,6 @@
     statuses = faults.statuses
     verdict = world.verdict()
     assert verdict.kept, [str(breach) for breach in verdict.breaches[:5]]
-    # The count of complete replies varies with the order of all draws.
+    # The number of successful replies depends on the order of the random draws.
     assert verdict.counts["queries"] == 300 and statuses.count(200) > 205
     assert not world.broker.queries and not world.broker.parts and not world.broker._sent_at_us
--- a/tests/test_gateway_front.py
+++ b/tests/test_gateway_front.py
@@ -1,4 +1,4 @@
-"""Malformed, incomplete and absent requests beside valid ones: clients get an error or a close in time."""
+"""Malformed, incomplete and missing requests: clients get an error or a close in time, valid ones a reply."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def test_a_valid_request_is_accepted_with_its_values():
-    """Its deadline is limited by the timeout of its class."""
+    """The timeout of its query class limits its deadline."""
     checked = RequestChecker(settings_of()).check(request(query="key=7f3a9c21e0b4d655"))
     assert (checked.id, checked.query_class, checked.wait_us, checked.text) == ("q1", 0, 480_000, b"c41e77d0")
     assert [(part.shard, part.weight, part.hint_us) for part in checked.parts] == [
@@ -78,14 +78,14 @@
     ],
 )
 def test_the_error_names_what_is_wrong_with_a_request(head, body, word):
-    """With a status of 4xx."""
+    """The status of each error is 4xx."""
     with pytest.raises(BadRequestError, match=word) as caught:
         RequestChecker(settings_of()).check(request(head, body))
     assert 400 <= caught.value.status < 500
 
 
 def test_a_request_of_a_keyed_class_needs_a_valid_idempotency_key():
-    """A key can't have the separators of the node protocol."""
+    """A key must not contain the separators of the node protocol: it could add fields to a part."""
     checker = RequestChecker(settings_of())
     head = {"req-kind": "sale-record"}
     with pytest.raises(BadRequestError, match="Idempotency-Key"):
@@ -185,7 +185,9 @@
 
 
 def test_a_request_smuggled_behind_one_with_two_lengths_is_not_read():
-    """Content-Length and Transfer-Encoding together are an error."""
+    """A proxy may find the end of a request with Content-Length and Transfer-Encoding elsewhere than the
+    broker does. Such a request is rejected, and its connection closed.
+    """
     world = Platform()
     hidden = raw_request(b"hidden")
     body = b"0\r\n\r\n" + hidden
@@ -194,7 +196,7 @@
 
 
 def test_a_client_without_a_complete_request_is_closed_also_if_it_sends_single_bytes():
-    """Bytes do not extend the time for a request."""
+    """The timeout of a request is not extended by its bytes."""
     world = Platform()
     _, duration_us = exchange(world, [])
     assert duration_us is not None and 2_000_000 <= duration_us < 3_000_000
@@ -203,7 +205,7 @@
 
 
 def test_the_error_to_a_too_large_body_is_readable_while_its_client_still_sends():
-    """Of sixty megabytes."""
+    """The client sends sixty megabytes, of which the broker reads only a part."""
     world = Platform()
     pieces = [RAW_HEAD % b"q1" + b"Content-Length: 60000000\r\n\r\n"] + [b"a" * 65_536] * 900
     received, _ = exchange(world, pieces)
@@ -212,7 +214,7 @@
 
 
 def test_the_id_of_a_request_in_flight_is_rejected():
-    """With 409; the request in flight is served."""
+    """The duplicate is answered with 409; the request in flight is served."""
     world = Platform()
 
     def main():
@@ -227,7 +229,7 @@
 
 
 def test_hundreds_of_silent_connections_do_not_lock_out_other_clients():
-    """An idle connection is closed where a new one needs its place."""
+    """At the limit an idle connection is closed in favour of a new one."""
     world = Platform(limits={"sockets": 128, "memory_mb": 64, "cores": 0.4})
     maximum = world.config.client_sockets
 
@@ -244,7 +246,7 @@
 
 
 def test_pipelined_requests_on_one_connection_are_all_answered():
-    """The last one asks for a close."""
+    """The last request asks for the connection to be closed."""
     world = Platform()
     received, _ = exchange(
         world, [raw_request(b"q1") + raw_request(b"q2") + raw_request(b"q3", more=b"Connection: close\r\n")]
@@ -255,8 +257,8 @@
 
 
 def test_idle_client_connections_leave_capacity_for_new_clients():
-    """Clients have a third of the descriptors together; idle connections must not use all of them, and the
-    most recently used stay open.
+    """All clients together may use a third of the descriptors. Idle connections must not occupy all of these,
+    and those that stay open are the most recently used.
     """
     world = Platform(limits={"sockets": 192, "memory_mb": 64, "cores": 0.4})
     maximum = world.config.sockets // 3
@@ -283,7 +285,7 @@
 
 
 def test_a_request_is_answered_before_the_error_to_the_noise_behind_it():
-    """The client does not count as disconnected."""
+    """Noise after a request is not taken for a disconnect of its client."""
     world = Platform()
     for node in world.nodes:
         node.work_us = 60_000
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""The broker process: its start, signals and use of resources, over loopback with free ports."""
+"""The broker process: its start, signals and use of resources, on loopback and free ports."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
     ],
 )
 def test_the_error_names_what_is_wrong_with_a_configuration(data, word):
-    """Its message has the field."""
+    """The message contains the name of the field."""
     with pytest.raises(ConfigError, match=re.escape(word)):
         read(data)
 
@@ -105,7 +105,7 @@
 
 
 def test_a_start_with_invalid_configuration_exits_with_2_and_one_line_on_stderr(tmp_path):
-    """The line names the variable or the field."""
+    """The line names the environment variable or the field."""
     base = {"PATH": os.environ["PATH"], "PYTHONDONTWRITEBYTECODE": "1"}
     path = tmp_path / "config.json"
     path.write_bytes(without("discovery"))
@@ -123,7 +123,7 @@
 
 
 def test_the_broker_process_does_not_import_optional_parts():
-    """Neither libraries that it does not need nor packages of the service broker."""
+    """It loads neither libraries that it does not use nor packages of the service broker."""
     assert not missing_modules(MODULES_NOT_LOADED)
     loaded = loaded_modules("heathwell.gateway.process")
     assert "heathwell.gateway.process" in loaded
@@ -145,7 +145,7 @@
 
 
 def test_the_broker_serves_without_discovery_in_one_thread_with_few_descriptors(running):
-    """By the configured endpoint list."""
+    """It uses the endpoint list of its configuration."""
     world = running(has_discovery=False)
 
     def main():
@@ -182,7 +182,7 @@
 
 
 def test_sighup_moves_discovery_and_rejects_an_invalid_configuration(running):
-    """After a rejected configuration the former one applies."""
+    """After a rejected configuration the previous one still applies."""
     world = running()
 
     def main():
@@ -206,7 +206,7 @@
 
 
 def test_the_demo_starts_sends_queries_of_each_class_and_exits():
-    """The `platform` command."""
+    """The demo is the command `heathwell platform`."""
     completed = subprocess.run(
         [sys.executable, "-m", "heathwell", "platform", "--seconds", "0.2"],
         cwd=ROOT,
--- a/tests/test_many_brokers.py
+++ b/tests/test_many_brokers.py
@@ -1,11 +1,14 @@
-"""A hundred brokers that restart together while nodes are replaced; discovery serves one call at a time."""
+"""A hundred brokers, many of which restart together while nodes are replaced.
+
+Discovery serves one call at a time, so that it must not be overloaded by the calls of all brokers.
+"""
 
 from heathwell.eventloop import sleep
 from heathwell.testing.simulation.multi_broker_scenario import MultiBrokerScenario
 
 
 def test_all_of_a_hundred_brokers_have_the_current_list_after_restarts_and_node_replacements():
-    """And over nine tenths of the queries are served."""
+    """More than nine tenths of the queries are served meanwhile."""
     world = MultiBrokerScenario(100, 48, 1, entry_work_us=1_200)
 
     def main():
@@ -23,6 +26,7 @@
     outdated = world.run(main())
     assert not world.errors, world.errors[:3]
     assert outdated == 0, (
-        f"{outdated} of 100 brokers send by an old list; {world.registry.rejected_requests} calls turned away"
+        f"{outdated} of 100 brokers use an old list; "
+        f"discovery rejected {world.registry.rejected_requests} calls"
     )
     assert world.status_counts[200] > 0.9 * world.status_counts.total(), world.status_counts
