--- a/heathwell/gateway/discovery.py
+++ b/heathwell/gateway/discovery.py
@@ -24,7 +24,7 @@
 
 MAX_HOLD_US = 60_000_000  # longest hold time of a watch that the platform's protocol allows
 CALL_TIMEOUT_US = 1_500_000  # timeout of a call without a hold time
-# Timeout of a call beyond its hold time: half of EFFECTIVE_AFTER_WAIT_US, after which a missed change binds.
+# Timeout of a call beyond its hold time: half of the time after which a change that it misses takes effect.
 WATCH_GRACE_US = 1_000_000
 CONNECT_TIMEOUT_US = 500_000
 # By the platform's protocol a change takes effect EFFECTIVE_AFTER_SILENCE_US after discovery stopped
