--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -264,7 +264,7 @@
 
 
 def test_after_a_stall_past_the_deadline_the_module_rejects_the_query_before_the_driver_ends_it():
-    """The driver ends a query that the module left without a reply, and logs that as an error."""
+    """The driver ends a query that the module left without a reply. That is logged, and must not occur."""
     world = Platform()
     for node in world.nodes:
         node.silent = True
@@ -414,7 +414,9 @@
 
 
 def test_a_lost_keyed_part_is_retried_within_its_idempotency_window_only(drive):
-    """After the window, a repeated key would have a second effect. Non-idempotent parts are never retried."""
+    """After the window, a repeated key would have a second effect. A lost non-idempotent part is never
+    retried, as it may have run.
+    """
     driver = drive()
     (send,) = of(driver.query(3, [0]), policy.Send)
     assert of(driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=100_000), policy.Send)
