--- a/heathwell/benchlink.py
+++ b/heathwell/benchlink.py
@@ -18,10 +18,10 @@
     WireError,
     array,
     coded,
-    need,
     number,
+    real_number,
+    required_field,
     settings_from,
-    share,
     text,
 )
 from heathwell.policy.aggregator import Aggregator
@@ -101,7 +101,7 @@
             id=text(message, "xid", kind),
             job=number(message, "job-no", kind),
             shard=shard,
-            weight=share(message, "amount", kind),
+            weight=real_number(message, "amount", kind),
             work_hint_us=hint,
             key=message.get("key"),
         )
@@ -242,7 +242,7 @@
         kind = "new-instance"
         seed = number(message, "nonce64", kind)
         try:
-            return Aggregator(settings_from(need(message, "setup", kind)), seed)
+            return Aggregator(settings_from(required_field(message, "setup", kind)), seed)
         except ValueError as error:
             raise WireError(f"new-instance: {error}") from None
 
--- a/heathwell/codec/frames/framing.py
+++ b/heathwell/codec/frames/framing.py
@@ -1,6 +1,6 @@
 """Encoding of messages as frames, and the incremental decoder of a connection.
 
-A frame is four bytes of length, big-endian, and a msgpack map tagged by ``type``.
+A frame is a length of four bytes, big-endian, and a msgpack map whose field ``type`` names the message.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class FrameError(CodecError):
-    """Bytes that are not frames of this protocol; the connection can't be used any further."""
+    """Received bytes that are not frames of this protocol; the connection can't be used any further."""
 
 
 class FrameTooLongError(FrameError):
     """A frame of ``size_bytes``, over ``limit_bytes``."""
 
     def __init__(self, size_bytes: int, limit_bytes: int) -> None:
-        super().__init__(f"a frame of {size_bytes} bytes is over the limit of {limit_bytes}")
+        super().__init__(f"a frame of {size_bytes} bytes is over the limit of {limit_bytes} bytes")
         self.size_bytes = size_bytes
         self.limit_bytes = limit_bytes
 
@@ -37,7 +37,7 @@
 
 
 class _MessageType(msgspec.Struct):
-    """Any message: its type only."""
+    """Any message, of which only the type is decoded."""
 
     type: str
 
@@ -56,22 +56,22 @@
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
-class Frames:
+class FrameDecoder:
     """The incremental decoder of one connection.
 
-    With ``greeted=False`` its first message must be a valid :class:`Hello`. ``skipped`` counts messages of
-    unknown types, which a newer peer may send.
+    With ``hello_received=False`` its first message must be a valid :class:`Hello`. ``skipped`` counts the
+    messages of unknown types, which a newer peer may send.
     """
 
-    def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES, *, greeted: bool = True) -> None:
+    def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES, *, hello_received: bool = True) -> None:
         self.max_frame_bytes = max_frame_bytes
         self.skipped = 0
-        self._greeted = greeted
+        self._hello_received = hello_received
         self._buffer = bytearray()
 
     @property
     def buffered(self) -> int:
-        """Bytes of an unfinished frame."""
+        """Number of buffered bytes of an incomplete frame."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[AnyMessage]:
@@ -91,13 +91,13 @@
                 try:
                     message = _decoder.decode(body)
                 except msgspec.MsgspecError as error:
-                    if self._greeted and _is_unknown(body):
+                    if self._hello_received and _is_unknown(body):
                         self.skipped += 1
                         continue
-                    raise FrameError(f"a frame that is not a message: {error}") from None
-                if not self._greeted:
+                    raise FrameError(f"the frame is not a message of this protocol: {error}") from None
+                if not self._hello_received:
                     check_hello(message)
-                    self._greeted = True
+                    self._hello_received = True
                 yield message
         finally:
             del self._buffer[:position]
--- a/heathwell/codec/memcached.py
+++ b/heathwell/codec/memcached.py
@@ -1,8 +1,8 @@
 """The server's side of the memcached text protocol: classic and meta commands.
 
-Source: the project's protocol.txt and "meta commands" pages of memcached 1.6. :class:`Requests` parses bytes
-to commands. An invalid line gives a :class:`MalformedCommand` in its place, and parsing continues behind it.
-Data blocks are discarded, as this server stores nothing.
+Source: memcached's own protocol.txt and "meta commands" pages, version 1.6. :class:`CommandParser` parses
+bytes to commands. An invalid line gives a :class:`MalformedCommand` in its place, and parsing continues
+behind it. Data blocks are discarded, as this server stores nothing.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 MAX_BLOCK_BYTES = 1 << 31
 MAX_ERROR_TEXT_BYTES = 480
 NOT_IN_KEYS = bytes(range(33)) + b"\x7f"  # control characters and the space
-# Storage commands by the number of their arguments, without `noreply`.
+# The number of arguments of each storage command, without `noreply`.
 STORAGE_COMMANDS = {b"set": 4, b"add": 4, b"replace": 4, b"append": 4, b"prepend": 4, b"cas": 5}
 CLASSIC_WRITES = (b"delete", b"incr", b"decr", b"touch", b"flush_all", b"cache_memlimit")
 META_WRITES = (b"md", b"ma")
@@ -28,7 +28,7 @@
 META_GET_RETURN_FLAGS = b"bcfhklqstv"
 META_GET_TOKEN_FLAGS = b"OTE"
 META_GET_STORING_FLAGS = b"NR"
-TOO_LONG_LINE = b"\n"  # in place of a discarded line; no line contains its own end
+TOO_LONG_LINE = b"\n"  # stands for a discarded line; no parsed line can equal it, as line ends are removed
 
 
 class CommandError(CodecError):
@@ -49,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MetaGet:
-    """``mg``; ``shown`` is the key as the client sent it, which may be encoded in base64."""
+    """``mg``; ``key_token`` is the key as the client sent it, in base64 if it set the flag ``b``."""
 
     key: bytes
-    shown: bytes
+    key_token: bytes
     flags: tuple[bytes, ...]
 
     @property
@@ -106,7 +106,7 @@
     bytes_left: int
 
 
-class Requests:
+class CommandParser:
     """The incremental parser of one connection.
 
     ``max_line_bytes`` bounds the buffered bytes of a line and ``max_keys`` the keys of one get.
@@ -116,17 +116,17 @@
         self.max_line_bytes = max_line_bytes
         self.max_keys = max_keys
         self._buffer = bytearray()
-        self._scanned_bytes = 0  # of the buffer, which hold no line end
-        self._skipping = False  # in a line that is over the limit
+        self._scanned_bytes = 0  # leading bytes of the buffer that are known to contain no line end
+        self._skipping = False  # whether the rest of a line over the limit is being discarded
         self._block: _DataBlock | None = None
 
     @property
     def buffered(self) -> int:
-        """Bytes held for an unfinished line."""
+        """Number of buffered bytes of an incomplete line."""
         return len(self._buffer)
 
     @property
-    def midway(self) -> bool:
+    def has_partial_command(self) -> bool:
         """Whether a command has begun and not ended."""
         return bool(self._buffer) or self._skipping or self._block is not None
 
@@ -152,7 +152,7 @@
                 yield parsed
 
     def _next_line(self) -> bytes | None:
-        """Return the next complete line without its end; ``TOO_LONG_LINE`` in place of one over the limit."""
+        """Return the next complete line without its end, or ``TOO_LONG_LINE`` for one over the limit."""
         end = self._buffer.find(b"\n", self._scanned_bytes)
         if end < 0:
             if len(self._buffer) > self.max_line_bytes:
@@ -227,15 +227,15 @@
     def _parse_meta_get(self, _name: bytes, args: list[bytes]) -> Command:
         if not args:
             raise _client_error("bad command line format")
-        shown = args[0]
+        key_token = args[0]
         flags = tuple(args[1:])
         for flag in flags:
             _check_meta_get_flag(flag)
         if len({flag[:1] for flag in flags}) != len(flags):
             raise _client_error("duplicate flag")
-        _check_key(shown)
-        key = _decode_key(shown) if b"b" in flags else shown
-        return MetaGet(key, shown, flags)
+        _check_key(key_token)
+        key = _decode_key(key_token) if b"b" in flags else key_token
+        return MetaGet(key, key_token, flags)
 
     def _parse_noop(self, _name: bytes, _args: list[bytes]) -> Command:
         return Noop()
@@ -269,7 +269,7 @@
     def _parse_verbosity(self, name: bytes, args: list[bytes]) -> Command:
         return ServerCommand(name.decode(), tuple(args), quiet=args[-1:] == [b"noreply"])
 
-    _PARSERS: ClassVar[dict[bytes, Callable[[Requests, bytes, list[bytes]], Command | None]]] = {
+    _PARSERS: ClassVar[dict[bytes, Callable[[CommandParser, bytes, list[bytes]], Command | None]]] = {
         b"get": _parse_get,
         b"gets": _parse_get,
         b"gat": _parse_get_and_touch,
@@ -311,9 +311,9 @@
         raise _client_error("opaque token too long")
 
 
-def _decode_key(shown: bytes) -> bytes:
+def _decode_key(key_token: bytes) -> bytes:
     try:
-        key = base64.b64decode(shown, validate=True)
+        key = base64.b64decode(key_token, validate=True)
     except (binascii.Error, ValueError):
         key = b""
     if not key:
@@ -341,13 +341,13 @@
 
 
 def server_error(text: str) -> bytes:
-    """Return a ``SERVER_ERROR`` line, which clients raise as an error, so that it can't pass as a miss."""
+    """Return a ``SERVER_ERROR`` line, which clients raise as an error and don't take for a miss."""
     one_line = text.replace("\r", " ").replace("\n", " ")
     return b"SERVER_ERROR " + one_line.encode()[:MAX_ERROR_TEXT_BYTES] + b"\r\n"
 
 
 def meta_value(request: MetaGet, flags: int, data: bytes, cas: int) -> bytes:
-    """Return the hit of an ``mg``: ``VA`` with the data if the request has the flag ``v``, else ``HD``."""
+    """Return the reply to an ``mg`` that hits: ``VA`` with the data if it has the flag ``v``, else ``HD``."""
     returned = [_returned_flag(flag, request, flags, data, cas) for flag in request.flags]
     returned_flags = b"".join(b" " + text for text in returned if text)
     if request.returns_value:
@@ -361,7 +361,7 @@
         case b"O" | b"b":
             return flag
         case b"k":
-            return b"k" + request.shown
+            return b"k" + request.key_token
         case b"f":
             return b"f%d" % flags
         case b"s":
@@ -377,11 +377,11 @@
 
 
 def meta_miss(request: MetaGet) -> bytes:
-    """Return the miss of an ``mg``; nothing in quiet mode."""
+    """Return the reply to an ``mg`` that misses; nothing in quiet mode."""
     if request.quiet:
         return b""
     returned = [
-        b"k" + request.shown if flag == b"k" else flag
+        b"k" + request.key_token if flag == b"k" else flag
         for flag in request.flags
         if flag[:1] in (b"O", b"k", b"b")
     ]
--- a/heathwell/eventloop/virtual.py
+++ b/heathwell/eventloop/virtual.py
@@ -18,7 +18,7 @@
 from heathwell.eventloop.loop import Coro, Loop, sleep
 from heathwell.eventloop.net import MAX_CONNECTIONS, Handler, Listener, Stream
 
-WINDOW_BYTES = 262_144  # in transit or unread, in one direction of a stream
+WINDOW_BYTES = 262_144  # limit of the bytes in transit or unread in one direction of a stream
 DEFAULT_DELAY_US = 100
 FIRST_PORT = 10_000
 
@@ -32,13 +32,13 @@
     def poll(self, until_us: int | None) -> None:
         """Advance the clock; raise :class:`StalledError` if no timer is set."""
         if until_us is None:
-            raise StalledError("every task waits and no timer is set")
+            raise StalledError("deadlock: every task waits and no timer is set")
         if until_us > self.clock.now():
             self.clock.advance(until_us)
 
     def wake(self) -> None:
-        """Raise :class:`RuntimeError`: virtual time has one thread."""
-        raise RuntimeError("virtual time has no other threads")
+        """Raise :class:`RuntimeError`: a loop on virtual time is single-threaded."""
+        raise RuntimeError("a loop on virtual time cannot be woken from another thread")
 
     def close(self) -> None:
         """Do nothing: there are no resources to release."""
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class _Pipe:
-    """One direction of a stream: ``held`` segments wait for the end of a partition."""
+    """One direction of a stream; ``held`` are segments that wait for the end of a partition."""
 
     unread: deque[bytes] = field(default_factory=deque)
     size_bytes: int = 0  # in transit or unread
@@ -67,11 +67,11 @@
 class VirtualStream(Stream):
     """One end of a stream in memory."""
 
-    def __init__(self, net: VirtualNet, here: str, peer: str) -> None:
+    def __init__(self, net: VirtualNet, local_address: str, peer: str) -> None:
         super().__init__(net.loop, peer)
         self.net = net
-        self.here = here
-        self.other: VirtualStream  # the peer's end, set by VirtualNet.connect
+        self.local_address = local_address
+        self.peer_stream: VirtualStream  # the peer's end, set by VirtualNet.connect
         self.inbox = _Pipe()
 
     def _receive(self, size: int) -> bytes | None:
@@ -82,8 +82,8 @@
                 pipe.unread.appendleft(data[size:])
                 data = data[:size]
             pipe.size_bytes -= len(data)
-            if not self.other.closed:
-                self.other.on_window_update()
+            if not self.peer_stream.closed:
+                self.peer_stream.on_window_update()
             return data
         if pipe.broken:
             self._shut(reset=False)
@@ -91,24 +91,24 @@
         return b"" if pipe.ended else None
 
     def _flush(self) -> None:
-        pipe = self.other.inbox
+        pipe = self.peer_stream.inbox
         while self._chunks and pipe.size_bytes < WINDOW_BYTES:
             data = self._chunks.popleft()
             self.sent += len(data)
             pipe.size_bytes += len(data)
-            self.net.carry(self, _Segment(data))
+            self.net.transmit(self, _Segment(data))
         self._flushed()
 
     def on_window_update(self) -> None:
-        """Send on: the peer has read bytes."""
+        """Continue sending, as the peer has read bytes."""
         self._flush()
 
     def _send_eof(self) -> None:
-        self.net.carry(self, _Segment())
+        self.net.transmit(self, _Segment())
 
     def _drop(self, *, reset: bool) -> None:
         if reset or not self._eof_sent:
-            self.net.carry(self, _Segment(is_reset=True))
+            self.net.transmit(self, _Segment(is_reset=True))
 
     def on_segment(self, segment: _Segment) -> None:
         """Handle the arrival of bytes, the end or a reset."""
@@ -138,7 +138,7 @@
 
 
 class VirtualNet:
-    """A net in memory, in which one direction between two hosts may be cut.
+    """A net in memory, in which each direction between two hosts can be cut.
 
     ``delay(source, target)`` returns the one-way delay between two hosts in microseconds.
     """
@@ -164,14 +164,14 @@
         """End a cut, and deliver the held segments in order."""
         self.cuts.discard((source, target))
         for stream in self._held.pop((source, target), []):
-            pipe = stream.other.inbox
+            pipe = stream.peer_stream.inbox
             while pipe.held:
                 self._schedule(stream, pipe.held.popleft())
 
-    def carry(self, stream: VirtualStream, segment: _Segment) -> None:
+    def transmit(self, stream: VirtualStream, segment: _Segment) -> None:
         """Deliver a segment to the stream's other end, in order and after the delay."""
-        direction = (self.host(stream.here), self.host(stream.peer))
-        pipe = stream.other.inbox
+        direction = (self.host(stream.local_address), self.host(stream.peer))
+        pipe = stream.peer_stream.inbox
         if direction in self.cuts or pipe.held:
             if not pipe.held:
                 self._held.setdefault(direction, []).append(stream)
@@ -180,10 +180,10 @@
         self._schedule(stream, segment)
 
     def _schedule(self, stream: VirtualStream, segment: _Segment) -> None:
-        pipe = stream.other.inbox
-        delay_us = self.delay(self.host(stream.here), self.host(stream.peer))
+        pipe = stream.peer_stream.inbox
+        delay_us = self.delay(self.host(stream.local_address), self.host(stream.peer))
         pipe.last_arrival_at_us = max(pipe.last_arrival_at_us, self.loop.now() + delay_us)
-        self.loop.call_at(pipe.last_arrival_at_us, stream.other.on_segment, segment)
+        self.loop.call_at(pipe.last_arrival_at_us, stream.peer_stream.on_segment, segment)
 
     def connect(self, address: str, timeout_us: int, source: str = "client") -> Coro[Stream]:
         """Open a connection from a host; raise :class:`ConnectError`."""
@@ -216,12 +216,12 @@
     def _accept(self, listener: VirtualListener, source: str) -> VirtualStream:
         self._last_port += 1
         client = VirtualStream(self, f"{source}:{self._last_port}", listener.address)
-        server = VirtualStream(self, listener.address, client.here)
-        client.other = server
-        server.other = client
+        server = VirtualStream(self, listener.address, client.local_address)
+        client.peer_stream = server
+        server.peer_stream = client
         listener.accepted += 1
         listener.open += 1
-        self.loop.spawn(listener.serve(server), f"{listener.name} {client.here}")
+        self.loop.spawn(listener.serve(server), f"{listener.name} {client.local_address}")
         return client
 
     def listen(
@@ -233,7 +233,7 @@
             self._last_port += 1
             address = f"{host}:{self._last_port}"
         if address in self.listeners:
-            raise OSError(f"address {address} is taken")
+            raise OSError(f"address {address} is already in use")
         listener = VirtualListener(self, address, handler, name, max_connections)
         self.listeners[address] = listener
         return listener
--- a/heathwell/service/host_link.py
+++ b/heathwell/service/host_link.py
@@ -8,7 +8,7 @@
 
 from heathwell import policy
 from heathwell.broker.driver_contract import AttemptKey
-from heathwell.broker.idle_connections import IdleTime
+from heathwell.broker.idle_connections import IdleTimeout
 from heathwell.codec import frames, inner_protocol
 from heathwell.eventloop import (
     ConnectError,
@@ -101,7 +101,7 @@
         self._task: Task[None] | None = None
         self._probes: dict[int, Timer] = {}
         self._probe_number = 0
-        self._idle = IdleTime(
+        self._idle = IdleTimeout(
             loop,
             idle_timeout_us,
             lambda: self.stream is None or bool(self.in_flight or self._probes),
@@ -133,7 +133,7 @@
                 parts[:] = [part for part in parts if (part.id, part.seq) != key]
         elif self.stream is not None:
             self._write(frames.encode(frames.CancelPart(*key)))
-        self._idle.rests()
+        self._idle.restart()
         return True
 
     def withdraw(self, key: AttemptKey) -> bool:
@@ -183,7 +183,7 @@
                 sendable = self.owner.parts_to_send(self.node, parts)
                 if sendable:
                     self._write_call(sendable)
-            self._idle.rests()
+            self._idle.restart()
             yield from inner_protocol.listen(stream, self._on_message)
             seen = True
             if self.in_flight:
@@ -222,7 +222,7 @@
                 else:
                     outcome = OUTCOMES.get(message.outcome, policy.Outcome.ERROR)
                     self.owner.on_attempt_result(self.node, key, outcome, message)
-                self._idle.rests()
+                self._idle.restart()
             case frames.ScoreBound(id=part, seq=seq, best=best):
                 if (part, seq) in self.in_flight:
                     self.owner.on_score_bound(self.node, (part, seq), best)
@@ -243,7 +243,7 @@
 
     def _write(self, data: bytes) -> None:
         if self.stream is not None:
-            self.stream.offer(data)  # the reading side reports that a connection is broken
+            self.stream.try_write(data)  # the reading side reports that a connection is broken
 
     def _on_connection_lost(self, stream: Stream | None, outcome: policy.Outcome) -> None:
         """Report the outcomes of a lost connection: what was unsent provably never ran, the rest may have."""
@@ -268,4 +268,4 @@
         if timer is not None:
             timer.cancel()
             self.owner.on_probe_result(self.node, outcome)
-            self._idle.rests()
+            self._idle.restart()
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -23,7 +23,7 @@
 
 def parse_commands(chunks):
     """Return the commands that a parser reads from chunks of bytes."""
-    parser = memcached.Requests(max_line_bytes=400)
+    parser = memcached.CommandParser(max_line_bytes=400)
     return [command for chunk in chunks for command in parser.feed(chunk)]
 
 
@@ -81,7 +81,7 @@
 
 @given(st.binary(max_size=400))
 def test_arbitrary_bytes_raise_no_error_and_the_next_line_is_parsed(data):
-    parser = memcached.Requests(max_line_bytes=100)
+    parser = memcached.CommandParser(max_line_bytes=100)
     for _ in parser.feed(data):
         pass
     if parser._block is None:
@@ -90,7 +90,7 @@
 
 
 def test_a_line_over_the_limit_is_rejected_once_and_is_not_buffered():
-    parser = memcached.Requests(max_line_bytes=1000)
+    parser = memcached.CommandParser(max_line_bytes=1000)
     commands = []
     for _ in range(100):
         commands += parser.feed(b"get " + b"k" * 1000)
@@ -116,7 +116,7 @@
     ],
 )
 def test_an_invalid_command_is_a_client_error_that_states_the_cause(line, word):
-    malformed, following = list(memcached.Requests().feed(line + b"\r\nmn\r\n"))
+    malformed, following = list(memcached.CommandParser().feed(line + b"\r\nmn\r\n"))
     assert (
         isinstance(malformed, memcached.MalformedCommand)
         and malformed.line.startswith(b"CLIENT_ERROR")
@@ -127,7 +127,7 @@
 
 def test_a_meta_response_returns_the_requested_flags():
     key = base64.b64encode("sale:åke:1".encode())
-    request = next(iter(memcached.Requests().feed(b"mg " + key + b" b k f s t c v O77\r\n")))
+    request = next(iter(memcached.CommandParser().feed(b"mg " + key + b" b k f s t c v O77\r\n")))
     assert request.key.decode() == "sale:åke:1"
     assert memcached.meta_value(request, 5, b"hey", 9) == b"VA 3 b k" + key + b" f5 s3 t-1 c9 O77\r\nhey\r\n"
     assert memcached.meta_miss(request) == b"EN b k" + key + b" O77\r\n"
@@ -143,13 +143,13 @@
             frames.Pong(3),
         )
     )
-    messages = list(frames.Frames().feed(wire))
-    parser = frames.Frames()
+    messages = list(frames.FrameDecoder().feed(wire))
+    parser = frames.FrameDecoder()
     assert [message for byte in wire for message in parser.feed(bytes([byte]))] == messages and len(
         messages
     ) == 4
     newer = msgspec.msgpack.encode({"type": "pong", "n": 1, "brand_new": [1, 2]})
-    assert list(frames.Frames().feed(len(newer).to_bytes(4, "big") + newer)) == [frames.Pong(1)]
+    assert list(frames.FrameDecoder().feed(len(newer).to_bytes(4, "big") + newer)) == [frames.Pong(1)]
 
 
 @pytest.mark.parametrize(
@@ -162,7 +162,7 @@
 )
 def test_a_malformed_frame_raises_a_frame_error(data, word):
     with pytest.raises(frames.FrameError, match=word):
-        list(frames.Frames().feed(data))
+        list(frames.FrameDecoder().feed(data))
 
 
 def test_a_hello_of_an_unknown_version_raises_an_error_that_names_it():
@@ -194,7 +194,7 @@
 
 def test_an_unknown_message_type_is_skipped_and_a_malformed_known_one_raises_an_error():
     """A peer of a newer version may send types and fields that this one does not define."""
-    decoder = frames.Frames(greeted=False)
+    decoder = frames.FrameDecoder(hello_received=False)
     messages = list(
         decoder.feed(
             frames.encode(frames.Hello(frames.VERSION, "b0", "broker"))
@@ -206,4 +206,4 @@
     with pytest.raises(frames.FrameError, match="not a message"):
         list(decoder.feed(encode_frame({"type": "ping", "n": "three"})))
     with pytest.raises(frames.FrameError):
-        list(frames.Frames(greeted=False).feed(encode_frame({"type": "later"})))
+        list(frames.FrameDecoder(hello_received=False).feed(encode_frame({"type": "later"})))
