--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -15,7 +15,7 @@
 from heathwell.service.admission import CostModel, search_features, split_batch
 from heathwell.service.key_spaces import consecutive_shards, place
 from heathwell.service.merging import MergedRows, TopKMerge
-from heathwell.service.records import PartPlan, Plan, SearchPlan
+from heathwell.service.query_plans import PartPlan, QueryPlan, SearchPlan
 from heathwell.service.reply_merging import merged_rows
 from heathwell.service.service_broker import ServiceBroker
 from heathwell.service.vectors.search_messages import SEARCH_OPERATION
@@ -75,12 +75,12 @@
         indices = split_batch(costs, limits.chunk, limits.chunk_searches)
         return [[request.searches[index] for index in chunk] for chunk in indices]
 
-    def plan(self, request: SearchRequest, searches: Sequence[api.Search]) -> Plan:
+    def plan(self, request: SearchRequest, searches: Sequence[api.Search]) -> QueryPlan:
         """Return the plan of one chunk."""
         spec = request.spec
         shards = self.shards(spec)
         query_class = self.query_class(spec.name, is_batch=request.is_batch)
-        return Plan(
+        return QueryPlan(
             query_class,
             "vectors",
             zlib.crc32(searches[0].vector),
--- a/heathwell/service/key_spaces.py
+++ b/heathwell/service/key_spaces.py
@@ -14,7 +14,7 @@
 
 from heathwell.broker.replies import JsonObject
 from heathwell.service.freshness import TokenError, read_token
-from heathwell.service.records import PartPlan, Plan
+from heathwell.service.query_plans import PartPlan, QueryPlan
 from heathwell.settings import ServiceSettings
 from heathwell.settings.schema import KeySpace
 
@@ -60,7 +60,7 @@
         self._classes = {spec.name: index for index, spec in enumerate(service_settings.classes)}
         self._spaces = {space.prefix: space for space in service_settings.keys}
 
-    def plan(self, key: str) -> Plan | None:
+    def plan(self, key: str) -> QueryPlan | None:
         """The query that a key asks for; None for a key of no space, or one that is not of its form."""
         name, mark, token = key.rpartition(TOKEN_MARK)
         prefix, colon, rest = (name if mark else key).partition(":")
@@ -76,7 +76,7 @@
             return replace(plan, wrong=str(problem))
         return replace(plan, seen=positions.by_shard, seen_least=positions.least)
 
-    def _plan_in(self, space: KeySpace, key: str, rest: str) -> Plan | None:
+    def _plan_in(self, space: KeySpace, key: str, rest: str) -> QueryPlan | None:
         """Return the plan of a key of a space; ``rest`` follows the prefix."""
         match KeyShape(space.shape):
             case KeyShape.RECORD:
@@ -86,19 +86,21 @@
             case KeyShape.REPORT:
                 return self._report(space, key, rest)
 
-    def _record(self, space: KeySpace, key: str, rest: str) -> Plan | None:
+    def _record(self, space: KeySpace, key: str, rest: str) -> QueryPlan | None:
         trader, colon, number = rest.partition(":")
         if not (trader and colon and number):
             return None
         part = PartPlan(place(trader, self.shards), 1.0, PartOperation.RECORD, rest)
-        return Plan(self._classes[space.query_class], space.shape, zlib.crc32(trader.encode()), key, (part,))
+        return QueryPlan(
+            self._classes[space.query_class], space.shape, zlib.crc32(trader.encode()), key, (part,)
+        )
 
-    def _search(self, space: KeySpace, key: str, rest: str) -> Plan:
+    def _search(self, space: KeySpace, key: str, rest: str) -> QueryPlan:
         shards = consecutive_shards(place(rest, self.shards), space.parts, self.shards)
         parts = tuple(PartPlan(shard, 1 / len(shards), PartOperation.SEARCH, rest) for shard in shards)
-        return Plan(self._classes[space.query_class], space.shape, zlib.crc32(rest.encode()), key, parts)
+        return QueryPlan(self._classes[space.query_class], space.shape, zlib.crc32(rest.encode()), key, parts)
 
-    def _report(self, space: KeySpace, key: str, rest: str) -> Plan | None:
+    def _report(self, space: KeySpace, key: str, rest: str) -> QueryPlan | None:
         names, colon, day = rest.rpartition(":")
         traders = list(dict.fromkeys(name for name in names.split(",") if name))
         if not (colon and day and traders):
@@ -111,7 +113,7 @@
             PartPlan(shard, 1 / len(holders), PartOperation.TOTALS, ",".join(held) + ":" + day)
             for shard, held in holders.items()
         )
-        return Plan(
+        return QueryPlan(
             self._classes[space.query_class], space.shape, zlib.crc32(traders[0].encode()), key, parts
         )
 
--- a/heathwell/service/part_planner.py
+++ b/heathwell/service/part_planner.py
@@ -9,7 +9,7 @@
 from heathwell.codec import frames
 from heathwell.service import key_spaces
 from heathwell.service.query_cost import part_work_us
-from heathwell.service.records import PartPlan
+from heathwell.service.query_plans import PartPlan
 from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServicePart, ServiceQuery
 
--- a/heathwell/service/query_admission.py
+++ b/heathwell/service/query_admission.py
@@ -10,7 +10,7 @@
 
 from heathwell.broker.query_state import SettingsVersion
 from heathwell.service.query_cost import query_cost_us
-from heathwell.service.records import PartPlan, Plan
+from heathwell.service.query_plans import PartPlan, QueryPlan
 from heathwell.service.service_context import ServiceContext
 from heathwell.service.settings_change import ServiceSnapshot
 from heathwell.service.shard_reachability import ShardReachability
@@ -79,7 +79,7 @@
         self._storm_control = storm_control
         self._draw = draw
 
-    def admit(self, plan: Plan, client: str) -> Admission:
+    def admit(self, plan: QueryPlan, client: str) -> Admission:
         """Check a query; raises :class:`AdmissionRejectedError`."""
         self._check_storm(plan, client)
         if self._broker.stopping:
@@ -96,7 +96,7 @@
 
     def retry_after_us(
         self,
-        plan: Plan,
+        plan: QueryPlan,
         client: str,
         version: SettingsVersion[ServiceSnapshot],
         otherwise_us: int | None = None,
@@ -114,7 +114,7 @@
         longest_us = min(objective_us, self._broker.settings.max_retry_after_us)
         return int(longest_us * self._draw.uniform(*RETRY_JITTER))
 
-    def _check_storm(self, plan: Plan, client: str) -> None:
+    def _check_storm(self, plan: QueryPlan, client: str) -> None:
         if self._storm_control is None:
             return
         cost_us = query_cost_us(plan, self._broker.current_version)
@@ -122,11 +122,11 @@
         if retry_after_us is not None:
             raise AdmissionRejectedError(RejectionReason.RETRY_STORM, retry_after_us)
 
-    def _rejection(self, reason: RejectionReason, plan: Plan, client: str) -> AdmissionRejectedError:
+    def _rejection(self, reason: RejectionReason, plan: QueryPlan, client: str) -> AdmissionRejectedError:
         retry_after_us = self.retry_after_us(plan, client, self._broker.current_version)
         return AdmissionRejectedError(reason, retry_after_us)
 
-    def _timeout_us(self, plan: Plan) -> int:
+    def _timeout_us(self, plan: QueryPlan) -> int:
         """The class's time-out, or the client's own where that is shorter."""
         class_timeout_us = self._broker.settings.classes[plan.query_class].timeout_us
         client_timeout_us = plan.search.timeout_us if plan.search is not None else 0
--- a/heathwell/service/query_cost.py
+++ b/heathwell/service/query_cost.py
@@ -3,20 +3,20 @@
 from __future__ import annotations
 
 from heathwell.broker.query_state import SettingsVersion
-from heathwell.service.records import Plan
+from heathwell.service.query_plans import QueryPlan
 from heathwell.service.settings_change import ServiceSnapshot
 
 ROUNDING_UP = 0.999
 
 
-def part_work_us(plan: Plan, version: SettingsVersion[ServiceSnapshot]) -> int:
+def part_work_us(plan: QueryPlan, version: SettingsVersion[ServiceSnapshot]) -> int:
     """The work of one part, by a version of the settings."""
     if plan.search is not None:
         return plan.search.work
     return version.extension.service_settings.classes[plan.query_class].work
 
 
-def query_cost_us(plan: Plan, version: SettingsVersion[ServiceSnapshot]) -> float:
+def query_cost_us(plan: QueryPlan, version: SettingsVersion[ServiceSnapshot]) -> float:
     """The work of the parts that make a complete answer."""
     required_fraction = version.settings.classes[plan.query_class].required_fraction
     required_parts = max(1, int(len(plan.parts) * required_fraction + ROUNDING_UP))
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -11,7 +11,7 @@
 from heathwell.service.fair_admission import FairAdmission
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.service.query_admission import Admission, AdmissionRejectedError, QueryAdmission
-from heathwell.service.records import Plan
+from heathwell.service.query_plans import QueryPlan
 from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServiceQuery
 from heathwell.service.service_statistics import ServiceStatistics
@@ -64,7 +64,7 @@
             return None
         return self.begin(plan, on_reply, request, client)
 
-    def begin(self, plan: Plan, on_reply: OnReply, request: str, client: str) -> Handle | None:
+    def begin(self, plan: QueryPlan, on_reply: OnReply, request: str, client: str) -> Handle | None:
         """Start the query of a plan; return ``None`` where it is rejected at admission."""
         spec = self._broker.settings.classes[plan.query_class]
         who = f"{client}|{plan.subject}"
@@ -84,7 +84,7 @@
             self._broker.enter_query(query)
         return handle
 
-    def _make_query(self, plan: Plan, who: str, on_reply: OnReply, admission: Admission) -> ServiceQuery:
+    def _make_query(self, plan: QueryPlan, who: str, on_reply: OnReply, admission: Admission) -> ServiceQuery:
         now = self._broker.loop.now()
         job = self._broker.next_job()
         limits = self._broker.service_settings.limits
@@ -120,7 +120,7 @@
         )
 
     def _reject(
-        self, plan: Plan, who: str, request: str, on_reply: OnReply, rejection: AdmissionRejectedError
+        self, plan: QueryPlan, who: str, request: str, on_reply: OnReply, rejection: AdmissionRejectedError
     ) -> None:
         """Reply to a query that never reaches the decision module."""
         class_name = self._broker.settings.classes[plan.query_class].name
--- a/heathwell/service/records.py
+++ b/heathwell/service/query_plans.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class QueryPlan:
     """The query that a client's key requests."""
 
     query_class: int
--- a/heathwell/service/reply_merging.py
+++ b/heathwell/service/reply_merging.py
@@ -10,7 +10,7 @@
 from heathwell.service import key_spaces
 from heathwell.service.coverage import Cover
 from heathwell.service.merging import MergedRows
-from heathwell.service.records import SearchPlan
+from heathwell.service.query_plans import SearchPlan
 from heathwell.service.service_records import ServicePart, ServiceQuery
 
 WEIGHT_DIGITS = 6
--- a/heathwell/service/search_answers.py
+++ b/heathwell/service/search_answers.py
@@ -12,7 +12,7 @@
 from heathwell.codec import frames
 from heathwell.service.admission import CostModels
 from heathwell.service.merging import MalformedRowsError, Row
-from heathwell.service.records import SearchPlan
+from heathwell.service.query_plans import SearchPlan
 from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServicePart, ServiceQuery
 from heathwell.service.vectors.search_messages import decode_answer
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -25,7 +25,7 @@
 from heathwell.service.query_admission import RejectionReason
 from heathwell.service.query_cost import part_work_us
 from heathwell.service.query_explanations import QueryExplanation
-from heathwell.service.records import Plan
+from heathwell.service.query_plans import QueryPlan
 from heathwell.service.regions import RegionLinks
 from heathwell.service.replica_lookup import live_replicas
 from heathwell.service.reply_merging import UnmergeablePartsError, merge_reply
@@ -139,7 +139,7 @@
         """
         return self._intake.ask(key, on_reply, request, client)
 
-    def begin(self, plan: Plan, on_reply: OnReply, request: str = "", client: str = "") -> Handle | None:
+    def begin(self, plan: QueryPlan, on_reply: OnReply, request: str = "", client: str = "") -> Handle | None:
         """Start the query of a plan; as :meth:`ask`."""
         return self._intake.begin(plan, on_reply, request, client)
 
@@ -155,7 +155,7 @@
             retry=self._may_be_retry(query.plan),
         )
 
-    def _may_be_retry(self, plan: Plan) -> bool:
+    def _may_be_retry(self, plan: QueryPlan) -> bool:
         """Return whether a query with less time than usual may be a retry with its client's remaining time.
 
         Not if its client chose the timeout itself: its latency objective counts from now on.
--- a/heathwell/service/service_records.py
+++ b/heathwell/service/service_records.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from heathwell.broker.query_state import PartState, QueryState
-from heathwell.service.records import PartPlan, Plan
+from heathwell.service.query_plans import PartPlan, QueryPlan
 from heathwell.service.settings_change import ServiceSnapshot
 
 
@@ -27,6 +27,6 @@
     client and subject.
     """
 
-    plan: Plan = Plan(0, "", 0, "", ())
+    plan: QueryPlan = QueryPlan(0, "", 0, "", ())
     cut_off: Sequence[PartPlan] = ()
     who: str = ""
--- a/heathwell/service/shard_reachability.py
+++ b/heathwell/service/shard_reachability.py
@@ -6,7 +6,7 @@
 
 from heathwell.service.endpoint_restrictions import HOME_REGION_ONLY, EndpointRestrictions
 from heathwell.service.key_spaces import KeyShape
-from heathwell.service.records import PartPlan, Plan
+from heathwell.service.query_plans import PartPlan, QueryPlan
 from heathwell.service.regions import answerable_fraction
 from heathwell.service.service_context import ServiceContext
 
@@ -39,7 +39,7 @@
         """Look for shards without a live replica once the module has taken an endpoint update in."""
         self._broker.loop.call_at(self._broker.loop.now() + UPDATE_DELAY_US, self._find_unheld_shards)
 
-    def cut_off_parts(self, plan: Plan) -> Sequence[PartPlan]:
+    def cut_off_parts(self, plan: QueryPlan) -> Sequence[PartPlan]:
         """Parts of a plan whose every live replica is excluded, or that have had none for half the class's
         latency objective.
         """
--- a/heathwell/testing/simulation/region_experiment.py
+++ b/heathwell/testing/simulation/region_experiment.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from heathwell.eventloop import Coro, sleep
-from heathwell.service.records import Plan
+from heathwell.service.query_plans import QueryPlan
 from heathwell.settings import loads
 from heathwell.testing.simulation import demo_settings
 from heathwell.testing.simulation.experiment_phases import Phase, phase_order
@@ -308,7 +308,7 @@
                 query.duration_us * 1000 // query.query_class.latency_objective_us
             )
 
-    def _has_local_replicas(self, plan: Plan, region: RegionName) -> bool:
+    def _has_local_replicas(self, plan: QueryPlan, region: RegionName) -> bool:
         """Return whether each shard of a plan has a replica in a region."""
         fleet = self.service_settings.fleet
         return all(
