--- a/heathwell/service/answer_freshness.py
+++ b/heathwell/service/answer_freshness.py
@@ -80,7 +80,7 @@
             part.position >= first_positions.get(part.plan.shard, 0) for part in parts if part.step == 2
         )
         shards_behind = {
-            part.plan.shard for part in parts if part.position < query.plan.at_least(part.plan.shard)
+            part.plan.shard for part in parts if part.position < query.plan.token_position(part.plan.shard)
         }
         return Age(
             bound_us,
@@ -100,7 +100,7 @@
 
 def _required_position(query: ServiceQuery, shard: int) -> int:
     """The position that an answer of a shard must stand at: the client's, and that of the first step."""
-    positions = [query.plan.at_least(shard)]
+    positions = [query.plan.token_position(shard)]
     if query.step > 1:
         positions += [
             part.position
--- a/heathwell/service/key_spaces.py
+++ b/heathwell/service/key_spaces.py
@@ -73,8 +73,8 @@
         try:
             positions = read_token(token)
         except TokenError as problem:
-            return replace(plan, wrong=str(problem))
-        return replace(plan, seen=positions.by_shard, seen_least=positions.least)
+            return replace(plan, token_error=str(problem))
+        return replace(plan, token_positions=positions.by_shard, minimum_token_position=positions.least)
 
     def _plan_in(self, space: KeySpace, key: str, rest: str) -> QueryPlan | None:
         """Return the plan of a key of a space; ``rest`` follows the prefix."""
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -59,8 +59,8 @@
         if plan is None:
             self._broker.loop.call_soon(on_reply, Reply(ReplyKind.MISS, reason="no such key space"))
             return None
-        if plan.wrong:
-            self._broker.loop.call_soon(on_reply, Reply(ReplyKind.FAILED, reason=plan.wrong))
+        if plan.token_error:
+            self._broker.loop.call_soon(on_reply, Reply(ReplyKind.FAILED, reason=plan.token_error))
             return None
         return self.begin(plan, on_reply, request, client)
 
--- a/heathwell/service/query_plans.py
+++ b/heathwell/service/query_plans.py
@@ -46,12 +46,12 @@
     subject: int
     key: str
     parts: tuple[PartPlan, ...]
-    seen: dict[int, int] = field(default_factory=dict)
-    seen_least: int = 0
-    wrong: str = ""
+    token_positions: dict[int, int] = field(default_factory=dict)
+    minimum_token_position: int = 0
+    token_error: str = ""
     search: SearchPlan | None = None
     front: str = "memcached"
 
-    def at_least(self, shard: int) -> int:
+    def token_position(self, shard: int) -> int:
         """Return the source position of a shard that the client has received already, by its token."""
-        return self.seen.get(shard, self.seen_least)
+        return self.token_positions.get(shard, self.minimum_token_position)
