--- a/heathwell/service/part_planner.py
+++ b/heathwell/service/part_planner.py
@@ -47,7 +47,7 @@
         """Yield a step's parts, except those that no endpoint within reach holds: they are only held."""
         for plan in plans:
             part = ServicePart(f"{query.id}/{len(query.parts)}", plan, query.step)
-            if query.step == 1 and plan in query.cut_off:
+            if query.step == 1 and plan in query.unreachable_parts:
                 part.status = UNREACHABLE_PART_STATUS
                 self._broker.hold_part(query, part)
                 continue
--- a/heathwell/service/query_admission.py
+++ b/heathwell/service/query_admission.py
@@ -47,7 +47,7 @@
     """A query that is admitted: the time it has, and the parts that no endpoint within reach holds."""
 
     timeout_us: int
-    cut_off_parts: Sequence[PartPlan]
+    unreachable_parts: Sequence[PartPlan]
 
 
 class AdmissionBroker(ServiceContext, Protocol):
@@ -89,10 +89,10 @@
         timeout_us = self._timeout_us(plan)
         if self._is_too_short(timeout_us, plan.query_class):
             raise self._rejection(RejectionReason.TIMEOUT_TOO_SHORT, plan, client)
-        cut_off_parts = self._reachability.cut_off_parts(plan)
-        if cut_off_parts and not self._is_answerable_without(cut_off_parts, plan.query_class):
+        unreachable_parts = self._reachability.unreachable_parts(plan)
+        if unreachable_parts and not self._is_answerable_without(unreachable_parts, plan.query_class):
             raise self._rejection(RejectionReason.SHARDS_UNREACHABLE, plan, client)
-        return Admission(timeout_us, cut_off_parts)
+        return Admission(timeout_us, unreachable_parts)
 
     def retry_after_us(
         self,
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -97,7 +97,7 @@
             now + time_left_us,
             on_reply,
             plan=plan,
-            cut_off=admission.cut_off_parts,
+            unreachable_parts=admission.unreachable_parts,
             who=who,
         )
 
--- a/heathwell/service/service_records.py
+++ b/heathwell/service/service_records.py
@@ -23,10 +23,11 @@
 
 @dataclass(slots=True)
 class ServiceQuery(QueryState[ServicePart, ServiceSnapshot]):
-    """A query with its plan; ``cut_off`` are parts that no endpoint within reach holds, ``who`` names its
-    client and subject.
+    """A query with its plan.
+
+    ``unreachable_parts`` are those that no reachable endpoint holds; ``who`` names the client and subject.
     """
 
     plan: QueryPlan = QueryPlan(0, "", 0, "", ())
-    cut_off: Sequence[PartPlan] = ()
+    unreachable_parts: Sequence[PartPlan] = ()
     who: str = ""
--- a/heathwell/service/shard_reachability.py
+++ b/heathwell/service/shard_reachability.py
@@ -39,7 +39,7 @@
         """Look for shards without a live replica once the module has taken an endpoint update in."""
         self._broker.loop.call_at(self._broker.loop.now() + UPDATE_DELAY_US, self._find_unheld_shards)
 
-    def cut_off_parts(self, plan: QueryPlan) -> Sequence[PartPlan]:
+    def unreachable_parts(self, plan: QueryPlan) -> Sequence[PartPlan]:
         """Parts of a plan whose every live replica is excluded, or that have had none for half the class's
         latency objective.
         """
