--- a/heathwell/servers/admin.py
+++ b/heathwell/servers/admin.py
@@ -72,7 +72,7 @@
             return "no hosts"
         if broker.zone_observer is not None and broker.zone_observer.is_evacuated():
             return "the fleet leaves this zone"
-        if broker.cut_off:
+        if broker.is_cut_off:
             return "cut off from most shards"
         return None
 
--- a/heathwell/servers/vector_routes.py
+++ b/heathwell/servers/vector_routes.py
@@ -88,7 +88,7 @@
     def _health(self, path: str) -> Response:
         if path == "/readyz" and self._broker.stopping:
             return Response(503, b"stopping\n")
-        if path == "/readyz" and self._broker.cut_off:
+        if path == "/readyz" and self._broker.is_cut_off:
             return Response(503, b"cut off from most shards\n")
         return Response(200, b"ok\n")
 
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -204,17 +204,17 @@
             self._storm_control.pace(listener)
 
     @property
-    def sends_away(self) -> bool:
+    def should_drain_clients(self) -> bool:
         """Whether idle clients should connect elsewhere: the broker is cut off, or its zone is evacuated."""
         return (
             self.zone_observer is not None
             and self.zone_observer.is_evacuated()
             or bool(self.service_settings.across.client_drain_duration_us)
-            and self.cut_off
+            and self.is_cut_off
         )
 
     @property
-    def cut_off(self) -> bool:
+    def is_cut_off(self) -> bool:
         """Whether links that are down keep most shards out of reach."""
         return self.reachability.is_cut_off
 
--- a/tests/test_region_reachability.py
+++ b/tests/test_region_reachability.py
@@ -108,7 +108,7 @@
         assert page("/healthz").status == 200 and page("/healthz", "class=sale-record").status == 200
         cut_off(world, remote_nodes)
         for number in range(40):
-            if not broker.broker.cut_off:
+            if not broker.broker.is_cut_off:
                 yield from active_client.get(f"price:t{number}")
                 yield from sleep(world.loop, 40_000)
         yield from sleep(world.loop, 3_500_000)
