--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -67,15 +67,15 @@
     def begin(self, plan: QueryPlan, on_reply: OnReply, request: str, client: str) -> Handle | None:
         """Start the query of a plan; return ``None`` where it is rejected at admission."""
         spec = self._broker.settings.classes[plan.query_class]
-        who = f"{client}|{plan.subject}"
+        client_id = f"{client}|{plan.subject}"
         if self._statistics is not None:
-            self._statistics.asked(self._broker.loop.now(), who, plan.key, spec.name)
+            self._statistics.asked(self._broker.loop.now(), client_id, plan.key, spec.name)
         try:
-            admission = self._admission.admit(plan, who)
+            admission = self._admission.admit(plan, client_id)
         except AdmissionRejectedError as rejection:
-            self._reject(plan, who, request, on_reply, rejection)
+            self._reject(plan, client_id, request, on_reply, rejection)
             return None
-        query = self._make_query(plan, who, on_reply, admission)
+        query = self._make_query(plan, client_id, on_reply, admission)
         self._log_admission(query, request)
         handle = self._broker.admit(query)
         if self._fair_admission is not None:
@@ -84,7 +84,9 @@
             self._broker.enter_query(query)
         return handle
 
-    def _make_query(self, plan: QueryPlan, who: str, on_reply: OnReply, admission: Admission) -> ServiceQuery:
+    def _make_query(
+        self, plan: QueryPlan, client_id: str, on_reply: OnReply, admission: Admission
+    ) -> ServiceQuery:
         now = self._broker.loop.now()
         job = self._broker.next_job()
         limits = self._broker.service_settings.limits
@@ -98,7 +100,7 @@
             on_reply,
             plan=plan,
             unreachable_parts=admission.unreachable_parts,
-            who=who,
+            client_id=client_id,
         )
 
     def _log_admission(self, query: ServiceQuery, request: str) -> None:
@@ -120,7 +122,12 @@
         )
 
     def _reject(
-        self, plan: QueryPlan, who: str, request: str, on_reply: OnReply, rejection: AdmissionRejectedError
+        self,
+        plan: QueryPlan,
+        client_id: str,
+        request: str,
+        on_reply: OnReply,
+        rejection: AdmissionRejectedError,
     ) -> None:
         """Reply to a query that never reaches the decision module."""
         class_name = self._broker.settings.classes[plan.query_class].name
@@ -129,5 +136,5 @@
         self._broker.events("door", req=request, key=plan.key, klass=class_name, why=reason)
         reply = replies.rejection(class_name, rejection.retry_after_us, reason)
         if self._statistics is not None:
-            self._statistics.ended(self._broker.loop.now(), who, plan.key, reply)
+            self._statistics.ended(self._broker.loop.now(), client_id, plan.key, reply)
         self._broker.loop.call_soon(on_reply, reply)
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -348,7 +348,7 @@
 
     def retry_after_us(self, query: ServiceQuery, after_us: int) -> int:
         """Return after how long (us) the client may retry; ``after_us`` is the decision module's advice."""
-        return self._admission.retry_after_us(query.plan, query.who, query.settings_version, after_us)
+        return self._admission.retry_after_us(query.plan, query.client_id, query.settings_version, after_us)
 
     def on_attempt_sent(self, node: str, key: AttemptKey) -> None:
         """Record an attempt as evidence on its link."""
--- a/heathwell/service/service_records.py
+++ b/heathwell/service/service_records.py
@@ -25,9 +25,10 @@
 class ServiceQuery(QueryState[ServicePart, ServiceSnapshot]):
     """A query with its plan.
 
-    ``unreachable_parts`` are those that no reachable endpoint holds; ``who`` names the client and subject.
+    ``unreachable_parts`` are those that no reachable endpoint holds; ``client_id`` names the client and its
+    subject.
     """
 
     plan: QueryPlan = QueryPlan(0, "", 0, "", ())
     unreachable_parts: Sequence[PartPlan] = ()
-    who: str = ""
+    client_id: str = ""
