--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -69,7 +69,7 @@
         spec = self._broker.settings.classes[plan.query_class]
         client_id = f"{client}|{plan.subject}"
         if self._statistics is not None:
-            self._statistics.asked(self._broker.loop.now(), client_id, plan.key, spec.name)
+            self._statistics.record_query(self._broker.loop.now(), client_id, plan.key, spec.name)
         try:
             admission = self._admission.admit(plan, client_id)
         except AdmissionRejectedError as rejection:
@@ -136,5 +136,5 @@
         self._broker.events("door", req=request, key=plan.key, klass=class_name, why=reason)
         reply = replies.rejection(class_name, rejection.retry_after_us, reason)
         if self._statistics is not None:
-            self._statistics.ended(self._broker.loop.now(), client_id, plan.key, reply)
+            self._statistics.record_reply(self._broker.loop.now(), client_id, plan.key, reply)
         self._broker.loop.call_soon(on_reply, reply)
--- a/heathwell/service/reply_recorder.py
+++ b/heathwell/service/reply_recorder.py
@@ -31,7 +31,7 @@
         now = self._broker.loop.now()
         query_class = self._broker.query_class_of(query)
         if self._statistics is not None:
-            self._statistics.ended(now, query.client_id, query.plan.key, reply)
+            self._statistics.record_reply(now, query.client_id, query.plan.key, reply)
         if self._storm_control is not None:
             self._storm_control.record_reply(
                 query_cost_us(query.plan, query.settings_version),
--- a/heathwell/service/service_statistics.py
+++ b/heathwell/service/service_statistics.py
@@ -44,7 +44,7 @@
             OrderedDict()
         )  # when it arrived, and the weight added so far
 
-    def asked(self, now: int, client_id: str, key: str, query_class: str) -> None:
+    def record_query(self, now: int, client_id: str, key: str, query_class: str) -> None:
         """Record a query's arrival; the same from the same client within the class's timeout is a retry."""
         first = self._first.get((client_id, key))
         if first is not None and now - first[0] <= self.classes[query_class].timeout_us:
@@ -54,7 +54,7 @@
         while len(self._first) > MAXIMUM_FIRST_ATTEMPTS:
             self._first.popitem(last=False)
 
-    def ended(self, now: int, client_id: str, key: str, reply: Reply) -> None:
+    def record_reply(self, now: int, client_id: str, key: str, reply: Reply) -> None:
         """Record a reply, also a rejection at admission; a retry adds what it gained beyond earlier ones."""
         query_class = self.classes[reply.query_class]
         sums = self.sums[reply.query_class]
--- a/tests/test_service_comparison.py
+++ b/tests/test_service_comparison.py
@@ -16,8 +16,8 @@
     """
     statistics = ServiceStatistics((QUERY_CLASS,))
     for started_at_us, ended_at_us, kind, is_complete in requests:
-        statistics.asked(started_at_us, "c", "k", "one")
-        statistics.ended(ended_at_us, "c", "k", Reply(kind, "q", "one", is_complete))
+        statistics.record_query(started_at_us, "c", "k", "one")
+        statistics.record_reply(ended_at_us, "c", "k", Reply(kind, "q", "one", is_complete))
     return statistics.sums["one"]
 
 
@@ -52,7 +52,7 @@
 def test_records_of_first_attempts_are_bounded():
     statistics = ServiceStatistics((QUERY_CLASS,))
     for number in range(10_000):
-        statistics.asked(number, f"c{number}", "k", "one")
+        statistics.record_query(number, f"c{number}", "k", "one")
     assert len(statistics._first) <= 4_096
 
 
