--- a/heathwell/service/admission/fair_queue.py
+++ b/heathwell/service/admission/fair_queue.py
@@ -2,8 +2,8 @@
 
 Start-time fair queueing (Goyal, Vin, Cheng 1996) under one limit on the work in flight. A flow that requests
 less than its share is admitted at once, whatever the others do; what a flow leaves unused the others may
-borrow until their work ends. Work is queued only as long as its patience: what would wait longer is rejected
-at once, and what has waited longer all the same is rejected as soon as that is found.
+borrow until their work ends. Work that is expected to be queued for longer than its queue timeout is rejected
+when it is offered; work that was queued for longer all the same is rejected at the next poll.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueUpdate:
-    """Ids of queued work that is admitted now, and of work that is rejected as its patience has ended."""
+    """Ids of queued work that is admitted now, and of work that is rejected after its queue timeout."""
 
     admitted: list[str] = field(default_factory=list)
     expired: list[str] = field(default_factory=list)
@@ -85,16 +85,16 @@
         return any(flow.queued_count for flow in self.flows.values())
 
     def offer(
-        self, now_us: int, flow_name: str, work_id: str, cost_us: float, patience_us: int
+        self, now_us: int, flow_name: str, work_id: str, cost_us: float, queue_timeout_us: int
     ) -> AdmissionDecision:
-        """Decide on new work; it is rejected where it is expected to be queued past its patience."""
+        """Decide on new work; it is rejected if it is expected to be queued for longer than its timeout."""
         flow = self.flows[flow_name]
-        entry = QueueEntry(flow_name, cost_us, now_us + patience_us)
+        entry = QueueEntry(flow_name, cost_us, now_us + queue_timeout_us)
         if not flow.queued_count and self._fits(flow, cost_us):
             self.entries[work_id] = entry
             self._admit(now_us, entry, flow)
             return AdmissionDecision.ADMIT
-        if flow.queued_count >= MAXIMUM_QUEUED or self.expected_wait_us(flow_name) > patience_us:
+        if flow.queued_count >= MAXIMUM_QUEUED or self.expected_wait_us(flow_name) > queue_timeout_us:
             flow.rejected_count += 1
             return AdmissionDecision.REJECT
         self.entries[work_id] = entry
@@ -182,7 +182,7 @@
         return entry is not None and not entry.is_in_flight
 
     def _expire(self, now_us: int, flow: Flow) -> list[str]:
-        """Remove and return the work whose patience has ended, at any place of the queue."""
+        """Remove and return the work whose queue timeout has passed, at any position in the queue."""
         expired = []
         while flow.expiries and (flow.expiries[0][0] <= now_us or not self._is_queued(flow.expiries[0][1])):
             work_id = heapq.heappop(flow.expiries)[1]
@@ -194,7 +194,7 @@
         return expired
 
     def next_expiry_at_us(self) -> int | None:
-        """Return when the next patience ends; None while nothing is queued."""
+        """Return when the next queue timeout passes; None while nothing is queued."""
         return min((flow.expiries[0][0] for flow in self.flows.values() if flow.expiries), default=None)
 
     def retry_after_us(self, flow_name: str, longest_us: int) -> int:
--- a/heathwell/service/fair_admission.py
+++ b/heathwell/service/fair_admission.py
@@ -52,8 +52,8 @@
         """Pass a new query on at once, queue it, or reject it."""
         cost_us = query_cost_us(query.plan, query.settings_version)
         now = self._broker.loop.now()
-        patience_us = self._patience_us(query, now)
-        decision = self.queue.offer(now, query.plan.front, query.id, cost_us, patience_us)
+        queue_timeout_us = self._queue_timeout_us(query, now)
+        decision = self.queue.offer(now, query.plan.front, query.id, cost_us, queue_timeout_us)
         if decision == AdmissionDecision.ADMIT:
             self._broker.enter_query(query)
         elif decision == AdmissionDecision.QUEUE:
@@ -75,12 +75,12 @@
             round_trip_us = now - sent_at_us if sent_at_us is not None else 0
             self.queue.limiter.on_part_answered(now, round_trip_us, work_us)
 
-    def _patience_us(self, query: ServiceQuery, now: int) -> int:
-        """How long a query may be queued."""
+    def _queue_timeout_us(self, query: ServiceQuery, now: int) -> int:
+        """Return for how long a query may be queued."""
         left_us = query.deadline_us - now
         search = query.plan.search
-        if search is not None and search.patience_us:
-            return min(search.patience_us, left_us // 2)
+        if search is not None and search.queue_timeout_us:
+            return min(search.queue_timeout_us, left_us // 2)
         objective_us = self._broker.query_class_of(query).latency_objective_us
         return int(self._broker.service_settings.fronts.patience * min(objective_us, left_us))
 
--- a/heathwell/service/query_plans.py
+++ b/heathwell/service/query_plans.py
@@ -20,11 +20,12 @@
 
 @dataclass(slots=True)
 class SearchPlan:
-    """What a vector search has beyond other queries: its parts' body, its merge, and a part's work (us).
+    """What the plan of a vector search holds beyond that of other queries.
 
-    ``cost_features`` are what the cost is learned from, under the name of the ``model``; ``timeout_us`` is
-    the client's own and ``patience_us`` how long the query may be queued, 0 for the class's; ``superseded``
-    are parts that could not change the answer any more, and so were not awaited.
+    ``body`` is the request body of each part, ``work`` the expected work of one part. The cost model named
+    ``model`` learns from ``cost_features``. ``timeout_us`` is the timeout that the client chose, 0 for the
+    class's; ``queue_timeout_us`` limits queueing, 0 for the limit of the class. ``superseded`` are the ids of
+    parts that could no longer change the answer and so were not awaited.
     """
 
     model: str
@@ -33,7 +34,7 @@
     cost_features: tuple[float, ...]
     work: int
     timeout_us: int = 0
-    patience_us: int = 0
+    queue_timeout_us: int = 0
     superseded: set[str] = field(default_factory=set)
 
 
