--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -95,7 +95,7 @@
     ) -> SearchPlan:
         spec = request.spec
         features = _cost_features(searches)
-        top = TopKMerge(
+        merge = TopKMerge(
             [search.limit for search in searches],
             [search.offset for search in searches],
             [search.want.threshold for search in searches],
@@ -104,7 +104,7 @@
         return SearchPlan(
             _model_name(spec),
             api.encode_searches(spec.name, searches),
-            top,
+            merge,
             features,
             int(self._cost_model(spec).predict(features)),
             request.timeout_us,
--- a/heathwell/service/query_cost.py
+++ b/heathwell/service/query_cost.py
@@ -12,7 +12,7 @@
 def part_work_us(plan: QueryPlan, version: SettingsVersion[ServiceSnapshot]) -> int:
     """The work of one part, by a version of the settings."""
     if plan.search is not None:
-        return plan.search.work
+        return plan.search.work_us
     return version.extension.service_settings.classes[plan.query_class].work
 
 
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -107,7 +107,10 @@
         plan = query.plan
         search_fields: dict[str, Sequence[float | None]] = {}
         if plan.search is not None:
-            search_fields = {"wanted": plan.search.top.requested_counts, "least": plan.search.top.thresholds}
+            search_fields = {
+                "wanted": plan.search.merge.requested_counts,
+                "least": plan.search.merge.thresholds,
+            }
         self._broker.events(
             "take",
             q=query.id,
--- a/heathwell/service/query_plans.py
+++ b/heathwell/service/query_plans.py
@@ -22,17 +22,17 @@
 class SearchPlan:
     """What the plan of a vector search holds beyond that of other queries.
 
-    ``body`` is the request body of each part, ``work`` the expected work of one part. The cost model named
-    ``model`` learns from ``cost_features``. ``timeout_us`` is the timeout that the client chose, 0 for the
-    class's; ``queue_timeout_us`` limits queueing, 0 for the limit of the class. ``superseded`` are the ids of
-    parts that could no longer change the answer and so were not awaited.
+    ``body`` is the request body of each part, ``work_us`` the expected work of one part. The cost model named
+    ``cost_model`` learns from ``cost_features``. ``timeout_us`` is the timeout that the client chose, 0 for
+    the class's; ``queue_timeout_us`` limits queueing, 0 for the limit of the class. ``superseded`` are the
+    ids of parts that could no longer change the answer and so were not awaited.
     """
 
-    model: str
+    cost_model: str
     body: bytes
-    top: TopKMerge
+    merge: TopKMerge
     cost_features: tuple[float, ...]
-    work: int
+    work_us: int
     timeout_us: int = 0
     queue_timeout_us: int = 0
     superseded: set[str] = field(default_factory=set)
--- a/heathwell/service/search_answers.py
+++ b/heathwell/service/search_answers.py
@@ -58,7 +58,7 @@
     def _add_hits(self, search: SearchPlan, part: ServicePart, result: frames.Result) -> None:
         answer = decode_answer(result.data)
         hits_by_search = [[Row(hit.id, hit.score, hit, hit.version) for hit in hits] for hits in answer.lists]
-        search.top.add_rows(part.id, hits_by_search, answer.points, answer.recall)
+        search.merge.add_rows(part.id, hits_by_search, answer.points, answer.recall)
         self.points_seen.setdefault(part.plan.key, {})[part.plan.shard] = answer.points
 
     def on_part_answered(self, query: ServiceQuery, result: frames.Result) -> None:
@@ -66,7 +66,7 @@
         search = query.plan.search
         if search is None:
             return
-        model = self._costs.model(search.model, INITIAL_COST, len(search.cost_features))
+        model = self._costs.model(search.cost_model, INITIAL_COST, len(search.cost_features))
         model.learn(search.cost_features, result.work_us)
         self._supersede_attempts(query, search)
 
@@ -78,7 +78,7 @@
         if search is None or key not in query.in_flight:
             return
         try:
-            search.top.add_bounds(key[0], best_scores)
+            search.merge.add_bounds(key[0], best_scores)
         except MalformedRowsError as error:
             self._broker.log("warning", "a host's bounds are malformed", node=node, why=str(error))
             return
@@ -88,7 +88,7 @@
         """Tell the module of attempts in flight that can't change the result any more."""
         if query.on_reply is None:
             return
-        for part_id in search.top.take_superseded():
+        for part_id in search.merge.take_superseded():
             attempt = query.parts[part_id].attempt_count - 1
             if part_id in search.superseded or (part_id, attempt) not in query.in_flight:
                 continue
