--- a/heathwell/servers/admin_metrics.py
+++ b/heathwell/servers/admin_metrics.py
@@ -204,7 +204,7 @@
                 "Work let in a second while not calm (s); 0 while calm",
                 value=0.0 if storms.state == "calm" else storms.work_rate_us / 1e6,
             )
-        gate = self._broker.gate
+        gate = self._broker.fair_queue
         if gate is None:
             return
         work = GaugeMetricFamily(
--- a/heathwell/service/fair_admission.py
+++ b/heathwell/service/fair_admission.py
@@ -12,7 +12,7 @@
 from heathwell.service.service_records import ServiceQuery
 from heathwell.settings import ServiceSettings
 
-GATE_SEED_MASK = 0xFA1E
+FAIR_QUEUE_SEED_MASK = 0xFA1E
 INITIAL_WINDOW_FACTOR = 2.0  # of the queue target, by replica group
 MINIMUM_TICK_INTERVAL_US = 1000
 
@@ -45,7 +45,7 @@
         self.queue = FairQueue(
             {"memcached": fronts.memcached, "vector": fronts.vector},
             ConcurrencyLimiter(fronts.queue_target, initial_window),
-            seed ^ GATE_SEED_MASK,
+            seed ^ FAIR_QUEUE_SEED_MASK,
         )
 
     def offer(self, query: ServiceQuery) -> None:
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -184,7 +184,7 @@
     # Components that the servers of client protocols read or use.
 
     @property
-    def gate(self) -> FairQueue | None:
+    def fair_queue(self) -> FairQueue | None:
         """The queues of the servers, where settings enable them."""
         return self._fair_admission.queue if self._fair_admission is not None else None
 
