--- a/heathwell/servers/admin_metrics.py
+++ b/heathwell/servers/admin_metrics.py
@@ -197,7 +197,7 @@
         yield uses
 
     def _admission_metrics(self) -> Iterator[Metric]:
-        storms = self._broker.storms
+        storms = self._broker.storm_controller
         if storms is not None:
             yield GaugeMetricFamily(
                 "heathwell_storm_rate",
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -189,9 +189,9 @@
         return self._fair_admission.queue if self._fair_admission is not None else None
 
     @property
-    def storms(self) -> StormController | None:
+    def storm_controller(self) -> StormController | None:
         """The decider on retry storms, where settings enable it."""
-        return self._storm_control.decider if self._storm_control is not None else None
+        return self._storm_control.controller if self._storm_control is not None else None
 
     @property
     def regions(self) -> RegionLinks | None:
--- a/heathwell/service/storm_control.py
+++ b/heathwell/service/storm_control.py
@@ -43,7 +43,7 @@
         limits = service_settings.storms
         self._broker = broker
         self._largest_live_count = 1
-        self.decider = StormController(
+        self.controller = StormController(
             StormLimits(
                 limits.useful, limits.repeat, limits.accepts, limits.first_accepts, float(limits.first_rate)
             ),
@@ -54,22 +54,22 @@
 
     def check(self, client: str, key: str, cost_us: float) -> int | None:
         """None where a query is accepted; else after how long (us) its client may retry."""
-        verdict = self.decider.admit(self._broker.loop.now(), client, key, cost_us)
+        verdict = self.controller.admit(self._broker.loop.now(), client, key, cost_us)
         self._broker.counters["asked as", verdict.kind.value] += 1
         return None if verdict.is_admitted else verdict.retry_after_us
 
     def record_reply(self, cost_us: float, *, is_answer: bool, within_objective: bool) -> None:
         """Record the reply to a query that was accepted."""
-        self.decider.record_reply(cost_us, is_answer=is_answer, within_objective=within_objective)
+        self.controller.record_reply(cost_us, is_answer=is_answer, within_objective=within_objective)
 
     def retry_after_us(self, client: str, key: str, cost_us: float) -> int:
         """After how long a client whose query is rejected may retry, by the retry schedule."""
-        return self.decider.schedule_retry(self._broker.loop.now(), client, key, cost_us)
+        return self.controller.schedule_retry(self._broker.loop.now(), client, key, cost_us)
 
     def pace(self, listener: Listener) -> None:
         """Limit the rate at which a listener accepts connections."""
-        listener.accept_delay_us = lambda: self.decider.accept_delay_us(self._broker.loop.now())
-        listener.on_accept = self.decider.on_connection_accepted
+        listener.accept_delay_us = lambda: self.controller.accept_delay_us(self._broker.loop.now())
+        listener.on_accept = self.controller.on_connection_accepted
 
     def _tick(self) -> None:
         """Update the decider with the present fraction of the capacity, and log its changes of state."""
@@ -77,7 +77,7 @@
             return
         now = self._broker.loop.now()
         self._broker.loop.call_at(now + TICK_INTERVAL_US, self._tick)
-        change = self.decider.tick(now, self._capacity_fraction())
+        change = self.controller.tick(now, self._capacity_fraction())
         if change is None:
             return
         state = change.state.value
