--- a/heathwell/servers/admin_metrics.py
+++ b/heathwell/servers/admin_metrics.py
@@ -156,10 +156,10 @@
 
     def _region_metrics(self) -> Iterator[Metric]:
         broker = self._broker
-        if broker.regions is None:
+        if broker.region_links is None:
             return
         crossed = CounterMetricFamily("heathwell_crossed", "Attempts over a link", labels=("region", "which"))
-        for link in broker.regions.links.values():
+        for link in broker.region_links.links.values():
             first_count = link.crossed_count - link.additional_crossed_count
             crossed.add_metric((link.region, "first"), first_count)
             crossed.add_metric((link.region, "further"), link.additional_crossed_count)
--- a/heathwell/servers/admin_state.py
+++ b/heathwell/servers/admin_state.py
@@ -100,7 +100,7 @@
 
 
 def _link_states(broker: ServiceBroker) -> list[LinkState]:
-    if broker.regions is None:
+    if broker.region_links is None:
         return []
     now = broker.loop.now()
     return [
@@ -112,5 +112,5 @@
             crossed=link.crossed_count,
             further_crossed=link.additional_crossed_count,
         )
-        for link in broker.regions.links.values()
+        for link in broker.region_links.links.values()
     ]
--- a/heathwell/service/endpoint_restrictions.py
+++ b/heathwell/service/endpoint_restrictions.py
@@ -53,10 +53,10 @@
         self._from_links = Restriction()
         self._evacuated: dict[int | None, frozenset[str]] = {}
         self.remote_nodes: frozenset[str] = NO_NODES
-        self.regions: RegionLinks | None = None
+        self.region_links: RegionLinks | None = None
         if _needs_regions(broker.service_settings):
             home = self._region_by_zone[zone]
-            self.regions = _make_regions(broker.service_settings, home, shortest_objective_us, seed)
+            self.region_links = _make_regions(broker.service_settings, home, shortest_objective_us, seed)
             broker.loop.call_at(broker.loop.now() + TICK_INTERVAL_US, self._tick)
 
     @property
@@ -75,7 +75,7 @@
 
     def on_endpoint_update(self, update: policy.EndpointUpdate) -> None:
         """Note the regions of endpoints. To be called before the module gets the update."""
-        if self.regions is None or update.kind == policy.UpdateKind.FAILED:
+        if self.region_links is None or update.kind == policy.UpdateKind.FAILED:
             return
         if update.kind == policy.UpdateKind.FULL:
             self._region_by_node.clear()
@@ -83,16 +83,16 @@
             self._region_by_node[entry.node] = self._region_by_zone.get(entry.zone, "")
             if entry.state == policy.EndpointState.GONE:
                 del self._region_by_node[entry.node]
-        self.regions.set_endpoints(self._region_by_node)
+        self.region_links.set_endpoints(self._region_by_node)
 
     def restrict_remote_nodes(self) -> None:
         """Restrict endpoints in other regions for the classes that stay at home.
 
         To be called after the module got an update: it must know the endpoints that restrictions name.
         """
-        if self.regions is None:
+        if self.region_links is None:
             return
-        home = self.regions.home
+        home = self.region_links.home
         remote_nodes = frozenset(node for node, region in self._region_by_node.items() if region != home)
         if remote_nodes == self.remote_nodes:
             return
@@ -117,39 +117,39 @@
 
     def on_attempt_sent(self, node: str, key: AttemptKey) -> None:
         """Record an attempt that is handed to its connection."""
-        if self.regions is not None:
-            self.regions.on_attempt_sent(self._broker.loop.now(), node, key)
+        if self.region_links is not None:
+            self.region_links.on_attempt_sent(self._broker.loop.now(), node, key)
 
     def on_attempt_ended(self, node: str, key: AttemptKey, outcome: policy.Outcome, duration_us: int) -> None:
         """Record the end of an attempt."""
-        if self.regions is not None:
-            self.regions.on_attempt_ended(self._broker.loop.now(), node, key, outcome, duration_us)
+        if self.region_links is not None:
+            self.region_links.on_attempt_ended(self._broker.loop.now(), node, key, outcome, duration_us)
 
     def on_probe_result(self, node: str, outcome: policy.Outcome) -> None:
         """Record the end of a probe."""
-        if self.regions is not None:
-            self.regions.on_probe_ended(self._broker.loop.now(), node, outcome)
-            self._log_link_changes(self.regions)
+        if self.region_links is not None:
+            self.region_links.on_probe_ended(self._broker.loop.now(), node, outcome)
+            self._log_link_changes(self.region_links)
 
     def on_late_answer(self, node: str) -> None:
         """Record an answer that came too late: it shows that the link is up."""
-        if self.regions is not None:
-            self.regions.on_late_answer(self._broker.loop.now(), node)
-            self._log_link_changes(self.regions)
+        if self.region_links is not None:
+            self.region_links.on_late_answer(self._broker.loop.now(), node)
+            self._log_link_changes(self.region_links)
 
     # Periodic work.
 
     def _tick(self) -> None:
         """Probe over links that are suspected, and send the module restrictions that have changed."""
-        if self._broker.dead or self.regions is None:
+        if self._broker.dead or self.region_links is None:
             return
         now = self._broker.loop.now()
         self._broker.loop.call_at(now + TICK_INTERVAL_US, self._tick)
-        for node in self.regions.tick(now):
+        for node in self.region_links.tick(now):
             self._broker.counters["link probe",] += 1
             self._broker.probe_endpoint(node)
-        self._log_link_changes(self.regions)
-        restrictions = self.regions.restrictions(now)
+        self._log_link_changes(self.region_links)
+        restrictions = self.region_links.restrictions(now)
         from_links = Restriction(restrictions.deprioritized, restrictions.excluded)
         if from_links != self._from_links:
             self._from_links = from_links
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -194,9 +194,9 @@
         return self._storm_control.controller if self._storm_control is not None else None
 
     @property
-    def regions(self) -> RegionLinks | None:
+    def region_links(self) -> RegionLinks | None:
         """The decider on links between regions, where settings enable it."""
-        return self._restrictions.regions
+        return self._restrictions.region_links
 
     def pace(self, listener: Listener) -> None:
         """Limit the rate at which a listener accepts connections, while clients retry."""
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -368,7 +368,7 @@
     assert during.on_time + during.partial + during.late > 0.9 * during.queries
     assert any(event["ev"] == "door" and event["why"] == "cut off" for event in scenario.events)
     assert any(event["ev"] == "link" and event["state"] == "down" for event in scenario.events)
-    links = [link for broker in scenario.fleet.brokers for link in broker.broker.regions.links.values()]
+    links = [link for broker in scenario.fleet.brokers for link in broker.broker.region_links.links.values()]
     assert all(link.state == LinkState.OPEN for link in links)
     if fault != "region lost":
         local = scenario.counts[ServiceKey("sale-record", Phase.DURING, is_local=True)]
