--- a/heathwell/servers/vector_routes.py
+++ b/heathwell/servers/vector_routes.py
@@ -100,7 +100,7 @@
 
     def _collection_information(self, spec: Collection) -> answers.CollectionInformation:
         shard_count = len(self._planner.shards(spec))
-        sizes = self._broker.search_answers.points_seen.get(spec.name, {})
+        sizes = self._broker.search_answers.shard_sizes.get(spec.name, {})
         point_count = sum(sizes.values()) if len(sizes) == shard_count else None
         width = self._broker.service_settings.fleet.width
         return answers.collection_information(spec, shard_count, width, point_count)
--- a/heathwell/service/search_answers.py
+++ b/heathwell/service/search_answers.py
@@ -30,13 +30,13 @@
 class SearchAnswers:
     """The searches of one broker. ``costs`` are learned from the work that endpoints report.
 
-    ``points_seen`` holds the sizes of shards, by collection and shard, as endpoints reported them.
+    ``shard_sizes`` holds the sizes of shards, by collection and shard, as endpoints reported them.
     """
 
     def __init__(self, broker: SearchBroker, costs: CostModels) -> None:
         self._broker = broker
         self._costs = costs
-        self.points_seen: dict[str, dict[int, int]] = {}
+        self.shard_sizes: dict[str, dict[int, int]] = {}
 
     def merge_hits(
         self, query: ServiceQuery, part: ServicePart, node: str, key: AttemptKey, result: frames.Result
@@ -59,7 +59,7 @@
         answer = decode_answer(result.data)
         hits_by_search = [[Row(hit.id, hit.score, hit, hit.version) for hit in hits] for hits in answer.lists]
         search.merge.add_rows(part.id, hits_by_search, answer.points, answer.recall)
-        self.points_seen.setdefault(part.plan.key, {})[part.plan.shard] = answer.points
+        self.shard_sizes.setdefault(part.plan.key, {})[part.plan.shard] = answer.points
 
     def on_part_answered(self, query: ServiceQuery, result: frames.Result) -> None:
         """Learn from the work that an answer took, and supersede the attempts that it made needless."""
