--- a/heathwell/service/answer_freshness.py
+++ b/heathwell/service/answer_freshness.py
@@ -26,7 +26,7 @@
         self._decider = FreshnessDecider(self.clock, replicas_of)
 
     @property
-    def liars(self) -> int:
+    def future_watermark_count(self) -> int:
         """How many answers claimed a position that the data source had not reached."""
         return self._decider.lag_tracker.future_watermark_count
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -449,7 +449,7 @@
     inject_fault(scenario.fleet.leaves[1], "lie", 60, 60.0)
     ages = scenario.run().age_verdict()
     assert ages.kept and ages.unknown > 0
-    assert sum(broker.broker.freshness.liars for broker in scenario.fleet.brokers) > 0
+    assert sum(broker.broker.freshness.future_watermark_count for broker in scenario.fleet.brokers) > 0
 
 
 def test_the_auditor_finds_a_broker_that_counts_a_part_twice(monkeypatch):
