--- a/heathwell/service/answer_freshness.py
+++ b/heathwell/service/answer_freshness.py
@@ -54,7 +54,7 @@
             time_left_us=query.started_at_us + query_class.latency_objective_us - now,
             minimum_position=_required_position(query, part.plan.shard),
         )
-        part.known_age = verdict.age_us is not None
+        part.has_known_age = verdict.age_us is not None
         if not verdict.is_accepted:
             reason = verdict.reason.value if verdict.reason is not None else ""
             part.turned_down += 1
@@ -69,7 +69,7 @@
             return None
         now = self._broker.loop.now()
         bound_us = None
-        if all(part.known_age for part in parts):
+        if all(part.has_known_age for part in parts):
             bound_us = self.clock.age(now, min(part.source_us for part in parts))
         target_age_us = (
             self._broker.snapshot_of(query).freshness_policies[query.plan.query_class].target_age_us
@@ -93,7 +93,7 @@
 
     def age_at_us(self, part: ServicePart, at_us: int) -> int | None:
         """The age of a part's data at an instant; None where it is not known."""
-        if part.data is None or not part.known_age:
+        if part.data is None or not part.has_known_age:
             return None
         return self.clock.age(at_us, part.source_us) or 0
 
--- a/heathwell/service/service_records.py
+++ b/heathwell/service/service_records.py
@@ -17,7 +17,7 @@
     plan: PartPlan
     position: int = 0
     source_us: int = 0
-    known_age: bool = False
+    has_known_age: bool = False
     turned_down: int = 0
 
 
