--- a/heathwell/service/answer_freshness.py
+++ b/heathwell/service/answer_freshness.py
@@ -11,7 +11,7 @@
 from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServicePart, ServiceQuery
 
-TURNED_DOWN = "turned down"  # an interface: the label of a metric, and a reason on the admin page
+REJECTED_AS_STALE = "turned down"  # an interface: the label of a metric, and a reason on the admin page
 
 
 class AnswerFreshness:
@@ -49,7 +49,7 @@
             Watermark(result.position, result.source_us),
             self._broker.snapshot_of(query).freshness_policies[query.plan.query_class],
             attempted_nodes=part.attempted_nodes(),
-            rejected_count=part.turned_down,
+            rejected_count=part.rejected_answer_count,
             duration_us=now - sent_at_us,
             time_left_us=query.started_at_us + query_class.latency_objective_us - now,
             minimum_position=_required_position(query, part.plan.shard),
@@ -57,9 +57,9 @@
         part.has_known_age = verdict.age_us is not None
         if not verdict.is_accepted:
             reason = verdict.reason.value if verdict.reason is not None else ""
-            part.turned_down += 1
-            part.status = f"{TURNED_DOWN}: {reason}"
-            self._broker.counters[TURNED_DOWN, query_class.name, reason] += 1
+            part.rejected_answer_count += 1
+            part.status = f"{REJECTED_AS_STALE}: {reason}"
+            self._broker.counters[REJECTED_AS_STALE, query_class.name, reason] += 1
             self._broker.events("turned", p=key[0], seq=key[1], node=node, why=reason)
         return verdict.is_accepted
 
--- a/heathwell/service/service_records.py
+++ b/heathwell/service/service_records.py
@@ -18,7 +18,7 @@
     position: int = 0
     source_us: int = 0
     has_known_age: bool = False
-    turned_down: int = 0
+    rejected_answer_count: int = 0
 
 
 @dataclass(slots=True)
