--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -13,7 +13,7 @@
 from heathwell.servers import vector_api as api
 from heathwell.servers.durations import milliseconds_rounded_up
 from heathwell.service.admission import CostModel, search_features, split_batch
-from heathwell.service.key_spaces import consecutive_shards, place
+from heathwell.service.key_spaces import consecutive_shards, first_shard
 from heathwell.service.merging import MergedRows, TopKMerge
 from heathwell.service.query_plans import PartPlan, QueryPlan, SearchPlan
 from heathwell.service.reply_merging import merged_rows
@@ -65,7 +65,9 @@
     def shards(self, spec: Collection) -> list[int]:
         """Return the shards that hold a collection."""
         fleet = self._broker.service_settings.fleet
-        return consecutive_shards(place(spec.name, fleet.shards), spec.parts or fleet.shards, fleet.shards)
+        return consecutive_shards(
+            first_shard(spec.name, fleet.shards), spec.parts or fleet.shards, fleet.shards
+        )
 
     def chunks(self, request: SearchRequest) -> list[list[api.Search]]:
         """Split the searches of a request, in order, so that no chunk occupies an endpoint for long."""
--- a/heathwell/service/key_spaces.py
+++ b/heathwell/service/key_spaces.py
@@ -42,7 +42,7 @@
 _json = msgspec.json.Decoder(JsonObject)
 
 
-def place(name: str, shards: int) -> int:
+def first_shard(name: str, shards: int) -> int:
     """The first shard of a trader or a term."""
     return zlib.crc32(name.encode()) % shards
 
@@ -90,13 +90,13 @@
         trader, colon, number = rest.partition(":")
         if not (trader and colon and number):
             return None
-        part = PartPlan(place(trader, self.shards), 1.0, PartOperation.RECORD, rest)
+        part = PartPlan(first_shard(trader, self.shards), 1.0, PartOperation.RECORD, rest)
         return QueryPlan(
             self._classes[space.query_class], space.shape, zlib.crc32(trader.encode()), key, (part,)
         )
 
     def _search(self, space: KeySpace, key: str, rest: str) -> QueryPlan:
-        shards = consecutive_shards(place(rest, self.shards), space.parts, self.shards)
+        shards = consecutive_shards(first_shard(rest, self.shards), space.parts, self.shards)
         parts = tuple(PartPlan(shard, 1 / len(shards), PartOperation.SEARCH, rest) for shard in shards)
         return QueryPlan(self._classes[space.query_class], space.shape, zlib.crc32(rest.encode()), key, parts)
 
@@ -107,7 +107,9 @@
             return None
         holders: dict[int, list[str]] = {}
         for trader in traders:
-            for shard in consecutive_shards(place(trader, self.shards), space.report_parts, self.shards):
+            for shard in consecutive_shards(
+                first_shard(trader, self.shards), space.report_parts, self.shards
+            ):
                 holders.setdefault(shard, []).append(trader)
         parts = tuple(
             PartPlan(shard, 1 / len(holders), PartOperation.TOTALS, ",".join(held) + ":" + day)
