--- a/heathwell/servers/admin.py
+++ b/heathwell/servers/admin.py
@@ -84,7 +84,7 @@
             return Response(404, f"no class '{name}'; there are {', '.join(names)}\n".encode())
         if self._broker.stopping:
             return Response(503, b"stopping\n")
-        fraction = self._broker.reachability.served_fraction(names.index(name))
+        fraction = self._broker.reachability.answerable_query_fraction(names.index(name))
         status = 200 if fraction >= MINIMUM_REACHABLE_FRACTION else 503
         return Response(status, f"{fraction:.0%} of {name} queries can be answered\n".encode())
 
--- a/heathwell/servers/admin_metrics.py
+++ b/heathwell/servers/admin_metrics.py
@@ -168,7 +168,7 @@
             "heathwell_answerable", "Share of a class's queries that can be answered now", labels=("class",)
         )
         for index, spec in enumerate(broker.settings.classes):
-            answerable.add_metric((spec.name,), broker.reachability.served_fraction(index))
+            answerable.add_metric((spec.name,), broker.reachability.answerable_query_fraction(index))
         yield answerable
         yield CounterMetricFamily(
             "heathwell_clients_let_go",
--- a/heathwell/service/shard_reachability.py
+++ b/heathwell/service/shard_reachability.py
@@ -60,7 +60,7 @@
         reachable = self._reachable_shards(self._restrictions.excluded_nodes)
         return sum(reachable) / len(reachable)
 
-    def served_fraction(self, query_class: int) -> float:
+    def answerable_query_fraction(self, query_class: int) -> float:
         """The fraction of a class's queries that can be answered now, its keys being placed evenly."""
         service_settings = self._broker.service_settings
         spec = service_settings.classes[query_class]
