--- a/heathwell/service/regions/link_faults.py
+++ b/heathwell/service/regions/link_faults.py
@@ -33,16 +33,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JointFault:
+class CorrelatedFailure:
     """Endpoints of one region that failed together; ``is_silence``: most of them without any result."""
 
     evidence: str
     is_silence: bool
 
 
-def find_joint_fault(
+def find_correlated_failure(
     now_us: int, link: RegionLink, endpoints: Iterable[EndpointActivity], home: HomeHealth
-) -> JointFault | None:
+) -> CorrelatedFailure | None:
     """Return the fault of a link that its endpoints show, or None.
 
     Results from before the link's last change of state belong to an earlier fault and don't count.
@@ -70,7 +70,7 @@
         f"{failed_count} of {used_count} hosts tried gone bad together, {silent_count} of them silent, "
         "while home answers"
     )
-    return JointFault(evidence, 2 * silent_count > failed_count)
+    return CorrelatedFailure(evidence, 2 * silent_count > failed_count)
 
 
 def _silence_limit_us(now_us: int, link: RegionLink, home: HomeHealth) -> float:
--- a/heathwell/service/regions/region_links.py
+++ b/heathwell/service/regions/region_links.py
@@ -22,9 +22,9 @@
 from heathwell.policy import Outcome
 from heathwell.service.regions.crossing_budget import CrossingBudget
 from heathwell.service.regions.link_faults import (
+    CorrelatedFailure,
     HomeHealth,
-    JointFault,
-    find_joint_fault,
+    find_correlated_failure,
     has_silent_endpoint,
     quickest_tenth_us,
 )
@@ -209,9 +209,9 @@
         nodes_to_probe: list[str] = []
         if link.state != LinkState.DOWN:
             home = HomeHealth(self._home_latency_us, self._home_ok_at_us)
-            fault = find_joint_fault(now_us, link, endpoints, home)
-            if fault is not None:
-                self._on_joint_fault(now_us, link, fault)
+            failure = find_correlated_failure(now_us, link, endpoints, home)
+            if failure is not None:
+                self._on_correlated_failure(now_us, link, failure)
                 return []
             if link.state != LinkState.HALF_OPEN:
                 nodes_to_probe += self._probe_on_suspicion(now_us, link, endpoints)
@@ -224,11 +224,11 @@
             self._compare_latency(now_us, link)
         return nodes_to_probe
 
-    def _on_joint_fault(self, now_us: int, link: RegionLink, fault: JointFault) -> None:
-        if fault.is_silence and link.state == LinkState.OPEN:
+    def _on_correlated_failure(self, now_us: int, link: RegionLink, failure: CorrelatedFailure) -> None:
+        if failure.is_silence and link.state == LinkState.OPEN:
             # After so short a silence it may be slow and not cut: down only if the silence lasts.
             link.suspected_at_us = now_us - SUSPICION_INTERVAL_US
-            self._enter(now_us, link, LinkState.SLOW, fault.evidence)
+            self._enter(now_us, link, LinkState.SLOW, failure.evidence)
             return
         if link.state != LinkState.HALF_OPEN and not link.is_flapping(now_us):
             link.fell_at_us.append(now_us)
@@ -243,7 +243,7 @@
         else:
             link.trial_interval_us = FIRST_TRIAL_INTERVAL_US
         link.trial_at_us = now_us + self._jittered_us(link.trial_interval_us)
-        self._enter(now_us, link, LinkState.DOWN, fault.evidence)
+        self._enter(now_us, link, LinkState.DOWN, failure.evidence)
 
     def _probe_on_suspicion(
         self, now_us: int, link: RegionLink, endpoints: Sequence[EndpointActivity]
