--- a/heathwell/service/regions/link_faults.py
+++ b/heathwell/service/regions/link_faults.py
@@ -102,6 +102,6 @@
     )
 
 
-def quickest_tenth_us(latencies_us: Sequence[int]) -> int:
+def first_decile_us(latencies_us: Sequence[int]) -> int:
     """Return the first decile: the delay of the route, with little of the endpoints' own work in it."""
     return sorted(latencies_us)[len(latencies_us) // 10]
--- a/heathwell/service/regions/region_links.py
+++ b/heathwell/service/regions/region_links.py
@@ -25,8 +25,8 @@
     CorrelatedFailure,
     HomeHealth,
     find_correlated_failure,
+    first_decile_us,
     has_silent_endpoint,
-    quickest_tenth_us,
 )
 from heathwell.service.regions.link_state import (
     FIRST_TRIAL_INTERVAL_US,
@@ -287,7 +287,7 @@
         """Judge the delay of a link by its quickest answers, as endpoints differ."""
         if min(len(link.latencies_us), len(self._home_latencies_us)) < LATENCY_SAMPLES // 2:
             return
-        difference_us = quickest_tenth_us(link.latencies_us) - quickest_tenth_us(self._home_latencies_us)
+        difference_us = first_decile_us(link.latencies_us) - first_decile_us(self._home_latencies_us)
         extra_us = difference_us - link.route.round_trip_us
         evidence = f"its quickest answers take {extra_us // 1000} ms longer than home's"
         if link.state == LinkState.OPEN and extra_us > SLOW_FRACTION * self._shortest_objective_us:
