--- a/heathwell/service/merging/top_k_merge.py
+++ b/heathwell/service/merging/top_k_merge.py
@@ -118,12 +118,12 @@
         self._superseded = []
         return [part_id for part_id in superseded if self._is_superseded(self._parts[part_id])]
 
-    def result(self, search: int, missing: Sequence[str], usual_point_count: float) -> MergedRows:
+    def result(self, search: int, missing: Sequence[str], mean_point_count: float) -> MergedRows:
         """Return a search's rows with the estimate of their recall.
 
         ``missing`` are the parts without an answer. The estimate takes the true rows for spread as evenly as
         the points are: those of a missing part are lost unless its bound rules them out. A part of unknown
-        size counts as ``usual_point_count`` points.
+        size counts as ``mean_point_count`` points.
         """
         held = 0.0
         lost = 0.0
@@ -133,7 +133,7 @@
                 lost += part.point_count * (1 - part.recall)
         for part_id in missing:
             if not self._is_ruled_out(search, part_id):
-                lost += usual_point_count
+                lost += mean_point_count
         recall = held / (held + lost) if held + lost else 0.0
         return MergedRows(self._searches[search].rows(), recall)
 
@@ -143,7 +143,7 @@
             return False
         return self._searches[search].rules_out(part.bounds[search])
 
-    def usual_point_count(self) -> float:
+    def mean_point_count(self) -> float:
         """Return the mean size of the parts with an answer."""
         sizes = [part.point_count for part in self._parts.values() if part.has_rows]
         return sum(sizes) / len(sizes) if sizes else 0.0
--- a/heathwell/service/reply_merging.py
+++ b/heathwell/service/reply_merging.py
@@ -101,7 +101,7 @@
 
 def _merged_searches(query: ServiceQuery, search: SearchPlan) -> tuple[MergedRows, ...]:
     missing = [part.id for part in query.parts.values() if part.data is None]
-    usual_points = search.merge.usual_point_count()
+    mean_point_count = search.merge.mean_point_count()
     return tuple(
-        search.merge.result(number, missing, usual_points) for number in range(len(search.merge.limits))
+        search.merge.result(number, missing, mean_point_count) for number in range(len(search.merge.limits))
     )
--- a/tests/test_top_k_merge.py
+++ b/tests/test_top_k_merge.py
@@ -101,9 +101,9 @@
 def test_recall_counts_missing_parts_unless_their_bounds_exclude_them():
     merge = TopKMerge([2], [0], [None])
     merge.add_rows("a", [[Row(1, 0.9), Row(2, 0.8)]], point_count=100)
-    assert merge.result(0, ["b", "c"], merge.usual_point_count()).recall == pytest.approx(1 / 3)
+    assert merge.result(0, ["b", "c"], merge.mean_point_count()).recall == pytest.approx(1 / 3)
     merge.add_bounds("b", [0.5])
-    assert merge.result(0, ["b", "c"], merge.usual_point_count()).recall == pytest.approx(0.5)
+    assert merge.result(0, ["b", "c"], merge.mean_point_count()).recall == pytest.approx(0.5)
     assert merge.take_superseded() == ["b"]  # c has sent no bound
     merge.add_rows("c", [[Row(3, 0.85)]], point_count=100, recall=0.9)
     assert merge.result(0, ["b"], 100).recall == pytest.approx(0.95)
