--- a/heathwell/service/retry_storms/__init__.py
+++ b/heathwell/service/retry_storms/__init__.py
@@ -2,7 +2,7 @@
 
 from heathwell.service.retry_storms.connection_limiter import ConnectionLimiter, ConnectionVerdict
 from heathwell.service.retry_storms.count_min_sketch import CountMinSketch, hash_names
-from heathwell.service.retry_storms.recent_map import RecentMap
+from heathwell.service.retry_storms.expiring_map import ExpiringMap
 from heathwell.service.retry_storms.retry_schedule import RetrySchedule
 from heathwell.service.retry_storms.storm_controller import StormController
 from heathwell.service.retry_storms.storm_detector import StormChange, StormState
@@ -14,7 +14,7 @@
     "ConnectionLimiter",
     "ConnectionVerdict",
     "CountMinSketch",
-    "RecentMap",
+    "ExpiringMap",
     "RequestKind",
     "RetrySchedule",
     "StormChange",
--- a/heathwell/service/retry_storms/recent_map.py
+++ b/heathwell/service/retry_storms/expiring_map.py
@@ -7,7 +7,7 @@
 ValueT = TypeVar("ValueT")
 
 
-class RecentMap(Generic[ValueT]):
+class ExpiringMap(Generic[ValueT]):
     """Values by hash, in two generations: each is kept between ``span_us`` and twice that.
 
     A generation holds ``maximum`` values at most.
--- a/heathwell/service/retry_storms/storm_controller.py
+++ b/heathwell/service/retry_storms/storm_controller.py
@@ -17,7 +17,7 @@
 
 from heathwell.service.retry_storms.accept_pacer import AcceptPacer
 from heathwell.service.retry_storms.count_min_sketch import CountMinSketch, hash_names
-from heathwell.service.retry_storms.recent_map import RecentMap
+from heathwell.service.retry_storms.expiring_map import ExpiringMap
 from heathwell.service.retry_storms.retry_schedule import RetrySchedule
 from heathwell.service.retry_storms.storm_detector import (
     LIMITING_STATES,
@@ -55,8 +55,8 @@
         longest_us = limits.longest_retry_after_us
         self._limits = limits
         self._schedule = RetrySchedule(seed ^ SCHEDULE_SEED_MASK)
-        self._retry_at_us: RecentMap[int] = RecentMap(2 * longest_us, MAXIMUM_REMEMBERED)
-        self._requested_at_us: RecentMap[int] = RecentMap(limits.repeat_interval_us, MAXIMUM_REMEMBERED)
+        self._retry_at_us: ExpiringMap[int] = ExpiringMap(2 * longest_us, MAXIMUM_REMEMBERED)
+        self._requested_at_us: ExpiringMap[int] = ExpiringMap(limits.repeat_interval_us, MAXIMUM_REMEMBERED)
         self._early_counts = CountMinSketch(4 * longest_us)
         self._detector = StormDetector(now_us, is_warming_up=bool(limits.initial_work_rate_us))
         self._budget = WorkBudget(now_us, limits.initial_work_rate_us)
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -14,7 +14,7 @@
     ConnectionLimiter,
     ConnectionVerdict,
     CountMinSketch,
-    RecentMap,
+    ExpiringMap,
     RetrySchedule,
     StormController,
     StormLimits,
@@ -57,16 +57,16 @@
     assert sum(count > 1.01 for count in counts) < 40 and min(counts) >= 0.99
 
 
-def test_the_recent_map_is_bounded_and_expires_entries():
-    recent: RecentMap[int] = RecentMap(1_000_000, maximum=10)
+def test_the_expiring_map_is_bounded_and_expires_entries():
+    values: ExpiringMap[int] = ExpiringMap(1_000_000, maximum=10)
     for number in range(50):
-        recent.put(number, number, 0)
-    assert len(recent) == 10 and recent.dropped_count == 40 and recent.get(3, 500_000) == 3
-    recent.put(99, 1, 1_200_000)
+        values.put(number, number, 0)
+    assert len(values) == 10 and values.dropped_count == 40 and values.get(3, 500_000) == 3
+    values.put(99, 1, 1_200_000)
     assert (
-        recent.get(3, 1_200_000) == 3 and recent.get(3, 2_300_000) is None and recent.get(99, 2_300_000) == 1
+        values.get(3, 1_200_000) == 3 and values.get(3, 2_300_000) is None and values.get(99, 2_300_000) == 1
     )
-    assert len(recent) <= 20
+    assert len(values) <= 20
 
 
 def test_retry_after_times_are_spread_evenly_and_stay_within_the_maximum():
