--- a/heathwell/service/admission/cost_model.py
+++ b/heathwell/service/admission/cost_model.py
@@ -30,7 +30,7 @@
 class CostModel:
     """Predicts work (us) from ``size`` features of it; settings state the cost of a unit of the first."""
 
-    stated_cost_us: float
+    configured_cost_us: float
     size: int
     answer_count: int = 0
     relative_error: float = 0.0
@@ -38,7 +38,7 @@
     _covariance: Matrix = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.weights = [self.stated_cost_us] + [0.0] * (self.size - 1)
+        self.weights = [self.configured_cost_us] + [0.0] * (self.size - 1)
         self._covariance = self._initial_covariance()
 
     def _initial_covariance(self) -> Matrix:
@@ -48,11 +48,13 @@
 
     def predict(self, features: Features) -> float:
         """Return the work of a part (us), within bounds around the stated cost."""
-        stated_us = self.stated_cost_us * max(features[0], SMALLEST_DIVISOR)
+        configured_us = self.configured_cost_us * max(features[0], SMALLEST_DIVISOR)
         if self.answer_count < MINIMUM_ANSWERS:
-            return stated_us
+            return configured_us
         predicted_us = _dot(self.weights, features)
-        return min(max(predicted_us, MINIMUM_COST_FACTOR * stated_us), MAXIMUM_COST_FACTOR * stated_us)
+        return min(
+            max(predicted_us, MINIMUM_COST_FACTOR * configured_us), MAXIMUM_COST_FACTOR * configured_us
+        )
 
     def learn(self, features: Features, work_us: float) -> None:
         """Learn from the work of an answered part."""
@@ -69,7 +71,7 @@
     def _update(self, features: Features, work_us: float) -> None:
         """Make one step of recursive least squares."""
         # Scaled so that weights are about one, which keeps the covariances of a similar size.
-        scale_us = max(self.stated_cost_us, SMALLEST_DIVISOR)
+        scale_us = max(self.configured_cost_us, SMALLEST_DIVISOR)
         scaled_weights = [weight / scale_us for weight in self.weights]
         projected = [
             sum(row[column] * features[column] for column in range(self.size)) for row in self._covariance
@@ -78,7 +80,7 @@
         gains = [value / divisor for value in projected]
         residual = work_us / scale_us - _dot(scaled_weights, features)
         self.weights = [
-            (weight + gain * residual) * self.stated_cost_us
+            (weight + gain * residual) * self.configured_cost_us
             for weight, gain in zip(scaled_weights, gains, strict=True)
         ]
         for row, gain in zip(self._covariance, gains, strict=True):
@@ -99,11 +101,11 @@
     def __init__(self) -> None:
         self._models: dict[str, CostModel] = {}
 
-    def model(self, name: str, stated_cost_us: float, size: int) -> CostModel:
+    def model(self, name: str, configured_cost_us: float, size: int) -> CostModel:
         """Return the model of a name; it is made at the first call, and anew for another size."""
         model = self._models.get(name)
         if model is None or model.size != size:
-            model = CostModel(stated_cost_us, size)
+            model = CostModel(configured_cost_us, size)
             self._models[name] = model
         return model
 
