--- a/heathwell/service/vectors/vector_shard.py
+++ b/heathwell/service/vectors/vector_shard.py
@@ -69,7 +69,7 @@
     def __len__(self) -> int:
         return len(self.ids)
 
-    def read_queries(self, raw: bytes, count: int) -> Floats:
+    def decode_queries(self, raw: bytes, count: int) -> Floats:
         """Return the query vectors of a request; raise :class:`ValueError` for another dimension."""
         queries = np.frombuffer(raw, "<f4").reshape(count, -1)
         dimension = self.vectors.shape[1]
@@ -104,7 +104,7 @@
 
     def search(self, request: SearchRequest) -> SearchAnswer:
         """Answer every search of a request; raise :class:`ValueError`."""
-        queries = self.read_queries(request.vectors, len(request.searches))
+        queries = self.decode_queries(request.vectors, len(request.searches))
         masks = self._evaluate_filters(request.searches)
         is_indexed = [
             self._uses_index(search, mask) for search, mask in zip(request.searches, masks, strict=True)
--- a/heathwell/testing/standins/leaf_data.py
+++ b/heathwell/testing/standins/leaf_data.py
@@ -88,7 +88,7 @@
         """Return, for each query of a search, the best score that a row of the shard can have."""
         collection = self._collections[search.collection]
         shard = self._shard_of(collection, shard_number, self._settings.fleet.shards)
-        return shard.score_bounds(shard.read_queries(search.vectors, len(search.searches)))
+        return shard.score_bounds(shard.decode_queries(search.vectors, len(search.searches)))
 
     def record_result(self, request: frames.PartRequest) -> bytes:
         """Return an encoded result of generated records. Raise :class:`UnknownOperationError`."""
--- a/tests/test_vector_filters.py
+++ b/tests/test_vector_filters.py
@@ -101,7 +101,7 @@
     shard = generate_shard(GeneratedCollection("bounded", 6, distance, "exact", 4, 50, 0.0, 0.3), seed % 4)
     draws = np.random.default_rng(seed)
     raw = draws.normal(0, draws.uniform(0.1, 4), (2, 6)).astype("<f4")
-    best = shard.score_bounds(shard.read_queries(raw.tobytes(), 2))
+    best = shard.score_bounds(shard.decode_queries(raw.tobytes(), 2))
     answer = shard.search(SearchRequest("bounded", raw.tobytes(), [SearchParameters(limit)] * 2))
     for rows, bound in zip(answer.lists, best, strict=True):
         assert rows[0].score <= bound + 1e-4 * max(1, abs(bound)) and len(rows) == min(limit, 50)
