--- a/heathwell/servers/memcached_connection.py
+++ b/heathwell/servers/memcached_connection.py
@@ -195,7 +195,9 @@
         pending.unanswered_count = len(keys)
         for index, key in enumerate(keys):
             on_reply = partial(self._on_reply, pending, index)
-            handle = self._server.broker.ask(key.decode("utf-8", "replace"), on_reply, request, self.address)
+            handle = self._server.broker.start_query(
+                key.decode("utf-8", "replace"), on_reply, request, self.address
+            )
             pending.handles.append(handle)
 
     def _on_reply(self, pending: PendingReply, index: int, reply: Reply) -> None:
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -49,7 +49,7 @@
         self._fair_admission = fair_admission
         self._statistics = statistics
 
-    def ask(self, key: str, on_reply: OnReply, request: str, client: str) -> Handle | None:
+    def start_query(self, key: str, on_reply: OnReply, request: str, client: str) -> Handle | None:
         """Start the query of a key; its one reply is given to ``on_reply``, never before this returns.
 
         A key of no key space is a miss, and one that is malformed fails; neither reaches the decision
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -131,16 +131,16 @@
 
     # Queries: called by the servers of client protocols, and by the components.
 
-    def ask(self, key: str, on_reply: OnReply, request: str = "", client: str = "") -> Handle | None:
+    def start_query(self, key: str, on_reply: OnReply, request: str = "", client: str = "") -> Handle | None:
         """Start the query of a key; its one reply is given to ``on_reply``, never before this returns.
 
         Return ``None`` where it never reaches the decision module, as :class:`QueryIntake` states. ``client``
         is the client's address.
         """
-        return self._intake.ask(key, on_reply, request, client)
+        return self._intake.start_query(key, on_reply, request, client)
 
     def begin(self, plan: QueryPlan, on_reply: OnReply, request: str = "", client: str = "") -> Handle | None:
-        """Start the query of a plan; as :meth:`ask`."""
+        """Start the query of a plan; as :meth:`start_query`."""
         return self._intake.begin(plan, on_reply, request, client)
 
     def enter_query(self, query: ServiceQuery) -> None:
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -395,7 +395,7 @@
     broker = world.fleet.brokers[0].broker
 
     def main():
-        handle = broker.ask("sale:anna:17", lambda _reply: None)
+        handle = broker.start_query("sale:anna:17", lambda _reply: None)
         yield from sleep(world.loop, 5_000)
         [sent] = world.events_of("send")
         # A result that needs another attempt and the client's disconnect are in one batch.
