--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -179,7 +179,7 @@
         request = self._request
         index = self._started_count
         self._started_count += 1
-        handle = self._broker.begin(
+        handle = self._broker.start_planned_query(
             self._planner.plan(request, self._chunks[index]),
             self._on_reply(index),
             request.name if len(self._chunks) == 1 else f"{request.name}/{index}",
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -53,7 +53,7 @@
         """Start the query of a key; its one reply is given to ``on_reply``, never before this returns.
 
         A key of no key space is a miss, and one that is malformed fails; neither reaches the decision
-        module. Return ``None`` in those cases and where :meth:`begin` does.
+        module. Return ``None`` in those cases and where :meth:`start_planned_query` does.
         """
         plan = self._broker.keys.plan(key)
         if plan is None:
@@ -62,9 +62,11 @@
         if plan.token_error:
             self._broker.loop.call_soon(on_reply, Reply(ReplyKind.FAILED, reason=plan.token_error))
             return None
-        return self.begin(plan, on_reply, request, client)
+        return self.start_planned_query(plan, on_reply, request, client)
 
-    def begin(self, plan: QueryPlan, on_reply: OnReply, request: str, client: str) -> Handle | None:
+    def start_planned_query(
+        self, plan: QueryPlan, on_reply: OnReply, request: str, client: str
+    ) -> Handle | None:
         """Start the query of a plan; return ``None`` where it is rejected at admission."""
         spec = self._broker.settings.classes[plan.query_class]
         client_id = f"{client}|{plan.subject}"
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -139,9 +139,11 @@
         """
         return self._intake.start_query(key, on_reply, request, client)
 
-    def begin(self, plan: QueryPlan, on_reply: OnReply, request: str = "", client: str = "") -> Handle | None:
+    def start_planned_query(
+        self, plan: QueryPlan, on_reply: OnReply, request: str = "", client: str = ""
+    ) -> Handle | None:
         """Start the query of a plan; as :meth:`start_query`."""
-        return self._intake.begin(plan, on_reply, request, client)
+        return self._intake.start_planned_query(plan, on_reply, request, client)
 
     def enter_query(self, query: ServiceQuery) -> None:
         """Pass a query to the decision module."""
