--- a/heathwell/service/fair_admission.py
+++ b/heathwell/service/fair_admission.py
@@ -27,7 +27,7 @@
     def enter_query(self, query: ServiceQuery) -> None:
         """Pass a query to the decision module."""
 
-    def reject_crowded_query(self, query: ServiceQuery, retry_after_us: int) -> None:
+    def reject_queued_query(self, query: ServiceQuery, retry_after_us: int) -> None:
         """Reject a query that waits too long; its client may retry after ``retry_after_us``."""
 
 
@@ -91,7 +91,7 @@
         longest_us = min(objective_us, self._broker.settings.max_retry_after_us or objective_us)
         retry_after_us = self.queue.retry_after_us(query.plan.front, longest_us)
         query.queued = False
-        self._broker.reject_crowded_query(query, retry_after_us)
+        self._broker.reject_queued_query(query, retry_after_us)
 
     def _tick(self) -> None:
         """Pass on queries whose turn it is, reject those that were queued for too long, and schedule the next
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -165,7 +165,7 @@
         has_own_timeout = plan.search is not None and plan.search.timeout_us > 0
         return not self.service_settings.limits.marks_retry and not has_own_timeout
 
-    def reject_crowded_query(self, query: ServiceQuery, retry_after_us: int) -> None:
+    def reject_queued_query(self, query: ServiceQuery, retry_after_us: int) -> None:
         """Reject a query that would be queued for too long."""
         retry_after_us = self.retry_after_us(query, retry_after_us)
         class_name = self._query_class(query).name
