--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -140,7 +140,7 @@
         admin_listener = self._net.listen(
             self._settings.broker.admin, admin.serve, "admin", ADMIN_CONNECTIONS
         )
-        self._broker.pace(client_listener)
+        self._broker.pace_accepts(client_listener)
         self._listeners.append(client_listener)
         vector_address = self._start_vector_search()
         self._broker.current_version.version = process.digest
@@ -168,7 +168,7 @@
             "searcher",
             self._connection_limit,
         )
-        self._broker.pace(listener)
+        self._broker.pace_accepts(listener)
         self._listeners.append(listener)
         return {"vector": listener.address}
 
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -200,10 +200,10 @@
         """The decider on links between regions, where settings enable it."""
         return self._restrictions.region_links
 
-    def pace(self, listener: Listener) -> None:
+    def pace_accepts(self, listener: Listener) -> None:
         """Limit the rate at which a listener accepts connections, while clients retry."""
         if self._storm_control is not None:
-            self._storm_control.pace(listener)
+            self._storm_control.pace_accepts(listener)
 
     @property
     def should_drain_clients(self) -> bool:
--- a/heathwell/service/storm_control.py
+++ b/heathwell/service/storm_control.py
@@ -66,7 +66,7 @@
         """After how long a client whose query is rejected may retry, by the retry schedule."""
         return self.controller.schedule_retry(self._broker.loop.now(), client, key, cost_us)
 
-    def pace(self, listener: Listener) -> None:
+    def pace_accepts(self, listener: Listener) -> None:
         """Limit the rate at which a listener accepts connections."""
         listener.accept_delay_us = lambda: self.controller.accept_delay_us(self._broker.loop.now())
         listener.on_accept = self.controller.on_connection_accepted
--- a/heathwell/testing/simulation/local_broker.py
+++ b/heathwell/testing/simulation/local_broker.py
@@ -142,7 +142,7 @@
         self.address = client_listener.address
         self.admin_address = admin_listener.address
         self.listeners += [client_listener, admin_listener]
-        self.broker.pace(client_listener)
+        self.broker.pace_accepts(client_listener)
 
     def _listen_for_searches(self, address: str) -> None:
         self.vector_server = VectorSearchServer(self.broker, self._surroundings.log)
@@ -151,7 +151,7 @@
         )
         self.vector_address = listener.address
         self.listeners.append(listener)
-        self.broker.pace(listener)
+        self.broker.pace_accepts(listener)
 
     @property
     def _connection_limit(self) -> int:
