--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -89,7 +89,7 @@
             _model_name(spec),
             tuple(PartPlan(shard, 1 / len(shards), SEARCH_OPERATION, spec.name) for shard in shards),
             search=self._search_plan(request, searches, query_class),
-            front="vector",
+            flow="vector",
         )
 
     def _search_plan(
--- a/heathwell/service/fair_admission.py
+++ b/heathwell/service/fair_admission.py
@@ -53,7 +53,7 @@
         cost_us = query_cost_us(query.plan, query.settings_version)
         now = self._broker.loop.now()
         queue_timeout_us = self._queue_timeout_us(query, now)
-        decision = self.queue.offer(now, query.plan.front, query.id, cost_us, queue_timeout_us)
+        decision = self.queue.offer(now, query.plan.flow, query.id, cost_us, queue_timeout_us)
         if decision == AdmissionDecision.ADMIT:
             self._broker.enter_query(query)
         elif decision == AdmissionDecision.QUEUE:
@@ -86,10 +86,10 @@
 
     def _reject(self, query: ServiceQuery) -> None:
         query_class = self._broker.query_class_of(query)
-        self._broker.counters["crowded", query.plan.front, query_class.name] += 1
+        self._broker.counters["crowded", query.plan.flow, query_class.name] += 1
         objective_us = query_class.latency_objective_us
         longest_us = min(objective_us, self._broker.settings.max_retry_after_us or objective_us)
-        retry_after_us = self.queue.retry_after_us(query.plan.front, longest_us)
+        retry_after_us = self.queue.retry_after_us(query.plan.flow, longest_us)
         query.queued = False
         self._broker.reject_queued_query(query, retry_after_us)
 
--- a/heathwell/service/query_plans.py
+++ b/heathwell/service/query_plans.py
@@ -51,7 +51,7 @@
     minimum_token_position: int = 0
     token_error: str = ""
     search: SearchPlan | None = None
-    front: str = "memcached"
+    flow: str = "memcached"
 
     def token_position(self, shard: int) -> int:
         """Return the source position of a shard that the client has received already, by its token."""
