--- a/heathwell/service/endpoint_connections.py
+++ b/heathwell/service/endpoint_connections.py
@@ -25,13 +25,13 @@
 
 
 class EndpointConnections:
-    """Makes the connections of one broker; ``owner`` is notified of the ends of attempts and probes."""
+    """Makes the connections of one broker; ``observer`` is notified of the ends of attempts and probes."""
 
     def __init__(
-        self, broker: ServiceContext, owner: AttemptObserver, net: Net, quota_gate: QuotaGate | None
+        self, broker: ServiceContext, observer: AttemptObserver, net: Net, quota_gate: QuotaGate | None
     ) -> None:
         self._broker = broker
-        self._owner = owner
+        self._observer = observer
         self._net = net
         self._quota_gate = quota_gate
         self._linger_us = quota_gate.linger_us if quota_gate is not None else 0
@@ -74,7 +74,7 @@
             self._net,
             node,
             self._broker.name,
-            self._owner,
+            self._observer,
             connect_timeout_us=limits.connect_timeout,
             probe_timeout_us=limits.probe_timeout,
             idle_timeout_us=idle_timeout_us,
--- a/heathwell/service/host_link.py
+++ b/heathwell/service/host_link.py
@@ -74,7 +74,7 @@
         net: Net,
         node: str,
         name: str,
-        owner: AttemptObserver,
+        observer: AttemptObserver,
         *,
         connect_timeout_us: int,
         probe_timeout_us: int,
@@ -87,7 +87,7 @@
         self.net = net
         self.node = node
         self.name = name
-        self.owner = owner
+        self.observer = observer
         self.log = log
         self.connect_timeout_us = connect_timeout_us
         self.probe_timeout_us = probe_timeout_us
@@ -124,7 +124,7 @@
             self._write_call(parts)
 
     def abandon(self, key: AttemptKey) -> bool:
-        """Stop waiting for an attempt that the owner has ended by itself; true if it was in flight."""
+        """Stop waiting for an attempt that the observer has ended by itself; true if it was in flight."""
         sent = self.in_flight.pop(key, None)
         if sent is None:
             return False
@@ -180,7 +180,7 @@
             waiting = self._waiting
             self._waiting = []
             for parts in waiting:
-                sendable = self.owner.parts_to_send(self.node, parts)
+                sendable = self.observer.parts_to_send(self.node, parts)
                 if sendable:
                     self._write_call(sendable)
             self._idle.rests()
@@ -218,20 +218,20 @@
                 key = (message.id, message.seq)
                 if self.in_flight.pop(key, None) is None:
                     self.late_answers += 1  # it has ended already, and has no effect any more
-                    self.owner.on_late_answer(self.node)
+                    self.observer.on_late_answer(self.node)
                 else:
                     outcome = OUTCOMES.get(message.outcome, policy.Outcome.ERROR)
-                    self.owner.on_attempt_result(self.node, key, outcome, message)
+                    self.observer.on_attempt_result(self.node, key, outcome, message)
                 self._idle.rests()
             case frames.ScoreBound(id=part, seq=seq, best=best):
                 if (part, seq) in self.in_flight:
-                    self.owner.on_score_bound(self.node, (part, seq), best)
+                    self.observer.on_score_bound(self.node, (part, seq), best)
             case frames.Pong(number=number):
                 if number not in self._probes:
-                    self.owner.on_late_answer(self.node)
+                    self.observer.on_late_answer(self.node)
                 self._probe_over(number, policy.Outcome.OK)
             case frames.DrainNotice():
-                self.owner.on_endpoint_draining(self.node)
+                self.observer.on_endpoint_draining(self.node)
 
     def _write_call(self, parts: list[frames.PartRequest]) -> None:
         assert self.stream is not None
@@ -255,7 +255,7 @@
         self._waiting = []
         for key, attempt in in_flight.items():
             is_unsent = attempt.frame_offset is None or attempt.frame_offset >= sent_bytes
-            self.owner.on_attempt_result(
+            self.observer.on_attempt_result(
                 self.node, key, policy.Outcome.UNREACHABLE if is_unsent else outcome, None
             )
         for number in list(self._probes):
@@ -267,5 +267,5 @@
         timer = self._probes.pop(number, None)
         if timer is not None:
             timer.cancel()
-            self.owner.on_probe_result(self.node, outcome)
+            self.observer.on_probe_result(self.node, outcome)
             self._idle.rests()
