--- a/heathwell/service/admission/concurrency_limiter.py
+++ b/heathwell/service/admission/concurrency_limiter.py
@@ -22,17 +22,17 @@
         self.limit_us = initial_limit_us
         self.queueing_us = 0.0
         self._target_us = target_us
-        self._usual_work_us = 0.0
+        self._mean_work_us = 0.0
         self._shrunk_at_us = -SHRINK_INTERVAL_US
 
     def on_part_answered(self, now_us: int, round_trip_us: float, work_us: float) -> None:
         """Record an answer's round trip and the work in it."""
         wait_us = max(0.0, round_trip_us - work_us)
         self.queueing_us += (wait_us - self.queueing_us) * GAIN
-        self._usual_work_us += (work_us - self._usual_work_us) * (GAIN if self._usual_work_us else 1.0)
+        self._mean_work_us += (work_us - self._mean_work_us) * (GAIN if self._mean_work_us else 1.0)
         if self.queueing_us > self._target_us and now_us - self._shrunk_at_us >= SHRINK_INTERVAL_US:
             self._shrunk_at_us = now_us
-            self.limit_us = max(self.limit_us * SHRINK_FACTOR, MINIMUM_PARTS * self._usual_work_us)
+            self.limit_us = max(self.limit_us * SHRINK_FACTOR, MINIMUM_PARTS * self._mean_work_us)
 
     def on_work_ended(self, cost_us: float, *, is_more_queued: bool) -> None:
         """Record completed work; the limit grows if more is queued here, and little at the endpoints."""
--- a/heathwell/service/broker_components.py
+++ b/heathwell/service/broker_components.py
@@ -95,7 +95,7 @@
 
 
 def build_components(
-    broker: ComponentsBroker, net: Net, options: BrokerOptions, draw: random.Random
+    broker: ComponentsBroker, net: Net, options: BrokerOptions, rng: random.Random
 ) -> BrokerComponents:
     """Build the components; several schedule their first tick here, in this order."""
     seed = options.seed
@@ -110,7 +110,7 @@
     costs = CostModels()
     fair_admission = _build_fair_admission(broker, options)
     storm_control = _build_storm_control(broker, seed)
-    admission = QueryAdmission(broker, reachability, storm_control, draw)
+    admission = QueryAdmission(broker, reachability, storm_control, rng)
     return BrokerComponents(
         quota_gate=quota_gate,
         connections=connections,
--- a/heathwell/service/endpoint_restrictions.py
+++ b/heathwell/service/endpoint_restrictions.py
@@ -69,7 +69,7 @@
         the regions restrict.
         """
         self._evacuated[query_class] = nodes
-        self._push(query_class)
+        self._send_restrictions(query_class)
 
     # The list of endpoints.
 
@@ -99,12 +99,12 @@
         self.remote_nodes = remote_nodes
         for index, spec in enumerate(self._broker.service_settings.classes):
             if spec.across != ANY_REGION:
-                restriction = self._of_remote_nodes(index)
+                restriction = self._remote_node_restriction(index)
                 self._broker.restrict_endpoints(
                     policy.HolderRestrictions(restriction.deprioritized, restriction.excluded, index)
                 )
 
-    def _of_remote_nodes(self, query_class: int) -> Restriction:
+    def _remote_node_restriction(self, query_class: int) -> Restriction:
         """How a class restricts the endpoints in other regions."""
         across = self._broker.service_settings.classes[query_class].across
         if across == ANY_REGION:
@@ -153,11 +153,11 @@
         from_links = Restriction(restrictions.deprioritized, restrictions.excluded)
         if from_links != self._from_links:
             self._from_links = from_links
-            self._push(None)
+            self._send_restrictions(None)
 
-    def _push(self, query_class: int | None) -> None:
+    def _send_restrictions(self, query_class: int | None) -> None:
         """Send the module all restrictions of one query class, or those (None) for all classes."""
-        restriction = self._from_links if query_class is None else self._of_remote_nodes(query_class)
+        restriction = self._from_links if query_class is None else self._remote_node_restriction(query_class)
         evacuated = self._evacuated.get(query_class, NO_NODES)
         self._broker.restrict_endpoints(
             policy.HolderRestrictions(
--- a/heathwell/service/host_link.py
+++ b/heathwell/service/host_link.py
@@ -97,7 +97,7 @@
         self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
         self.stream: Stream | None = None
         self.late_answers = 0
-        self._waiting: list[list[frames.PartRequest]] = []
+        self._pending_calls: list[list[frames.PartRequest]] = []
         self._task: Task[None] | None = None
         self._probes: dict[int, Timer] = {}
         self._probe_number = 0
@@ -118,7 +118,7 @@
         for part in parts:
             self.in_flight[part.id, part.seq] = InFlightAttempt()
         if self.stream is None:
-            self._waiting.append(parts)
+            self._pending_calls.append(parts)
             self._connect()
         else:
             self._write_call(parts)
@@ -129,7 +129,7 @@
         if sent is None:
             return False
         if sent.frame_offset is None:
-            for parts in self._waiting:
+            for parts in self._pending_calls:
                 parts[:] = [part for part in parts if (part.id, part.seq) != key]
         elif self.stream is not None:
             self._write(frames.encode(frames.CancelPart(*key)))
@@ -145,7 +145,7 @@
         self._probe_number += 1
         number = self._probe_number
         self._probes[number] = self.loop.call_at(
-            self.loop.now() + self.probe_timeout_us, self._probe_over, number, policy.Outcome.TIMED_OUT
+            self.loop.now() + self.probe_timeout_us, self._end_probe, number, policy.Outcome.TIMED_OUT
         )
         if self.stream is None:
             self._connect()
@@ -164,7 +164,7 @@
     def _run(self) -> Coro[None]:
         stream: Stream | None = None
         outcome = policy.Outcome.UNREACHABLE
-        seen = False
+        end_observed = False
         try:
             stream = yield from self.net.connect(self.node, self.connect_timeout_us)
             outcome = policy.Outcome.BROKEN
@@ -177,29 +177,33 @@
             self._send_heartbeat()
             for number in self._probes:
                 self._write(frames.encode(frames.Ping(number)))
-            waiting = self._waiting
-            self._waiting = []
+            waiting = self._pending_calls
+            self._pending_calls = []
             for parts in waiting:
                 sendable = self.observer.parts_to_send(self.node, parts)
                 if sendable:
                     self._write_call(sendable)
             self._idle.rests()
             yield from inner_protocol.listen(stream, self._on_message)
-            seen = True
+            end_observed = True
             if self.in_flight:
                 raise StreamBrokenError(  # noqa: TRY301  # ends as any break does, below
                     "the host closed with attempts out"
                 )
         except ConnectError as error:
-            seen = str(error) == "ECONNREFUSED"
+            end_observed = str(error) == "ECONNREFUSED"
             self.log("debug", "no connection", node=self.node, why=str(error))
         except (StreamBrokenError, frames.FrameError) as error:
-            seen = seen or isinstance(error, StreamBrokenError) and not isinstance(error, StreamOverrunError)
+            end_observed = (
+                end_observed
+                or isinstance(error, StreamBrokenError)
+                and not isinstance(error, StreamOverrunError)
+            )
             self.log("info", "connection lost", node=self.node, why=str(error), out=len(self.in_flight))
         finally:
             self._on_connection_lost(stream, outcome)
             if self.on_closed is not None:
-                self.on_closed(seen)
+                self.on_closed(end_observed)
 
     def _send_heartbeat(self) -> None:
         """Ping at intervals, where the endpoint closes silent connections."""
@@ -229,7 +233,7 @@
             case frames.Pong(number=number):
                 if number not in self._probes:
                     self.observer.on_late_answer(self.node)
-                self._probe_over(number, policy.Outcome.OK)
+                self._end_probe(number, policy.Outcome.OK)
             case frames.DrainNotice():
                 self.observer.on_endpoint_draining(self.node)
 
@@ -252,18 +256,18 @@
         self._task = None
         in_flight = self.in_flight
         self.in_flight = {}
-        self._waiting = []
+        self._pending_calls = []
         for key, attempt in in_flight.items():
             is_unsent = attempt.frame_offset is None or attempt.frame_offset >= sent_bytes
             self.observer.on_attempt_result(
                 self.node, key, policy.Outcome.UNREACHABLE if is_unsent else outcome, None
             )
         for number in list(self._probes):
-            self._probe_over(number, outcome)
+            self._end_probe(number, outcome)
         if stream is not None:
             stream.abort() if in_flight else stream.close()
 
-    def _probe_over(self, number: int, outcome: policy.Outcome) -> None:
+    def _end_probe(self, number: int, outcome: policy.Outcome) -> None:
         timer = self._probes.pop(number, None)
         if timer is not None:
             timer.cancel()
--- a/heathwell/service/host_pool.py
+++ b/heathwell/service/host_pool.py
@@ -44,7 +44,7 @@
         self._linger_us = linger_us
         self._acquire = acquire
         self._release = release
-        self._first = make_link(lambda _seen: None)
+        self._first = make_link(lambda _end_observed: None)
         self._additional: list[HostLink] = []
         self._closing: list[HostLink] = []  # these get no new parts, and end with what is in flight
         self._lingering_count = 0  # closed connections whose end the endpoint may not have observed
@@ -91,22 +91,22 @@
         link.send(parts)
 
     def _open(self) -> HostLink:
-        link = self._make_link(lambda seen: self._on_closed(link, seen=seen))
+        link = self._make_link(lambda end_observed: self._on_closed(link, end_observed=end_observed))
         self._additional.append(link)
         return link
 
-    def _on_closed(self, link: HostLink, *, seen: bool) -> None:
+    def _on_closed(self, link: HostLink, *, end_observed: bool) -> None:
         """Release the quota of an additional connection once the endpoint has closed it too.
 
-        ``seen`` is whether the endpoint is known to have observed the end; otherwise it closes the connection
-        by itself.
+        ``end_observed`` is whether the endpoint is known to have observed the end; otherwise it closes the
+        connection by itself.
         """
         for links in (self._additional, self._closing):
             if link not in links:
                 continue
             links.remove(link)
             self._late_answers += link.late_answers
-            if seen:
+            if end_observed:
                 self._release()
             else:
                 self._lingering_count += 1
--- a/heathwell/service/query_admission.py
+++ b/heathwell/service/query_admission.py
@@ -65,19 +65,19 @@
 
 
 class QueryAdmission:
-    """The admission of one broker. ``draw`` jitters the time after which clients may retry."""
+    """The admission of one broker. ``rng`` jitters the time after which clients may retry."""
 
     def __init__(
         self,
         broker: AdmissionBroker,
         reachability: ShardReachability,
         storm_control: StormControl | None,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self._broker = broker
         self._reachability = reachability
         self._storm_control = storm_control
-        self._draw = draw
+        self._rng = rng
 
     def admit(self, plan: QueryPlan, client: str) -> Admission:
         """Check a query; raises :class:`AdmissionRejectedError`."""
@@ -112,7 +112,7 @@
             return otherwise_us
         objective_us = version.settings.classes[plan.query_class].latency_objective_us
         longest_us = min(objective_us, self._broker.settings.max_retry_after_us)
-        return int(longest_us * self._draw.uniform(*RETRY_JITTER))
+        return int(longest_us * self._rng.uniform(*RETRY_JITTER))
 
     def _check_storm(self, plan: QueryPlan, client: str) -> None:
         if self._storm_control is None:
--- a/heathwell/service/quota_gate.py
+++ b/heathwell/service/quota_gate.py
@@ -142,7 +142,7 @@
         self._sendable_until_us: dict[AttemptKey, int] = {}
         self._sent_in_window = 0
         self._window_started_at_us = broker.loop.now()
-        self._usual_rate_milliunits = 0
+        self._mean_rate_milliunits = 0
         broker.loop.call_at(broker.loop.now() + TICK_INTERVAL_US, self._tick)
 
     def has_budget(self, name: str) -> bool:
@@ -171,7 +171,7 @@
             return None
         parts: dict[str, int] = {}
         for node, price in self._slow_start_price_milliunits.items():
-            holder = self.agent.holder(_of_endpoint(SLOW_START_PARTS, node))
+            holder = self.agent.holder(_endpoint_budget(SLOW_START_PARTS, node))
             if holder is not None:
                 parts[node] = holder.capacity(now) // price
         return parts
@@ -184,7 +184,7 @@
         self._sent_in_window += 1
         budgets: list[str] = []
         if send.slow_start:
-            budget = _of_endpoint(SLOW_START_PARTS, send.node)
+            budget = _endpoint_budget(SLOW_START_PARTS, send.node)
             price = self._slow_start_price_milliunits.get(send.node, UNIT_MILLIUNITS)
             if not self.agent.acquire(budget, price):
                 return False
@@ -199,14 +199,14 @@
     def _record_expiry(self, key: AttemptKey, budgets: list[str]) -> None:
         """Record when the first of the grants expires that an attempt was acquired from."""
         now = self._broker.loop.now()
-        terms_us: list[int] = []
+        expiries_in_us: list[int] = []
         for budget in budgets:
             holder = self.agent.holder(budget)
-            term_us = holder.first_expiry_in_us(now) if holder is not None else None
-            if term_us is not None:
-                terms_us.append(term_us)
-        if terms_us:
-            self._sendable_until_us[key] = now + min(terms_us)
+            expires_in_us = holder.first_expiry_in_us(now) if holder is not None else None
+            if expires_in_us is not None:
+                expiries_in_us.append(expires_in_us)
+        if expiries_in_us:
+            self._sendable_until_us[key] = now + min(expiries_in_us)
 
     def may_still_send(self, key: AttemptKey) -> bool:
         """Whether an attempt that waited for its connection may leave."""
@@ -229,14 +229,14 @@
 
     def acquire_connection(self, node: str) -> bool:
         """Acquire a unit for one more connection to an endpoint; false where the quota does not cover it."""
-        acquired = self.agent.acquire(_of_endpoint(CONNECTIONS, node))
+        acquired = self.agent.acquire(_endpoint_budget(CONNECTIONS, node))
         if not acquired:
             self._broker.counters["lacked", CONNECTIONS] += 1
         return acquired
 
     def release_connection(self, node: str) -> None:
         """Return the unit of a connection that has ended."""
-        self.agent.release(_of_endpoint(CONNECTIONS, node))
+        self.agent.release(_endpoint_budget(CONNECTIONS, node))
 
     # Periodic work.
 
@@ -247,19 +247,19 @@
         now = self.agent.check_incarnation()
         self._broker.loop.call_at(now + TICK_INTERVAL_US, self._tick)
         if self.has_budget(SLOW_START_PARTS):
-            self._measure_usual_rate(now)
+            self._measure_mean_rate(now)
             self._price_slow_start()
         if self.has_budget(CONNECTIONS):
             self._close_excess_connections(now)
 
-    def _measure_usual_rate(self, now: int) -> None:
+    def _measure_mean_rate(self, now: int) -> None:
         """Once a window: the milliunits a second that a live endpoint usually gets of this broker."""
         elapsed_us = now - self._window_started_at_us
         if elapsed_us < RATE_WINDOW_US:
             return
         live_count = max(1, sum(endpoint.live for endpoint in self._broker.endpoints.values()))
         sent_milliunits = self._sent_in_window * UNIT_MILLIUNITS
-        self._usual_rate_milliunits = sent_milliunits * MICROSECONDS_PER_SECOND // (live_count * elapsed_us)
+        self._mean_rate_milliunits = sent_milliunits * MICROSECONDS_PER_SECOND // (live_count * elapsed_us)
         self._sent_in_window = 0
         self._window_started_at_us = now
 
@@ -274,21 +274,21 @@
                 continue
             price = int(UNIT_MILLIUNITS * self._broker.slow_start_capacity / fraction)
             self._slow_start_price_milliunits[endpoint.node] = max(1, price)
-            holder = self.agent.holder(_of_endpoint(SLOW_START_PARTS, endpoint.node))
+            holder = self.agent.holder(_endpoint_budget(SLOW_START_PARTS, endpoint.node))
             if holder is not None:
-                holder.baseline_demand = self._usual_rate_milliunits
+                holder.baseline_demand = self._mean_rate_milliunits
 
     def _close_excess_connections(self, now: int) -> None:
         """Close connections beyond the quota: idle ones where there is time, any where there is none."""
         for node, link in self._broker.links.items():
             if not isinstance(link, HostPool) or not link.has_additional:
                 continue
-            holder = self.agent.holder(_of_endpoint(CONNECTIONS, node))
+            holder = self.agent.holder(_endpoint_budget(CONNECTIONS, node))
             if holder is not None:
                 link.shrink(holder.excess(now))
                 link.drop(holder.overdue(now))
 
 
-def _of_endpoint(budget: str, node: str) -> str:
+def _endpoint_budget(budget: str, node: str) -> str:
     """The name of an endpoint's own budget."""
     return f"{budget}@{node}"
--- a/heathwell/service/retry_storms/storm_controller.py
+++ b/heathwell/service/retry_storms/storm_controller.py
@@ -2,7 +2,7 @@
 
 - *calm*: everything is admitted; a retry instant is scheduled for each rejected query all the same.
 - *building*, when unscheduled repeats make ``BUILDING_REPEAT_FRACTION`` of the requests, or connections
-  arrive at ``RUSH_FACTOR`` times their usual rate: accepted connections are limited.
+  arrive at ``SURGE_FACTOR`` times their usual rate: accepted connections are limited.
 - *storm*, when repeats make ``STORM_REPEAT_FRACTION`` and queries are rejected, for ``CONFIRMATION_TICKS``:
   the work that reaches the module is limited to the observed capacity of the endpoints. Retries on schedule
   go first, then first attempts, and early retries last.
--- a/heathwell/service/retry_storms/storm_detector.py
+++ b/heathwell/service/retry_storms/storm_detector.py
@@ -14,9 +14,9 @@
 CONFIRMATION_TICKS = 2
 LOW_TICKS = 4
 CALM_TICKS = 12
-RUSH_FACTOR = 5.0  # times the usual connection rate
-MINIMUM_RUSH_RATE = 20.0  # connections a second
-USUAL_RATE_GAIN = 0.02
+SURGE_FACTOR = 5.0  # times the usual connection rate
+MINIMUM_SURGE_RATE = 20.0  # connections a second
+BASELINE_RATE_GAIN = 0.02
 
 
 class StormState(StrEnum):
@@ -47,32 +47,32 @@
         self.state = StormState.DRAINING if is_warming_up else StormState.CALM
         self.since_us = now_us
         self.evidence = "just started" if is_warming_up else ""
-        self._usual_connection_rate = 0.0
+        self._baseline_connection_rate = 0.0
         self._storm_tick_count = 0
         self._low_tick_count = 0
 
     def update(self, now_us: int, statistics: WindowStatistics) -> StormChange | None:
         """Take the statistics of a tick, and return the change of state that follows, if any."""
-        is_rush = statistics.connection_rate > max(
-            MINIMUM_RUSH_RATE, RUSH_FACTOR * self._usual_connection_rate
+        is_surge = statistics.connection_rate > max(
+            MINIMUM_SURGE_RATE, SURGE_FACTOR * self._baseline_connection_rate
         )
         is_storm = (
             statistics.repeat_fraction >= STORM_REPEAT_FRACTION
             and statistics.rejections >= STORM_REJECTION_FRACTION * statistics.requests
         )
-        is_low = statistics.repeat_fraction < LOW_REPEAT_FRACTION and not is_rush
+        is_low = statistics.repeat_fraction < LOW_REPEAT_FRACTION and not is_surge
         self._storm_tick_count = self._storm_tick_count + 1 if is_storm else 0
         self._low_tick_count = self._low_tick_count + 1 if is_low else 0
         change = None
-        next_state = self._next_state(statistics, is_rush=is_rush)
+        next_state = self._next_state(statistics, is_surge=is_surge)
         if next_state is not None:
             change = self._enter(now_us, next_state, self._describe(statistics))
         if self.state == StormState.CALM:
-            difference = statistics.connection_rate - self._usual_connection_rate
-            self._usual_connection_rate += difference * USUAL_RATE_GAIN
+            difference = statistics.connection_rate - self._baseline_connection_rate
+            self._baseline_connection_rate += difference * BASELINE_RATE_GAIN
         return change
 
-    def _next_state(self, statistics: WindowStatistics, *, is_rush: bool) -> StormState | None:
+    def _next_state(self, statistics: WindowStatistics, *, is_surge: bool) -> StormState | None:
         is_confirmed = self._storm_tick_count >= CONFIRMATION_TICKS
         is_over = self._low_tick_count >= LOW_TICKS
         if self.state == StormState.STORM:
@@ -82,7 +82,7 @@
         if self.state == StormState.BUILDING:
             return StormState.CALM if is_over else None
         if self.state == StormState.CALM:
-            is_building = statistics.repeat_fraction >= BUILDING_REPEAT_FRACTION or is_rush
+            is_building = statistics.repeat_fraction >= BUILDING_REPEAT_FRACTION or is_surge
             return StormState.BUILDING if is_building else None
         few_rejections = statistics.rejections <= STORM_REJECTION_FRACTION * max(statistics.requests, 1)
         return StormState.CALM if self._low_tick_count >= CALM_TICKS and few_rejections else None
@@ -92,7 +92,7 @@
         return (
             f"{statistics.repeat_fraction:.0%} of {statistics.requests} asks a second are repeats that no "
             f"advice sent, {statistics.rejections} refused, {statistics.connection_rate:.0f} connects a "
-            f"second, {self._usual_connection_rate:.0f} usual"
+            f"second, {self._baseline_connection_rate:.0f} usual"
         )
 
     def _enter(self, now_us: int, state: StormState, evidence: str) -> StormChange:
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -60,8 +60,8 @@
         super().__init__(loop, settings, snapshot, options.seed, name=options.name, events=events, log=log)
         self._options = options
         self.service_statistics = options.statistics
-        self._draw = random.Random(options.seed ^ BROKER_SEED_MASK)
-        components = build_components(self, net, options, self._draw)
+        self._rng = random.Random(options.seed ^ BROKER_SEED_MASK)
+        components = build_components(self, net, options, self._rng)
         self.quota_gate = components.quota_gate
         self.zone_observer = components.zone_observer
         self.freshness = components.freshness
@@ -120,7 +120,7 @@
         check_settings_change(self.service_settings, service_settings)
         self.begin_version(
             module_settings(service_settings, self._options.zone, self._options.aggregator_count),
-            self._draw.getrandbits(VERSION_SEED_BITS),
+            self._rng.getrandbits(VERSION_SEED_BITS),
             version,
             ServiceSnapshot.from_settings(service_settings),
         )
--- a/heathwell/service/service_statistics.py
+++ b/heathwell/service/service_statistics.py
@@ -15,7 +15,7 @@
 from heathwell import policy
 from heathwell.broker.replies import Reply, ReplyKind
 
-MAXIMUM_FIRST_ATTEMPTS = 4_096  # remembered, to recognise retries
+MAXIMUM_FIRST_REQUESTS = 4_096  # remembered, to recognise retries
 COUNTER_NAMES = ("asked", "worth", "in_aim", "refused", "failed", "partial")
 
 
@@ -40,25 +40,25 @@
         self.sums: dict[str, dict[str, float]] = {
             spec.name: dict.fromkeys(COUNTER_NAMES, 0.0) for spec in classes
         }
-        self._first: OrderedDict[tuple[str, str], tuple[int, float]] = (
+        self._first_requests: OrderedDict[tuple[str, str], tuple[int, float]] = (
             OrderedDict()
         )  # when it arrived, and the weight added so far
 
     def record_query(self, now: int, client_id: str, key: str, query_class: str) -> None:
         """Record a query's arrival; the same from the same client within the class's timeout is a retry."""
-        first = self._first.get((client_id, key))
+        first = self._first_requests.get((client_id, key))
         if first is not None and now - first[0] <= self.classes[query_class].timeout_us:
             return
-        self._first.pop((client_id, key), None)
-        self._first[client_id, key] = now, -1.0
-        while len(self._first) > MAXIMUM_FIRST_ATTEMPTS:
-            self._first.popitem(last=False)
+        self._first_requests.pop((client_id, key), None)
+        self._first_requests[client_id, key] = now, -1.0
+        while len(self._first_requests) > MAXIMUM_FIRST_REQUESTS:
+            self._first_requests.popitem(last=False)
 
     def record_reply(self, now: int, client_id: str, key: str, reply: Reply) -> None:
         """Record a reply, also a rejection at admission; a retry adds what it gained beyond earlier ones."""
         query_class = self.classes[reply.query_class]
         sums = self.sums[reply.query_class]
-        arrived_at_us, credited = self._first.get((client_id, key), (now, -1.0))
+        arrived_at_us, credited = self._first_requests.get((client_id, key), (now, -1.0))
         sums["asked"] += credited < 0
         weight = 0.0
         within_objective = now - arrived_at_us <= query_class.latency_objective_us
@@ -71,8 +71,8 @@
                 weight *= query_class.partial_weight
             sums["in_aim"] += within_objective
         sums["worth"] += max(0.0, weight - max(credited, 0.0))
-        if (client_id, key) in self._first:
-            self._first[client_id, key] = arrived_at_us, max(weight, credited)
+        if (client_id, key) in self._first_requests:
+            self._first_requests[client_id, key] = arrived_at_us, max(weight, credited)
 
     def page(self) -> ServicePage:
         """Return sums by class, processor time (us) and memory (bytes), for the node agent."""
--- a/heathwell/service/zone_observer.py
+++ b/heathwell/service/zone_observer.py
@@ -140,14 +140,17 @@
             "zones",
             term=decision.term,
             number=decision.number,
-            states={name: [word.state, word.traffic_share] for name, word in decision.zones.items()},
+            states={
+                name: [directive.state, directive.traffic_share] for name, directive in decision.zones.items()
+            },
         )
         self._broker.log(
             "warning",
             "zones",
             decision=f"({decision.term}, {decision.number})",
             states={
-                name: f"{word.state} at {word.traffic_share:.0%}" for name, word in decision.zones.items()
+                name: f"{directive.state} at {directive.traffic_share:.0%}"
+                for name, directive in decision.zones.items()
             },
         )
         self._apply_decision()
@@ -172,7 +175,7 @@
         for name, zone_decision in self.decision.zones.items():
             if name == self.zone and not zone_decision.query_classes:
                 continue  # the clients in its own zone are served by the endpoints there
-            if self._draw(name) < zone_decision.traffic_share:
+            if self._hash_fraction(name) < zone_decision.traffic_share:
                 continue
             nodes = frozenset(self._live_nodes(name))
             for query_class in self._evacuated_classes(zone_decision):
@@ -197,7 +200,7 @@
             if endpoint.live and endpoint.zone == number
         ]
 
-    def _draw(self, zone_name: str) -> float:
+    def _hash_fraction(self, zone_name: str) -> float:
         """This broker's draw for a zone, from 0 to 1: the same at each step."""
         text = f"{self._evidence.broker}|{zone_name}".encode()
         digest = hashlib.blake2b(text, digest_size=DRAW_BYTES).digest()
--- a/tests/test_service_comparison.py
+++ b/tests/test_service_comparison.py
@@ -53,7 +53,7 @@
     statistics = ServiceStatistics((QUERY_CLASS,))
     for number in range(10_000):
         statistics.record_query(number, f"c{number}", "k", "one")
-    assert len(statistics._first) <= 4_096
+    assert len(statistics._first_requests) <= 4_096
 
 
 def test_digests_depend_on_content_and_names_of_source_files(tmp_path):
