--- a/heathwell/service/__init__.py
+++ b/heathwell/service/__init__.py
@@ -1,1 +1,1 @@
-"""The service broker: the driver, hosts and discovery by the inner protocol, and its optional parts."""
+"""The service broker: the driver over the inner protocol, with hosts, discovery and optional components."""
--- a/heathwell/service/answer_freshness.py
+++ b/heathwell/service/answer_freshness.py
@@ -1,4 +1,4 @@
-"""Whether an endpoint's answer is fresh enough, and how old the reply made from several answers is."""
+"""Decides whether an endpoint's answer is fresh enough, and determines the age of a merged reply."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServicePart, ServiceQuery
 
-REJECTED_AS_STALE = "turned down"  # an interface: the label of a metric, and a reason on the admin page
+# An interface: the key of a counter that the metrics export, and a reason on the admin page.
+REJECTED_AS_STALE = "turned down"
 
 
 class AnswerFreshness:
-    """Judges answers by the position of the data source that they stand at.
+    """Evaluates answers by the position of the data source up to which their data is applied.
 
-    ``replicas_of`` gives the live nodes that hold a shard.
+    ``replicas_of`` returns the live nodes that hold a shard.
     """
 
     def __init__(self, broker: ServiceContext, replicas_of: Callable[[int], list[str]]) -> None:
@@ -27,7 +28,7 @@
 
     @property
     def future_watermark_count(self) -> int:
-        """How many answers claimed a position that the data source had not reached."""
+        """The number of answers with a position that the data source had not yet reached."""
         return self._decider.lag_tracker.future_watermark_count
 
     def is_acceptable(
@@ -39,7 +40,7 @@
         result: frames.Result,
         sent_at_us: int,
     ) -> bool:
-        """Whether an answer may be used; a rejected one is counted, and noted at its part."""
+        """Return whether an answer may be used; a rejected one is counted and recorded in its part."""
         now = self._broker.loop.now()
         query_class = self._broker.query_class_of(query)
         verdict = self._decider.decide(
@@ -64,7 +65,7 @@
         return verdict.is_accepted
 
     def age_of(self, query: ServiceQuery, parts: Sequence[ServicePart]) -> Age | None:
-        """The age, as of now, of a reply that rests on answered parts; None where there are none."""
+        """Return the age, as of now, of a reply made from answered parts; None if there are none."""
         if not parts:
             return None
         now = self._broker.loop.now()
@@ -92,14 +93,17 @@
         )
 
     def age_at_us(self, part: ServicePart, at_us: int) -> int | None:
-        """The age of a part's data at an instant; None where it is not known."""
+        """Return the age of a part's data at a time of the broker's loop; None if it is unknown."""
         if part.data is None or not part.has_known_age:
             return None
         return self.clock.age(at_us, part.source_us) or 0
 
 
 def _required_position(query: ServiceQuery, shard: int) -> int:
-    """The position that an answer of a shard must stand at: the client's, and that of the first step."""
+    """Return the position that a shard's answer must have reached.
+
+    This is the position of the client's token, or that of the first step's answer if it is later.
+    """
     positions = [query.plan.token_position(shard)]
     if query.step > 1:
         positions += [
--- a/heathwell/service/broker_components.py
+++ b/heathwell/service/broker_components.py
@@ -48,7 +48,7 @@
     StormBroker,
     Protocol,
 ):
-    """What the components together use of their broker."""
+    """What all components together use of their broker."""
 
     @property
     def endpoints(self) -> Mapping[str, Endpoint]:
@@ -59,21 +59,21 @@
         """The names of the query classes, in their order."""
 
     def live_replicas(self, shard: int) -> list[str]:
-        """Return the endpoints listed as live that hold a shard."""
+        """Return the live endpoints that hold a shard."""
 
     def restrict_zones(self, query_class: int | None, nodes: frozenset[str]) -> None:
-        """Deprioritize endpoints for one query class, or (None) for all."""
+        """Deprioritize endpoints for one query class, or with None for all classes."""
 
     def probe(self, node: str) -> None:
         """Send a probe to an endpoint of an evacuated zone."""
 
     def on_endpoint_update(self, update: policy.EndpointUpdate) -> None:
-        """Handle an update of the endpoint list."""
+        """Handle an update to the endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class BrokerComponents:
-    """The components of one broker; those that settings leave out are ``None``."""
+    """The components of one broker; those that the settings disable are ``None``."""
 
     quota_gate: QuotaGate | None
     connections: EndpointConnections
@@ -97,7 +97,7 @@
 def build_components(
     broker: ComponentsBroker, net: Net, options: BrokerOptions, rng: random.Random
 ) -> BrokerComponents:
-    """Build the components; several schedule their first tick here, in this order."""
+    """Build the components in a fixed order, as several of them schedule their first tick here."""
     seed = options.seed
     quota_gate = QuotaGate(broker, options.agent) if options.agent is not None else None
     connections = EndpointConnections(broker, broker, net, quota_gate)
@@ -133,7 +133,7 @@
 
 
 def build_discovery_client(broker: ComponentsBroker, net: Net, options: BrokerOptions) -> DiscoveryClient:
-    """Build the client of discovery, which reports each endpoint update to the broker."""
+    """Build the discovery client, which reports each endpoint update to the broker."""
     discovery = broker.service_settings.discovery
     return DiscoveryClient(
         broker.loop,
--- a/heathwell/service/broker_options.py
+++ b/heathwell/service/broker_options.py
@@ -1,4 +1,4 @@
-"""What a service broker is started with, beside its settings."""
+"""The options that a service broker is started with in addition to its settings."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokerOptions:
-    """The identity of one broker, the services it uses and the optional parts of its surroundings.
+    """The identity of one broker, the services that it uses, and its optional collaborators.
 
     ``name`` must be unique among the incarnations of all brokers; ``zone`` is the number of the broker's
     zone. ``source_address`` overrides the address of the data source in the settings. ``known_endpoints`` is
-    the endpoint list until discovery replies. ``make_zone_observer`` makes the zone observer where zones may
-    be evacuated; it is passed in because no other broker may import what an observer needs.
+    the endpoint list until discovery replies. ``make_zone_observer`` creates the zone observer if zones may
+    be evacuated; it is passed in because a broker without one must not import what an observer needs.
     """
 
     name: str
--- a/heathwell/service/discovery.py
+++ b/heathwell/service/discovery.py
@@ -1,4 +1,4 @@
-"""A broker's client of the discovery service: polls or watches the endpoint list, and reports failures."""
+"""The client of the discovery service: polls or watches the endpoint list and reports failures."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 
 class EndpointListReader:
-    """Converts endpoint lists of the wire to updates for the decision module.
+    """Converts endpoint lists from discovery messages to updates for the decision module.
 
-    Endpoints have clocks of their own, so a start travels as an age. It becomes an instant on this broker's
-    clock when the process is first listed, and stays; a new ``birth`` is a new process.
+    Endpoints have their own clocks, so messages hold the age of a process rather than its start time. The age
+    is converted to a start time on this broker's clock when the process is first listed, and is not updated
+    afterwards. A changed ``birth`` means a new process.
     """
 
     def __init__(self) -> None:
@@ -28,7 +29,7 @@
     def to_update(
         self, now: int, kind: str, entries: list[frames.EndpointListEntry]
     ) -> policy.EndpointUpdate:
-        """Return the decision module's update for one message of discovery."""
+        """Return the decision module's update for one discovery message."""
         update_kind = (
             policy.UpdateKind.FULL if kind == policy.UpdateKind.FULL else policy.UpdateKind.INCREMENTAL
         )
@@ -46,7 +47,7 @@
 
 
 class DiscoveryClient:
-    """Watches the endpoint list. Each :meth:`ask` is answered by exactly one update."""
+    """Polls or watches the endpoint list. Each :meth:`ask` results in exactly one update."""
 
     def __init__(
         self,
@@ -75,18 +76,18 @@
         self._task: Task[None] | None = None
 
     def start(self) -> None:
-        """Connect and stay connected, where the list is pushed."""
+        """Connect and stay connected, if the list is pushed; otherwise do nothing."""
         if self.is_pushed:
             self._task = self.loop.spawn(self._watch(), "discovery")
 
     def ask(self) -> None:
-        """Request the endpoint list; the answer is the list, its changes, or a failure."""
+        """Request the endpoint list; the update holds the full list, its changes, or a failure."""
         self._pending_requests += 1
         if self._stream is not None:
             try:
                 self._stream.write(frames.encode(frames.WatchRequest(self._index)))
             except StreamBrokenError:
-                pass  # the reader of the stream reports the failure
+                pass  # The reading task reports the failure.
             else:
                 self._start_timeout()
         elif self._task is None:
@@ -126,9 +127,9 @@
             self._pending_requests = max(self._pending_requests, 1)
             self._start_timeout()
             yield from inner_protocol.listen(stream, self._on_message)
-            raise StreamBrokenError("discovery closed the watch")  # noqa: TRY301  # ends as any break does, below
+            raise StreamBrokenError("discovery closed the connection")  # noqa: TRY301  # handled below as any break
         except (ConnectError, StreamBrokenError, frames.FrameError) as error:
-            self.log("info", "discovery: call failed or watch broken", why=str(error))
+            self.log("info", "discovery: request failed or watch interrupted", why=str(error))
             self._pending_requests = 0
             self.on_update(policy.EndpointUpdate(policy.UpdateKind.FAILED))
         finally:
--- a/heathwell/service/endpoint_connections.py
+++ b/heathwell/service/endpoint_connections.py
@@ -1,4 +1,4 @@
-"""How a service broker connects to an endpoint: by one connection, or by a pool within the fleet's quota."""
+"""Connects a service broker to endpoints, by one connection each or by a pool within the fleet's quota."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from heathwell.service.service_context import ServiceContext
 from heathwell.settings.schema import Limits
 
-ADDITIONAL_IDLE_TIMEOUT_US = 2_000_000  # of a connection beyond the first
+ADDITIONAL_IDLE_TIMEOUT_US = 2_000_000  # The longest idle timeout of the connections in a pool.
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionQuota:
-    """Acquires, if possible, and releases the quota of one additional connection to an endpoint."""
+    """Functions that acquire, if possible, and release quota for an additional connection to an endpoint."""
 
     acquire: Callable[[], bool]
     release: Callable[[], None]
 
 
 class EndpointConnections:
-    """Makes the connections of one broker; ``observer`` is notified of the ends of attempts and probes."""
+    """Creates the connections of one broker; ``observer`` is notified of the ends of attempts and probes."""
 
     def __init__(
         self, broker: ServiceContext, observer: AttemptObserver, net: Net, quota_gate: QuotaGate | None
@@ -37,7 +37,7 @@
         self._linger_us = quota_gate.linger_us if quota_gate is not None else 0
 
     def connect(self, node: str) -> HostLink | HostPool:
-        """A connection to an endpoint, or a pool where settings allow several."""
+        """Return a connection to an endpoint, or a pool if the settings allow several."""
         limits = self._broker.service_settings.limits
         if limits.host_connections == 1:
             return self._make_link(node, limits, limits.idle_close)
--- a/heathwell/service/endpoint_restrictions.py
+++ b/heathwell/service/endpoint_restrictions.py
@@ -1,7 +1,8 @@
-"""Which endpoints queries of each class may use: restrictions from links between regions, from classes that
-stay in their region, and from evacuated zones.
+"""Restricts which endpoints queries of each class may use.
 
-The module gets each change as a :class:`~heathwell.policy.HolderRestrictions`.
+Restrictions follow from the state of the links between regions, from classes that stay in their region, and
+from evacuated zones. Each change is sent to the decision module as a
+:class:`~heathwell.policy.HolderRestrictions`.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from heathwell.service.service_context import ServiceContext
 from heathwell.settings import ServiceSettings
 
-TICK_INTERVAL_US = 25_000  # between two checks of the links between regions
+TICK_INTERVAL_US = 25_000  # The interval at which links between regions are checked.
 REGIONS_SEED_MASK = 0x11A5
 ANY_REGION = "any"
 HOME_REGION_ONLY = "never"
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Restriction:
-    """``deprioritized`` nodes serve only where no other does, ``excluded`` ones not at all."""
+    """``deprioritized`` nodes are used only if no other node can serve a part, ``excluded`` nodes never."""
 
     deprioritized: frozenset[str] = NO_NODES
     excluded: frozenset[str] = NO_NODES
@@ -34,7 +35,7 @@
     """What :class:`EndpointRestrictions` uses of its broker."""
 
     def restrict_endpoints(self, restrictions: policy.HolderRestrictions) -> None:
-        """Hand restrictions to the module."""
+        """Pass restrictions to the decision module."""
 
     def probe_endpoint(self, node: str) -> None:
         """Send a probe to an endpoint."""
@@ -65,8 +66,9 @@
         return self._from_links.excluded
 
     def restrict_zones(self, query_class: int | None, nodes: frozenset[str]) -> None:
-        """Deprioritize endpoints of evacuated zones, for one query class or (None) for all, beside those that
-        the regions restrict.
+        """Deprioritize endpoints of evacuated zones, for one query class or, with None, for all classes.
+
+        The restrictions that follow from regions stay in force.
         """
         self._evacuated[query_class] = nodes
         self._send_restrictions(query_class)
@@ -74,7 +76,7 @@
     # The list of endpoints.
 
     def on_endpoint_update(self, update: policy.EndpointUpdate) -> None:
-        """Note the regions of endpoints. To be called before the module gets the update."""
+        """Record the regions of endpoints. To be called before the decision module gets the update."""
         if self.region_links is None or update.kind == policy.UpdateKind.FAILED:
             return
         if update.kind == policy.UpdateKind.FULL:
@@ -86,9 +88,10 @@
         self.region_links.set_endpoints(self._region_by_node)
 
     def restrict_remote_nodes(self) -> None:
-        """Restrict endpoints in other regions for the classes that stay at home.
+        """Restrict endpoints in other regions for the classes that stay in their home region.
 
-        To be called after the module got an update: it must know the endpoints that restrictions name.
+        To be called after the decision module got an update: it must know the endpoints that restrictions
+        name.
         """
         if self.region_links is None:
             return
@@ -105,7 +108,7 @@
                 )
 
     def _remote_node_restriction(self, query_class: int) -> Restriction:
-        """How a class restricts the endpoints in other regions."""
+        """Return how a class restricts the endpoints in other regions."""
         across = self._broker.service_settings.classes[query_class].across
         if across == ANY_REGION:
             return Restriction()
@@ -116,7 +119,7 @@
     # Evidence on links.
 
     def on_attempt_sent(self, node: str, key: AttemptKey) -> None:
-        """Record an attempt that is handed to its connection."""
+        """Record an attempt that is passed to its connection."""
         if self.region_links is not None:
             self.region_links.on_attempt_sent(self._broker.loop.now(), node, key)
 
@@ -132,7 +135,7 @@
             self._log_link_changes(self.region_links)
 
     def on_late_answer(self, node: str) -> None:
-        """Record an answer that came too late: it shows that the link is up."""
+        """Record an answer that arrived too late: it shows that the link is up."""
         if self.region_links is not None:
             self.region_links.on_late_answer(self._broker.loop.now(), node)
             self._log_link_changes(self.region_links)
@@ -140,7 +143,7 @@
     # Periodic work.
 
     def _tick(self) -> None:
-        """Probe over links that are suspected, and send the module restrictions that have changed."""
+        """Probe suspected links, and send changed restrictions to the decision module."""
         if self._broker.dead or self.region_links is None:
             return
         now = self._broker.loop.now()
@@ -156,7 +159,7 @@
             self._send_restrictions(None)
 
     def _send_restrictions(self, query_class: int | None) -> None:
-        """Send the module all restrictions of one query class, or those (None) for all classes."""
+        """Send the restrictions of one query class, or with None those for all classes, to the module."""
         restriction = self._from_links if query_class is None else self._remote_node_restriction(query_class)
         evacuated = self._evacuated.get(query_class, NO_NODES)
         self._broker.restrict_endpoints(
@@ -171,11 +174,13 @@
             state = change.state.value
             self._broker.counters["link", region, state] += 1
             self._broker.events("link", region=region, state=state, why=change.evidence)
-            self._broker.log("warning", "link to region", region=region, state=state, why=change.evidence)
+            self._broker.log(
+                "warning", "region link changed state", region=region, state=state, why=change.evidence
+            )
 
 
 def _region_by_zone(service_settings: ServiceSettings) -> dict[int, str]:
-    """The name of the region by the number of a zone."""
+    """Return the name of the region by zone number."""
     return {
         service_settings.fleet.zones.index(zone): region.name
         for region in service_settings.across.regions
@@ -184,7 +189,7 @@
 
 
 def _needs_regions(service_settings: ServiceSettings) -> bool:
-    """Whether settings restrict endpoints by region."""
+    """Return whether the settings restrict endpoints by region."""
     across = service_settings.across
     if not across.regions:
         return False
@@ -210,7 +215,7 @@
 
 
 def _routes_from(home: str, service_settings: ServiceSettings) -> dict[str, RegionRoute]:
-    """By region, the round trip and the cost of its link with home."""
+    """Return by region the round trip and the cost of its link with the home region."""
     return {
         (set(link.between) - {home}).pop(): RegionRoute(2 * link.delay, link.cost)
         for link in service_settings.across.links
--- a/heathwell/service/fair_admission.py
+++ b/heathwell/service/fair_admission.py
@@ -1,4 +1,4 @@
-"""Queues in front of the module: each server of a client protocol gets its share of the concurrency."""
+"""Fair queueing before the decision module: each server of a client protocol gets its share of the limit."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from heathwell.settings import ServiceSettings
 
 FAIR_QUEUE_SEED_MASK = 0xFA1E
-INITIAL_WINDOW_FACTOR = 2.0  # of the queue target, by replica group
+INITIAL_WINDOW_FACTOR = 2.0  # The initial limit is this times the queue target for each replica group.
 MINIMUM_TICK_INTERVAL_US = 1000
 
 
@@ -22,17 +22,17 @@
 
     @property
     def queries(self) -> Mapping[str, ServiceQuery]:
-        """The queries that it holds, by id."""
+        """The queries that the broker holds, by id."""
 
     def enter_query(self, query: ServiceQuery) -> None:
         """Pass a query to the decision module."""
 
     def reject_queued_query(self, query: ServiceQuery, retry_after_us: int) -> None:
-        """Reject a query that waits too long; its client may retry after ``retry_after_us``."""
+        """Reject a query that is queued for too long; its client may retry after ``retry_after_us``."""
 
 
 class FairAdmission:
-    """The queues of one broker; ``broker_count`` brokers share the endpoints."""
+    """The fair queue of one broker; ``broker_count`` brokers share the endpoints."""
 
     def __init__(
         self, broker: FairAdmissionBroker, service_settings: ServiceSettings, broker_count: int, seed: int
@@ -63,13 +63,13 @@
             self._broker.loop.call_soon(self._reject, query)
 
     def on_query_closed(self, query: ServiceQuery) -> None:
-        """Free the place of a query that has had its reply or lost its client."""
+        """Remove a query that was answered or whose client has disconnected."""
         self.queue.end(self._broker.loop.now(), query.id)
         if self.queue.is_queueing:
             self._broker.loop.call_soon(self._tick)
 
     def on_part_answered(self, sent_at_us: int | None, work_us: int) -> None:
-        """Learn the concurrency that endpoints bear from an answer's round trip and the work it took."""
+        """Adapt the concurrency limit to an answer's round trip and the work it took."""
         if work_us:
             now = self._broker.loop.now()
             round_trip_us = now - sent_at_us if sent_at_us is not None else 0
@@ -94,9 +94,7 @@
         self._broker.reject_queued_query(query, retry_after_us)
 
     def _tick(self) -> None:
-        """Pass on queries whose turn it is, reject those that were queued for too long, and schedule the next
-        tick.
-        """
+        """Admit queued queries that fit now, reject expired ones, and schedule the next tick."""
         if self._broker.dead:
             return
         now = self._broker.loop.now()
--- a/heathwell/service/host_link.py
+++ b/heathwell/service/host_link.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint with many attempts in flight; each attempt ends with exactly one outcome."""
+"""A connection to one endpoint that multiplexes attempts; each attempt ends with exactly one outcome."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 )
 
 OUTCOMES = {"ok": policy.Outcome.OK, "error": policy.Outcome.ERROR, "full": policy.Outcome.REJECTED}
-HEARTBEATS_PER_TIMEOUT = 4  # pings within the time after which an endpoint closes a silent connection
+HEARTBEATS_PER_TIMEOUT = 4  # Pings within the time after which an endpoint closes a silent connection.
 
 
 class AttemptObserver(Protocol):
-    """Is notified of the ends of attempts and probes."""
+    """Receives the outcomes of attempts and probes, and the endpoint's notices."""
 
     def on_attempt_result(
         self, node: str, key: AttemptKey, outcome: policy.Outcome, result: frames.Result | None
@@ -38,34 +38,34 @@
         """Handle the one outcome of a probe."""
 
     def parts_to_send(self, node: str, parts: list[frames.PartRequest]) -> list[frames.PartRequest]:
-        """Return those attempts that waited for the connection and may still be sent.
+        """Return which of the attempts that waited for the connection may still be sent.
 
-        The observer itself ends the others.
+        The observer ends the others itself.
         """
 
     def on_score_bound(self, node: str, key: AttemptKey, best: list[float]) -> None:
-        """Handle an endpoint's bounds, sent before its work, on the scores of an attempt."""
+        """Handle the bounds on an attempt's scores, which an endpoint sends before it searches."""
 
     def on_late_answer(self, node: str) -> None:
-        """Handle a result of an attempt that has ended already."""
+        """Handle a result for an attempt that has already ended."""
 
     def on_endpoint_draining(self, node: str) -> None:
-        """Handle an endpoint's notice that it drains."""
+        """Handle an endpoint's notice that it is draining."""
 
 
 @dataclass(slots=True)
 class InFlightAttempt:
-    """An attempt; its frame begins at ``frame_offset`` of the stream, ``None`` while it is unsent."""
+    """An attempt whose frame begins at ``frame_offset`` of the stream; ``None`` until it is written."""
 
     frame_offset: int | None = None
 
 
 class HostLink:
-    """One broker's connection to one endpoint: opened when there is something to send, closed when idle.
+    """A broker's connection to one endpoint, opened when there is something to send and closed when idle.
 
-    After ``endpoint_idle_timeout_us`` of silence the endpoint may close a connection, so pings are sent in
-    time; 0 means that it does not. ``on_closed`` is called at each end of a connection, with whether the
-    endpoint has observed it.
+    The endpoint may close a connection after ``endpoint_idle_timeout_us`` of silence (0: it does not), so
+    pings are sent more often than that. ``on_closed`` is called whenever a connection has ended, with whether
+    the endpoint has observed the end.
     """
 
     def __init__(
@@ -114,7 +114,7 @@
         return self.stream is not None
 
     def send(self, parts: list[frames.PartRequest]) -> None:
-        """Send attempts in one call; each ends with one outcome."""
+        """Send attempts in one call; each ends with exactly one outcome."""
         for part in parts:
             self.in_flight[part.id, part.seq] = InFlightAttempt()
         if self.stream is None:
@@ -124,7 +124,7 @@
             self._write_call(parts)
 
     def abandon(self, key: AttemptKey) -> bool:
-        """Stop waiting for an attempt that the observer has ended by itself; true if it was in flight."""
+        """Stop waiting for an attempt that the observer has ended itself; return whether it was in flight."""
         sent = self.in_flight.pop(key, None)
         if sent is None:
             return False
@@ -137,11 +137,11 @@
         return True
 
     def withdraw(self, key: AttemptKey) -> bool:
-        """Withdraw an attempt that is unsent."""
+        """Withdraw an attempt if it was not written to a stream; return whether it was withdrawn."""
         return key in self.in_flight and self.in_flight[key].frame_offset is None and self.abandon(key)
 
     def probe(self) -> None:
-        """Send a ping; the probe ends with one outcome."""
+        """Send a ping as a probe, which ends with exactly one outcome."""
         self._probe_number += 1
         number = self._probe_number
         self._probes[number] = self.loop.call_at(
@@ -187,26 +187,26 @@
             yield from inner_protocol.listen(stream, self._on_message)
             end_observed = True
             if self.in_flight:
-                raise StreamBrokenError(  # noqa: TRY301  # ends as any break does, below
-                    "the host closed with attempts out"
+                raise StreamBrokenError(  # noqa: TRY301  # handled below as any break
+                    "endpoint closed the connection with attempts in flight"
                 )
         except ConnectError as error:
             end_observed = str(error) == "ECONNREFUSED"
-            self.log("debug", "no connection", node=self.node, why=str(error))
+            self.log("debug", "connection failed", node=self.node, why=str(error))
         except (StreamBrokenError, frames.FrameError) as error:
             end_observed = (
                 end_observed
                 or isinstance(error, StreamBrokenError)
                 and not isinstance(error, StreamOverrunError)
             )
-            self.log("info", "connection lost", node=self.node, why=str(error), out=len(self.in_flight))
+            self.log("info", "connection lost", node=self.node, why=str(error), in_flight=len(self.in_flight))
         finally:
             self._on_connection_lost(stream, outcome)
             if self.on_closed is not None:
                 self.on_closed(end_observed)
 
     def _send_heartbeat(self) -> None:
-        """Ping at intervals, where the endpoint closes silent connections."""
+        """Send a ping and schedule the next, if the endpoint closes silent connections."""
         if self._heartbeat_timer is not None:
             self._heartbeat_timer.cancel()
         if self.endpoint_idle_timeout_us and self.stream is not None:
@@ -221,7 +221,7 @@
             case frames.Result():
                 key = (message.id, message.seq)
                 if self.in_flight.pop(key, None) is None:
-                    self.late_answers += 1  # it has ended already, and has no effect any more
+                    self.late_answers += 1  # The attempt has already ended, so the answer has no effect.
                     self.observer.on_late_answer(self.node)
                 else:
                     outcome = OUTCOMES.get(message.outcome, policy.Outcome.ERROR)
@@ -247,10 +247,13 @@
 
     def _write(self, data: bytes) -> None:
         if self.stream is not None:
-            self.stream.offer(data)  # the reading side reports that a connection is broken
+            self.stream.offer(data)  # The reading task reports a broken connection.
 
     def _on_connection_lost(self, stream: Stream | None, outcome: policy.Outcome) -> None:
-        """Report the outcomes of a lost connection: what was unsent provably never ran, the rest may have."""
+        """Report the outcomes of all attempts and probes on a lost connection.
+
+        Attempts whose bytes were not sent are unreachable, as they can't have run; the others may have run.
+        """
         sent_bytes = stream.sent if stream is not None else 0
         self.stream = None
         self._task = None
--- a/heathwell/service/host_pool.py
+++ b/heathwell/service/host_pool.py
@@ -1,9 +1,11 @@
-"""Several connections to one endpoint, where settings allow. The first is a broker's own; more are opened
-when all are busy, and closed when they are idle or their quota has expired.
+"""A pool of connections to one endpoint, if the settings allow more than one.
 
-One connection carries answers in order, so a lost packet or a half-sent answer delays all that is behind it.
-Which endpoint a part is sent to is decided before; here only the connection is chosen: the one with the
-fewest parts in flight.
+The first connection needs no quota. Additional ones are opened when all are busy, and closed when they are
+idle or their quota has expired. A connection carries answers in order, so a lost packet or a partly sent
+answer delays all answers behind it.
+
+The decision module has already chosen the endpoint of a part. The pool only chooses the connection: the one
+with the fewest attempts in flight.
 """
 
 from __future__ import annotations
@@ -15,15 +17,15 @@
 from heathwell.eventloop import Loop
 from heathwell.service.host_link import HostLink
 
-MAXIMUM_RECORDED_ATTEMPTS = 256  # ended ones included; beyond it, those that have ended are dropped
+MAXIMUM_RECORDED_ATTEMPTS = 256  # Includes ended attempts, which are dropped once there are more than this.
 
 
 class HostPool:
-    """Up to ``maximum_connections`` to one endpoint.
+    """Up to ``maximum_connections`` connections to one endpoint.
 
-    An additional one is opened where all have ``busy_at`` attempts in flight and ``acquire`` grants its
-    quota; ``release`` returns that once the endpoint is known to have closed the connection. The endpoint
-    closes a connection that is silent for ``linger_us``, by its own clock.
+    An additional one is opened if all have ``busy_at`` attempts in flight and ``acquire`` grants quota for
+    it. ``release`` returns the quota once the endpoint is known to have closed the connection. The endpoint
+    closes a connection that is silent for ``linger_us`` on its own clock.
     """
 
     def __init__(
@@ -46,19 +48,20 @@
         self._release = release
         self._first = make_link(lambda _end_observed: None)
         self._additional: list[HostLink] = []
-        self._closing: list[HostLink] = []  # these get no new parts, and end with what is in flight
-        self._lingering_count = 0  # closed connections whose end the endpoint may not have observed
-        self._late_answers = 0  # of connections that have ended
+        # Connections that get no new attempts, and are closed once they have none in flight.
+        self._closing: list[HostLink] = []
+        self._lingering_count = 0  # Closed connections that the endpoint may still hold open.
+        self._late_answers = 0  # The late answers of connections that are closed.
         self._link_of_attempt: dict[AttemptKey, HostLink] = {}
 
     @property
     def node(self) -> str:
-        """The endpoint."""
+        """The endpoint's address."""
         return self._first.node
 
     @property
     def late_answers(self) -> int:
-        """Number of answers to attempts whose outcome was already reported."""
+        """The number of answers to attempts whose outcome was already reported."""
         return self._late_answers + sum(link.late_answers for link in self._links())
 
     @property
@@ -68,11 +71,11 @@
 
     @property
     def has_additional(self) -> bool:
-        """Whether there are connections beside the first."""
+        """Whether there are connections in addition to the first."""
         return bool(self._additional or self._closing)
 
     def _links(self) -> list[HostLink]:
-        """Return all connections, those that are closing included."""
+        """Return all connections, including those that are closing."""
         return [self._first, *self._additional, *self._closing]
 
     def send(self, parts: list[frames.PartRequest]) -> None:
@@ -98,8 +101,8 @@
     def _on_closed(self, link: HostLink, *, end_observed: bool) -> None:
         """Release the quota of an additional connection once the endpoint has closed it too.
 
-        ``end_observed`` is whether the endpoint is known to have observed the end; otherwise it closes the
-        connection by itself.
+        With ``end_observed`` the endpoint is known to have observed the end of the connection. Otherwise it
+        closes the connection after ``linger_us`` of silence, and the quota is released then.
         """
         for links in (self._additional, self._closing):
             if link not in links:
@@ -118,7 +121,7 @@
         self._release()
 
     def shrink(self, units: int) -> None:
-        """Close ``units`` additional connections, each as soon as it has nothing in flight."""
+        """Close ``units`` additional connections, each once it has no attempts in flight."""
         count = max(0, units - len(self._closing) - self._lingering_count)
         for link in sorted(self._additional, key=lambda link: len(link.in_flight))[:count]:
             self._additional.remove(link)
@@ -127,17 +130,17 @@
             link.close()
 
     def drop(self, units: int) -> None:
-        """Close ``units`` additional connections now, whatever they have in flight."""
+        """Close ``units`` additional connections now, even with attempts in flight."""
         for link in [*self._closing, *self._additional][:units]:
             link.close()
 
     def abandon(self, key: AttemptKey) -> bool:
-        """Stop waiting for an attempt; true if it was in flight."""
+        """Stop waiting for an attempt; return whether it was in flight."""
         link = self._link_of_attempt.pop(key, None)
         return link is not None and link.abandon(key)
 
     def withdraw(self, key: AttemptKey) -> bool:
-        """Take back an attempt if none of its bytes were sent; true if so."""
+        """Withdraw an attempt if none of its bytes were sent; return whether it was withdrawn."""
         link = self._link_of_attempt.get(key)
         return link is not None and link.withdraw(key)
 
--- a/heathwell/service/key_spaces.py
+++ b/heathwell/service/key_spaces.py
@@ -1,6 +1,6 @@
-"""From a client's key to a query's parts, and from the answered parts to one body. Pure.
+"""Maps a client's key to a query's parts, and merges the answered parts into one body, without any I/O.
 
-Shards are placed by a checksum of the trader or term, so that every broker, host and checker agrees.
+Shards are chosen by a checksum of the trader or search term, so that all brokers, hosts and auditors agree.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from heathwell.settings.schema import KeySpace
 
 MAXIMUM_SEARCH_RESULTS = 10
-TOKEN_MARK = "@~"  # before a token at a key's end
+TOKEN_MARK = "@~"  # Precedes a consistency token at the end of a key.
 
 
 class KeyShape(StrEnum):
-    """The form of a key space's keys and replies, as settings name it."""
+    """The form of a key space's keys and replies, as named in the settings."""
 
     RECORD = "record"
     SEARCH = "search"
@@ -31,7 +31,7 @@
 
 
 class PartOperation(StrEnum):
-    """What an endpoint does for a part, as the inner protocol names it."""
+    """What an endpoint does for a part, as named in the inner protocol."""
 
     RECORD = "record"
     SEARCH = "search"
@@ -43,17 +43,17 @@
 
 
 def first_shard(name: str, shards: int) -> int:
-    """The first shard of a trader or a term."""
+    """Return the first shard of a trader or search term."""
     return zlib.crc32(name.encode()) % shards
 
 
 def consecutive_shards(first: int, count: int, shards: int) -> list[int]:
-    """Return ``count`` shards from ``first`` on, wrapping round, each once."""
+    """Return ``count`` consecutive shards from ``first``, wrapping around; no shard occurs twice."""
     return [(first + step) % shards for step in range(min(count, shards))]
 
 
 class KeySpaces:
-    """Reads keys by the settings' spaces."""
+    """Plans queries from keys, by the key spaces of the settings."""
 
     def __init__(self, service_settings: ServiceSettings) -> None:
         self.shards = service_settings.fleet.shards
@@ -61,7 +61,7 @@
         self._spaces = {space.prefix: space for space in service_settings.keys}
 
     def plan(self, key: str) -> QueryPlan | None:
-        """The query that a key asks for; None for a key of no space, or one that is not of its form."""
+        """Return the plan of a key's query; None if the key is in no key space or not of its form."""
         name, mark, token = key.rpartition(TOKEN_MARK)
         prefix, colon, rest = (name if mark else key).partition(":")
         space = self._spaces.get(prefix)
@@ -77,7 +77,7 @@
         return replace(plan, token_positions=positions.by_shard, minimum_token_position=positions.least)
 
     def _plan_in(self, space: KeySpace, key: str, rest: str) -> QueryPlan | None:
-        """Return the plan of a key of a space; ``rest`` follows the prefix."""
+        """Return the plan of a key in a key space; ``rest`` is the key without its prefix and token."""
         match KeyShape(space.shape):
             case KeyShape.RECORD:
                 return self._record(space, key, rest)
@@ -121,7 +121,7 @@
 
 
 def second_step(answered: Iterable[PartPlan], count: int) -> list[PartPlan]:
-    """Return at most ``count`` parts for item detail, one at each shard that answered."""
+    """Return at most ``count`` parts that request item details, one for each shard that answered."""
     first = list(answered)[:count]
     return [
         PartPlan(part.shard, 1 / len(first), PartOperation.ITEMS, part.key, n) for n, part in enumerate(first)
@@ -129,7 +129,7 @@
 
 
 def merge(shape: str, first: Iterable[bytes], second: Iterable[bytes]) -> JsonObject:
-    """Return one body from the data of both steps' parts, independent of their order."""
+    """Return one body merged from the data of both steps' parts, independent of the order of the parts."""
     heads = [_json.decode(data) for data in first]
     match KeyShape(shape):
         case KeyShape.RECORD:
--- a/heathwell/service/module_settings.py
+++ b/heathwell/service/module_settings.py
@@ -30,7 +30,7 @@
         poll_mode=service_settings.discovery.ask,
         poll_within_us=rules.must_ask,
         parts_per_call=limits.parts_a_call,
-        # The service broker marks the queries that may be retries, by `ServiceBroker.enter_query`.
+        # `ServiceBroker.enter_query` marks the queries that may be retries.
         clients_mark_retries=True,
         drain_grace_us=rules.drain_grace,
         overload_multiple=rules.fall_multiple,
--- a/heathwell/service/part_planner.py
+++ b/heathwell/service/part_planner.py
@@ -1,4 +1,4 @@
-"""Makes the parts of a query's steps, and the request of each attempt of a part."""
+"""Creates the parts of a query's steps, and the request for each attempt of a part."""
 
 from __future__ import annotations
 
@@ -24,17 +24,20 @@
 
 
 class PartPlanner:
-    """The planner of one broker. A step is made lazily: each part is numbered when it is taken."""
+    """Plans the parts of one broker's queries.
+
+    Steps are generated lazily: a part gets its number when the caller takes it.
+    """
 
     def __init__(self, broker: PlanningBroker) -> None:
         self._broker = broker
 
     def first_step(self, query: ServiceQuery) -> Iterator[HintedPart[ServicePart]]:
-        """Yield the parts of the plan."""
+        """Yield the parts of the first step, which are those of the plan."""
         return self._make_parts(query, query.plan.parts, part_work_us(query.plan, query.settings_version))
 
     def second_step(self, query: ServiceQuery) -> Iterator[HintedPart[ServicePart]]:
-        """Yield parts for item detail at shards that answered the first step."""
+        """Yield the parts of the second step: item details from shards that answered the first step."""
         answered = [part.plan for part in query.parts.values() if part.data is not None]
         spec = self._broker.snapshot_of(query).service_settings.classes[query.query_class]
         count = self._broker.query_class_of(query).second_step_parts
@@ -44,7 +47,10 @@
     def _make_parts(
         self, query: ServiceQuery, plans: Iterable[PartPlan], work_us: int
     ) -> Iterator[HintedPart[ServicePart]]:
-        """Yield a step's parts, except those that no endpoint within reach holds: they are only held."""
+        """Yield the parts of a step.
+
+        Parts that no reachable endpoint holds are registered as unanswered, but are not yielded.
+        """
         for plan in plans:
             part = ServicePart(f"{query.id}/{len(query.parts)}", plan, query.step)
             if query.step == 1 and plan in query.unreachable_parts:
@@ -56,7 +62,7 @@
     def attempt_request(
         self, query: ServiceQuery, part: ServicePart, attempt: int, remaining_us: int
     ) -> frames.PartRequest:
-        """Return the request of an attempt, whose deadline is ``remaining_us`` from now."""
+        """Return the request for an attempt whose deadline is in ``remaining_us``."""
         plan = part.plan
         search = query.plan.search
         return frames.PartRequest(
--- a/heathwell/service/query_admission.py
+++ b/heathwell/service/query_admission.py
@@ -1,4 +1,4 @@
-"""Admission: which queries a broker takes at all, and when the client of a rejected one may retry."""
+"""Admission control: which queries a broker accepts, and when the client of a rejected one may retry."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from heathwell.service.shard_reachability import ShardReachability
 from heathwell.service.storm_control import StormControl
 
-# Of a class's mean latency of a part: no answer is expected within less.
+# No answer is expected in less than this fraction of the mean latency of a class's parts.
 MINIMUM_LATENCY_FRACTION = 0.5
 WEIGHT_TOLERANCE = 1e-6
-RETRY_JITTER = (0.5, 1.0)  # of the latency objective
+RETRY_JITTER = (0.5, 1.0)  # The range of a random factor on the retry delay.
 
 
 class RejectionReason(StrEnum):
-    """Why a query is rejected at admission, as event logs and metrics name it."""
+    """Why a query is rejected at admission, as named in event logs and metrics."""
 
     RETRY_STORM = "storm"
     STOPPING = "stopping"
@@ -34,7 +34,7 @@
 
 
 class AdmissionRejectedError(Exception):
-    """A query is rejected before it costs anything; its client may retry after so long (us)."""
+    """Raised to reject a query before it has cost anything; its client may retry after ``retry_after_us``."""
 
     def __init__(self, reason: RejectionReason, retry_after_us: int) -> None:
         super().__init__(f"{reason.value}, retry after {retry_after_us} us")
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """A query that is admitted: the time it has, and the parts that no endpoint within reach holds."""
+    """An admitted query: the time that it has, and the parts that no reachable endpoint holds."""
 
     timeout_us: int
     unreachable_parts: Sequence[PartPlan]
@@ -55,17 +55,17 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether the broker shuts down."""
+        """Whether the broker is shutting down."""
 
     def is_full(self, parts: int) -> bool:
-        """Whether there is no room for a query of so many parts."""
+        """Return whether a query of so many parts would exceed the limit on parts in flight."""
 
     def mean_part_latency_us(self, query_class: int) -> float:
-        """The mean latency of a class's parts."""
+        """Return the mean latency of a class's parts."""
 
 
 class QueryAdmission:
-    """The admission of one broker. ``rng`` jitters the time after which clients may retry."""
+    """Admission control of one broker. ``rng`` jitters the time after which clients may retry."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         self._rng = rng
 
     def admit(self, plan: QueryPlan, client: str) -> Admission:
-        """Check a query; raises :class:`AdmissionRejectedError`."""
+        """Admit a query; raise :class:`AdmissionRejectedError` if it is rejected."""
         self._check_storm(plan, client)
         if self._broker.stopping:
             raise self._rejection(RejectionReason.STOPPING, plan, client)
@@ -101,10 +101,10 @@
         version: SettingsVersion[ServiceSnapshot],
         otherwise_us: int | None = None,
     ) -> int:
-        """After how long the client of a rejected query may retry.
+        """Return after how long (us) the client of a rejected query may retry.
 
-        By the storm control's schedule where there is one, else as given, else about the class's latency
-        objective.
+        This is by the retry schedule of the storm control if it is enabled, else ``otherwise_us``, else a
+        jittered fraction of the class's latency objective.
         """
         if self._storm_control is not None:
             return self._storm_control.retry_after_us(client, plan.key, query_cost_us(plan, version))
@@ -127,19 +127,19 @@
         return AdmissionRejectedError(reason, retry_after_us)
 
     def _timeout_us(self, plan: QueryPlan) -> int:
-        """The class's time-out, or the client's own where that is shorter."""
+        """Return the class's timeout, or the one chosen by the client if that is shorter."""
         class_timeout_us = self._broker.settings.classes[plan.query_class].timeout_us
         client_timeout_us = plan.search.timeout_us if plan.search is not None else 0
         return min(class_timeout_us, client_timeout_us or class_timeout_us)
 
     def _is_too_short(self, timeout_us: int, query_class: int) -> bool:
-        """Whether a client's own time-out leaves less than even a quick answer takes."""
+        """Return whether a timeout chosen by the client is shorter than even a fast answer takes."""
         if timeout_us >= self._broker.settings.classes[query_class].timeout_us:
             return False
         least_us = MINIMUM_LATENCY_FRACTION * self._broker.mean_part_latency_us(query_class)
         return timeout_us - self._broker.service_settings.limits.transit < least_us
 
     def _is_answerable_without(self, parts: Sequence[PartPlan], query_class: int) -> bool:
-        """Whether the other parts can make an answer; if not, waiting for the deadline is pointless."""
+        """Return whether the other parts are enough for an answer; if not, the query can only time out."""
         minimum_fraction = self._broker.settings.classes[query_class].minimum_fraction
         return 1 - sum(part.weight for part in parts) >= minimum_fraction - WEIGHT_TOLERANCE
--- a/heathwell/service/query_cost.py
+++ b/heathwell/service/query_cost.py
@@ -1,4 +1,4 @@
-"""What a query is expected to cost its endpoints."""
+"""The work that a query is expected to cost its endpoints."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 def part_work_us(plan: QueryPlan, version: SettingsVersion[ServiceSnapshot]) -> int:
-    """The work of one part, by a version of the settings."""
+    """Return the expected work of one part (us), by a version of the settings."""
     if plan.search is not None:
         return plan.search.work_us
     return version.extension.service_settings.classes[plan.query_class].work
 
 
 def query_cost_us(plan: QueryPlan, version: SettingsVersion[ServiceSnapshot]) -> float:
-    """The work of the parts that make a complete answer."""
+    """Return the expected work (us) of as many parts as a complete answer needs."""
     required_fraction = version.settings.classes[plan.query_class].required_fraction
     required_parts = max(1, int(len(plan.parts) * required_fraction + ROUNDING_UP))
     return float(part_work_us(plan, version) * required_parts)
--- a/heathwell/service/query_explanations.py
+++ b/heathwell/service/query_explanations.py
@@ -1,4 +1,4 @@
-"""What recent queries rested on, for the admin page."""
+"""Explanations of recent queries for the admin page: which answers each reply was made from."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class PartExplanation(msgspec.Struct, frozen=True):
-    """One part: its endpoint, its attempts, the age of its data, and why it is missing, if so.
+    """One part: its endpoint, its attempts, the age of its data, and why it is missing if it is.
 
-    The names in JSON are an interface: that of the admin page.
+    The field names in JSON are an interface of the admin page.
     """
 
     part: str
@@ -27,13 +27,13 @@
     node: str | None = msgspec.field(name="host")
     attempts: int
     sent_to: list[str]
-    attempt_reasons: list[str]  # of the attempts in ``sent_to``
+    attempt_reasons: list[str]  # The reasons of the attempts in ``sent_to``.
     age_ms: float | None
     why_missing: str | None
 
 
 class QueryExplanation(msgspec.Struct, frozen=True):
-    """What the reply to a query rested on; the names in JSON are those of the admin page."""
+    """What the reply to a query was made from; the field names in JSON are those of the admin page."""
 
     query: str
     key: str
@@ -42,13 +42,13 @@
     complete: bool = msgspec.field(name="whole")
     duration_ms: float = msgspec.field(name="took_ms")
     age_ms: float | None
-    reason: str | None  # why the decision module ended it without an answer
+    reason: str | None  # Why the decision module ended the query without an answer.
     parts: list[PartExplanation]
 
 
 @dataclass(frozen=True, slots=True)
 class ExplainedQuery:
-    """A query that has had its reply. ``replied_at_us`` is an instant of the broker's loop."""
+    """A query whose reply was made. ``replied_at_us`` is a time of the broker's event loop."""
 
     query: ServiceQuery
     class_name: str
@@ -58,7 +58,7 @@
 
 
 class QueryExplanations:
-    """The last queries, by id. ``freshness`` gives the age of their parts' data, where it is known."""
+    """The latest queries by id. ``freshness`` provides the age of their data, ``None`` if it is disabled."""
 
     def __init__(self, freshness: AnswerFreshness | None) -> None:
         self._freshness = freshness
@@ -66,11 +66,11 @@
 
     @property
     def query_ids(self) -> list[str]:
-        """The ids of the queries that are kept, the oldest first."""
+        """The ids of the queries that are kept, oldest first."""
         return list(self._queries)
 
     def record(self, explained: ExplainedQuery, capacity: int) -> None:
-        """Keep a query; the oldest beyond a capacity are dropped."""
+        """Keep a query, and drop the oldest ones beyond the capacity."""
         if not capacity:
             return
         self._queries[explained.query.id] = explained
@@ -78,7 +78,7 @@
             self._queries.popitem(last=False)
 
     def explain(self, query_id: str) -> QueryExplanation | None:
-        """Return what a query rested on; ``None`` where it is not cached."""
+        """Return what a query's reply was made from; ``None`` if the query is not kept."""
         explained = self._queries.get(query_id)
         if explained is None:
             return None
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -1,4 +1,4 @@
-"""The intake of queries: from a client's key or plan to a query that is admitted, or rejected at once."""
+"""Query intake: turns a client's key or a plan into a query that is admitted, or rejected at once."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         """The key spaces for queries that are admitted now."""
 
     def next_job(self) -> int:
-        """Return the number of a new query."""
+        """Return the number for a new query."""
 
     def admit(self, query: ServiceQuery) -> Handle:
         """Register a query and start its deadline timer."""
@@ -50,10 +50,10 @@
         self._statistics = statistics
 
     def start_query(self, key: str, on_reply: OnReply, request: str, client: str) -> Handle | None:
-        """Start the query of a key; its one reply is given to ``on_reply``, never before this returns.
+        """Start the query of a key; ``on_reply`` gets its one reply, never before this method returns.
 
-        A key of no key space is a miss, and one that is malformed fails; neither reaches the decision
-        module. Return ``None`` in those cases and where :meth:`start_planned_query` does.
+        A key of no key space is a miss, and a key with a malformed token fails; neither reaches the decision
+        module. Return ``None`` in those cases and if :meth:`start_planned_query` does.
         """
         plan = self._broker.keys.plan(key)
         if plan is None:
@@ -67,7 +67,7 @@
     def start_planned_query(
         self, plan: QueryPlan, on_reply: OnReply, request: str, client: str
     ) -> Handle | None:
-        """Start the query of a plan; return ``None`` where it is rejected at admission."""
+        """Start the query of a plan; return ``None`` if it is rejected at admission."""
         spec = self._broker.settings.classes[plan.query_class]
         client_id = f"{client}|{plan.subject}"
         if self._statistics is not None:
@@ -134,7 +134,7 @@
         on_reply: OnReply,
         rejection: AdmissionRejectedError,
     ) -> None:
-        """Reply to a query that never reaches the decision module."""
+        """Reply to a query that is rejected before it reaches the decision module."""
         class_name = self._broker.settings.classes[plan.query_class].name
         reason = rejection.reason.value
         self._broker.counters["door", class_name, reason] += 1
--- a/heathwell/service/query_plans.py
+++ b/heathwell/service/query_plans.py
@@ -1,4 +1,4 @@
-"""The plans of queries, which servers of client protocols pass to the service broker."""
+"""Query plans, which the servers of client protocols pass to the service broker."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartPlan:
-    """One part of a query: its shard, its fraction of the step's weight and the request to an endpoint."""
+    """The plan of one part: its shard, its fraction of the step's weight, and what an endpoint is asked."""
 
     shard: int
     weight: float
@@ -40,7 +40,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryPlan:
-    """The query that a client's key requests."""
+    """The plan of a query.
+
+    ``subject`` is a number derived from what the query is about, such as a trader or a search term. The
+    ``token`` fields hold the consistency token of the client; ``token_error`` says why it is malformed, and
+    is empty if it is not. ``flow`` is the flow of the fair queue: the server that received the query.
+    """
 
     query_class: int
     shape: str
@@ -54,5 +59,5 @@
     flow: str = "memcached"
 
     def token_position(self, shard: int) -> int:
-        """Return the source position of a shard that the client has received already, by its token."""
+        """Return the source position of a shard up to which the client has read, according to its token."""
         return self.token_positions.get(shard, self.minimum_token_position)
--- a/heathwell/service/quota_gate.py
+++ b/heathwell/service/quota_gate.py
@@ -1,9 +1,9 @@
-"""Quotas of the fleet at the point of use in a broker: additional attempts, parts to endpoints in slow
-start, and connections to one endpoint.
+"""Enforces the fleet's quotas in a broker.
 
-The decision module receives before each batch how much it may send (:class:`~heathwell.policy.QuotaUpdate`).
-A unit is acquired at the moment an attempt is sent, by the clock of that moment, so that no attempt uses a
-grant that has expired meanwhile.
+There are quotas for additional attempts, for parts to endpoints in slow start, and for connections to one
+endpoint. Before each batch of events the decision module is told how much it may send
+(:class:`~heathwell.policy.QuotaUpdate`). Units are acquired only when an attempt is sent, at the time of the
+clock then, so that no attempt uses a grant that has expired in the meantime.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from heathwell.broker.driver_contract import AttemptKey, DriverContext
 from heathwell.service.host_pool import HostPool
 
-# Names of the budgets, as settings and metrics have them.
+# The names of the budgets in settings and metrics.
 ADDITIONAL_ATTEMPTS = "further"
 SLOW_START_PARTS = "cold"
 CONNECTIONS = "connections"
 
 UNIT_MILLIUNITS = 1_000
-TICK_INTERVAL_US = 50_000  # between two checks of slow start and of connections beyond the quota
-RATE_WINDOW_US = 2_000_000  # over which the usual number of parts an endpoint is counted
+TICK_INTERVAL_US = 50_000  # The interval at which slow start and connections beyond the quota are checked.
+RATE_WINDOW_US = 2_000_000  # The window over which the mean rate of parts to an endpoint is measured.
 MICROSECONDS_PER_SECOND = 1_000_000
 
 
@@ -33,19 +33,19 @@
     baseline_demand: int
 
     def capacity(self, now: int) -> int:
-        """What could be taken now: milliunits of a rate, units of a count."""
+        """Return what could be acquired now: milliunits of a rate, units of a count."""
 
     def record_unmet_demand(self, milliunits: int = UNIT_MILLIUNITS) -> None:
         """Record a use that the quota did not cover."""
 
     def excess(self, now: int) -> int:
-        """Units beyond the quota."""
+        """Return the number of units held beyond the quota."""
 
     def overdue(self, now: int) -> int:
-        """Units that must be returned now."""
+        """Return the number of units that must be returned now."""
 
     def first_expiry_in_us(self, now: int) -> int | None:
-        """How long the first of its grants lasts yet."""
+        """Return the time until the first of its grants expires; None without a grant."""
 
 
 class Budget(Protocol):
@@ -53,7 +53,7 @@
 
     @property
     def linger_timeout_us(self) -> int:
-        """How long an endpoint may keep what a dead holder held."""
+        """The time for which an endpoint may keep what a dead holder held."""
 
 
 class BudgetStatistics(Protocol):
@@ -61,37 +61,37 @@
 
     @property
     def quota(self) -> float:
-        """What may be used now: units, of a rate a second."""
+        """What may be used now: units, or units a second of a rate."""
 
     @property
     def admitted(self) -> int:
-        """Uses admitted."""
+        """The number of admitted uses."""
 
     @property
     def rejected(self) -> int:
-        """Uses rejected."""
+        """The number of rejected uses."""
 
 
 class Agent(Protocol):
-    """What obtains quotas for this broker (:class:`heathwell.fleet.control.fleet_agent.FleetAgent`)."""
+    """Obtains quotas for this broker (:class:`heathwell.fleet.control.fleet_agent.FleetAgent`)."""
 
     def check_incarnation(self) -> int:
-        """Expire grants before anything is used; returns the time (us)."""
+        """Expire grants, before anything is used; return the current time (us)."""
 
     def acquire(self, budget: str, milliunits: int = UNIT_MILLIUNITS) -> bool:
-        """Use so many milliunits now."""
+        """Acquire milliunits for use now; return whether the quota covers them."""
 
     def release(self, budget: str) -> None:
-        """Return a unit of a count."""
+        """Give back a unit of a count."""
 
     def holder(self, budget: str) -> Holder | None:
-        """This broker's side of one budget."""
+        """Return this broker's side of one budget; ``None`` if it is unknown."""
 
     def budget(self, name: str) -> Budget | None:
-        """Return the fleet-wide budget of this name; ``None`` where it is not set."""
+        """Return the fleet-wide budget of this name; ``None`` if it is not configured."""
 
     def statistics(self) -> Mapping[str, BudgetStatistics]:
-        """This broker's statistics by budget; those of a budget's endpoints summed."""
+        """Return this broker's statistics by budget, summed over a budget's endpoints."""
 
 
 class QuotaEndpoint(Protocol):
@@ -119,14 +119,14 @@
 
     @property
     def slow_start_capacity(self) -> float:
-        """The fraction of its capacity that an endpoint starts with."""
+        """The fraction of its capacity that an endpoint has when it starts."""
 
     def slow_start_fraction(self, node: str) -> float:
-        """The fraction of its capacity that an endpoint has by now."""
+        """Return the fraction of its capacity that an endpoint has now."""
 
 
 class QuotaGate:
-    """The three budgets of one broker."""
+    """Enforces the three budgets in one broker."""
 
     def __init__(self, broker: QuotaBroker, agent: Agent) -> None:
         self.agent = agent
@@ -146,13 +146,13 @@
         broker.loop.call_at(broker.loop.now() + TICK_INTERVAL_US, self._tick)
 
     def has_budget(self, name: str) -> bool:
-        """Whether such a budget is set."""
+        """Return whether a budget of this name is configured."""
         return name in self._budgets
 
     # Attempts.
 
     def quota_update(self) -> policy.QuotaUpdate | None:
-        """Return what the decision module may send now; ``None`` where no budget concerns attempts."""
+        """Return what the decision module may send now; ``None`` if no budget limits attempts."""
         now = self.agent.check_incarnation()
         if not self._budgets & {ADDITIONAL_ATTEMPTS, SLOW_START_PARTS}:
             return None
@@ -177,9 +177,9 @@
         return parts
 
     def acquire(self, send: policy.Send, key: AttemptKey) -> bool:
-        """Acquire what an attempt needs; false where a quota does not cover it.
+        """Acquire the quota that an attempt needs; return whether the quotas cover it.
 
-        Time may have passed since the decision module got its update, so a grant may have expired.
+        A grant may have expired since the decision module got its update.
         """
         self._sent_in_window += 1
         budgets: list[str] = []
@@ -197,7 +197,7 @@
         return True
 
     def _record_expiry(self, key: AttemptKey, budgets: list[str]) -> None:
-        """Record when the first of the grants expires that an attempt was acquired from."""
+        """Record when the first of the grants that an attempt uses expires."""
         now = self._broker.loop.now()
         expiries_in_us: list[int] = []
         for budget in budgets:
@@ -209,7 +209,7 @@
             self._sendable_until_us[key] = now + min(expiries_in_us)
 
     def may_still_send(self, key: AttemptKey) -> bool:
-        """Whether an attempt that waited for its connection may leave."""
+        """Return whether an attempt that waited for its connection may still be sent."""
         now = self.agent.check_incarnation()
         until_us = self._sendable_until_us.get(key)
         return until_us is None or now < until_us
@@ -219,7 +219,7 @@
         self._sendable_until_us.pop(key, None)
 
     def record_exhausted(self) -> None:
-        """Count an additional attempt that the quota did not cover: it is demand."""
+        """Count an additional attempt that the quota did not cover as unmet demand."""
         holder = self.agent.holder(ADDITIONAL_ATTEMPTS)
         if holder is not None:
             holder.record_unmet_demand()
@@ -228,20 +228,20 @@
     # Connections.
 
     def acquire_connection(self, node: str) -> bool:
-        """Acquire a unit for one more connection to an endpoint; false where the quota does not cover it."""
+        """Acquire a unit for one more connection to an endpoint; return whether the quota covers it."""
         acquired = self.agent.acquire(_endpoint_budget(CONNECTIONS, node))
         if not acquired:
             self._broker.counters["lacked", CONNECTIONS] += 1
         return acquired
 
     def release_connection(self, node: str) -> None:
-        """Return the unit of a connection that has ended."""
+        """Give back the unit of a connection that has ended."""
         self.agent.release(_endpoint_budget(CONNECTIONS, node))
 
     # Periodic work.
 
     def _tick(self) -> None:
-        """Update prices and usual rates of slow start, and close connections beyond the quota."""
+        """Update the prices and mean rates of slow start, and close connections beyond the quota."""
         if self._broker.dead:
             return
         now = self.agent.check_incarnation()
@@ -253,7 +253,7 @@
             self._close_excess_connections(now)
 
     def _measure_mean_rate(self, now: int) -> None:
-        """Once a window: the milliunits a second that a live endpoint usually gets of this broker."""
+        """Measure once a window the mean milliunits a second that this broker sends to a live endpoint."""
         elapsed_us = now - self._window_started_at_us
         if elapsed_us < RATE_WINDOW_US:
             return
@@ -264,7 +264,10 @@
         self._window_started_at_us = now
 
     def _price_slow_start(self) -> None:
-        """The price of a part by endpoint in slow start, in milliunits of one at its start's capacity."""
+        """Update the price of a part by endpoint in slow start.
+
+        A part costs one unit while the endpoint has the capacity it starts with, and less as that grows.
+        """
         self._slow_start_price_milliunits = {}
         for endpoint in self._broker.endpoints.values():
             if not endpoint.live:
@@ -279,7 +282,7 @@
                 holder.baseline_demand = self._mean_rate_milliunits
 
     def _close_excess_connections(self, now: int) -> None:
-        """Close connections beyond the quota: idle ones where there is time, any where there is none."""
+        """Close connections beyond the quota once they are idle, and overdue ones at once."""
         for node, link in self._broker.links.items():
             if not isinstance(link, HostPool) or not link.has_additional:
                 continue
@@ -290,5 +293,5 @@
 
 
 def _endpoint_budget(budget: str, node: str) -> str:
-    """The name of an endpoint's own budget."""
+    """Return the name of the budget of one endpoint."""
     return f"{budget}@{node}"
--- a/heathwell/service/replica_lookup.py
+++ b/heathwell/service/replica_lookup.py
@@ -1,4 +1,4 @@
-"""Which endpoints hold a shard, by the placement of the settings."""
+"""Looks up which endpoints hold a shard, by the shard placement in the settings."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 def live_replicas(
     shard: int, fleet: Fleet, endpoints_by_group: Mapping[int, Sequence[Endpoint]]
 ) -> list[str]:
-    """Return the endpoints listed as live that hold a shard.
+    """Return the live endpoints that hold a shard.
 
-    A shard is held by ``fleet.width`` consecutive replica groups of ``fleet.cells``, wrapping round.
+    A shard is held by ``fleet.width`` consecutive replica groups out of ``fleet.cells``, wrapping around.
     """
     return [
         endpoint.node
--- a/heathwell/service/reply_merging.py
+++ b/heathwell/service/reply_merging.py
@@ -1,4 +1,4 @@
-"""One reply from the answered parts of a query."""
+"""Merges the answered parts of a query into one reply."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class UnmergeablePartsError(Exception):
-    """The data of a query's parts does not have the shape that its key space states."""
+    """Raised if the data of a query's parts does not have the shape that its key space specifies."""
 
     def __init__(self, query_id: str, reason: str) -> None:
         super().__init__(f"{query_id}: {reason}")
@@ -27,20 +27,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchReply(Reply):
-    """The answer to a query of searches: the merged rows of each, in the order of the searches."""
+    """The reply to a query of vector searches, with the merged rows of each search in order."""
 
     searches: tuple[MergedRows, ...] = ()
 
 
 def merged_rows(replies: Sequence[Reply]) -> list[MergedRows]:
-    """Return the merged rows of all searches that the replies answer, in their order."""
+    """Return the merged rows of all searches in the replies, in the order of the replies."""
     return [rows for reply in replies if isinstance(reply, SearchReply) for rows in reply.searches]
 
 
 def merge_reply(
     query: ServiceQuery, query_class: policy.QueryClass, *, complete: bool, age: Age | None
 ) -> Reply:
-    """Merge what has been answered; raises :class:`UnmergeablePartsError`."""
+    """Return the reply merged from the parts answered so far; raise :class:`UnmergeablePartsError`."""
     coverage = coverage_of(query, query_class)
     search = query.plan.search
     if search is not None:
@@ -63,7 +63,7 @@
 
 
 def coverage_of(query: ServiceQuery, query_class: policy.QueryClass) -> Coverage:
-    """Which parts a reply made now rests on."""
+    """Return which parts a reply made now would be based on."""
     first_step = _parts_of_step(query, 1)
     second_step = _parts_of_step(query, 2)
     answered = [part for part in first_step if part.data is not None]
@@ -95,7 +95,7 @@
 
 
 def _answers(query: ServiceQuery, step: int) -> list[bytes]:
-    """The data of a step's answered parts."""
+    """Return the data of a step's answered parts."""
     return [part.data for part in _parts_of_step(query, step) if part.data is not None]
 
 
--- a/heathwell/service/reply_recorder.py
+++ b/heathwell/service/reply_recorder.py
@@ -1,4 +1,4 @@
-"""Records each reply: in the statistics, the storm control, the event log and the explanations."""
+"""Records each reply in the statistics, the storm control, the event log and the query explanations."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ReplyRecorder:
-    """The records of one broker's replies; ``statistics`` and ``storm_control`` are optional."""
+    """Records the replies of one broker; ``statistics`` and ``storm_control`` are optional."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
                 is_answer=reply.kind in (ReplyKind.ANSWERED, ReplyKind.MISS),
                 within_objective=duration_us <= query_class.latency_objective_us,
             )
-        if self._broker.events.is_enabled:  # the lists are costly to make
+        if self._broker.events.is_enabled:  # building the lists is expensive
             self._log(query, reply, duration_us)
         self._explanations.record(
             ExplainedQuery(query, query_class.name, reply, duration_us, now),
@@ -70,7 +70,7 @@
 
 
 def _superseded_part_ids(query: ServiceQuery) -> list[str]:
-    """Return the ids of the unanswered parts that could not have changed the reply."""
+    """Return the ids of the unanswered parts that could not have changed the reply any more."""
     if query.plan.search is None:
         return []
     superseded = query.plan.search.superseded
--- a/heathwell/service/search_answers.py
+++ b/heathwell/service/search_answers.py
@@ -1,5 +1,6 @@
-"""Answers to vector searches: rows are merged as they come in, and attempts that can't change the result any
-more are superseded.
+"""Answers to vector searches.
+
+Rows are merged as they arrive, and attempts that can no longer change the result are superseded.
 """
 
 from __future__ import annotations
@@ -24,13 +25,14 @@
     """What :class:`SearchAnswers` uses of its broker."""
 
     def supersede_attempt(self, query: ServiceQuery, part_id: str, attempt: int) -> None:
-        """Tell the module that an attempt can't change its query's answer any more."""
+        """Tell the decision module that an attempt can no longer change its query's answer."""
 
 
 class SearchAnswers:
-    """The searches of one broker. ``costs`` are learned from the work that endpoints report.
+    """The searches of one broker.
 
-    ``shard_sizes`` holds the sizes of shards, by collection and shard, as endpoints reported them.
+    ``costs`` are learned from the work that endpoints report. ``shard_sizes`` holds the number of points by
+    collection and shard, as reported by endpoints.
     """
 
     def __init__(self, broker: SearchBroker, costs: CostModels) -> None:
@@ -41,7 +43,7 @@
     def merge_hits(
         self, query: ServiceQuery, part: ServicePart, node: str, key: AttemptKey, result: frames.Result
     ) -> bool:
-        """Merge an answer's hits at once; false where they are malformed. True for what is no search."""
+        """Merge an answer's hits; return false if they are malformed, and true if the query is no search."""
         search = query.plan.search
         if search is None:
             return True
@@ -51,7 +53,7 @@
             part.status = f"malformed: {error}"
             self._broker.counters["malformed", self._broker.query_class_of(query).name] += 1
             self._broker.events("malformed", p=key[0], seq=key[1], node=node, why=str(error))
-            self._broker.log("warning", "a host's rows are malformed", node=node, why=str(error))
+            self._broker.log("warning", "endpoint returned malformed rows", node=node, why=str(error))
             return False
         return True
 
@@ -62,7 +64,7 @@
         self.shard_sizes.setdefault(part.plan.key, {})[part.plan.shard] = answer.points
 
     def on_part_answered(self, query: ServiceQuery, result: frames.Result) -> None:
-        """Learn from the work that an answer took, and supersede the attempts that it made needless."""
+        """Learn the cost from an answer's work, and supersede attempts that the answer made unnecessary."""
         search = query.plan.search
         if search is None:
             return
@@ -73,19 +75,19 @@
     def on_score_bound(
         self, query: ServiceQuery, node: str, key: AttemptKey, best_scores: list[float]
     ) -> None:
-        """Take in how good an attempt's rows can be at best: with that it may be superseded at once."""
+        """Record the bounds on an attempt's scores; the attempt may be superseded by them at once."""
         search = query.plan.search
         if search is None or key not in query.in_flight:
             return
         try:
             search.merge.add_bounds(key[0], best_scores)
         except MalformedRowsError as error:
-            self._broker.log("warning", "a host's bounds are malformed", node=node, why=str(error))
+            self._broker.log("warning", "endpoint sent malformed score bounds", node=node, why=str(error))
             return
         self._supersede_attempts(query, search)
 
     def _supersede_attempts(self, query: ServiceQuery, search: SearchPlan) -> None:
-        """Tell the module of attempts in flight that can't change the result any more."""
+        """Supersede the attempts in flight that can no longer change the result."""
         if query.on_reply is None:
             return
         for part_id in search.merge.take_superseded():
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -1,4 +1,4 @@
-"""The service broker: the driver on the inner protocol, with the components that its settings enable."""
+"""The service broker: the driver over the inner protocol, with the components that its settings enable."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
 class ServiceBroker(Driver[ServiceQuery, ServicePart, frames.Result, frames.PartRequest, ServiceSnapshot]):
     """One aggregator with its connections and components.
 
-    It owns the versions of the settings; each other concern is a component
-    (:class:`~heathwell.service.broker_components.BrokerComponents`), to which the methods delegate.
+    It owns the versions of the settings. Every other concern is a component
+    (:class:`~heathwell.service.broker_components.BrokerComponents`) to which the methods delegate.
     """
 
     def __init__(
@@ -113,9 +113,9 @@
         return self._query_class(query)
 
     def apply_settings(self, service_settings: ServiceSettings, version: str) -> None:
-        """Apply other settings to all queries that are admitted from now on; open queries keep theirs.
+        """Apply new settings to all queries that are admitted from now on; open queries keep theirs.
 
-        Raise :class:`SettingsChangeError`, with nothing changed, where the settings need a restart.
+        Raise :class:`SettingsChangeError` without changing anything if the settings need a restart.
         """
         check_settings_change(self.service_settings, service_settings)
         self.begin_version(
@@ -127,22 +127,22 @@
         if self.service_statistics is not None:
             self.service_statistics.classes = {spec.name: spec for spec in self.settings.classes}
         self.events("settings", version=version)
-        self.log("info", "settings", version=version, eras=len(self.versions))
+        self.log("info", "settings applied", version=version, versions_in_use=len(self.versions))
 
     # Queries: called by the servers of client protocols, and by the components.
 
     def start_query(self, key: str, on_reply: OnReply, request: str = "", client: str = "") -> Handle | None:
-        """Start the query of a key; its one reply is given to ``on_reply``, never before this returns.
+        """Start the query of a key; ``on_reply`` gets its one reply, never before this method returns.
 
-        Return ``None`` where it never reaches the decision module, as :class:`QueryIntake` states. ``client``
-        is the client's address.
+        Return ``None`` if the query never reaches the decision module (:class:`QueryIntake`). ``client`` is
+        the client's address.
         """
         return self._intake.start_query(key, on_reply, request, client)
 
     def start_planned_query(
         self, plan: QueryPlan, on_reply: OnReply, request: str = "", client: str = ""
     ) -> Handle | None:
-        """Start the query of a plan; as :meth:`start_query`."""
+        """Start the query of a plan, like :meth:`start_query`."""
         return self._intake.start_planned_query(plan, on_reply, request, client)
 
     def enter_query(self, query: ServiceQuery) -> None:
@@ -158,15 +158,15 @@
         )
 
     def _may_be_retry(self, plan: QueryPlan) -> bool:
-        """Return whether a query with less time than usual may be a retry with its client's remaining time.
+        """Return whether a query with less time than usual may be a retry within its client's remaining time.
 
-        Not if its client chose the timeout itself: its latency objective counts from now on.
+        It is not if the client chose the timeout itself: then the latency objective counts from now on.
         """
         has_own_timeout = plan.search is not None and plan.search.timeout_us > 0
         return not self.service_settings.limits.marks_retry and not has_own_timeout
 
     def reject_queued_query(self, query: ServiceQuery, retry_after_us: int) -> None:
-        """Reject a query that would be queued for too long."""
+        """Reject a query that was, or would be, queued for longer than its queue timeout."""
         retry_after_us = self.retry_after_us(query, retry_after_us)
         class_name = self._query_class(query).name
         self._reply(query, rejection(class_name, retry_after_us, RejectionReason.QUEUE_FULL.value, query.id))
@@ -176,38 +176,38 @@
         return self.aggregator.mean_latency_us[query_class].value
 
     def supersede_attempt(self, query: ServiceQuery, part_id: str, attempt: int) -> None:
-        """Report to the decision module that an attempt can't change its query's answer any more."""
+        """Report to the decision module that an attempt can no longer change its query's answer."""
         self._push(policy.AttemptSuperseded(part_id, attempt), query.settings_version)
 
     def explain(self, query_id: str) -> QueryExplanation | None:
-        """Return what a recent query rested on; ``None`` where it is not cached."""
+        """Return what a recent query's reply was made from; ``None`` if the query is not kept."""
         return self.explanations.explain(query_id)
 
     # Components that the servers of client protocols read or use.
 
     @property
     def fair_queue(self) -> FairQueue | None:
-        """The queues of the servers, where settings enable them."""
+        """The fair queue of the servers; ``None`` if the settings disable it."""
         return self._fair_admission.queue if self._fair_admission is not None else None
 
     @property
     def storm_controller(self) -> StormController | None:
-        """The decider on retry storms, where settings enable it."""
+        """The controller of retry storms; ``None`` if the settings disable it."""
         return self._storm_control.controller if self._storm_control is not None else None
 
     @property
     def region_links(self) -> RegionLinks | None:
-        """The decider on links between regions, where settings enable it."""
+        """The links to other regions; ``None`` if the settings need none."""
         return self._restrictions.region_links
 
     def pace_accepts(self, listener: Listener) -> None:
-        """Limit the rate at which a listener accepts connections, while clients retry."""
+        """Limit the rate at which a listener accepts connections, by the state of the storm controller."""
         if self._storm_control is not None:
             self._storm_control.pace_accepts(listener)
 
     @property
     def should_drain_clients(self) -> bool:
-        """Whether idle clients should connect elsewhere: the broker is cut off, or its zone is evacuated."""
+        """Whether idle clients should be disconnected, as the broker is cut off or its zone is evacuated."""
         return (
             self.zone_observer is not None
             and self.zone_observer.is_evacuated()
@@ -217,7 +217,7 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether links that are down keep most shards out of reach."""
+        """Whether most shards are unreachable because links are down."""
         return self.reachability.is_cut_off
 
     # Endpoints: called by the components.
@@ -229,19 +229,19 @@
 
     @property
     def slow_start_capacity(self) -> float:
-        """The fraction of its capacity that an endpoint starts with."""
+        """The fraction of its capacity that an endpoint has when it starts."""
         return self.settings.slow_start_capacity
 
     def slow_start_fraction(self, node: str) -> float:
-        """Return the fraction of its capacity that an endpoint has by now."""
+        """Return the fraction of its capacity that an endpoint has now."""
         return self.aggregator.slow_start_fraction(self.aggregator.endpoints[node])
 
     def live_replicas(self, shard: int) -> list[str]:
-        """Return the endpoints listed as live that hold a shard."""
+        """Return the live endpoints that hold a shard."""
         return live_replicas(shard, self.service_settings.fleet, self.aggregator.endpoints_by_group)
 
     def restrict_zones(self, query_class: int | None, nodes: frozenset[str]) -> None:
-        """Deprioritize endpoints of evacuated zones, for one query class or (None) for all."""
+        """Deprioritize endpoints of evacuated zones, for one query class or with None for all classes."""
         self._restrictions.restrict_zones(query_class, nodes)
 
     def restrict_endpoints(self, restrictions: policy.HolderRestrictions) -> None:
@@ -260,14 +260,14 @@
     # Events of discovery and of the connections.
 
     def on_endpoint_update(self, update: policy.EndpointUpdate) -> None:
-        """Handle an update of the endpoint list."""
+        """Handle an update to the endpoint list."""
         self._restrictions.on_endpoint_update(update)
         super().on_endpoint_update(update)
         self.reachability.schedule_update()
         self._restrictions.restrict_remote_nodes()
 
     def on_endpoint_draining(self, node: str) -> None:
-        """Handle an endpoint's notice on its connection that it drains; discovery may list it later."""
+        """Handle an endpoint's notice that it is draining, which may precede the update from discovery."""
         endpoint = self.aggregator.endpoints.get(node)
         if endpoint is None:
             return
@@ -282,7 +282,7 @@
         super().on_probe_result(node, outcome)
 
     def on_late_answer(self, node: str) -> None:
-        """Record an answer that is not used: it shows that the link to its endpoint is up."""
+        """Record an answer that arrived too late: it shows that the link to its endpoint is up."""
         self._restrictions.on_late_answer(node)
 
     def on_score_bound(self, node: str, key: AttemptKey, best: list[float]) -> None:
@@ -292,9 +292,9 @@
             self.search_answers.on_score_bound(query, node, key, best)
 
     def parts_to_send(self, node: str, parts: list[frames.PartRequest]) -> list[frames.PartRequest]:
-        """Return those attempts whose quota has not expired while they waited for their connection.
+        """Return the attempts whose quota did not expire while they waited for their connection.
 
-        The others end as never sent.
+        The others end with the outcome ``NEVER_SENT``.
         """
         if self.quota_gate is None:
             return parts
@@ -320,32 +320,32 @@
         return self._planner.attempt_request(query, part, seq, remaining_us)
 
     def second_step(self, query: ServiceQuery, *, complete: bool) -> Iterator[HintedPart[ServicePart]]:  # noqa: ARG002  # part of a hook
-        """Return the parts for item detail, at shards that answered."""
+        """Return the parts that request item details from shards that answered the first step."""
         return self._planner.second_step(query)
 
     def merge(self, query: ServiceQuery, *, complete: bool) -> Reply:
-        """Return the reply by the key space's shape, or a search's rows."""
+        """Return the reply merged from the answered parts; a failure if they can't be merged."""
         spec = self._query_class(query)
         answered = [part for part in query.parts.values() if part.data is not None]
         age = self.freshness.age_of(query, answered) if self.freshness is not None else None
         try:
             return merge_reply(query, spec, complete=complete, age=age)
         except UnmergeablePartsError as error:
-            self.log("error", "parts that can't be merged", query=query.id, why=error.reason)
+            self.log("error", "parts could not be merged", query=query.id, why=error.reason)
             self.counters["unmergeable",] += 1
             return Reply(ReplyKind.FAILED, query.id, spec.name)
 
     def is_usable(
         self, query: ServiceQuery, part: ServicePart, node: str, key: AttemptKey, result: frames.Result
     ) -> bool:
-        """Whether an answer is fresh enough and, of a search, has well-formed rows."""
+        """Return whether an answer is fresh enough and, for a search, has well-formed rows."""
         is_fresh = self.freshness is None or self.freshness.is_acceptable(
             query, part, node, key, result, self._sent_at_us[key]
         )
         return is_fresh and self.search_answers.merge_hits(query, part, node, key, result)
 
     def subject(self, query: ServiceQuery) -> int | None:
-        """Return the number of the query's trader or term."""
+        """Return the number derived from the query's trader or search term."""
         return query.plan.subject
 
     def retry_after_us(self, query: ServiceQuery, after_us: int) -> int:
@@ -353,11 +353,11 @@
         return self._admission.retry_after_us(query.plan, query.client_id, query.settings_version, after_us)
 
     def on_attempt_sent(self, node: str, key: AttemptKey) -> None:
-        """Record an attempt as evidence on its link."""
+        """Record an attempt as evidence on the link to its endpoint."""
         self._restrictions.on_attempt_sent(node, key)
 
     def on_attempt_ended(self, node: str, key: AttemptKey, outcome: policy.Outcome, took_us: int) -> None:
-        """Record the outcome as evidence on its link and zone, and drop the attempt's quota."""
+        """Record the outcome as evidence on the endpoint's link and zone, and drop the attempt's quota."""
         self._restrictions.on_attempt_ended(node, key, outcome, took_us)
         if self.quota_gate is not None:
             self.quota_gate.forget_attempt(key)
@@ -376,22 +376,22 @@
         self.search_answers.on_part_answered(query, result)
 
     def on_reply_made(self, query: ServiceQuery, reply: Reply, took_us: int) -> None:
-        """Record a reply before it is given to the client."""
+        """Record a reply before it is passed to the client."""
         self._recorder.record(query, reply, took_us)
 
     def on_query_closed(self, query: ServiceQuery) -> None:
-        """Free the query's place in the queues of the servers."""
+        """Remove the query from the fair queue."""
         if self._fair_admission is not None:
             self._fair_admission.on_query_closed(query)
 
     # Hooks of the driver for the quotas of the fleet, where settings enable them.
 
     def quota_update(self) -> policy.QuotaUpdate | None:
-        """Return what the fleet's quotas leave this broker now."""
+        """Return what this broker may use of the fleet's quotas now; ``None`` without quotas on attempts."""
         return self.quota_gate.quota_update() if self.quota_gate is not None else None
 
     def acquire_quota(self, send: policy.Send, key: AttemptKey) -> bool:
-        """Acquire a unit of quota for an attempt; false if none is left."""
+        """Acquire the quota that an attempt needs; return whether the quotas cover it."""
         return self.quota_gate is None or self.quota_gate.acquire(send, key)
 
     def on_quota_exhausted(self) -> None:
--- a/heathwell/service/service_context.py
+++ b/heathwell/service/service_context.py
@@ -1,4 +1,4 @@
-"""What the components of a service broker use of their broker."""
+"""The protocol by which the components of a service broker use their broker."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class ServiceContext(DriverContext, Protocol):
-    """A broker with versions of its settings; each component adds what it needs beyond, beside itself."""
+    """A broker with versions of its settings.
+
+    Components that need more define their own protocol, which extends this one, in their own module.
+    """
 
     @property
     def settings(self) -> policy.Settings:
--- a/heathwell/service/service_records.py
+++ b/heathwell/service/service_records.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class ServicePart(PartState):
-    """A part with the source position (and its instant) that its answer's data stands at."""
+    """A part, with the source position of its answer's data and the source time of that position."""
 
     plan: PartPlan
     position: int = 0
--- a/heathwell/service/service_statistics.py
+++ b/heathwell/service/service_statistics.py
@@ -1,6 +1,6 @@
-"""What a broker did for its clients, by query class, so that brokers can be compared.
+"""Statistics of the service that a broker gave its clients, by query class, so that brokers can be compared.
 
-A retry counts with its first attempt.
+A query and the client's retries of it count as one.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from heathwell import policy
 from heathwell.broker.replies import Reply, ReplyKind
 
-MAXIMUM_FIRST_REQUESTS = 4_096  # remembered, to recognise retries
+MAXIMUM_FIRST_REQUESTS = 4_096  # First requests that are kept to recognize retries.
 COUNTER_NAMES = ("asked", "worth", "in_aim", "refused", "failed", "partial")
 
 
 class ServicePage(TypedDict):
-    """What a node agent reads of a broker: sums by class, processor time, and memory (bytes)."""
+    """The page that a node agent reads from a broker: sums by class, processor time, and memory (bytes)."""
 
     classes: dict[str, dict[str, float]]
     cpu_us: int
@@ -28,11 +28,11 @@
 
 
 class ServiceStatistics:
-    """Sums since the start, under the names that the statistics page has.
+    """Sums since the start, by the names that the statistics page uses.
 
-    The sum of weights adds what a class gives a query's reply: 1 for a complete one within the latency
-    objective, less for a late or partial one. A weight is added when the query ends, so that the
-    weights and the number of queries in an interval are of the same queries.
+    The sum ``worth`` adds up the weights of replies: 1 for a complete reply within the latency objective,
+    less for a late or partial one, as the query class specifies. A weight is added when the query ends, so
+    that the weights and the number of queries in an interval belong to the same queries.
     """
 
     def __init__(self, classes: Sequence[policy.QueryClass]) -> None:
@@ -40,12 +40,14 @@
         self.sums: dict[str, dict[str, float]] = {
             spec.name: dict.fromkeys(COUNTER_NAMES, 0.0) for spec in classes
         }
-        self._first_requests: OrderedDict[tuple[str, str], tuple[int, float]] = (
-            OrderedDict()
-        )  # when it arrived, and the weight added so far
+        # By client and key: when the first request arrived, and the weight added so far (-1: no reply yet).
+        self._first_requests: OrderedDict[tuple[str, str], tuple[int, float]] = OrderedDict()
 
     def record_query(self, now: int, client_id: str, key: str, query_class: str) -> None:
-        """Record a query's arrival; the same from the same client within the class's timeout is a retry."""
+        """Record a query's arrival.
+
+        It is a retry if the client requested the same key within the class's timeout before.
+        """
         first = self._first_requests.get((client_id, key))
         if first is not None and now - first[0] <= self.classes[query_class].timeout_us:
             return
@@ -55,7 +57,10 @@
             self._first_requests.popitem(last=False)
 
     def record_reply(self, now: int, client_id: str, key: str, reply: Reply) -> None:
-        """Record a reply, also a rejection at admission; a retry adds what it gained beyond earlier ones."""
+        """Record a reply or a rejection at admission.
+
+        The reply to a retry only adds the weight by which it exceeds earlier replies to the same query.
+        """
         query_class = self.classes[reply.query_class]
         sums = self.sums[reply.query_class]
         arrived_at_us, credited = self._first_requests.get((client_id, key), (now, -1.0))
--- a/heathwell/service/shard_reachability.py
+++ b/heathwell/service/shard_reachability.py
@@ -1,4 +1,4 @@
-"""Which shards a broker can reach, and what fraction of its queries it can answer."""
+"""Determines which shards a broker can reach and which fraction of its queries it can answer."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from heathwell.service.regions import answerable_fraction
 from heathwell.service.service_context import ServiceContext
 
-UPDATE_DELAY_US = 25_000  # after an endpoint update, by when the module has taken it in
-MINIMUM_REACHABLE_FRACTION = 0.5  # of the shards; a broker with less is cut off
+UPDATE_DELAY_US = 25_000  # The decision module has applied an endpoint update within this delay.
+MINIMUM_REACHABLE_FRACTION = 0.5  # A broker that reaches a smaller fraction of the shards is cut off.
 
 
 class ShardReachability:
-    """The view of one broker. ``replicas_of`` gives the live nodes that hold a shard."""
+    """The shards that one broker can reach. ``replicas_of`` returns the live nodes that hold a shard."""
 
     def __init__(
         self,
@@ -30,18 +30,20 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether links that are down keep most shards out of reach."""
+        """Whether most shards are unreachable because links are down."""
         return bool(self._restrictions.excluded_nodes) and (
             self.reachable_fraction() < MINIMUM_REACHABLE_FRACTION
         )
 
     def schedule_update(self) -> None:
-        """Look for shards without a live replica once the module has taken an endpoint update in."""
+        """Look for shards without a live replica once the decision module has applied an endpoint update."""
         self._broker.loop.call_at(self._broker.loop.now() + UPDATE_DELAY_US, self._find_unheld_shards)
 
     def unreachable_parts(self, plan: QueryPlan) -> Sequence[PartPlan]:
-        """Parts of a plan whose every live replica is excluded, or that have had none for half the class's
-        latency objective.
+        """Return the parts of a plan that no reachable endpoint holds.
+
+        All live replicas of their shard are excluded, or it has had no live replica for half the latency
+        objective of the class.
         """
         excluded = self._excluded_nodes(plan.query_class)
         if not excluded and not self._unheld_since_us:
@@ -56,12 +58,12 @@
         )
 
     def reachable_fraction(self) -> float:
-        """The fraction of shards with a live replica that is not excluded."""
+        """Return the fraction of shards with a live replica that is not excluded."""
         reachable = self._reachable_shards(self._restrictions.excluded_nodes)
         return sum(reachable) / len(reachable)
 
     def answerable_query_fraction(self, query_class: int) -> float:
-        """The fraction of a class's queries that can be answered now, its keys being placed evenly."""
+        """Return the fraction of a class's queries that can be answered now, if keys are spread evenly."""
         service_settings = self._broker.service_settings
         spec = service_settings.classes[query_class]
         spans = [
@@ -76,26 +78,26 @@
         return sum(answerable_fraction(reachable, span, minimum_fraction) for span in spans) / len(spans)
 
     def _excluded_nodes(self, query_class: int) -> frozenset[str]:
-        """The endpoints that a class may not use at all."""
+        """Return the endpoints that a class may not use at all."""
         excluded = self._restrictions.excluded_nodes
         if self._broker.service_settings.classes[query_class].across == HOME_REGION_ONLY:
             return excluded | self._restrictions.remote_nodes
         return excluded
 
     def _has_only(self, shard: int, nodes: frozenset[str]) -> bool:
-        """Whether a shard has live replicas, all of them among some nodes."""
+        """Return whether a shard has live replicas and all of them are among the given nodes."""
         replicas = self._replicas_of(shard)
         return bool(replicas) and nodes.issuperset(replicas)
 
     def _reachable_shards(self, excluded: frozenset[str]) -> list[bool]:
-        """Of each shard, whether it has a live replica that is not excluded."""
+        """Return for each shard whether it has a live replica that is not excluded."""
         return [
             any(node not in excluded for node in self._replicas_of(shard))
             for shard in range(self._broker.service_settings.fleet.shards)
         ]
 
     def _find_unheld_shards(self) -> None:
-        """Note the shards without a live replica, and since when (us)."""
+        """Record the shards without a live replica, and since when (us)."""
         if self._broker.dead:
             return
         now = self._broker.loop.now()
--- a/heathwell/service/source_clock.py
+++ b/heathwell/service/source_clock.py
@@ -1,4 +1,4 @@
-"""Samples the source's clock at intervals, for the bounds on its offset."""
+"""Samples the clock of the data source periodically, to bound its offset from the broker's clock."""
 
 from __future__ import annotations
 
@@ -9,13 +9,16 @@
 from heathwell.service.freshness import SourceClock
 
 CONNECT_TIMEOUT_US = 1_000_000
-MAXIMUM_ROUND_TRIP_US = 2_000_000  # a slower reply bounds the clock too loosely to be used
-FIRST_SAMPLES = 4  # in quick succession, so that the first bound is the tightest of a few
-FIRST_SAMPLES_SPEEDUP = 20
+MAXIMUM_ROUND_TRIP_US = 2_000_000  # The bounds from a slower reply are too loose to be useful.
+FIRST_SAMPLES = 4  # Taken at short intervals, so that the first bounds are the tightest of several.
+FIRST_SAMPLES_SPEEDUP = 20  # The interval is divided by this for the first samples.
 
 
 class SourceClockClient:
-    """Keeps one connection to the source; while there is none, the bounds widen by drift alone."""
+    """Keeps one connection to the data source open and samples its clock.
+
+    Without a connection the bounds on the clock widen with the clock drift.
+    """
 
     def __init__(
         self,
@@ -56,7 +59,7 @@
                 finally:
                     requests.cancel()
             except (ConnectError, StreamBrokenError, frames.FrameError) as error:
-                self.log("info", "source's clock not to be had", why=str(error))
+                self.log("info", "source clock unavailable", why=str(error))
             finally:
                 if stream is not None:
                     stream.abort()
@@ -83,4 +86,6 @@
             now_us = self.loop.now()
             if sent_at_us is not None and now_us - sent_at_us <= MAXIMUM_ROUND_TRIP_US:
                 if not self.clock.add(sent_at_us, now_us, message.source_us):
-                    self.log("warning", "source's clock contradicts itself", source=message.source_us)
+                    self.log(
+                        "warning", "source clock sample contradicts earlier samples", source=message.source_us
+                    )
--- a/heathwell/service/storm_control.py
+++ b/heathwell/service/storm_control.py
@@ -1,4 +1,4 @@
-"""Protection from retry storms: which queries and connections a broker accepts while clients retry."""
+"""Protects a broker from retry storms by limits on the queries and connections that it accepts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StormEndpoint(Protocol):
-    """What the control reads of an endpoint."""
+    """What :class:`StormControl` reads of an endpoint."""
 
     @property
     def node(self) -> str:
@@ -33,11 +33,11 @@
         """All listed endpoints, by node."""
 
     def slow_start_fraction(self, node: str) -> float:
-        """The fraction of its capacity that an endpoint has by now."""
+        """Return the fraction of its capacity that an endpoint has now."""
 
 
 class StormControl:
-    """The storm decider of one broker, with its clock and its view of the endpoints' capacity."""
+    """Runs the storm controller of one broker with the broker's clock and the capacity of its endpoints."""
 
     def __init__(self, broker: StormBroker, service_settings: ServiceSettings, seed: int) -> None:
         limits = service_settings.storms
@@ -53,17 +53,17 @@
         broker.loop.call_at(broker.loop.now() + TICK_INTERVAL_US, self._tick)
 
     def check(self, client: str, key: str, cost_us: float) -> int | None:
-        """None where a query is accepted; else after how long (us) its client may retry."""
+        """Return None if a query is accepted, else after how long (us) its client may retry."""
         verdict = self.controller.admit(self._broker.loop.now(), client, key, cost_us)
         self._broker.counters["asked as", verdict.kind.value] += 1
         return None if verdict.is_admitted else verdict.retry_after_us
 
     def record_reply(self, cost_us: float, *, is_answer: bool, within_objective: bool) -> None:
-        """Record the reply to a query that was accepted."""
+        """Record the reply to an accepted query."""
         self.controller.record_reply(cost_us, is_answer=is_answer, within_objective=within_objective)
 
     def retry_after_us(self, client: str, key: str, cost_us: float) -> int:
-        """After how long a client whose query is rejected may retry, by the retry schedule."""
+        """Return after how long (us) the client of a rejected query may retry, by the retry schedule."""
         return self.controller.schedule_retry(self._broker.loop.now(), client, key, cost_us)
 
     def pace_accepts(self, listener: Listener) -> None:
@@ -72,7 +72,7 @@
         listener.on_accept = self.controller.on_connection_accepted
 
     def _tick(self) -> None:
-        """Update the decider with the present fraction of the capacity, and log its changes of state."""
+        """Update the controller with the current fraction of the capacity, and log its change of state."""
         if self._broker.dead:
             return
         now = self._broker.loop.now()
@@ -84,10 +84,10 @@
         self._broker.counters["storm", state] += 1
         self._broker.events("storm", state=state, why=change.evidence)
         level = "warning" if change.state == StormState.STORM else "info"
-        self._broker.log(level, "storm decider", state=state, why=change.evidence)
+        self._broker.log(level, "retry storm state changed", state=state, why=change.evidence)
 
     def _capacity_fraction(self) -> float:
-        """The capacity of the live endpoints as a fraction of that of the most that were ever live."""
+        """Return the capacity of the live endpoints as a fraction of that of the most ever live at once."""
         live = [endpoint for endpoint in self._broker.endpoints.values() if endpoint.live]
         self._largest_live_count = max(self._largest_live_count, len(live))
         capacity = sum(self._broker.slow_start_fraction(endpoint.node) for endpoint in live)
--- a/heathwell/service/zone_observer.py
+++ b/heathwell/service/zone_observer.py
@@ -1,9 +1,10 @@
-"""A broker's part in zone evacuation: evidence collected on each zone, and the fleet's decision applied.
+"""Zone evacuation in a broker: collects evidence on each zone and applies the fleet's decision.
 
-Endpoints of an evacuated zone are deprioritized (:class:`~heathwell.policy.HolderRestrictions`): they serve
-only where no other replica does, so the last replica of a shard is never lost. The fraction of a zone's work
-that stays or is restored is a fraction of the brokers: each has one draw for a zone, so that those that serve
-it at one step of the recovery ramp also serve it at the next.
+Endpoints of an evacuated zone are deprioritized (:class:`~heathwell.policy.HolderRestrictions`): they are
+used only if no other replica can serve a part, so the last replica of a shard is never lost. The fraction of
+a zone's traffic that stays or is restored is implemented as a fraction of the brokers. Each broker has a
+fixed hash value for a zone, so that the brokers that use the zone at one step of the recovery ramp also use
+it at the next.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 )
 
 TICK_INTERVAL_US = 500_000
-PROBE_PROBABILITY = 0.3  # of a broker to probe one endpoint of an evacuated zone, each tick
+PROBE_PROBABILITY = 0.3  # The probability that a broker probes one endpoint of an evacuated zone in a tick.
 ZONE_SEED_MASK = 0x20E5
 DRAW_BYTES = 8
 NO_NODES = frozenset[str]()
@@ -72,14 +73,14 @@
 
 
 class ZoneAgent(Protocol):
-    """What exchanges evidence and decisions (:class:`heathwell.fleet.control.fleet_agent.FleetAgent`)."""
+    """Exchanges evidence and decisions (:class:`heathwell.fleet.control.fleet_agent.FleetAgent`)."""
 
     def attach_zone_observer(self, zones: ZoneObserver) -> None:
-        """Report the observer's summaries, and hand it each new decision."""
+        """Report the observer's evidence, and pass each new decision to it."""
 
 
 class ZoneObserver:
-    """The observer of one broker. ``zone`` is the broker's own, ``zone_names`` are all by number."""
+    """The observer of one broker. ``zone`` is the broker's zone, ``zone_names`` are all zones by number."""
 
     def __init__(self, broker: ZoneBroker, zone: str, zone_names: Sequence[str], seed: int) -> None:
         self.zone = zone
@@ -101,7 +102,7 @@
         duration_us: int,
         latency_objective_us: int,
     ) -> None:
-        """Record an attempt; one that was answered after its objective counts as late."""
+        """Record the end of an attempt; an answer after the latency objective counts as late."""
         endpoint = self._broker.endpoints.get(node)
         evidence = EVIDENCE_OF_OUTCOME.get(outcome)
         if evidence is None or endpoint is None:
@@ -112,7 +113,7 @@
         self._record(endpoint, query_class, evidence, answered_in_us)
 
     def on_probe_result(self, node: str, outcome: policy.Outcome) -> None:
-        """Record a probe."""
+        """Record the outcome of a probe."""
         endpoint = self._broker.endpoints.get(node)
         if endpoint is not None:
             self._record(
@@ -134,7 +135,7 @@
     # Decisions.
 
     def on_decision(self, decision: Decision) -> None:
-        """Apply a decision from now on."""
+        """Apply a new decision."""
         self.decision = decision
         self._broker.events(
             "zones",
@@ -146,7 +147,7 @@
         )
         self._broker.log(
             "warning",
-            "zones",
+            "zone decision applied",
             decision=f"({decision.term}, {decision.number})",
             states={
                 name: f"{directive.state} at {directive.traffic_share:.0%}"
@@ -156,12 +157,12 @@
         self._apply_decision()
 
     def is_evacuated(self) -> bool:
-        """Whether the fleet evacuates, or has evacuated, all work from the broker's own zone."""
+        """Return whether all traffic of the broker's own zone is being evacuated or has been."""
         zone_decision = self.decision.zones.get(self.zone)
         return zone_decision is not None and _is_evacuated(zone_decision) and not zone_decision.query_classes
 
     def _apply_decision(self) -> None:
-        """Send the broker the restrictions that have changed."""
+        """Pass the restrictions that have changed to the broker."""
         restrictions = self._restrictions()
         for query_class in sorted(restrictions.keys() | self._restricted.keys(), key=_all_classes_last):
             nodes = restrictions.get(query_class, NO_NODES)
@@ -170,11 +171,11 @@
         self._restricted = restrictions
 
     def _restrictions(self) -> dict[int | None, frozenset[str]]:
-        """The endpoints to deprioritize, by query class and (None) for all."""
+        """Return the endpoints to deprioritize by query class; the key None is for all classes."""
         restrictions: dict[int | None, frozenset[str]] = {None: NO_NODES}
         for name, zone_decision in self.decision.zones.items():
             if name == self.zone and not zone_decision.query_classes:
-                continue  # the clients in its own zone are served by the endpoints there
+                continue  # Clients in the broker's own zone are served by its endpoints.
             if self._hash_fraction(name) < zone_decision.traffic_share:
                 continue
             nodes = frozenset(self._live_nodes(name))
@@ -183,14 +184,14 @@
         return restrictions
 
     def _evacuated_classes(self, zone_decision: ZoneDirective) -> Iterable[int | None]:
-        """The query classes that a decision on a zone concerns; None for all."""
+        """Return the query classes that a decision on a zone applies to; None stands for all."""
         if not zone_decision.query_classes:
             return [None]
         names = self._broker.class_names
         return [index for index, name in enumerate(names) if name in zone_decision.query_classes]
 
     def _live_nodes(self, zone_name: str) -> list[str]:
-        """The live endpoints of a zone; none of a zone that is not known here."""
+        """Return the live endpoints of a zone; none if the zone is unknown."""
         if zone_name not in self._zone_names:
             return []
         number = self._zone_names.index(zone_name)
@@ -201,7 +202,7 @@
         ]
 
     def _hash_fraction(self, zone_name: str) -> float:
-        """This broker's draw for a zone, from 0 to 1: the same at each step."""
+        """Return this broker's hash value for a zone, from 0 to 1; it never changes."""
         text = f"{self._evidence.broker}|{zone_name}".encode()
         digest = hashlib.blake2b(text, digest_size=DRAW_BYTES).digest()
         return int.from_bytes(digest, "big") / (1 << 8 * DRAW_BYTES)
@@ -209,7 +210,7 @@
     # Periodic work.
 
     def _tick(self) -> None:
-        """Restrict endpoints that are new on the list, and probe some of the evacuated zones."""
+        """Apply the decision to newly listed endpoints, and probe some of the evacuated zones."""
         if self._broker.dead:
             return
         self._broker.loop.call_at(self._broker.loop.now() + TICK_INTERVAL_US, self._tick)
@@ -225,7 +226,7 @@
 def observe_zones(
     broker: ZoneBroker, agent: ZoneAgent, zone: int, zone_names: Sequence[str], seed: int
 ) -> ZoneObserver:
-    """The observer of a broker in a zone (by number), made known to the broker's agent."""
+    """Return an observer for a broker in the zone of a number, attached to the broker's agent."""
     observer = ZoneObserver(broker, zone_names[zone], zone_names, seed ^ ZONE_SEED_MASK)
     agent.attach_zone_observer(observer)
     return observer
