--- a/heathwell/service/coverage/__init__.py
+++ b/heathwell/service/coverage/__init__.py
@@ -1,4 +1,4 @@
-"""Which parts an answer rests on: sets that merge without counting twice, and their encoding."""
+"""Covers: sets of the parts that an answer is made from, which merge idempotently, and their encoding."""
 
 from heathwell.service.coverage.cover import Cover
 from heathwell.service.coverage.cover_codec import decode_cover, encode_cover
--- a/heathwell/service/coverage/cover.py
+++ b/heathwell/service/coverage/cover.py
@@ -1,7 +1,7 @@
-"""Covers: which parts of an answer were requested, and which are in it.
+"""Covers: which parts of an answer were requested and which of them were answered.
 
-Merging is union in both sets, so that it is associative, commutative and idempotent over steps, regions and
-tree levels, and the answered parts are always a subset of the requested ones.
+Covers are merged by the union of both sets, so merging is associative, commutative and idempotent over steps,
+regions and tree levels, and the answered parts are always a subset of the requested ones.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartCounts:
-    """How many parts are in an answer, and how many were requested."""
+    """The numbers of answered and requested parts."""
 
     answered: int
     requested: int
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cover:
-    """Two bit sets of part numbers, and the source time of the oldest data (None: no data)."""
+    """Bit sets of requested and answered part numbers, and the source time of the oldest data, if any."""
 
     requested: int = 0
     answered: int = 0
@@ -31,9 +31,10 @@
 
     def __post_init__(self) -> None:
         if self.requested < 0 or self.requested.bit_length() > MAXIMUM_PARTS:
-            raise CoverError(f"a part number over {MAXIMUM_PARTS - 1}")
-        if self.answered & ~self.requested:
-            raise CoverError("a part is in that was not asked for")
+            raise CoverError(f"a requested part number is not in 0 to {MAXIMUM_PARTS - 1}")
+        unrequested = self.answered & ~self.requested
+        if unrequested:
+            raise CoverError(f"answered parts {to_numbers(unrequested)} were not requested")
 
     @classmethod
     def of(
@@ -43,7 +44,7 @@
         return cls(to_bits(requested), to_bits(answered), oldest_source_us)
 
     def __or__(self, other: Cover) -> Cover:
-        """Return the union; a part that is in both counts once."""
+        """Return the union; a part that is in both covers counts once."""
         instants_us = [
             instant_us
             for instant_us in (self.oldest_source_us, other.oldest_source_us)
@@ -56,15 +57,15 @@
         )
 
     def missing(self) -> list[int]:
-        """Return the part numbers that were requested and are not in."""
+        """Return the part numbers that were requested but not answered."""
         return to_numbers(self.requested & ~self.answered)
 
     def count(self) -> PartCounts:
-        """Return the numbers of parts."""
+        """Return the numbers of answered and requested parts."""
         return PartCounts(self.answered.bit_count(), self.requested.bit_count())
 
     def weight(self, weights: Mapping[int, float] | None = None) -> float:
-        """Return the fraction that is in: of the parts' number, or of their weights."""
+        """Return the fraction of the requested parts that are answered, by number or by weights."""
         if weights is None:
             counts = self.count()
             return counts.answered / counts.requested if counts.requested else 0.0
--- a/heathwell/service/coverage/cover_codec.py
+++ b/heathwell/service/coverage/cover_codec.py
@@ -1,6 +1,6 @@
-"""A compact encoding of covers: each set as runs or as bits, whichever is shorter.
+"""A compact encoding of covers: each set is encoded as runs or as bits, whichever is shorter.
 
-500 parts take at most 150 bytes. All numbers are varints.
+A cover of 500 parts takes at most 150 bytes. All numbers are varints.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 MAGIC = 0xC1
 FORM_RUNS = 0
 FORM_BITS = 1
-NO_DATA = 0  # in place of the oldest source time, which is encoded plus 1
+NO_DATA = 0  # Encodes a missing source time; other source times are encoded plus 1.
 
 
 class _DecodedSet(NamedTuple):
     bits: int
-    end: int  # offset of the next byte
+    end: int  # The offset after the set.
 
 
 def encode_cover(cover: Cover) -> bytes:
     """Return the encoded form; raise :class:`CoverError` where the source time is negative."""
     stamp = NO_DATA if cover.oldest_source_us is None else cover.oldest_source_us + 1
     if stamp < 0:
-        raise CoverError("a source time before its zero")
+        raise CoverError(f"source time {cover.oldest_source_us} is negative")
     return bytes([MAGIC]) + varint.put(stamp) + _encode_set(cover.requested) + _encode_set(cover.answered)
 
 
 def decode_cover(data: bytes) -> Cover:
     """Return the cover of an encoded form; raise :class:`CoverError`."""
     if not data or data[0] != MAGIC:
-        raise CoverError("not an encoded cover")
+        raise CoverError(f"expected first byte {MAGIC:#x}, got {data[:1].hex() or 'no data'}")
     try:
         stamp, offset = varint.take(data, 1)
         requested, offset = _decode_set(data, offset)
@@ -42,7 +42,7 @@
     except ValueError as problem:
         raise CoverError(str(problem)) from None
     if offset != len(data):
-        raise CoverError("bytes after the end of a cover")
+        raise CoverError(f"{len(data) - offset} bytes after the end of the cover")
     return Cover(requested, answered, None if stamp == NO_DATA else stamp - 1)
 
 
@@ -54,7 +54,7 @@
 
 
 def _encode_runs(bits: int) -> bytes:
-    """Return a set as alternating lengths of gaps and runs."""
+    """Return the encoding of a set as alternating lengths of gaps and runs."""
     runs = bytearray()
     run_count = 0
     while bits:
@@ -69,16 +69,18 @@
 
 def _decode_set(data: bytes, offset: int) -> _DecodedSet:
     if offset >= len(data):
-        raise CoverError("a cover that ends too early")
+        raise CoverError("cover is truncated before a set")
     form = data[offset]
     count, offset = varint.take(data, offset + 1)
     if form == FORM_BITS:
         raw = data[offset : offset + count]
         if len(raw) < count or count * 8 > MAXIMUM_PARTS + 7:
-            raise CoverError("a cover that ends too early")
+            raise CoverError(f"bit set of {count} bytes is truncated or too long")
         return _DecodedSet(int.from_bytes(raw, "little"), offset + count)
-    if form != FORM_RUNS or count > MAXIMUM_PARTS:
-        raise CoverError("an unknown form of set")
+    if form != FORM_RUNS:
+        raise CoverError(f"unknown form of set {form}")
+    if count > MAXIMUM_PARTS:
+        raise CoverError(f"set of {count} runs, at most {MAXIMUM_PARTS} expected")
     return _decode_runs(data, offset, count)
 
 
@@ -90,7 +92,7 @@
         length, offset = varint.take(data, offset)
         part += gap
         if part + length > MAXIMUM_PARTS:
-            raise CoverError(f"a part number over {MAXIMUM_PARTS - 1}")
+            raise CoverError(f"part number {part + length - 1} is not in 0 to {MAXIMUM_PARTS - 1}")
         bits |= ((1 << length) - 1) << part
         part += length
     return _DecodedSet(bits, offset)
--- a/heathwell/service/coverage/errors.py
+++ b/heathwell/service/coverage/errors.py
@@ -1,7 +1,7 @@
-"""The error of the package."""
+"""Errors of coverage."""
 
 from __future__ import annotations
 
 
 class CoverError(ValueError):
-    """Bytes that are not an encoded cover, or part numbers that no cover may have."""
+    """Raised for bytes that are not an encoded cover, and for part numbers that a cover can't hold."""
--- a/heathwell/service/coverage/part_set.py
+++ b/heathwell/service/coverage/part_set.py
@@ -1,4 +1,4 @@
-"""Sets of part numbers, held as the bits of an integer."""
+"""Sets of part numbers, stored as the bits of an integer."""
 
 from __future__ import annotations
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -88,7 +88,7 @@
 
 
 def test_a_cover_cannot_answer_parts_that_were_not_requested():
-    with pytest.raises(CoverError, match="not asked for"):
+    with pytest.raises(CoverError, match=r"answered parts \[2\] were not requested"):
         Cover.of([1], [1, 2])
     assert Cover.of([3, 4, 9], [4]).missing() == [3, 9]
     assert Cover.of([1, 2], [2]).weight({1: 0.25, 2: 0.75}) == 0.75
