--- a/heathwell/service/admission/__init__.py
+++ b/heathwell/service/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission by cost: the cost of work, fair sharing between servers, and the splitting of batches. Pure."""
+"""Admission by cost: learned costs, fair sharing between servers, and splitting of batches, without I/O."""
 
 from heathwell.service.admission.batch_splitting import split_batch
 from heathwell.service.admission.concurrency_limiter import ConcurrencyLimiter
--- a/heathwell/service/admission/batch_splitting.py
+++ b/heathwell/service/admission/batch_splitting.py
@@ -1,4 +1,4 @@
-"""Splitting a batch of searches into chunks."""
+"""Splits a batch of searches into chunks."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 def split_batch(costs_us: Sequence[float], maximum_cost_us: float, maximum_searches: int) -> list[list[int]]:
-    """Return the indices of a batch's searches in chunks of limited cost and size; linear.
+    """Return the indices of a batch's searches, in chunks of limited cost and size.
 
-    Searches keep their order; one that alone exceeds the cost is a chunk of its own. An endpoint's slot is
-    held by one chunk at a time, so that other work can run between them.
+    Searches keep their order; a search that exceeds the cost by itself is a chunk of its own. A chunk
+    occupies a slot of an endpoint until it is done, so other work can run between the chunks. Takes linear
+    time.
     """
     chunks: list[list[int]] = []
     chunk_cost_us = 0.0
--- a/heathwell/service/admission/cost_model.py
+++ b/heathwell/service/admission/cost_model.py
@@ -1,8 +1,9 @@
-"""The cost of a part to an endpoint, learned from the work that endpoints report. Pure.
+"""Learns the cost of a part from the work that endpoints report, without any I/O.
 
-A search's work is nearly linear in a few of its features. The coefficients are learned by recursive least
-squares with exponential forgetting (Ljung, System Identification, 11.2), so that a change of the data or the
-endpoints is followed within some hundred answers. The stated cost stands until there are enough answers.
+The work of a search is nearly linear in a few of its features. The coefficients are learned by recursive
+least squares with exponential forgetting (Ljung, System Identification, 11.2), so that the model follows a
+change of the data or the endpoints within a few hundred answers. Until there are enough answers the
+configured cost is used.
 """
 
 from __future__ import annotations
@@ -10,16 +11,16 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-MINIMUM_ANSWERS = 20  # before predictions are used
+MINIMUM_ANSWERS = 20  # Predictions are used after so many answers.
 FORGETTING_FACTOR = 0.995
 INITIAL_VARIANCE = 100.0
 MAXIMUM_VARIANCE = 1e4
-MAXIMUM_OUTLIER_FACTOR = 8.0  # of the prediction, to which a single answer is limited
-MINIMUM_COST_FACTOR = 0.05  # of the stated cost
-MAXIMUM_COST_FACTOR = 50.0
+MAXIMUM_OUTLIER_FACTOR = 8.0  # A single answer is capped at this multiple of the prediction.
+MINIMUM_COST_FACTOR = 0.05  # Predictions are at least this multiple of the configured cost.
+MAXIMUM_COST_FACTOR = 50.0  # Predictions are at most this multiple of the configured cost.
 ERROR_GAIN = 0.05
 SMALLEST_DIVISOR = 1e-9
-ROW_SCALE = 100.0  # keeps the features of a similar size
+ROW_SCALE = 100.0  # Scales the number of rows to the magnitude of the other features.
 
 Features = Sequence[float]
 SearchFeatures = tuple[float, ...]
@@ -28,7 +29,7 @@
 
 @dataclass(slots=True)
 class CostModel:
-    """Predicts work (us) from ``size`` features of it; settings state the cost of a unit of the first."""
+    """Predicts work (us) from ``size`` features; the settings define the cost of a unit of the first one."""
 
     configured_cost_us: float
     size: int
@@ -47,7 +48,7 @@
         ]
 
     def predict(self, features: Features) -> float:
-        """Return the work of a part (us), within bounds around the stated cost."""
+        """Return the predicted work of a part (us), within bounds around the configured cost."""
         configured_us = self.configured_cost_us * max(features[0], SMALLEST_DIVISOR)
         if self.answer_count < MINIMUM_ANSWERS:
             return configured_us
@@ -69,8 +70,8 @@
         self._update(features, work_us)
 
     def _update(self, features: Features, work_us: float) -> None:
-        """Make one step of recursive least squares."""
-        # Scaled so that weights are about one, which keeps the covariances of a similar size.
+        """Perform one step of recursive least squares."""
+        # Weights are scaled to about one, which keeps the covariances at a similar magnitude.
         scale_us = max(self.configured_cost_us, SMALLEST_DIVISOR)
         scaled_weights = [weight / scale_us for weight in self.weights]
         projected = [
@@ -87,7 +88,7 @@
             for column in range(self.size):
                 row[column] = (row[column] - gain * projected[column]) / FORGETTING_FACTOR
         if max(self._covariance[index][index] for index in range(self.size)) > MAXIMUM_VARIANCE:
-            # Features that never vary let the covariance grow without limit.
+            # The covariance grows without bound if features never vary.
             self._covariance = self._initial_covariance()
 
 
@@ -96,13 +97,13 @@
 
 
 class CostModels:
-    """The models of a broker by name: a class's plain parts, or a collection's searches."""
+    """The cost models of a broker by name: one for each collection of vectors."""
 
     def __init__(self) -> None:
         self._models: dict[str, CostModel] = {}
 
     def model(self, name: str, configured_cost_us: float, size: int) -> CostModel:
-        """Return the model of a name; it is made at the first call, and anew for another size."""
+        """Return the model of a name; it is created at the first call, and again if the size changes."""
         model = self._models.get(name)
         if model is None or model.size != size:
             model = CostModel(configured_cost_us, size)
@@ -111,8 +112,9 @@
 
 
 def search_features(search_count: int, row_count: int, filtered_count: int) -> SearchFeatures:
-    """Return the features of a part of searches that share a matrix product.
+    """Return the features of a part whose searches share a matrix product.
 
-    They are the number of searches, the part's constant cost, rows to return, and searches with a filter.
+    They are the number of searches, a constant, the number of rows to return (scaled), and the number of
+    searches with a filter.
     """
     return (float(search_count), 1.0, row_count / ROW_SCALE, float(filtered_count))
--- a/heathwell/service/admission/fair_queue.py
+++ b/heathwell/service/admission/fair_queue.py
@@ -1,9 +1,10 @@
-"""Fair sharing of the endpoints between flows (the servers of client protocols), by the cost of work. Pure.
+"""Shares the endpoints fairly between flows (the servers of client protocols) by cost, without any I/O.
 
-Start-time fair queueing (Goyal, Vin, Cheng 1996) under one limit on the work in flight. A flow that requests
-less than its share is admitted at once, whatever the others do; what a flow leaves unused the others may
-borrow until their work ends. Work that is expected to be queued for longer than its queue timeout is rejected
-when it is offered; work that was queued for longer all the same is rejected at the next poll.
+This is start-time fair queueing (Goyal, Vin, Cheng 1996) under one limit on the work in flight. Work of a
+flow that uses less than its share is admitted at once, regardless of the other flows. Capacity that a flow
+leaves unused may be borrowed by the others until their work ends. Work that is expected to be queued for
+longer than its queue timeout is rejected when it is offered; work that was queued for longer all the same is
+rejected at the next poll.
 """
 
 from __future__ import annotations
@@ -18,16 +19,15 @@
 from heathwell.service.admission.concurrency_limiter import ConcurrencyLimiter
 
 SERVICE_TIME_GAIN = 0.05
-MAXIMUM_QUEUED = 10_000  # entries of a flow
-RESERVED_FRACTION = (
-    0.5  # of another flow's share, that others may not borrow: it must be able to start at once
-)
-SHORTEST_RETRY_DIVISOR = 4  # of the longest retry delay
+MAXIMUM_QUEUED = 10_000  # The maximum number of queued entries in a flow.
+# The fraction of a flow's share that others may not borrow, so that its work can start at once.
+RESERVED_FRACTION = 0.5
+SHORTEST_RETRY_DIVISOR = 4  # The shortest retry delay is the longest one divided by this.
 RETRY_JITTER = (0.5, 1.0)
 
 
 class AdmissionDecision(StrEnum):
-    """What becomes of new work."""
+    """The decision on new work."""
 
     ADMIT = "go"
     QUEUE = "wait"
@@ -55,11 +55,11 @@
 
 @dataclass(slots=True)
 class Flow:
-    """The work of one server; ids in ``queue`` and ``expiries`` may have left the entries already."""
+    """The work of one server; ``queue`` and ``expiries`` may hold ids that are no longer queued."""
 
     weight: float
     queue: deque[str] = field(default_factory=deque)
-    expiries: list[tuple[int, str]] = field(default_factory=list)  # a heap
+    expiries: list[tuple[int, str]] = field(default_factory=list)  # A heap.
     queued_count: int = 0
     finish_tag: float = 0.0
     in_flight_us: float = 0.0
@@ -68,7 +68,11 @@
 
 
 class FairQueue:
-    """Work by id: :meth:`offer` it, call :meth:`poll` for what is admitted later, :meth:`end` it."""
+    """A fair queue of work by id.
+
+    New work is passed to :meth:`offer`, :meth:`poll` returns queued work that is admitted later, and
+    :meth:`end` removes work that has ended.
+    """
 
     def __init__(self, weights: Mapping[str, float], limiter: ConcurrencyLimiter, seed: int) -> None:
         self.flows = {name: Flow(weight) for name, weight in weights.items()}
@@ -77,7 +81,7 @@
         self.in_flight_us = 0.0
         self._random = random.Random(seed)
         self._virtual_time = 0.0
-        self._service_time_us = 0.0  # usual time from admission to the end
+        self._service_time_us = 0.0  # The moving average of the time from admission to the end.
 
     @property
     def is_queueing(self) -> bool:
@@ -105,7 +109,7 @@
         return AdmissionDecision.QUEUE
 
     def _share_us(self, flow: Flow) -> float:
-        """The part of the limit that is a flow's own."""
+        """Return a flow's share of the limit."""
         return self.limiter.limit_us * flow.weight / sum(other.weight for other in self.flows.values())
 
     def _fits(self, flow: Flow, cost_us: float) -> bool:
@@ -129,8 +133,9 @@
     def expected_wait_us(self, flow_name: str) -> float:
         """Return how long work offered now would be queued, by Little's law.
 
-        The limit turns over once in the usual service time; a flow has its share of that, or what the others
-        leave. Before any work has ended the wait is 0, so that nothing is rejected.
+        As much work as the limit allows is completed once in the mean service time; a flow gets its share of
+        that, or what the others leave unused. Before any work has ended the wait is 0, so that nothing is
+        rejected.
         """
         flow = self.flows[flow_name]
         unused_us = self.limiter.limit_us - (self.in_flight_us - flow.in_flight_us)
@@ -167,7 +172,7 @@
             update.admitted.append(work_id)
 
     def _next_flow(self, now_us: int, expired: list[str]) -> Flow | None:
-        """Return the flow with the least start tag whose first work fits; collect expired work."""
+        """Return the flow with the lowest start tag whose first work fits; collect expired work."""
         candidates = []
         for flow in self.flows.values():
             expired += self._expire(now_us, flow)
@@ -198,6 +203,6 @@
         return min((flow.expiries[0][0] for flow in self.flows.values() if flow.expiries), default=None)
 
     def retry_after_us(self, flow_name: str, longest_us: int) -> int:
-        """Return after how long a rejected client may retry: about the expected wait, with jitter."""
+        """Return after how long a rejected client may retry: the expected wait within bounds, with jitter."""
         wait_us = max(self.expected_wait_us(flow_name), longest_us / SHORTEST_RETRY_DIVISOR)
         return int(min(wait_us, longest_us) * self._random.uniform(*RETRY_JITTER))
--- a/heathwell/service/freshness/__init__.py
+++ b/heathwell/service/freshness/__init__.py
@@ -1,4 +1,4 @@
-"""The age of answers, and which answers are fresh enough: pure, no I/O, clock handed in."""
+"""The age of answers and the decision which answers are fresh enough, without I/O; callers pass the time."""
 
 from heathwell.service.freshness.consistency_token import TokenPositions, make_token, read_token
 from heathwell.service.freshness.errors import (
--- a/heathwell/service/freshness/consistency_token.py
+++ b/heathwell/service/freshness/consistency_token.py
@@ -1,8 +1,8 @@
-"""Consistency tokens: with one a client requests that an answer is not older than an earlier one.
+"""Consistency tokens, by which a client requests an answer that is not older than an earlier one.
 
-A token holds the positions that an answer rests on, by shard, in a form short enough for a memcached key. An
-answer of too many shards gets a token of their least position alone. A checksum detects mangled tokens. It is
-no signature: a client that forges a token affects only its own answers.
+A token holds by shard the source positions of an answer's data, in a form short enough for a memcached key.
+If an answer has too many shards its token only holds their lowest position. A checksum detects corrupted
+tokens. Tokens are not signed, as a client that forges one affects only its own answers.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from heathwell.service.freshness.errors import TokenError
 
 MAXIMUM_CHARACTERS = 120
-BY_SHARD = 1  # the first byte of a token with a position for each shard
-LEAST_ONLY = 2
+BY_SHARD = 1  # The first byte of a token with a position for each shard.
+LEAST_ONLY = 2  # The first byte of a token with only the lowest position.
 CHECKSUM_BYTES = 4
 
 
 @dataclass(frozen=True, slots=True)
 class TokenPositions:
-    """Positions by shard, and the least position for any other shard."""
+    """Positions by shard, and the position that applies to all other shards."""
 
     by_shard: dict[int, int] = field(default_factory=dict)
     least: int = 0
 
 
 def make_token(positions: Mapping[int, int]) -> str:
-    """Return the token of an answer's positions by shard; empty where it rests on none."""
+    """Return the token for an answer's positions by shard; empty if there are none."""
     if not positions:
         return ""
     least = min(positions.values())
--- a/heathwell/service/freshness/freshness_decider.py
+++ b/heathwell/service/freshness/freshness_decider.py
@@ -1,8 +1,8 @@
-"""Whether an answer is fresh enough: used, treated as missing, or requested from another replica.
+"""Decides whether an answer is fresh enough to be used, is treated as missing, or is requested elsewhere.
 
-A verdict is all that this decides. The decision module receives a rejected answer as an error of its
-endpoint: it sends the part to another replica where its own rules allow, and ejects an endpoint whose answers
-keep being rejected. While all replicas are fresh every verdict is to use the answer.
+A verdict has no effect by itself. A rejected answer is reported to the decision module as an error of its
+endpoint. The module sends the part to another replica if its own rules allow that, and ejects an endpoint
+whose answers are rejected repeatedly. While all replicas are fresh, every answer is used.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from heathwell.service.freshness.replica_lag import AgeEvidence, ReplicaLagTracker
 from heathwell.service.freshness.source_clock import SourceClock
 
-RETRY_TIME_FACTOR = 2  # of the attempt's duration, that must be left for another attempt
+RETRY_TIME_FACTOR = 2  # Another attempt needs more time left than this times the attempt's duration.
 
 
 class FreshnessDecider:
-    """The verdicts of one broker. ``replicas_of`` gives the nodes that hold a shard."""
+    """The verdicts of one broker. ``replicas_of`` returns the nodes that hold a shard."""
 
     def __init__(self, clock: SourceClock, replicas_of: Callable[[int], Iterable[str]]) -> None:
         self.lag_tracker = ReplicaLagTracker(clock, replicas_of)
@@ -46,9 +46,10 @@
     ) -> FreshnessVerdict:
         """Decide on an answer, and record its watermark.
 
-        ``attempted_nodes`` are the nodes that the part was sent to, ``rejected_count`` counts its rejected
-        answers, ``time_left_us`` is up to the query's objective, ``duration_us`` is what the attempt took.
-        ``minimum_position`` is what the client or the first step of the answer has read already.
+        ``attempted_nodes`` are the nodes that the part was sent to, ``rejected_count`` is the number of its
+        rejected answers, ``time_left_us`` the time until the query's latency objective, and ``duration_us``
+        the duration of the attempt. ``minimum_position`` is the position up to which the client or the first
+        step of the query has already read.
         """
         evidence = self.lag_tracker.observe(now_us, shard, node, watermark)
         age_us = self._clock.age(now_us, watermark.source_us) if evidence == AgeEvidence.MEASURED else None
@@ -76,7 +77,7 @@
         policy: FreshnessPolicy,
         minimum_position: int,
     ) -> bool:
-        """Return whether another replica is expected to answer with fresher data, within the target age."""
+        """Return whether another replica is expected to answer with fresher data within the target age."""
         for node in self._replicas_of(shard):
             if node in excluded_nodes or not self.lag_tracker.has_reached(shard, node, minimum_position):
                 continue
--- a/heathwell/service/freshness/freshness_records.py
+++ b/heathwell/service/freshness/freshness_records.py
@@ -10,12 +10,12 @@
     """What is done with an answer that is older than the target age of its class."""
 
     USE = "use"
-    TREAT_AS_MISSING = "missing"  # beyond the maximum age
+    TREAT_AS_MISSING = "missing"  # Applies to answers over the maximum age.
     ASK_ANOTHER = "another"
 
 
 class StaleReason(StrEnum):
-    """Why an answer is not as fresh as its class requests."""
+    """Why an answer is not as fresh as its query class requires."""
 
     FROM_THE_FUTURE = "claims data newer than the source"
     BEHIND = "behind what was seen"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Watermark:
-    """Up to where a replica's data is applied: the log's position and source time."""
+    """How far a replica has applied the source's log: the position and its source time."""
 
     position: int
     source_us: int
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FreshnessVerdict:
-    """Whether an answer is used, the upper bound of its age (None: unknown), and why it is stale (if so)."""
+    """Whether an answer is used, the upper bound of its age (None: unknown), and why it is stale, if so."""
 
     is_accepted: bool
     age_us: int | None
--- a/heathwell/service/freshness/replica_lag.py
+++ b/heathwell/service/freshness/replica_lag.py
@@ -1,4 +1,4 @@
-"""The lag of each replica, estimated from the watermarks of its answers."""
+"""Estimates the lag of each replica from the watermarks of its answers."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from heathwell.service.freshness.freshness_records import Watermark
 from heathwell.service.freshness.source_clock import SourceClock
 
-LAG_GAIN = 0.25  # of one observation: a replica falls behind within seconds
-EXPECTED_DEVIATIONS = 2.0  # mean deviations above the estimate that a replica is expected to stay under
-INITIAL_DEVIATION_DIVISOR = 4  # of the first age
-STUCK_US = 2_000_000  # how far other replicas must have advanced while a watermark did not
+LAG_GAIN = 0.25  # The weight of one observation; large, as a replica can fall behind within seconds.
+EXPECTED_DEVIATIONS = 2.0  # The expected age is this many mean deviations above the estimated lag.
+INITIAL_DEVIATION_DIVISOR = 4  # The initial deviation is the first age divided by this.
+STUCK_US = 2_000_000  # A replica is stuck if its watermark stands this long and is this far behind others.
 
 
 class AgeEvidence(StrEnum):
-    """How far the age of an answer is known."""
+    """What is known about the age of an answer."""
 
     MEASURED = "measured"
-    UNKNOWN = "unknown"  # there is no sample of the source's clock
-    FROM_THE_FUTURE = "future"  # its watermark is ahead of the source
+    UNKNOWN = "unknown"  # There is no sample of the source clock.
+    FROM_THE_FUTURE = "future"  # The watermark is ahead of the source.
 
 
 @dataclass(slots=True)
@@ -33,9 +33,9 @@
 
 
 class ReplicaLagTracker:
-    """The lags of all replicas as one broker observes them.
+    """The lags of all replicas as observed by one broker.
 
-    ``replicas_of`` gives the nodes that hold a shard.
+    ``replicas_of`` returns the nodes that hold a shard.
     """
 
     def __init__(self, clock: SourceClock, replicas_of: Callable[[int], Iterable[str]]) -> None:
@@ -47,7 +47,7 @@
         self._replicas: dict[tuple[int, str], _Replica] = {}
 
     def observe(self, now_us: int, shard: int, node: str, watermark: Watermark) -> AgeEvidence:
-        """Record the watermark of an answer, and return how far its age is known."""
+        """Record the watermark of an answer, and return what is known about its age."""
         if not self._clock.is_known:
             return AgeEvidence.UNKNOWN
         age_us = self._clock.upper(now_us) - watermark.source_us
@@ -72,7 +72,7 @@
     ) -> None:
         former = replica.watermark
         if watermark.position < former.position or watermark.source_us < former.source_us:
-            # Restored from an older copy: the estimate of its lag starts again.
+            # The replica was restored from an older copy: the estimate of its lag is reset.
             self.restored_count += 1
             replica.is_restored = True
             replica.lag_us = float(age_us)
@@ -85,7 +85,7 @@
             self._mark_if_stuck(shard, node, watermark)
 
     def _mark_if_stuck(self, shard: int, node: str, watermark: Watermark) -> None:
-        """Mark a replica whose watermark stands while another replica's has advanced."""
+        """Mark a replica as stuck if its watermark stands while another replica's has advanced."""
         replicas = (self._replicas.get((shard, other)) for other in self._replicas_of(shard))
         newest_us = max(
             (replica.watermark.source_us for replica in replicas if replica is not None), default=0
@@ -94,7 +94,7 @@
             self.stuck.add((shard, node))
 
     def expected_age_us(self, now_us: int, shard: int, node: str) -> int | None:
-        """Return the expected age of an answer of a replica; None where nothing is known of it."""
+        """Return the expected age of a replica's answer; None if nothing is known about the replica."""
         replica = self._replicas.get((shard, node))
         if replica is None:
             return None
@@ -103,6 +103,6 @@
         return int(replica.lag_us + EXPECTED_DEVIATIONS * replica.deviation_us)
 
     def has_reached(self, shard: int, node: str, position: int) -> bool:
-        """Return whether a replica is known to hold a position, and not restored from an older copy since."""
+        """Return whether a replica is known to have reached a position and was not restored since."""
         replica = self._replicas.get((shard, node))
         return replica is not None and not replica.is_restored and replica.watermark.position >= position
--- a/heathwell/service/merging/__init__.py
+++ b/heathwell/service/merging/__init__.py
@@ -1,4 +1,4 @@
-"""The merge of the parts' ranked rows to those of one answer. Pure."""
+"""Merges the ranked rows of parts into those of one answer, without any I/O."""
 
 from heathwell.service.merging.ranked_rows import MalformedRowsError, MergedRows, PointId, Row, id_rank
 from heathwell.service.merging.top_k_merge import TopKMerge
--- a/heathwell/service/merging/ranked_rows.py
+++ b/heathwell/service/merging/ranked_rows.py
@@ -1,7 +1,7 @@
 """Rows of search results, their total order, and the checks of a part's rows.
 
-Scores are compared as *greater is better*; a distance is handed in negated. Equal scores rank by id, so that
-they rank the same every time.
+A greater score is better, so distances are negated before they get here. Rows of equal score are ordered by
+id, so that the order is the same every time.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 PointId = int | str
 IdRank = tuple[int, int, str]
 RowRank = tuple[float, IdRank]
-SCORE_TOLERANCE = 1e-4  # of a score's size: endpoints score in single precision
+SCORE_TOLERANCE = 1e-4  # Relative to the score: endpoints compute scores in single precision.
 
 
 class MalformedRowsError(ValueError):
-    """Rows or score bounds that an endpoint without a fault does not return; ``problem`` describes why."""
+    """Raised for rows or score bounds that only a faulty endpoint returns; ``problem`` describes why."""
 
     def __init__(self, problem: str) -> None:
         self.problem = problem
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One found point; ``data`` is passed on as it is."""
+    """One point of a result; ``data`` is passed through unchanged."""
 
     id: PointId
     score: float
@@ -38,24 +38,24 @@
 
 @dataclass(frozen=True, slots=True)
 class MergedRows:
-    """The rows of one search. ``recall`` estimates the fraction of the true rows that they hold."""
+    """The rows of one search. ``recall`` estimates the fraction of the true result that they contain."""
 
     rows: list[Row]
     recall: float
 
 
 def id_rank(point_id: PointId) -> IdRank:
-    """Return the rank of an id among equal scores: numbers by size, then names."""
+    """Return the sort key of an id among equal scores: numbers first, then names."""
     return (0, point_id, "") if isinstance(point_id, int) else (1, 0, point_id)
 
 
 def row_rank(row: Row) -> RowRank:
-    """Return the rank of a row: the better first."""
+    """Return the sort key of a row: better rows first."""
     return (-row.score, id_rank(row.id))
 
 
 def score_tolerance(score: float) -> float:
-    """Return what single precision may add to a score or take from it."""
+    """Return the greatest rounding error of a score in single precision."""
     return SCORE_TOLERANCE * max(1.0, abs(score))
 
 
@@ -64,8 +64,8 @@
 ) -> None:
     """Raise :class:`MalformedRowsError` for rows that a search can't have returned.
 
-    ``score_bound`` is the greatest score that the endpoint reported as possible. The messages are logged as
-    event records, so that their words stay as they are.
+    ``score_bound`` is the greatest score that the endpoint reported as possible. The messages are part of
+    event records, so their wording must not change.
     """
     if len(rows) > maximum_rows:
         raise MalformedRowsError(f"{len(rows)} rows where {maximum_rows} were asked for")
--- a/heathwell/service/merging/search_rows.py
+++ b/heathwell/service/merging/search_rows.py
@@ -1,4 +1,4 @@
-"""The best rows of one search so far."""
+"""Accumulates the best rows of one search."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SearchRows:
-    """The ``offset + limit`` best rows of a search; none under its threshold is requested."""
+    """The ``offset + limit`` best rows of a search so far; rows under its threshold are not requested."""
 
     def __init__(self, limit: int, offset: int, threshold: float | None) -> None:
         self.offset = offset
@@ -24,7 +24,7 @@
         return [row for _, row in self._ranked][self.offset :]
 
     def merge(self, rows: Sequence[Row]) -> None:
-        """Merge a part's rows, best first. Of an id in two versions the newer one counts, at any rank."""
+        """Merge a part's rows, best first. The newer of two versions of an id is used, whatever its rank."""
         newest = self._newest_versions(rows)
         ranked: list[tuple[RowRank, Row]] = []
         merged_ids: set[PointId] = set()
@@ -47,9 +47,9 @@
         return newest
 
     def rules_out(self, score_bound: float) -> bool:
-        """Return whether no row with at most that score can be among the best any more."""
+        """Return whether no row of at most this score can be among the best rows any more."""
         if score_bound == -math.inf:
-            return True  # a shard without a point
-        # A score within the tolerance of the last one may still displace it.
+            return True  # The shard has no points.
+        # A score within the tolerance of the last row's score may still displace that row.
         greatest = score_bound + score_tolerance(score_bound)
         return greatest < self._last_score or (self.threshold is not None and greatest < self.threshold)
--- a/heathwell/service/merging/top_k_merge.py
+++ b/heathwell/service/merging/top_k_merge.py
@@ -1,11 +1,13 @@
-"""The merge of ranked rows over parts: the best rows in any order of parts, and which parts are superseded.
+"""Merges ranked rows of parts, in any order of the parts, and determines which parts are superseded.
 
-A query may hold several searches (a batch shares its parts). Each part is asked for ``offset + limit`` rows,
-as all of them may lie in one part; a part's rows hold an id once, parts may overlap.
+A query may have several searches, as the searches of a batch share the query's parts. Each part is asked for
+``offset + limit`` rows, as all of the best rows may be in one part. An id occurs once in a part's rows, but
+may occur in several parts.
 
-An endpoint reports at an attempt's arrival, before it searches, the greatest score that its rows can have.
-Once ``offset + limit`` rows are merged that are all strictly better than that (or the bound is under the
-threshold), the part can't change the answer: it is superseded. Parts without reported bounds never are.
+When an attempt arrives, and before it searches, an endpoint reports the greatest score that its rows can
+have. Once ``offset + limit`` merged rows are all strictly better than that bound, or the bound is under the
+threshold, the part can't change the answer any more: it is superseded. Parts without reported bounds are
+never superseded.
 """
 
 from __future__ import annotations
@@ -24,8 +26,8 @@
     point_count: int = 0
     recall: float = 1.0
     bounds: Sequence[float] | None = None
-    bounds_revision: int = 0  # heap entries of earlier revisions are stale
-    ruled_out_count: int = 0  # searches whose rows the part can't change
+    bounds_revision: int = 0  # Heap entries of earlier revisions are stale.
+    ruled_out_count: int = 0  # The number of searches whose rows the part can't change any more.
     has_rows: bool = False
 
 
@@ -43,19 +45,19 @@
             for limit, offset, threshold in zip(limits, offsets, thresholds, strict=True)
         ]
         self._parts: dict[str, _Part] = {}
-        # By search, a heap of bounds that are not ruled out, with their part and its revision.
+        # A heap by search of the bounds that are not ruled out, with the part and the revision of its bounds.
         self._bounds: list[list[tuple[float, str, int]]] = [[] for _ in limits]
         self._superseded: list[str] = []
 
     @property
     def requested_counts(self) -> list[int]:
-        """The rows that each part is asked for, by search."""
+        """The number of rows that each part is asked for, by search."""
         return [search.requested_count for search in self._searches]
 
     def add_bounds(self, part_id: str, bounds: Sequence[float]) -> None:
         """Record the greatest possible scores of a part, by search; raise :class:`MalformedRowsError`.
 
-        Of the bounds of two attempts the weaker ones count.
+        If two attempts report bounds, the greater bound of each search is used.
         """
         is_numeric = all(isinstance(bound, float) and not math.isnan(bound) for bound in bounds)
         if len(bounds) != len(self._searches) or not is_numeric:
@@ -75,8 +77,8 @@
     ) -> None:
         """Merge a part's rows, best first, by search; raise :class:`MalformedRowsError`.
 
-        ``point_count`` is the size of the part's shard, ``recall`` that of its index. Linear in the rows, but
-        for the heap's logarithm.
+        ``point_count`` is the size of the part's shard, ``recall`` the recall of its index. Takes linear time
+        in the number of rows, apart from the heap operations.
         """
         self._check(part_id, lists)
         part = self._parts.setdefault(part_id, _Part())
@@ -98,7 +100,7 @@
             check_rows(rows, search.requested_count, search.threshold, bound)
 
     def _rule_out_bounds(self, search: int) -> None:
-        """Count the bounds that are ruled out by now, each once."""
+        """Remove the bounds that are ruled out now from the heap and count them for their parts."""
         heap = self._bounds[search]
         while heap and self._searches[search].rules_out(heap[0][0]):
             _, part_id, revision = heapq.heappop(heap)
@@ -113,17 +115,17 @@
         return part.ruled_out_count == len(self._searches) and not part.has_rows
 
     def take_superseded(self) -> list[str]:
-        """Return the parts that were superseded since the last call."""
+        """Return the ids of the parts that were superseded since the last call."""
         superseded = self._superseded
         self._superseded = []
         return [part_id for part_id in superseded if self._is_superseded(self._parts[part_id])]
 
     def result(self, search: int, missing: Sequence[str], mean_point_count: float) -> MergedRows:
-        """Return a search's rows with the estimate of their recall.
+        """Return a search's rows with an estimate of their recall.
 
-        ``missing`` are the parts without an answer. The estimate takes the true rows for spread as evenly as
-        the points are: those of a missing part are lost unless its bound rules them out. A part of unknown
-        size counts as ``mean_point_count`` points.
+        ``missing`` are the ids of the parts without an answer. The estimate assumes that the true rows are
+        spread evenly over all points. Those of a missing part are lost unless its bound rules them out; its
+        size is taken to be ``mean_point_count``.
         """
         held = 0.0
         lost = 0.0
--- a/heathwell/service/regions/__init__.py
+++ b/heathwell/service/regions/__init__.py
@@ -1,4 +1,4 @@
-"""One service across regions: faults of links, and the restrictions of endpoints that follow."""
+"""A service that spans regions: detects link faults and restricts endpoints accordingly."""
 
 from heathwell.service.regions.answerable_fraction import answerable_fraction
 from heathwell.service.regions.client_drain import ClientDrain, IdleClient
--- a/heathwell/service/regions/client_drain.py
+++ b/heathwell/service/regions/client_drain.py
@@ -1,8 +1,9 @@
-"""Which clients a broker disconnects while it is cut off, so that they connect to another broker. Pure.
+"""Selects the clients to disconnect while a broker is cut off, so that they connect to another broker.
 
-Memcached's protocol has no unsolicited message, so closing the connection is the only signal. Only idle
-connections are closed, at instants spread by seed to avoid a reconnect storm at the other brokers, and each
-client at most once a cut: a client that connected after the cut began found no better broker and is kept.
+The memcached protocol has no unsolicited messages, so closing the connection is the only signal to a client.
+Only idle connections are closed, at random times to avoid a reconnect storm at the other brokers. Each client
+is disconnected at most once for each time that the broker is cut off: a client that connects after that began
+found no better broker and is kept.
 """
 
 from __future__ import annotations
@@ -11,22 +12,24 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-CONFIRMATION_US = 1_000_000  # cut off for so long before a client is closed; half-open steps end within it
-RECOVERY_US = 3_000_000  # connected for so long before the next cut counts as a new one
+# How long a broker must be cut off before clients are closed. The steps of half-open links end within this
+# time.
+CONFIRMATION_US = 1_000_000
+RECOVERY_US = 3_000_000  # How long a broker must be connected before another cut counts as a new one.
 NEVER_AT_US = -1
 
 
 class IdleClient(NamedTuple):
-    """A client connection without a request."""
+    """A client connection without a request in progress."""
 
     number: int
     connected_at_us: int
 
 
 class ClientDrain:
-    """Draws for each client the instant at which it is closed.
+    """Chooses a random time for each client at which its connection is closed.
 
-    ``spread_us`` is the time over which all clients are closed; with 0 every client is kept.
+    ``spread_us`` is the time over which all clients are closed; with 0 all clients are kept.
     """
 
     def __init__(self, spread_us: int, seed: int) -> None:
--- a/heathwell/service/regions/crossing_budget.py
+++ b/heathwell/service/regions/crossing_budget.py
@@ -1,4 +1,4 @@
-"""Budgets of what may cross the links between regions within a second."""
+"""Budgets for the attempts that may cross the links between regions in a second."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class CrossingBudget:
-    """Bounds the additional attempts that cross in a second, and the cost of all that cross.
+    """Bounds the additional attempts that cross in a second, and the cost of all attempts that cross.
 
-    A bound of 0 is no bound. The bound on additional attempts keeps retries in two regions from multiplying.
+    A bound of 0 means no bound. The bound on additional attempts prevents retries in two regions from
+    multiplying.
     """
 
     def __init__(self, maximum_additional: int, maximum_cost: float) -> None:
@@ -31,7 +32,7 @@
             self._additional.add(now_us)
 
     def is_exhausted(self, now_us: int) -> bool:
-        """Return whether no further attempt may cross for now."""
+        """Return whether a budget is used up, so that no more attempts should cross for now."""
         while self._costs and self._costs[0][0] <= now_us - WINDOW_US:
             self.spent_cost -= self._costs.popleft()[1]
         additional_count = self._additional.count(now_us)
--- a/heathwell/service/regions/link_faults.py
+++ b/heathwell/service/regions/link_faults.py
@@ -1,6 +1,6 @@
-"""Detection of link faults: endpoints of a region that fail together, and answers that all take longer.
+"""Detects link faults: correlated failures of a region's endpoints, and answers that all take longer.
 
-Many endpoints behind one link that fail together indicate a fault of the link; a single one is left to the
+If many endpoints behind one link fail together, the link is at fault. A single failed endpoint is left to the
 decision module.
 """
 
@@ -11,30 +11,31 @@
 
 from heathwell.service.regions.link_state import EndpointActivity, LinkState, RegionLink
 
-MINIMUM_FAILED_ENDPOINTS = 3  # two may share a rack
-MINIMUM_FAILED_FRACTION = 0.6  # of the endpoints used lately
-SILENCE_HOME_LATENCIES = 5.0  # usual latencies at home after which an endpoint without a result is silent
+MINIMUM_FAILED_ENDPOINTS = 3  # Two endpoints may fail together because they share a rack.
+MINIMUM_FAILED_FRACTION = 0.6  # Of the endpoints used recently.
+# An endpoint without a result is silent after this many mean latencies of the home region, within the bounds.
+SILENCE_HOME_LATENCIES = 5.0
 MINIMUM_SILENCE_US = 150_000
 MAXIMUM_SILENCE_US = 1_000_000
-FLAPPING_SILENCE_US = 3_000_000  # silence over a flapping link that makes it a cut
-EVIDENCE_WINDOW_US = 5_000_000  # how long the last result of an endpoint counts
+FLAPPING_SILENCE_US = 3_000_000  # After this much silence a flapping link counts as down.
+EVIDENCE_WINDOW_US = 5_000_000  # How long the last result of an endpoint is evidence.
 
 
 @dataclass(frozen=True, slots=True)
 class HomeHealth:
-    """The usual latency of the home region (us) and the instant of its last answer."""
+    """The mean latency of the home region (us) and the time of its last answer."""
 
     latency_us: float
     last_ok_at_us: int
 
     def is_answering(self, now_us: int) -> bool:
-        """Return whether the home region answered lately."""
+        """Return whether the home region answered recently."""
         return self.last_ok_at_us >= 0 and now_us - self.last_ok_at_us < EVIDENCE_WINDOW_US
 
 
 @dataclass(frozen=True, slots=True)
 class CorrelatedFailure:
-    """Endpoints of one region that failed together; ``is_silence``: most of them without any result."""
+    """A failure of several endpoints of one region; with ``is_silence`` most of them returned no result."""
 
     evidence: str
     is_silence: bool
@@ -43,9 +44,9 @@
 def find_correlated_failure(
     now_us: int, link: RegionLink, endpoints: Iterable[EndpointActivity], home: HomeHealth
 ) -> CorrelatedFailure | None:
-    """Return the fault of a link that its endpoints show, or None.
+    """Return the correlated failure of a link's endpoints, or None.
 
-    Results from before the link's last change of state belong to an earlier fault and don't count.
+    Results from before the link's last change of state belong to an earlier fault and are ignored.
     """
     silence_limit_us = _silence_limit_us(now_us, link, home)
     used_count = failed_count = silent_count = 0
@@ -63,7 +64,7 @@
         silent_count += is_silent
     if failed_count < MINIMUM_FAILED_ENDPOINTS or failed_count < MINIMUM_FAILED_FRACTION * used_count:
         return None
-    # With home as silent the fault is this broker's, or everybody's, and not the link's.
+    # If the home region does not answer either, the fault is not the link's but this broker's or global.
     if not home.is_answering(now_us):
         return None
     evidence = (
@@ -74,11 +75,11 @@
 
 
 def _silence_limit_us(now_us: int, link: RegionLink, home: HomeHealth) -> float:
-    """After how long without a result an endpoint of the region is silent."""
+    """Return after how long without a result an endpoint of the region is silent."""
     if link.state != LinkState.SLOW:
         limit_us = max(SILENCE_HOME_LATENCIES * home.latency_us, MINIMUM_SILENCE_US)
         return min(limit_us, MAXIMUM_SILENCE_US) + link.route.round_trip_us
-    # Answers over a slow link are known to take long, and over a flapping one even longer.
+    # Answers over a slow link take longer, and over a flapping link even longer.
     return FLAPPING_SILENCE_US if link.is_flapping(now_us) else MAXIMUM_SILENCE_US + home.latency_us
 
 
@@ -103,5 +104,5 @@
 
 
 def first_decile_us(latencies_us: Sequence[int]) -> int:
-    """Return the first decile: the delay of the route, with little of the endpoints' own work in it."""
+    """Return the first decile, which is mostly the delay of the route and little of the endpoints' work."""
     return sorted(latencies_us)[len(latencies_us) // 10]
--- a/heathwell/service/regions/link_state.py
+++ b/heathwell/service/regions/link_state.py
@@ -1,4 +1,4 @@
-"""Records of the links to other regions and of the endpoints behind them."""
+"""The state of links to other regions and of the endpoints behind them."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-FLAP_FALLS = 2  # falls within :data:`FLAP_WINDOW_US` that make a link a flapping one
+FLAP_FALLS = 2  # A link that goes down so often within :data:`FLAP_WINDOW_US` is flapping.
 FLAP_WINDOW_US = 10_000_000
-LATENCY_SAMPLES = 32  # latest answers by which the delay of a link is judged
+LATENCY_SAMPLES = 32  # The number of latest answers by which the delay of a link is measured.
 FIRST_TRIAL_INTERVAL_US = 500_000
-SUSPICION_INTERVAL_US = 1_000_000  # between two suspicions of one link
+SUSPICION_INTERVAL_US = 1_000_000  # The minimum interval between two suspicions of one link.
 NEVER_AT_US = -1
 
-AttemptKey = tuple[str, int]  # the id of a part, and the number of the attempt
+AttemptKey = tuple[str, int]  # The id of a part and the number of the attempt.
 PROBE: AttemptKey = ("probe", 0)
 
 
 class LinkState(StrEnum):
-    """The state of a link as one broker observes it."""
+    """The state of a link as observed by one broker."""
 
     OPEN = "open"
     SLOW = "slow"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionRoute:
-    """The route to a region by settings: its usual round trip (us), and the cost of a part that crosses."""
+    """The configured route to a region: its expected round trip (us) and the cost of a part that crosses."""
 
     round_trip_us: int = 0
     cost: float = 1.0
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkChange:
-    """A change of state of the link to a region, with its evidence in words."""
+    """A change of state of the link to a region, with a description of the evidence."""
 
     region: str
     state: LinkState
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkRestrictions:
-    """``deprioritized`` endpoints serve only where no other does, ``excluded`` ones not at all."""
+    """``deprioritized`` endpoints are used only if no other can serve a part, ``excluded`` ones never."""
 
     deprioritized: frozenset[str]
     excluded: frozenset[str]
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class EndpointActivity:
-    """The last results of one endpoint, and when each of its pending attempts was sent."""
+    """The last results of one endpoint, and the time when each of its pending attempts was sent."""
 
     node: str
     region: str
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class RegionLink:
-    """One link as this broker observes it; ``evidence`` tells why it is in its state, for the log."""
+    """One link as observed by this broker; ``evidence`` describes for the log why it is in its state."""
 
     region: str
     state: LinkState = LinkState.OPEN
@@ -86,9 +86,9 @@
     fell_at_us: deque[int] = field(default_factory=lambda: deque(maxlen=FLAP_FALLS))
 
     def fell_repeatedly_within(self, now_us: int, window_us: int) -> bool:
-        """Return whether the last :data:`FLAP_FALLS` falls are all within a window."""
+        """Return whether the link went down :data:`FLAP_FALLS` times within a window."""
         return len(self.fell_at_us) == FLAP_FALLS and now_us - self.fell_at_us[0] < window_us
 
     def is_flapping(self, now_us: int) -> bool:
-        """Return whether the link fell repeatedly not long ago."""
+        """Return whether the link went down repeatedly within twice :data:`FLAP_WINDOW_US`."""
         return self.fell_repeatedly_within(now_us, 2 * FLAP_WINDOW_US)
--- a/heathwell/service/regions/region_links.py
+++ b/heathwell/service/regions/region_links.py
@@ -1,16 +1,17 @@
-"""The links of one broker to other regions: events of attempts and probes in, restrictions out. Pure.
+"""Tracks the state of a broker's links to other regions and restricts endpoints accordingly, without any I/O.
 
-Which endpoints are *excluded* (nothing may be sent to them) and which are *deprioritized* (used only where no
-other can serve) follows from the state of their region's link; the decision module selects among the rest.
+The input is the events of attempts and probes. The state of a region's link determines which of its endpoints
+are *excluded* (get no attempts) and which are *deprioritized* (used only if no other can serve a part). The
+decision module selects among the rest. The states are:
 
 - *open*, at the start and after half open: no restriction.
-- *slow*, when its quickest answers take ``SLOW_FRACTION`` of the shortest latency objective longer than those
-  of the home region: the region's endpoints are deprioritized.
-- *down*, when endpoints of the region failed together while home answers (:mod:`link_faults`): they are
-  excluded, and a few are probed at growing, jittered intervals. Late answers of ``LATE_ENDPOINTS`` make the
-  link slow.
-- *half open*, when a probe was answered: a growing, random fraction of the endpoints is usable, one step each
-  ``RECOVERY_STEP_US`` while answers arrive.
+- *slow*, when the fastest answers take longer than those of the home region by ``SLOW_FRACTION`` of the
+  shortest latency objective: the region's endpoints are deprioritized.
+- *down*, when endpoints of the region failed together while the home region answers (:mod:`link_faults`):
+  they are excluded, and a few are probed at growing, jittered intervals. Late answers of ``LATE_ENDPOINTS``
+  endpoints make the link slow.
+- *half open*, when a probe was answered: a growing, random fraction of the endpoints is usable, one step
+  every ``RECOVERY_STEP_US`` while answers arrive.
 """
 
 from __future__ import annotations
@@ -46,16 +47,17 @@
 )
 
 FAILURES = (Outcome.UNREACHABLE, Outcome.BROKEN, Outcome.TIMED_OUT)
-RESPONSES = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED)  # each of them crossed the link
-LATE_ENDPOINTS = 2  # endpoints whose late answers show that a link is slow and not cut
-SLOW_FRACTION = 0.15  # of the shortest objective: additional delay from which a link is slow
-FAST_FRACTION = 0.08  # of the shortest objective: additional delay below which it is open again
+RESPONSES = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED)  # Outcomes that show that the link works.
+LATE_ENDPOINTS = 2  # Late answers of so many endpoints show that a link is slow rather than down.
+# A link is slow if its additional delay exceeds this fraction of the shortest latency objective.
+SLOW_FRACTION = 0.15
+FAST_FRACTION = 0.08  # A slow link is open again if the additional delay is below this fraction.
 MAXIMUM_TRIAL_INTERVAL_US = 2_000_000
 TRIAL_JITTER = (0.6, 1.4)
-TRIAL_ENDPOINTS = 2  # probed at a trial: one may be down by itself
-SUSPICION_ENDPOINTS = 4  # probed once an endpoint of the region is silent
-QUICK_PROBES = 4  # quick ones in a row after which a slow link is open again: one may be jitter
-RECOVERY_FRACTIONS = (0.25, 0.5, 1.0)  # of the region's endpoints that are usable while half open
+TRIAL_ENDPOINTS = 2  # Endpoints probed in a trial: a single one may itself be down.
+SUSPICION_ENDPOINTS = 4  # Endpoints probed once an endpoint of the region is silent.
+QUICK_PROBES = 4  # A slow link is open again after so many fast probes in a row: a single one may be jitter.
+RECOVERY_FRACTIONS = (0.25, 0.5, 1.0)  # The fraction of the region's endpoints usable in each half-open step.
 RECOVERY_STEP_US = 400_000
 LATENCY_GAIN = 0.1
 
@@ -63,10 +65,10 @@
 class RegionLinks:
     """The links of one broker.
 
-    ``shortest_objective_us`` is the shortest latency objective of a class. ``prefers_home`` deprioritizes all
-    endpoints of other regions; without ``judges_links`` the state of every link stays open.
+    ``shortest_objective_us`` is the shortest latency objective of any class. ``prefers_home`` deprioritizes
+    all endpoints of other regions; without ``judges_links`` every link stays open.
     ``maximum_additional_crossings`` and ``crossing_cost_budget`` are the bounds of a :class:`CrossingBudget`.
-    ``routes`` gives what settings state of the route to a region.
+    ``routes`` holds the configured route to each region.
     """
 
     def __init__(
@@ -101,7 +103,7 @@
         self._changes: list[LinkChange] = []
 
     def set_endpoints(self, region_by_node: Mapping[str, str]) -> None:
-        """Take the endpoint list, with the region of each endpoint."""
+        """Set the listed endpoints, with the region of each."""
         for node, region in region_by_node.items():
             endpoint = self._endpoints.get(node)
             if endpoint is None or endpoint.region != region:
@@ -113,7 +115,7 @@
     # Events of attempts and probes
 
     def on_attempt_sent(self, now_us: int, node: str, key: AttemptKey) -> None:
-        """Record an attempt."""
+        """Record that an attempt was sent."""
         endpoint = self._endpoints.get(node)
         if endpoint is None:
             return
@@ -153,7 +155,7 @@
         self._home_latencies_us.append(duration_us)
 
     def on_late_answer(self, now_us: int, node: str) -> None:
-        """Record an answer after its attempt's end: from enough endpoints it shows that the link is up."""
+        """Record an answer after its attempt's end; from enough endpoints these show that the link is up."""
         endpoint = self._endpoints.get(node)
         link = self.links.get(endpoint.region) if endpoint is not None else None
         if endpoint is None or link is None:
@@ -173,7 +175,8 @@
             return
         sent_at_us = link.probe_sent_at_us.pop(node, None)
         if outcome == Outcome.TIMED_OUT and PROBE in endpoint.pending_since_us:
-            return  # its answer may still arrive over a slow link: it counts as silent since it was sent
+            # The answer may still arrive over a slow link: the endpoint is silent since the probe was sent.
+            return
         endpoint.pending_since_us.pop(PROBE, None)
         if outcome != Outcome.OK:
             endpoint.last_failed_at_us = now_us
@@ -188,18 +191,18 @@
             self._enter(now_us, link, LinkState.HALF_OPEN, f"probe of {node} answered")
 
     def _count_quick_probe(self, now_us: int, link: RegionLink, duration_us: int) -> None:
-        """Open a slow link after enough quick probes in a row."""
+        """Open a slow link after enough fast probes in a row."""
         is_quick = duration_us < FAST_FRACTION * self._shortest_objective_us + link.route.round_trip_us
         link.quick_probe_count = link.quick_probe_count + 1 if is_quick else 0
         if link.quick_probe_count >= QUICK_PROBES:
-            # The event log quotes the evidence, whose words stay as they are.
+            # The evidence is part of event records, so its wording must not change.
             evidence = f"{QUICK_PROBES} probes in a row back within {FAST_FRACTION:g} of an aim"
             self._enter(now_us, link, LinkState.OPEN, evidence)
 
     # Periodic judgement
 
     def tick(self, now_us: int) -> list[str]:
-        """Judge the links by the evidence so far, and return the endpoints to probe."""
+        """Update the states of the links by the evidence so far, and return the endpoints to probe."""
         if not self._judges_links:
             return []
         return [node for link in self.links.values() for node in self._judge(now_us, link)]
@@ -215,7 +218,7 @@
                 return []
             if link.state != LinkState.HALF_OPEN:
                 nodes_to_probe += self._probe_on_suspicion(now_us, link, endpoints)
-        # Over a slow link too: deprioritized endpoints bring no answers by which to judge the link.
+        # Slow links are probed too, as deprioritized endpoints get too few attempts to measure the link by.
         if link.state in (LinkState.DOWN, LinkState.SLOW) and now_us >= link.trial_at_us:
             nodes_to_probe += self._start_trial(now_us, link, endpoints)
         elif link.state == LinkState.HALF_OPEN and now_us >= link.recovery_step_at_us + RECOVERY_STEP_US:
@@ -226,14 +229,14 @@
 
     def _on_correlated_failure(self, now_us: int, link: RegionLink, failure: CorrelatedFailure) -> None:
         if failure.is_silence and link.state == LinkState.OPEN:
-            # After so short a silence it may be slow and not cut: down only if the silence lasts.
+            # After such a short silence the link may only be slow: it is down only if the silence lasts.
             link.suspected_at_us = now_us - SUSPICION_INTERVAL_US
             self._enter(now_us, link, LinkState.SLOW, failure.evidence)
             return
         if link.state != LinkState.HALF_OPEN and not link.is_flapping(now_us):
             link.fell_at_us.append(now_us)
             if link.fell_repeatedly_within(now_us, FLAP_WINDOW_US):
-                # Excluding the endpoints again and again costs more than a flap delays.
+                # Excluding the endpoints repeatedly would cost more than the delays by a flapping link.
                 link.late_answer_at_us.clear()
                 evidence = f"{FLAP_FALLS} falls within {FLAP_WINDOW_US // 1_000_000} s: it flaps"
                 self._enter(now_us, link, LinkState.SLOW, evidence)
@@ -248,9 +251,9 @@
     def _probe_on_suspicion(
         self, now_us: int, link: RegionLink, endpoints: Sequence[EndpointActivity]
     ) -> list[str]:
-        """Choose endpoints to probe, as one is silent, to learn whether it is the only one.
+        """Return endpoints to probe if one is silent, to find out whether it is the only one.
 
-        They are judged like those with pending attempts: there may be too little work to judge by.
+        A pending probe counts like a pending attempt, as there may be too few attempts to detect a fault by.
         """
         is_too_early = now_us - link.suspected_at_us < SUSPICION_INTERVAL_US
         if is_too_early or not has_silent_endpoint(now_us, endpoints):
@@ -284,7 +287,7 @@
             link.recovery_step_at_us = now_us
 
     def _compare_latency(self, now_us: int, link: RegionLink) -> None:
-        """Judge the delay of a link by its quickest answers, as endpoints differ."""
+        """Compare the delay of a link with the home region, by the fastest answers, as endpoints differ."""
         if min(len(link.latencies_us), len(self._home_latencies_us)) < LATENCY_SAMPLES // 2:
             return
         difference_us = first_decile_us(link.latencies_us) - first_decile_us(self._home_latencies_us)
@@ -301,7 +304,7 @@
         link.since_us = now_us
         link.evidence = evidence
         link.quick_probe_count = 0
-        link.latencies_us.clear()  # earlier latencies are no evidence on the link as it is now
+        link.latencies_us.clear()  # Earlier latencies are no evidence for the new state.
         if state == LinkState.SLOW:
             link.trial_at_us = now_us + self._jittered_us(MAXIMUM_TRIAL_INTERVAL_US)
 
@@ -312,7 +315,7 @@
     # Results
 
     def take_changes(self) -> list[LinkChange]:
-        """Return the changes of links since the last call."""
+        """Return the changes of the links' states since the last call."""
         changes = self._changes
         self._changes = []
         return changes
--- a/heathwell/service/retry_storms/__init__.py
+++ b/heathwell/service/retry_storms/__init__.py
@@ -1,4 +1,4 @@
-"""Retry and reconnect storms: early detection, load admission while one lasts, and retry instants. Pure."""
+"""Protection from retry and reconnect storms: detection, admission by cost, and retry times, without I/O."""
 
 from heathwell.service.retry_storms.connection_limiter import ConnectionLimiter, ConnectionVerdict
 from heathwell.service.retry_storms.count_min_sketch import CountMinSketch, hash_names
--- a/heathwell/service/retry_storms/accept_pacer.py
+++ b/heathwell/service/retry_storms/accept_pacer.py
@@ -1,16 +1,16 @@
-"""The rate at which connections are accepted: a token bucket whose rate grows after the start."""
+"""Limits the rate of accepted connections by a token bucket whose rate grows after the start."""
 
 from __future__ import annotations
 
-BURST_SECONDS = 0.25
-GROWTH_FACTOR = 1.25  # a tick
+BURST_SECONDS = 0.25  # The bucket holds the tokens of this time.
+GROWTH_FACTOR = 1.25  # For each tick.
 
 
 class AcceptPacer:
     """Limits accepted connections to ``rate`` a second (0: no limit).
 
-    The rate grows from ``initial_rate`` during the ``warm_up_us`` after the start, and applies as it has
-    grown whenever the broker is not calm.
+    The rate grows from ``initial_rate`` after the start. The grown rate applies during ``warm_up_us`` after
+    the start, and later while the storm state is not calm.
     """
 
     def __init__(self, now_us: int, initial_rate: float, rate: float, warm_up_us: int) -> None:
@@ -38,7 +38,7 @@
         self._tokens -= 1
 
     def tick(self) -> None:
-        """Let the rate grow towards its limit."""
+        """Increase the grown rate up to its limit."""
         if self._grown_rate:
             grown_rate = self._grown_rate * GROWTH_FACTOR
             self._grown_rate = min(grown_rate, self._rate or grown_rate)
--- a/heathwell/service/retry_storms/connection_limiter.py
+++ b/heathwell/service/retry_storms/connection_limiter.py
@@ -1,8 +1,9 @@
-"""Limits on connections, in all and of one address. Pure.
+"""Limits the number of connections, in total and for each address, without any I/O.
 
-An address that opens connections without end is stopped by its own limit. At the limit of all, the longest
-idle connection of the address with the most is evicted for an address that holds clearly fewer; otherwise the
-new connection is rejected. A connection with a request in progress is never evicted.
+An address that keeps opening connections is stopped by the limit for one address. At the total limit, the
+connection that has been idle longest is evicted from the address with the most connections, if the new
+connection is from an address with clearly fewer; otherwise the new connection is rejected. A connection with
+a request in progress is never evicted.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionVerdict:
-    """Whether a connection is admitted, and the number of the one to close for it, if any."""
+    """Whether a connection is admitted, and the number of the connection to close for it, if any."""
 
     is_admitted: bool
     evicted: int | None = None
@@ -24,7 +25,7 @@
 
 
 class ConnectionLimiter:
-    """Connections by number: ``maximum`` in all, ``maximum_per_address`` of one address (0: no limit)."""
+    """Connections by number: ``maximum`` in total, ``maximum_per_address`` for an address (0: no limit)."""
 
     def __init__(self, maximum: int, maximum_per_address: int = 0) -> None:
         self.rejected_count = 0
@@ -38,7 +39,7 @@
         return len(self._address_by_number)
 
     def admit(self, number: int, address: str, is_idle: Callable[[int], bool]) -> ConnectionVerdict:
-        """Decide on a new connection, and record it where it is admitted."""
+        """Decide on a new connection, and record it if it is admitted."""
         own_numbers = self._numbers_by_address.get(address, OrderedDict())
         if self._maximum_per_address and len(own_numbers) >= self._maximum_per_address:
             self.rejected_count += 1
@@ -56,7 +57,10 @@
         return ConnectionVerdict(is_admitted=True, evicted=evicted)
 
     def _find_evictable(self, own_count: int, is_idle: Callable[[int], bool]) -> int | None:
-        """Return the longest idle connection of the address with the most, if it has clearly more."""
+        """Return the connection to evict from the address with the most, or None.
+
+        This is the one idle longest, if the address has clearly more connections than ``own_count``.
+        """
         most_numbers = max(self._numbers_by_address.values(), key=len)
         if len(most_numbers) <= own_count + 1:
             return None
--- a/heathwell/service/retry_storms/count_min_sketch.py
+++ b/heathwell/service/retry_storms/count_min_sketch.py
@@ -1,7 +1,7 @@
 """Decaying counts of many keys in bounded memory.
 
-A count-min sketch (Cormode, Muthukrishnan 2005) under forward decay (Cormode and others 2009). It never
-underestimates, and overestimates only by keys that collide. Hashes are xxh64.
+This is a count-min sketch (Cormode, Muthukrishnan 2005) with forward decay (Cormode and others 2009). It
+never underestimates a count, and overestimates only by the counts of colliding keys. Hashes are xxh64.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 import xxhash
 
-MAXIMUM_HALVINGS = 60  # since the landmark, before counters are scaled down
-NEGLIGIBLE_HALVINGS = 1000  # 2.0 ** -1000: nothing is left of a count
+MAXIMUM_HALVINGS = 60  # Half-lives since the landmark after which counters are scaled down.
+NEGLIGIBLE_HALVINGS = 1000  # 2.0 ** -1000: nothing is left of a count.
 
 
 def hash_names(*names: str) -> int:
-    """Return a 64-bit hash of some names together."""
+    """Return a 64-bit hash of several names."""
     return xxhash.xxh64_intdigest("\x1f".join(names).encode("utf-8", "replace"))
 
 
@@ -33,18 +33,18 @@
         self._landmark_us = 0
 
     def _columns(self, key: int) -> Iterator[int]:
-        """Return a column for each row, from two halves of one hash (Kirsch, Mitzenmacher 2006)."""
+        """Yield a column for each row, by double hashing of one hash's halves (Kirsch, Mitzenmacher 2006)."""
         first = key & 0xFFFFFFFF
         second = key >> 32 | 1
         for row in range(len(self._counters)):
             yield (first + row * second) % self._width
 
     def _weight(self, now_us: int) -> float:
-        """Return what an event counts now, relative to one at the landmark."""
+        """Return the weight of an event now relative to one at the landmark; may set a new landmark."""
         halvings = (now_us - self._landmark_us) / self._half_life_us
         if halvings <= MAXIMUM_HALVINGS:
             return float(2.0**halvings)
-        # A new landmark keeps the counters in the range of a float.
+        # Setting a new landmark keeps the counters within the range of a float.
         scale = 2.0**-halvings if halvings < NEGLIGIBLE_HALVINGS else 0.0
         for row in self._counters:
             for column in range(self._width):
@@ -53,7 +53,7 @@
         return 1.0
 
     def add(self, key: int, now_us: int, amount: float = 1.0) -> None:
-        """Count a hash, by conservative update: only its smallest counters must grow."""
+        """Count a hash by conservative update, which only raises the counters below the new count."""
         weight = self._weight(now_us)
         cells = list(zip(self._counters, self._columns(key), strict=True))
         count = min(row[column] for row, column in cells) + amount * weight
@@ -61,7 +61,7 @@
             row[column] = max(row[column], count)
 
     def count(self, key: int, now_us: int) -> float:
-        """Return the decayed count of a hash, or more."""
+        """Return an upper bound of the decayed count of a hash."""
         weight = self._weight(now_us)
         cells = zip(self._counters, self._columns(key), strict=True)
         return min(row[column] for row, column in cells) / weight
--- a/heathwell/service/retry_storms/expiring_map.py
+++ b/heathwell/service/retry_storms/expiring_map.py
@@ -8,9 +8,9 @@
 
 
 class ExpiringMap(Generic[ValueT]):
-    """Values by hash, in two generations: each is kept between ``span_us`` and twice that.
+    """Values by hash, in two generations; each value is kept for ``span_us`` to twice ``span_us``.
 
-    A generation holds ``maximum`` values at most.
+    A generation holds at most ``maximum`` values.
     """
 
     def __init__(self, span_us: int, maximum: int) -> None:
@@ -30,7 +30,7 @@
         self._rotated_at_us = now_us
 
     def put(self, key: int, value: ValueT, now_us: int) -> None:
-        """Store a value; a new key is dropped, and counted, while its generation is full."""
+        """Store a value; a new key is dropped and counted as dropped while the current generation is full."""
         self._rotate(now_us)
         if len(self._current) >= self._maximum and key not in self._current:
             self.dropped_count += 1
@@ -38,7 +38,7 @@
         self._current[key] = value
 
     def get(self, key: int, now_us: int) -> ValueT | None:
-        """Return the value of a key, or None where it is unknown or expired."""
+        """Return the value of a key, or None if it is unknown or expired."""
         self._rotate(now_us)
         value = self._current.get(key)
         return value if value is not None else self._previous.get(key)
--- a/heathwell/service/retry_storms/retry_schedule.py
+++ b/heathwell/service/retry_storms/retry_schedule.py
@@ -1,16 +1,16 @@
-"""When rejected clients may retry, so that retries arrive evenly and within the endpoints' capacity."""
+"""Schedules when rejected clients may retry, so that retries arrive evenly and within capacity."""
 
 from __future__ import annotations
 
 import random
 
 SLOT_US = 100_000
-RETRY_FRACTION = 0.8  # of a slot's capacity that is booked: the rest is for first attempts
-LATE_RETRY_RANGE = (0.5, 1.0)  # of the latest delay, where no slot is free
+RETRY_FRACTION = 0.8  # The fraction of a slot's capacity that is booked; the rest is for first attempts.
+LATE_RETRY_RANGE = (0.5, 1.0)  # The delay if no slot is free, as fractions of the longest delay.
 
 
 class RetrySchedule:
-    """Bookings of work in the slots of the time ahead."""
+    """Bookings of work in future time slots."""
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
@@ -20,10 +20,10 @@
     def book(
         self, now_us: int, cost: float, rate_per_us: float, shortest_delay_us: int, longest_delay_us: int
     ) -> int:
-        """Book work and return its delay (us): in the first slot with capacity, at a random instant in it.
+        """Book work in the first slot with free capacity, and return the delay (us) to a random time in it.
 
-        ``rate_per_us`` is the cost that may arrive in a microsecond. Without a slot before
-        ``longest_delay_us`` the delay is drawn from the later half of that, and nothing is booked.
+        ``rate_per_us`` is the cost that may arrive in a microsecond. If no slot before ``longest_delay_us``
+        is free, the delay is drawn from the later half of that time and nothing is booked.
         """
         self._drop_past_slots(now_us // SLOT_US)
         slot = (now_us + shortest_delay_us) // SLOT_US + 1
--- a/heathwell/service/retry_storms/storm_controller.py
+++ b/heathwell/service/retry_storms/storm_controller.py
@@ -1,16 +1,19 @@
-"""Protection of one broker from retry storms: which queries it admits, and when the others may retry. Pure.
-
-- *calm*: everything is admitted; a retry instant is scheduled for each rejected query all the same.
-- *building*, when unscheduled repeats make ``BUILDING_REPEAT_FRACTION`` of the requests, or connections
-  arrive at ``SURGE_FACTOR`` times their usual rate: accepted connections are limited.
-- *storm*, when repeats make ``STORM_REPEAT_FRACTION`` and queries are rejected, for ``CONFIRMATION_TICKS``:
-  the work that reaches the module is limited to the observed capacity of the endpoints. Retries on schedule
-  go first, then first attempts, and early retries last.
-- *draining*, when the fraction of repeats is low: as in a storm, at a rate that grows while answers arrive
-  within their objective.
-
-The controller decides by who asks and when, never by endpoints; the module sheds of the admitted queries by
-its own estimates. A process that has just started is draining, as it has no evidence yet.
+"""Protects a broker from retry storms: which queries are admitted, and when the others may retry.
+
+There is no I/O. The states are:
+
+- *calm*: all queries are admitted. A retry time is scheduled for rejected queries nevertheless.
+- *building*, when ``BUILDING_REPEAT_FRACTION`` of the requests are unscheduled repeats, or connections
+  arrive at ``SURGE_FACTOR`` times their baseline rate: the rate of accepted connections is limited.
+- *storm*, when repeats are ``STORM_REPEAT_FRACTION`` of the requests and queries are rejected, both for
+  ``CONFIRMATION_TICKS``: the work that reaches the decision module is limited to the observed capacity of the
+  endpoints. Retries on schedule are admitted first, then first attempts, and early retries last.
+- *draining*, when the fraction of repeats is low: as in a storm, but at a rate that grows while answers
+  arrive within their objective.
+
+The controller decides by the client and the time of its request, never by endpoints. The decision module
+sheds admitted queries by its own estimates. A process that limits its initial work rate starts in draining,
+as it has no evidence yet.
 """
 
 from __future__ import annotations
@@ -35,21 +38,22 @@
 from heathwell.service.retry_storms.work_budget import WorkBudget
 
 SCHEDULE_SEED_MASK = 0xCA1
-EARLY_TOLERANCE = 0.1  # of the delay by which a retry may be early: clocks and sleeps are imprecise
-RESERVED_FRACTIONS = {  # of the work budget, which a kind of request must leave
+EARLY_TOLERANCE = 0.1  # A retry may be early by this fraction of its delay, as clients' timers are imprecise.
+# The fraction of the work budget that requests of a kind must leave unused.
+RESERVED_FRACTIONS = {
     RequestKind.ON_SCHEDULE: 0.0,
     RequestKind.FIRST: 0.3,
     RequestKind.REPEATED: 0.3,
     RequestKind.EARLY: 0.8,
 }
-MAXIMUM_PENALTY = 8.0
-MAXIMUM_PENALTY_DELAY = 0.75  # of the longest retry delay
-MAXIMUM_REMEMBERED = 100_000  # retry instants, and requests
-RETRY_USED = 0  # in place of a retry instant
+MAXIMUM_PENALTY = 8.0  # The highest number of early retries that a penalty is computed from.
+MAXIMUM_PENALTY_DELAY = 0.75  # The longest penalty, as a fraction of the longest retry delay.
+MAXIMUM_REMEMBERED = 100_000  # The maximum number of retry times, and of requests, that are kept.
+RETRY_USED = 0  # Stored in place of a retry time that was used.
 
 
 class StormController:
-    """The storm protection of one broker. Work is in microseconds of the endpoints' time."""
+    """The storm controller of one broker. Work is in microseconds of the endpoints' time."""
 
     def __init__(self, limits: StormLimits, now_us: int, seed: int) -> None:
         longest_us = limits.longest_retry_after_us
@@ -65,17 +69,17 @@
 
     @property
     def state(self) -> StormState:
-        """The state now."""
+        """The current state."""
         return self._detector.state
 
     @property
     def evidence(self) -> str:
-        """The evidence for the last change of state, in words."""
+        """A description of the evidence for the last change of state."""
         return self._detector.evidence
 
     @property
     def capacity_us(self) -> float:
-        """The work that the endpoints answered in a second at best."""
+        """The most work that the endpoints answered in a second."""
         return self._budget.capacity_us
 
     @property
@@ -97,7 +101,10 @@
     # Queries
 
     def admit(self, now_us: int, client: str, key: str, cost_us: float) -> StormVerdict:
-        """Decide on a query before it reaches the module. ``client`` is an address and a subject."""
+        """Decide on a query before it reaches the decision module.
+
+        ``client`` names the client's address and the query's subject.
+        """
         request = hash_names(client, key)
         kind = self._classify(now_us, request, client)
         self._window.current.requests += 1
--- a/heathwell/service/retry_storms/storm_detector.py
+++ b/heathwell/service/retry_storms/storm_detector.py
@@ -1,4 +1,4 @@
-"""The state of a retry storm, by the evidence of the last ticks. Pure."""
+"""Detects retry storms by the statistics of the last ticks, without any I/O."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 CONFIRMATION_TICKS = 2
 LOW_TICKS = 4
 CALM_TICKS = 12
-SURGE_FACTOR = 5.0  # times the usual connection rate
-MINIMUM_SURGE_RATE = 20.0  # connections a second
+SURGE_FACTOR = 5.0  # A connection rate over this multiple of the baseline is a surge.
+MINIMUM_SURGE_RATE = 20.0  # Connections a second; a lower rate is no surge.
 BASELINE_RATE_GAIN = 0.02
 
 
 class StormState(StrEnum):
-    """The state of one broker; it is described at :class:`StormController`."""
+    """The state of one broker; :mod:`.storm_controller` describes the states."""
 
     CALM = "calm"
     BUILDING = "building"
@@ -28,12 +28,12 @@
     DRAINING = "draining"
 
 
-LIMITING_STATES = (StormState.STORM, StormState.DRAINING)  # in which admission limits queries
+LIMITING_STATES = (StormState.STORM, StormState.DRAINING)  # Queries are limited in these states.
 
 
 @dataclass(frozen=True, slots=True)
 class StormChange:
-    """A change of state with its evidence in words."""
+    """A change of state, with a description of the evidence."""
 
     previous: StormState
     state: StormState
@@ -41,7 +41,7 @@
 
 
 class StormDetector:
-    """The state machine; its input is one :class:`WindowStatistics` a tick."""
+    """The state machine; its input is one :class:`WindowStatistics` for each tick."""
 
     def __init__(self, now_us: int, *, is_warming_up: bool) -> None:
         self.state = StormState.DRAINING if is_warming_up else StormState.CALM
@@ -52,7 +52,7 @@
         self._low_tick_count = 0
 
     def update(self, now_us: int, statistics: WindowStatistics) -> StormChange | None:
-        """Take the statistics of a tick, and return the change of state that follows, if any."""
+        """Update the state by the statistics of a tick, and return its change, if any."""
         is_surge = statistics.connection_rate > max(
             MINIMUM_SURGE_RATE, SURGE_FACTOR * self._baseline_connection_rate
         )
@@ -88,7 +88,7 @@
         return StormState.CALM if self._low_tick_count >= CALM_TICKS and few_rejections else None
 
     def _describe(self, statistics: WindowStatistics) -> str:
-        """Return the evidence; the event log quotes it, so its words stay as they are."""
+        """Return a description of the evidence; event records hold it, so its wording must not change."""
         return (
             f"{statistics.repeat_fraction:.0%} of {statistics.requests} asks a second are repeats that no "
             f"advice sent, {statistics.rejections} refused, {statistics.connection_rate:.0f} connects a "
--- a/heathwell/service/retry_storms/storm_records.py
+++ b/heathwell/service/retry_storms/storm_records.py
@@ -1,4 +1,4 @@
-"""Records of the storm controller: its limits, kinds of requests, and verdicts."""
+"""Records of the storm controller: limits, kinds of requests, and verdicts."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class RequestKind(StrEnum):
-    """What a query is, by what its client was answered before."""
+    """The kind of a query, by the earlier requests and replies of its client."""
 
-    FIRST = "first"  # not asked lately
-    ON_SCHEDULE = "heeded"  # at its retry instant or later
-    EARLY = "early"  # before its retry instant
-    REPEATED = "again"  # asked lately, without a retry instant
+    FIRST = "first"  # Not requested recently.
+    ON_SCHEDULE = "heeded"  # At its scheduled retry time or later.
+    EARLY = "early"  # Before its scheduled retry time.
+    REPEATED = "again"  # Requested recently, without a scheduled retry time.
 
 
 UNSCHEDULED_REPEATS = (RequestKind.EARLY, RequestKind.REPEATED)
@@ -20,12 +20,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StormLimits:
-    """Limits from settings.
+    """Limits from the settings.
 
-    ``longest_retry_after_us`` is the latest retry that a client still benefits from. Within
-    ``repeat_interval_us`` the same question of the same client is a repeat. ``accept_rate`` and
-    ``initial_accept_rate`` are connections a second, once warmed up and just after the start;
-    ``initial_work_rate_us`` is work (us of the endpoints' time) a second just after the start. 0 is no bound.
+    ``longest_retry_after_us`` is the longest delay of a retry from which a client still benefits. The same
+    request of the same client within ``repeat_interval_us`` is a repeat. ``accept_rate`` and
+    ``initial_accept_rate`` are in connections a second, after the warm-up and just after the start;
+    ``initial_work_rate_us`` is in work (us of the endpoints' time) a second just after the start. A rate of 0
+    means no limit.
     """
 
     longest_retry_after_us: int = 8_000_000
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StormVerdict:
-    """Whether a query goes on to the module, its kind, and else after how long it may be retried."""
+    """Whether a query is admitted, its kind, and after how long it may be retried if it is not admitted."""
 
     is_admitted: bool
     kind: RequestKind
--- a/heathwell/service/retry_storms/storm_window.py
+++ b/heathwell/service/retry_storms/storm_window.py
@@ -1,4 +1,4 @@
-"""Counts of requests, replies and connections over the last ticks."""
+"""Counts requests, replies and connections over the last ticks."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 TICK_INTERVAL_US = 250_000
 WINDOW_TICKS = 4
-MINIMUM_REQUESTS = 10  # in the window, for a fraction of them to be evidence
+MINIMUM_REQUESTS = 10  # With fewer requests in the window, their fractions are no evidence.
 
 
 @dataclass(slots=True)
 class TickCounts:
-    """Counts of one tick; ``answered_work_us`` is the endpoints' time for the queries that were answered."""
+    """The counts of one tick; ``answered_work_us`` is the endpoints' time for the answered queries."""
 
     requests: int = 0
     repeats: int = 0
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowStatistics:
-    """Sums over the window; rates are by the second."""
+    """Sums over the window; rates are per second."""
 
     requests: int
     repeats: int
@@ -62,6 +62,6 @@
         )
 
     def advance(self) -> None:
-        """Begin the next tick."""
+        """Start the next tick."""
         self.current = TickCounts()
         self._ticks.append(self.current)
--- a/heathwell/service/retry_storms/work_budget.py
+++ b/heathwell/service/retry_storms/work_budget.py
@@ -1,32 +1,32 @@
-"""The rate of work that is admitted during a storm, in microseconds of the endpoints' time a second."""
+"""Limits the rate of work admitted during a storm, in microseconds of the endpoints' time a second."""
 
 from __future__ import annotations
 
 from heathwell.service.retry_storms.storm_window import WindowStatistics
 
-BURST_SECONDS = 0.25  # of the rate that an unused budget holds at most
-INITIAL_SECONDS = 0.5
-HEADROOM_FACTOR = 1.2  # over the observed capacity: else a higher one could never be observed
-GROWTH_FACTOR = 1.25  # a tick, while what is admitted is answered within its objective
-SHRINK_FACTOR = 0.8
-GOOD_FRACTION = 0.9  # of replies, from which the rate grows
-POOR_FRACTION = 0.5  # of replies, below which it shrinks
-MAXIMUM_RATE_FACTOR = 4.0  # of the known rate
-MINIMUM_RATE_FACTOR = 0.25
-CAPACITY_RETENTION = 0.999  # a tick: the observed capacity is retained for minutes
-MINIMUM_CAPACITY_FRACTION = 0.5  # below it observations are no evidence on the full capacity
+BURST_SECONDS = 0.25  # A full budget holds the work of this time.
+INITIAL_SECONDS = 0.5  # The initial budget holds the work of this time.
+HEADROOM_FACTOR = 1.2  # Over the observed capacity; without it a higher capacity could never be observed.
+GROWTH_FACTOR = 1.25  # For each tick while admitted queries are answered within their objective.
+SHRINK_FACTOR = 0.8  # For each tick while few queries are answered within their objective.
+GOOD_FRACTION = 0.9  # The rate grows if at least this fraction of replies is good.
+POOR_FRACTION = 0.5  # The rate shrinks if less than this fraction of replies is good.
+MAXIMUM_RATE_FACTOR = 4.0  # The highest rate, as a multiple of the known rate.
+MINIMUM_RATE_FACTOR = 0.25  # The lowest rate, as a multiple of the known rate.
+CAPACITY_RETENTION = 0.999  # For each tick: the observed capacity is retained for minutes.
+MINIMUM_CAPACITY_FRACTION = 0.5  # Below it, observations are no evidence of the full capacity.
 SMALLEST_DIVISOR = 0.05
 
 
 class WorkBudget:
-    """A token bucket in work, whose rate follows the observed capacity of the endpoints.
+    """A token bucket of work whose rate follows the observed capacity of the endpoints.
 
-    ``initial_rate_us`` (0: none) is also the least rate that is taken for known.
+    The known rate is the observed capacity with some headroom, and at least ``initial_rate_us`` (0: none).
     """
 
     def __init__(self, now_us: int, initial_rate_us: float) -> None:
         self.rate_us = initial_rate_us
-        self.capacity_us = 0.0  # work answered in a second at best
+        self.capacity_us = 0.0  # The most work answered in a second.
         self._initial_rate_us = initial_rate_us
         self._capacity_fraction = 1.0
         self._available_us = self.rate_us * INITIAL_SECONDS
@@ -34,7 +34,7 @@
 
     @property
     def current_capacity_us(self) -> float:
-        """The observed capacity, at the fraction of it that is available now."""
+        """The observed capacity times the fraction of it that is available now."""
         return self.capacity_us * self._capacity_fraction
 
     @property
@@ -42,7 +42,7 @@
         return max(self.current_capacity_us * HEADROOM_FACTOR, self._initial_rate_us)
 
     def observe_capacity(self, capacity_fraction: float, answered_work_rate_us: float) -> None:
-        """Take the available fraction of the capacity, and the rate of work that was answered."""
+        """Update the capacity by its available fraction and the rate of work that was answered."""
         self._capacity_fraction = capacity_fraction
         observed_us = 0.0
         if capacity_fraction > MINIMUM_CAPACITY_FRACTION:
@@ -50,28 +50,28 @@
         self.capacity_us = max(self.capacity_us * CAPACITY_RETENTION, observed_us)
 
     def restart(self, now_us: int) -> None:
-        """Set the rate to the known one, with an empty budget."""
+        """Reset the rate to the known rate, with an empty budget."""
         self.rate_us = self._known_rate_us
         self._available_us = 0.0
         self._refilled_at_us = now_us
 
     def adapt(self, statistics: WindowStatistics) -> None:
-        """Change the rate by the replies to what was admitted."""
+        """Adapt the rate to the replies to admitted queries."""
         if not statistics.replies:
             return
         if statistics.good_replies >= GOOD_FRACTION * statistics.replies:
-            # In a storm too: a rate held to what was answered so far would keep its rejections going.
+            # The rate grows during a storm too: at the rate answered so far, the rejections would not end.
             self.rate_us = min(self.rate_us * GROWTH_FACTOR, self._known_rate_us * MAXIMUM_RATE_FACTOR)
         elif statistics.good_replies < POOR_FRACTION * statistics.replies:
-            # Never to nothing: without answers there would be nothing to grow by again.
+            # The rate never shrinks to 0, as it grows only by good replies.
             self.rate_us = max(self.rate_us * SHRINK_FACTOR, self._known_rate_us * MINIMUM_RATE_FACTOR)
 
     def try_spend(
         self, now_us: int, cost_us: float, reserved_fraction: float, *, may_exceed_full: bool
     ) -> bool:
-        """Spend work where that leaves a fraction of the full budget, and return whether it was spent.
+        """Spend work if a fraction of the full budget remains, and return whether it was spent.
 
-        With ``may_exceed_full`` work of any size is admitted by a full budget.
+        With ``may_exceed_full`` a full budget admits work of any size.
         """
         full_us = self.rate_us * BURST_SECONDS
         refill_us = (now_us - self._refilled_at_us) * self.rate_us / 1e6
--- a/heathwell/service/vectors/__init__.py
+++ b/heathwell/service/vectors/__init__.py
@@ -1,4 +1,5 @@
 """Vector search over one shard: messages of broker and endpoint, payload filters, exact and indexed search.
 
-The package is imported by module: brokers need the messages and filter checks without numpy or the index.
+The package exports no names itself, as brokers need the messages and filter checks without numpy or the
+index.
 """
--- a/heathwell/service/vectors/filter_checks.py
+++ b/heathwell/service/vectors/filter_checks.py
@@ -1,7 +1,8 @@
-"""Checks of payload filters, made once at the broker; endpoints evaluate filters (:mod:`.filter_masks`).
+"""Checks payload filters once at the broker; endpoints evaluate them (:mod:`.filter_masks`).
 
-Supported: ``must``, ``should``, ``must_not``, ``min_should``, nested filters; ``match`` (value, any, except),
-``range``, ``values_count``, ``is_empty``, ``is_null``, ``has_id``. Others are rejected by name.
+Supported are the clauses ``must``, ``should``, ``must_not`` and ``min_should``, nested filters, and the
+conditions ``match`` (value, any, except), ``range``, ``values_count``, ``is_empty``, ``is_null`` and
+``has_id``. Others are rejected with their name.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class FilterError(ValueError):
-    """A filter that is not valid or not supported: ``problem`` at ``path``."""
+    """Raised for a filter that is invalid or not supported, with the ``problem`` and its ``path``."""
 
     def __init__(self, path: str, problem: str) -> None:
         super().__init__(f"{path}: {problem}")
@@ -36,18 +37,18 @@
 
 
 def check_filter(filter_: object, path: str = "filter") -> None:
-    """Raise :class:`FilterError` with the place of what is not valid or not supported."""
+    """Raise :class:`FilterError` with the path of what is invalid or not supported."""
     _Checker().check_filter(filter_, path, 0)
 
 
 class _Checker:
-    """One check; it counts conditions over all nested filters."""
+    """Checks one filter, and counts the conditions of all its nested filters."""
 
     def __init__(self) -> None:
         self._condition_count = 0
 
     def check_filter(self, raw: object, path: str, depth: int) -> None:
-        """Check the clauses of a filter, which is nested so deep."""
+        """Check the clauses of a filter at a depth of nesting."""
         if depth > MAXIMUM_DEPTH:
             raise FilterError(path, f"nested deeper than {MAXIMUM_DEPTH}")
         filter_ = _convert(raw, Filter, path)
--- a/heathwell/service/vectors/filter_masks.py
+++ b/heathwell/service/vectors/filter_masks.py
@@ -1,4 +1,4 @@
-"""Evaluation of checked payload filters over the points of a shard, as masks."""
+"""Evaluates checked payload filters over the points of a shard, as boolean masks."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from heathwell.service.vectors.search_messages import JsonObject
 
-# A predicate over payload values, which it narrows itself.
+# A predicate over payload values; it checks the types of values itself.
 Predicate = Callable[..., bool]
 COMPARISONS = (
     ("lt", np.less),
@@ -29,7 +29,7 @@
 
 
 def evaluate_filter(filter_: JsonObject, columns: PayloadColumns) -> Mask:
-    """Return which points match a checked filter."""
+    """Return a mask of the points that match a checked filter."""
     mask = np.ones(len(columns), bool)
     for condition in conditions_of(filter_.get("must")):
         mask &= _evaluate_condition(condition, columns)
@@ -88,7 +88,7 @@
 
 
 def _evaluate_is_null(columns: PayloadColumns, key: str) -> Mask:
-    """Return where a field is present and null: a missing one is empty, not null."""
+    """Return a mask of where a field is present and null; a missing field is empty but not null."""
     *path, last = key.split(".")
     parents = (value_at(payload, path) for payload in columns.payloads)
     is_null = (isinstance(parent, dict) and last in parent and parent[last] is None for parent in parents)
@@ -100,12 +100,12 @@
 
 
 def _any_value(predicate: Predicate) -> Predicate:
-    """Return a predicate that a list matches by any of its values."""
+    """Return a predicate that holds for a list if it holds for any of its values."""
     return lambda value: any(map(predicate, value)) if isinstance(value, list) else predicate(value)
 
 
 def _evaluate_match(match: JsonObject, columns: PayloadColumns, key: str) -> Mask:
-    """Evaluate equality, by the codes of the field's values where it has plain ones."""
+    """Evaluate a condition of equality, by the codes of the field's values if it has only plain values."""
     is_exclusion = match.get("except") is not None
     if match.get("value") is not None:
         given = [match["value"]]
--- a/heathwell/service/vectors/filter_schema.py
+++ b/heathwell/service/vectors/filter_schema.py
@@ -1,4 +1,4 @@
-"""The payload filters of the search API, as records with the API's field names."""
+"""Payload filters of the search API, as records with the API's field names."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class Match(_Strict):
-    """Equality; one of the three is given."""
+    """A condition of equality; exactly one of the fields is given."""
 
     value: Scalar | None = None
     any: list[int | str] | None = None
     except_: list[int | str] | None = msgspec.field(name="except", default=None)
 
     def given_count(self) -> int:
-        """Return how many of the three are given."""
+        """Return how many of the fields are given."""
         return sum(given is not None for given in (self.value, self.any, self.except_))
 
 
 class Range(_Strict):
-    """Bounds of a number."""
+    """Bounds on a number."""
 
     lt: float | None = None
     gt: float | None = None
@@ -37,7 +37,7 @@
 
 
 class FieldCondition(_Strict):
-    """A condition on a payload field; dots in the key lead into nested objects."""
+    """A condition on a payload field; dots in the key separate the names of nested fields."""
 
     key: str
     match: Match | None = None
@@ -61,7 +61,7 @@
 
 
 class Filter(_Strict):
-    """The four clauses; a condition of the first three may stand alone or in a list."""
+    """The four clauses of a filter; the first three are one condition or a list of conditions."""
 
     must: Any = None
     should: Any = None
@@ -70,7 +70,7 @@
 
 
 def conditions_of(clause: object) -> list[Any]:
-    """Return the conditions of a clause."""
+    """Return the conditions of a clause as a list."""
     if clause is None:
         return []
     return clause if isinstance(clause, list) else [clause]
--- a/heathwell/service/vectors/hnsw_index.py
+++ b/heathwell/service/vectors/hnsw_index.py
@@ -1,4 +1,4 @@
-"""An approximate index over the vectors of a shard (hierarchical navigable small worlds)."""
+"""An approximate index over the vectors of a shard (hierarchical navigable small world graph)."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 Floats = NDArray[np.float32]
 Indices = NDArray[np.int64]
-MINIMUM_CANDIDATES = 64  # that a search of the index keeps
-CONNECTIVITY = 16
-BUILD_CANDIDATES = 100
-RECALL_SAMPLES = 64  # own points by which the recall is measured
-RECALL_DEPTH = 10  # best points of a sample
-SAMPLE_NOISE = 0.05
+MINIMUM_CANDIDATES = 64  # The minimum number of candidates during a search (ef).
+CONNECTIVITY = 16  # The maximum number of neighbours of a node (M).
+BUILD_CANDIDATES = 100  # The number of candidates during the build (ef_construction).
+RECALL_SAMPLES = 64  # The number of the shard's points by which the recall is measured.
+RECALL_DEPTH = 10  # The number of best points that are compared for a sample.
+SAMPLE_NOISE = 0.05  # The standard deviation of the noise that is added to samples.
 
 
 class HnswIndex:
-    """The index of a shard; its vectors are numbered by their position."""
+    """The index of a shard; vectors are identified by their position."""
 
     def __init__(self, vectors: Floats, distance: Distance) -> None:
         self._vectors = vectors
@@ -37,14 +37,14 @@
         self._index.add(np.arange(len(vectors)), vectors, threads=1)
 
     def search(self, query: Floats, count: int, candidate_count: int) -> Indices:
-        """Return the positions of about the nearest vectors."""
+        """Return the positions of approximately the nearest vectors."""
         self._index.expansion_search = max(candidate_count, MINIMUM_CANDIDATES, count)
         return np.asarray(self._index.search(query, count, threads=1).keys, np.int64)
 
     def measure_recall(self, score: Callable[[Floats], Floats], seed: int) -> float:
-        """Return the recall over samples near some of its own vectors.
+        """Return the recall over queries that are samples of the index's own vectors with noise.
 
-        ``score`` returns the exact scores of all vectors for some queries.
+        ``score`` returns the exact scores of all vectors for given queries.
         """
         random = np.random.default_rng(seed)
         count = len(self._vectors)
--- a/heathwell/service/vectors/search_messages.py
+++ b/heathwell/service/vectors/search_messages.py
@@ -1,6 +1,6 @@
-"""Search requests and answers between broker and endpoint, as msgpack within the inner protocol's ``body``.
+"""Search requests and answers between broker and endpoint, as msgpack in the ``body`` of the inner protocol.
 
-Field names on the wire are older than those of the code where both differ.
+Some fields have another name on the wire than in the code, for compatibility with earlier versions.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 SEARCH_OPERATION = "vectors"
 
 PointId = int | str
-JsonObject = dict[str, Any]  # a payload, or a filter in the search API's form
+JsonObject = dict[str, Any]  # A payload, or a filter in the form of the search API.
 
 
 class IndexKind(StrEnum):
@@ -24,7 +24,7 @@
 
 
 class Distance(StrEnum):
-    """How vectors of a collection are compared, by the search API's names."""
+    """How vectors of a collection are compared, by the names of the search API."""
 
     COSINE = "Cosine"
     DOT = "Dot"
@@ -34,8 +34,8 @@
 class SearchParameters(msgspec.Struct, omit_defaults=True):
     """One search of a part.
 
-    ``filter`` is checked by the broker; ``limit`` includes the offset. ``payload`` selects all payload fields
-    or those named, ``without`` excludes some.
+    ``filter`` was checked by the broker; ``limit`` includes the offset. ``payload`` selects all payload
+    fields or the named ones, ``without`` excludes some.
     """
 
     limit: int
@@ -49,7 +49,7 @@
 
 
 class SearchRequest(msgspec.Struct, omit_defaults=True):
-    """A part: the collection, the vectors one after another as little-endian float32, and the searches."""
+    """The request of a part: the collection, its searches, and their vectors as little-endian float32."""
 
     collection: str
     vectors: bytes
@@ -57,7 +57,7 @@
 
 
 class Hit(msgspec.Struct, array_like=True, omit_defaults=True):
-    """One found point; distances are negated, so that a greater score is better everywhere."""
+    """One point of a result; distances are negated, so that a greater score is always better."""
 
     id: PointId
     score: float
@@ -67,7 +67,7 @@
 
 
 class SearchAnswer(msgspec.Struct, omit_defaults=True):
-    """A part's hits by search, the size of the shard, and the measured recall of its index."""
+    """The answer of a part: the hits by search, the size of the shard, and the recall of its index."""
 
     lists: list[list[Hit]]
     points: int = 0
--- a/heathwell/service/vectors/vector_shard.py
+++ b/heathwell/service/vectors/vector_shard.py
@@ -1,7 +1,6 @@
-"""One shard's points: exact search by one matrix product a batch, an HNSW index, and cheap score bounds.
+"""The points of one shard: exact search by one matrix product per batch, an HNSW index, and score bounds.
 
-A greater score is better: a Euclidean distance is negated. Vectors of a cosine collection are kept at length
-one.
+A greater score is better, so Euclidean distances are negated. Vectors of a cosine collection are normalized.
 """
 
 from __future__ import annotations
@@ -25,10 +24,11 @@
 )
 
 IdRank = tuple[int, int, str]
-MINIMUM_INDEXED_FRACTION = 0.5  # of points that match a filter; below it the exact search reads less
+# If a smaller fraction of the points matches a filter, the exact search reads fewer points than the index.
+MINIMUM_INDEXED_FRACTION = 0.5
 SMALLEST_FRACTION = 1e-3
-FILTERED_MARGIN = 1.2  # more candidates than a filter is expected to leave
-SCORE_TOLERANCE = 1e-5  # of a score's size, for single precision
+FILTERED_MARGIN = 1.2  # The index returns this times the candidates that a filter is expected to need.
+SCORE_TOLERANCE = 1e-5  # Relative to the score, for single precision.
 DISTANCE_BY_SETTING = {
     "cosine": Distance.COSINE,
     "dot": Distance.DOT,
@@ -37,7 +37,7 @@
 
 
 class VectorShard:
-    """The points of one shard of a collection; they don't change."""
+    """The points of one shard of a collection; they are immutable."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         return len(self.ids)
 
     def decode_queries(self, raw: bytes, count: int) -> Floats:
-        """Return the query vectors of a request; raise :class:`ValueError` for another dimension."""
+        """Return the query vectors of a request; raise :class:`ValueError` for a wrong dimension."""
         queries = np.frombuffer(raw, "<f4").reshape(count, -1)
         dimension = self.vectors.shape[1]
         if queries.shape[1] != dimension:
@@ -78,7 +78,7 @@
         return normalized(queries) if self._distance == Distance.COSINE else queries
 
     def score_bounds(self, queries: Floats) -> list[float]:
-        """Return the greatest score possible, by query: all points lie in a ball about their mean."""
+        """Return an upper bound of the scores by query: all points are in a ball around their mean."""
         if not len(self.ids):
             return [float("-inf")] * len(queries)
         precise = queries.astype(np.float64)
@@ -86,7 +86,7 @@
             distances = np.sqrt(((precise - self._centre) ** 2).sum(axis=1))
             bounds = -np.maximum(distances - self._radius, 0.0)
         else:
-            # q.x = q.c + q.(x - c), and the last is at most the product of its factors' lengths.
+            # q.x = q.c + q.(x - c), and q.(x - c) is at most |q| |x - c| (Cauchy-Schwarz).
             lengths = np.sqrt((precise * precise).sum(axis=1))
             bounds = precise @ self._centre + lengths * self._radius
             if self._distance == Distance.COSINE:
@@ -94,7 +94,7 @@
         return [float(bound) for bound in bounds]
 
     def _score_all(self, queries: Floats) -> Floats:
-        """Return all points' scores for all queries, by one matrix product."""
+        """Return the scores of all points for all queries, by one matrix product."""
         products = queries @ self.vectors.T
         if self._distance != Distance.EUCLID:
             return np.asarray(products, np.float32)
@@ -103,7 +103,7 @@
         return np.asarray(-np.sqrt(np.maximum(squares, 0.0)), np.float32)
 
     def search(self, request: SearchRequest) -> SearchAnswer:
-        """Answer every search of a request; raise :class:`ValueError`."""
+        """Return the answer to all searches of a request; raise :class:`ValueError` for a wrong dimension."""
         queries = self.decode_queries(request.vectors, len(request.searches))
         masks = self._evaluate_filters(request.searches)
         is_indexed = [
@@ -126,7 +126,7 @@
         return SearchAnswer(lists, len(self.ids), self.recall if any(is_indexed) else 1.0)
 
     def _evaluate_filters(self, searches: Sequence[SearchParameters]) -> list[Mask | None]:
-        """Return the mask of each search, evaluated once for all searches with the same filter."""
+        """Return the mask of each search, evaluated once for searches with the same filter."""
         mask_by_filter: dict[str, Mask] = {}
         masks: list[Mask | None] = []
         for search in searches:
@@ -145,13 +145,13 @@
         return mask is None or bool(mask.mean() >= MINIMUM_INDEXED_FRACTION)
 
     def _exact_candidates(self, scores: Floats, search: SearchParameters, mask: Mask | None) -> Indices:
-        """Return the points that may be among the best, by scores in single precision."""
+        """Return the points that may be among the best by their scores in single precision."""
         candidates = np.arange(len(self.ids)) if mask is None else np.flatnonzero(mask)
         if search.threshold is not None:
             lowest = search.threshold - score_tolerance(search.threshold)
             candidates = candidates[scores[candidates] >= lowest]
         if len(candidates) > search.limit:
-            # Points that may tie with the last one all remain: precise scores and ids decide.
+            # All points that may tie with the last one are kept: precise scores and ids decide.
             last = len(candidates) - search.limit
             last_score = float(np.partition(scores[candidates], last)[last])
             candidates = candidates[scores[candidates] >= last_score - score_tolerance(last_score)]
@@ -165,10 +165,10 @@
         return candidates if mask is None else candidates[mask[candidates]]
 
     def _rank(self, query: Floats, candidates: Indices, search: SearchParameters) -> list[Hit]:
-        """Return the best of some points, scored again in double precision.
+        """Return the best of the candidates, with scores computed again in double precision.
 
-        The last digits of a matrix product depend on its shape, and the same point must have the same score
-        in every shard and batch.
+        The last digits of a matrix product depend on its shape, but a point must have the same score in every
+        shard and batch.
         """
         scores = self._precise_scores(query, candidates)
         if search.threshold is not None:
@@ -206,7 +206,7 @@
 
 
 def _id_ranks(ids: Sequence[PointId]) -> Indices:
-    """Return the rank of each point's id, by which equal scores are ordered: numbers first, then names."""
+    """Return the rank of each point's id among equal scores: numbers first, then names."""
     ranks = np.empty(len(ids), np.int64)
     ranks[sorted(range(len(ids)), key=lambda index: _id_rank(ids[index]))] = np.arange(len(ids))
     return ranks
@@ -217,11 +217,11 @@
 
 
 def score_tolerance(score: float) -> float:
-    """Return what single precision may add to a score or take from it."""
+    """Return the greatest rounding error of a score in single precision."""
     return SCORE_TOLERANCE * max(1.0, abs(score))
 
 
 def normalized(vectors: Floats) -> Floats:
-    """Return vectors at length one; a zero vector stays as it is."""
+    """Return the vectors scaled to length one; zero vectors are unchanged."""
     lengths = np.sqrt((vectors * vectors).sum(axis=1, keepdims=True))
     return np.asarray(vectors / np.where(lengths > 0, lengths, 1.0), np.float32)
