--- a/heathwell/service/settings_change.py
+++ b/heathwell/service/settings_change.py
@@ -1,4 +1,4 @@
-"""What a broker derives from each version of its settings, and which settings may change while it runs."""
+"""What a broker derives from a version of its settings, and which settings may change while it runs."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.settings import ServiceSettings
 
-# Sections that may change between two batches, and of the limits those that may not.
+# The sections that may change while the broker runs, and the limits that may not.
 CHANGEABLE_SECTIONS = frozenset({"classes", "keys", "limits", "rules"})
 FIXED_LIMITS = ("clients", "clients_an_address", "host_connections", "busy_connection")
-MADE_AT_START = "made at the start"
+NEEDS_RESTART = "a change needs a restart"
 
 
 class SettingsChangeError(Exception):
-    """Settings can't be applied while the broker runs: ``subject`` is fixed at its start."""
+    """Raised if settings can't be applied while the broker runs: changing ``subject`` needs a restart."""
 
     def __init__(self, subject: str, detail: str) -> None:
         super().__init__(f"{subject}: {detail}")
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSnapshot:
-    """What a service broker keeps by version of its settings, beside what its module keeps."""
+    """What a service broker derives from a version of its settings, in addition to the module's settings."""
 
     service_settings: ServiceSettings
     keys: KeySpaces
@@ -36,7 +36,7 @@
 
     @classmethod
     def from_settings(cls, service_settings: ServiceSettings) -> ServiceSnapshot:
-        """Derive it from settings."""
+        """Return the snapshot of the settings."""
         policies = tuple(
             FreshnessPolicy(spec.desired_age_us, spec.max_age, StaleAction(spec.stale))
             for spec in service_settings.classes
@@ -45,27 +45,27 @@
 
 
 def check_settings_change(current: ServiceSettings, proposed: ServiceSettings) -> None:
-    """Raise :class:`SettingsChangeError` where proposed settings differ in what needs a restart."""
+    """Raise :class:`SettingsChangeError` if the proposed settings differ in what needs a restart."""
     _check_sections(msgspec.to_builtins(current), msgspec.to_builtins(proposed))
     if _class_layout(current) != _class_layout(proposed):
-        raise SettingsChangeError("class", f"names, their order and whether they cross are {MADE_AT_START}")
+        raise SettingsChangeError("class", f"names, their order and across are fixed; {NEEDS_RESTART}")
     changed = [
         name for name in FIXED_LIMITS if getattr(current.limits, name) != getattr(proposed.limits, name)
     ]
     if changed:
-        raise SettingsChangeError(f"limits: {', '.join(changed)}", MADE_AT_START)
+        raise SettingsChangeError(f"limits: {', '.join(changed)}", NEEDS_RESTART)
 
 
 def _check_sections(current: Mapping[str, object], proposed: Mapping[str, object]) -> None:
     names = (current.keys() | proposed.keys()) - CHANGEABLE_SECTIONS
     changed = sorted(name for name in names if current.get(name) != proposed.get(name))
     if changed:
-        raise SettingsChangeError(", ".join(changed), MADE_AT_START)
+        raise SettingsChangeError(", ".join(changed), NEEDS_RESTART)
 
 
 @dataclass(frozen=True, slots=True)
 class _ClassLayout:
-    """What is fixed of a query class, beside its place among the others."""
+    """The fields of a query class that only change with a restart, as does its position among the classes."""
 
     name: str
     across: str
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Which changes of settings a running broker applies, and how it names those that need a restart."""
+"""Which changes of the settings a running broker applies, and its errors for those that need a restart."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 @pytest.mark.parametrize(
     ("old", "new", "message"),
     [
-        ("(brokers 1)", "(brokers 2)", "fleet: made at the start"),
+        ("(brokers 1)", "(brokers 2)", "fleet: a change needs a restart"),
         (
             "class price-search",
             "class other",
-            "class: names, their order and whether they cross are made at the start",
+            "class: names, their order and across are fixed; a change needs a restart",
         ),
-        ("(clients 90)", "(clients 80)", "limits: clients: made at the start"),
+        ("(clients 90)", "(clients 80)", "limits: clients: a change needs a restart"),
         (
             "(clients 90) (host-connections 1)",
             "(clients 80) (host-connections 2)",
-            "limits: clients, host_connections: made at the start",
+            "limits: clients, host_connections: a change needs a restart",
         ),
     ],
 )
