--- a/heathwell/service/endpoint_restrictions.py
+++ b/heathwell/service/endpoint_restrictions.py
@@ -208,7 +208,7 @@
         seed ^ REGIONS_SEED_MASK,
         prefers_home=across.prefer_home,
         maximum_additional_crossings=across.cross_most,
-        judges_links=across.decide,
+        detects_link_faults=across.decide,
         crossing_cost_budget=across.cross_budget,
         routes=_routes_from(home, service_settings),
     )
--- a/heathwell/service/regions/region_links.py
+++ b/heathwell/service/regions/region_links.py
@@ -66,7 +66,7 @@
     """The links of one broker.
 
     ``shortest_objective_us`` is the shortest latency objective of any class. ``prefers_home`` deprioritizes
-    all endpoints of other regions; without ``judges_links`` every link stays open.
+    all endpoints of other regions; without ``detects_link_faults`` every link stays open.
     ``maximum_additional_crossings`` and ``crossing_cost_budget`` are the bounds of a :class:`CrossingBudget`.
     ``routes`` holds the configured route to each region.
     """
@@ -79,7 +79,7 @@
         seed: int,
         *,
         prefers_home: bool = True,
-        judges_links: bool = True,
+        detects_link_faults: bool = True,
         maximum_additional_crossings: int = 0,
         crossing_cost_budget: float = 0.0,
         routes: Mapping[str, RegionRoute] | None = None,
@@ -93,7 +93,7 @@
         }
         self._shortest_objective_us = shortest_objective_us
         self._prefers_home = prefers_home
-        self._judges_links = judges_links
+        self._detects_link_faults = detects_link_faults
         self._random = random.Random(seed)
         self._endpoints: dict[str, EndpointActivity] = {}
         self._recovery_order: dict[str, float] = {}
@@ -199,15 +199,15 @@
             evidence = f"{QUICK_PROBES} probes in a row back within {FAST_FRACTION:g} of an aim"
             self._enter(now_us, link, LinkState.OPEN, evidence)
 
-    # Periodic judgement
+    # Periodic update
 
     def tick(self, now_us: int) -> list[str]:
         """Update the states of the links by the evidence so far, and return the endpoints to probe."""
-        if not self._judges_links:
+        if not self._detects_link_faults:
             return []
-        return [node for link in self.links.values() for node in self._judge(now_us, link)]
+        return [node for link in self.links.values() for node in self._update_link(now_us, link)]
 
-    def _judge(self, now_us: int, link: RegionLink) -> list[str]:
+    def _update_link(self, now_us: int, link: RegionLink) -> list[str]:
         endpoints = [endpoint for endpoint in self._endpoints.values() if endpoint.region == link.region]
         nodes_to_probe: list[str] = []
         if link.state != LinkState.DOWN:
