--- a/heathwell/service/answer_freshness.py
+++ b/heathwell/service/answer_freshness.py
@@ -71,7 +71,7 @@
         now = self._broker.loop.now()
         bound_us = None
         if all(part.has_known_age for part in parts):
-            bound_us = self.clock.age(now, min(part.source_us for part in parts))
+            bound_us = self.clock.maximum_age_us(now, min(part.source_us for part in parts))
         target_age_us = (
             self._broker.snapshot_of(query).freshness_policies[query.plan.query_class].target_age_us
         )
@@ -96,7 +96,7 @@
         """Return the age of a part's data at a time of the broker's loop; None if it is unknown."""
         if part.data is None or not part.has_known_age:
             return None
-        return self.clock.age(at_us, part.source_us) or 0
+        return self.clock.maximum_age_us(at_us, part.source_us) or 0
 
 
 def _required_position(query: ServiceQuery, shard: int) -> int:
--- a/heathwell/service/freshness/freshness_decider.py
+++ b/heathwell/service/freshness/freshness_decider.py
@@ -52,7 +52,11 @@
         step of the query has already read.
         """
         evidence = self.lag_tracker.observe(now_us, shard, node, watermark)
-        age_us = self._clock.age(now_us, watermark.source_us) if evidence == AgeEvidence.MEASURED else None
+        age_us = (
+            self._clock.maximum_age_us(now_us, watermark.source_us)
+            if evidence == AgeEvidence.MEASURED
+            else None
+        )
         reason = _find_reason(evidence, age_us, watermark, policy, minimum_position)
         if reason is None:
             return FreshnessVerdict(is_accepted=True, age_us=age_us)
--- a/heathwell/service/freshness/replica_lag.py
+++ b/heathwell/service/freshness/replica_lag.py
@@ -50,7 +50,7 @@
         """Record the watermark of an answer, and return what is known about its age."""
         if not self._clock.is_known:
             return AgeEvidence.UNKNOWN
-        age_us = self._clock.upper(now_us) - watermark.source_us
+        age_us = self._clock.upper_bound_us(now_us) - watermark.source_us
         if age_us < 0:
             self.future_watermark_count += 1
             self._replicas.pop((shard, node), None)
@@ -99,7 +99,7 @@
         if replica is None:
             return None
         if (shard, node) in self.stuck:
-            return self._clock.age(now_us, replica.watermark.source_us)
+            return self._clock.maximum_age_us(now_us, replica.watermark.source_us)
         return int(replica.lag_us + EXPECTED_DEVIATIONS * replica.deviation_us)
 
     def has_reached(self, shard: int, node: str, position: int) -> bool:
--- a/heathwell/service/freshness/source_clock.py
+++ b/heathwell/service/freshness/source_clock.py
@@ -62,22 +62,22 @@
 
     def _contradicts(self, sent_at_us: int, received_at_us: int, source_us: int) -> bool:
         round_trip_us = received_at_us - sent_at_us
-        return source_us > self.upper(received_at_us) or source_us + round_trip_us < self.lower(
+        return source_us > self.upper_bound_us(
             received_at_us
-        )
+        ) or source_us + round_trip_us < self.lower_bound_us(received_at_us)
 
-    def upper(self, now_us: int) -> int:
+    def upper_bound_us(self, now_us: int) -> int:
         """Return the latest possible time at the source; raise :class:`UnknownSourceTimeError`."""
         if self._upper_at_zero_us is None:
             raise UnknownSourceTimeError
         return int(self._upper_at_zero_us + now_us * (1 + MAXIMUM_DRIFT)) + ROUNDING_US
 
-    def lower(self, now_us: int) -> int:
+    def lower_bound_us(self, now_us: int) -> int:
         """Return the earliest possible time at the source; raise :class:`UnknownSourceTimeError`."""
         if self._upper_at_zero_us is None:
             raise UnknownSourceTimeError
         return int(self._lower_at_zero_us + now_us * (1 - MAXIMUM_DRIFT)) - ROUNDING_US
 
-    def age(self, now_us: int, watermark_us: int) -> int | None:
+    def maximum_age_us(self, now_us: int, watermark_us: int) -> int | None:
         """Return the greatest possible age (us) of data with a watermark; None without a sample."""
-        return max(0, self.upper(now_us) - watermark_us) if self.is_known else None
+        return max(0, self.upper_bound_us(now_us) - watermark_us) if self.is_known else None
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -117,15 +117,15 @@
         assert clock.add(now_us, now_us + request_us + response_us, source_time(now_us + request_us))
         now_us += request_us + response_us
     at_us = now_us + elapsed_us
-    assert clock.lower(at_us) <= source_time(at_us) <= clock.upper(at_us)
-    assert clock.age(at_us, source_time(at_us) - 5_000) >= 5_000
+    assert clock.lower_bound_us(at_us) <= source_time(at_us) <= clock.upper_bound_us(at_us)
+    assert clock.maximum_age_us(at_us, source_time(at_us) - 5_000) >= 5_000
 
 
 def test_a_step_of_the_source_clock_is_accepted_after_repeated_samples():
     clock = SourceClock()
     clock.add(1000, 1200, 50_000)
     assert [clock.add(at_us, at_us + 100, 9_000_000 + at_us) for at_us in range(2000, 2020)].count(True) >= 10
-    assert clock.lower(3000) > 9_000_000
+    assert clock.lower_bound_us(3000) > 9_000_000
 
 
 def make_decider():
