--- a/heathwell/service/freshness/consistency_token.py
+++ b/heathwell/service/freshness/consistency_token.py
@@ -18,7 +18,7 @@
 
 MAXIMUM_CHARACTERS = 120
 BY_SHARD = 1  # The first byte of a token with a position for each shard.
-LEAST_ONLY = 2  # The first byte of a token with only the lowest position.
+MINIMUM_ONLY = 2  # The first byte of a token with only the lowest position.
 CHECKSUM_BYTES = 4
 
 
@@ -27,31 +27,31 @@
     """Positions by shard, and the position that applies to all other shards."""
 
     by_shard: dict[int, int] = field(default_factory=dict)
-    least: int = 0
+    minimum: int = 0
 
 
 def make_token(positions: Mapping[int, int]) -> str:
     """Return the token for an answer's positions by shard; empty if there are none."""
     if not positions:
         return ""
-    least = min(positions.values())
-    body = bytearray([BY_SHARD]) + varint.put(least)
+    minimum = min(positions.values())
+    body = bytearray([BY_SHARD]) + varint.put(minimum)
     previous_shard = 0
     for shard in sorted(positions):
-        body += varint.put(shard - previous_shard) + varint.put(positions[shard] - least)
+        body += varint.put(shard - previous_shard) + varint.put(positions[shard] - minimum)
         previous_shard = shard
     text = _seal(bytes(body))
-    return text if len(text) <= MAXIMUM_CHARACTERS else _seal(bytes([LEAST_ONLY]) + varint.put(least))
+    return text if len(text) <= MAXIMUM_CHARACTERS else _seal(bytes([MINIMUM_ONLY]) + varint.put(minimum))
 
 
 def read_token(text: str) -> TokenPositions:
     """Return the positions in a token; raise :class:`TokenError`."""
     body = _unseal(text)
     try:
-        least, offset = varint.take(body, 1)
-        if body[0] == LEAST_ONLY and offset == len(body):
-            return TokenPositions(least=least)
-        positions = _read_positions(body, offset, least) if body[0] == BY_SHARD else {}
+        minimum, offset = varint.take(body, 1)
+        if body[0] == MINIMUM_ONLY and offset == len(body):
+            return TokenPositions(minimum=minimum)
+        positions = _read_positions(body, offset, minimum) if body[0] == BY_SHARD else {}
     except ValueError as problem:
         raise TokenError(str(problem)) from None
     if body[0] != BY_SHARD:
@@ -59,14 +59,14 @@
     return TokenPositions(by_shard=positions)
 
 
-def _read_positions(body: bytes, offset: int, least: int) -> dict[int, int]:
+def _read_positions(body: bytes, offset: int, minimum: int) -> dict[int, int]:
     positions = {}
     shard = 0
     while offset < len(body):
         gap, offset = varint.take(body, offset)
         excess, offset = varint.take(body, offset)
         shard += gap
-        positions[shard] = least + excess
+        positions[shard] = minimum + excess
     return positions
 
 
--- a/heathwell/service/key_spaces.py
+++ b/heathwell/service/key_spaces.py
@@ -74,7 +74,7 @@
             positions = read_token(token)
         except TokenError as problem:
             return replace(plan, token_error=str(problem))
-        return replace(plan, token_positions=positions.by_shard, minimum_token_position=positions.least)
+        return replace(plan, token_positions=positions.by_shard, minimum_token_position=positions.minimum)
 
     def _plan_in(self, space: KeySpace, key: str, rest: str) -> QueryPlan | None:
         """Return the plan of a key in a key space; ``rest`` is the key without its prefix and token."""
