--- a/heathwell/service/broker_components.py
+++ b/heathwell/service/broker_components.py
@@ -28,7 +28,7 @@
 from heathwell.service.search_answers import SearchAnswers, SearchBroker
 from heathwell.service.shard_reachability import ShardReachability
 from heathwell.service.source_clock import SourceClockClient
-from heathwell.service.storm_control import StormBroker, StormControl
+from heathwell.service.storm_protection import StormBroker, StormProtection
 
 if TYPE_CHECKING:
     from heathwell.service.zone_observer import ZoneObserver
@@ -86,7 +86,7 @@
     costs: CostModels
     search_answers: SearchAnswers
     fair_admission: FairAdmission | None
-    storm_control: StormControl | None
+    storm_protection: StormProtection | None
     admission: QueryAdmission
     client_drain: ClientDrain
     intake: QueryIntake
@@ -109,8 +109,8 @@
     reachability = ShardReachability(broker, restrictions, broker.live_replicas)
     costs = CostModels()
     fair_admission = _build_fair_admission(broker, options)
-    storm_control = _build_storm_control(broker, seed)
-    admission = QueryAdmission(broker, reachability, storm_control, rng)
+    storm_protection = _build_storm_protection(broker, seed)
+    admission = QueryAdmission(broker, reachability, storm_protection, rng)
     return BrokerComponents(
         quota_gate=quota_gate,
         connections=connections,
@@ -123,12 +123,12 @@
         costs=costs,
         search_answers=SearchAnswers(broker, costs),
         fair_admission=fair_admission,
-        storm_control=storm_control,
+        storm_protection=storm_protection,
         admission=admission,
         client_drain=_build_client_drain(broker, seed, observes_zones=zone_observer is not None),
         intake=QueryIntake(broker, admission, fair_admission, options.statistics),
         planner=PartPlanner(broker),
-        recorder=ReplyRecorder(broker, explanations, options.statistics, storm_control),
+        recorder=ReplyRecorder(broker, explanations, options.statistics, storm_protection),
     )
 
 
@@ -176,10 +176,10 @@
     return FairAdmission(broker, broker.service_settings, options.aggregator_count, options.seed)
 
 
-def _build_storm_control(broker: ComponentsBroker, seed: int) -> StormControl | None:
+def _build_storm_protection(broker: ComponentsBroker, seed: int) -> StormProtection | None:
     if not broker.service_settings.storms.enabled:
         return None
-    return StormControl(broker, broker.service_settings, seed)
+    return StormProtection(broker, broker.service_settings, seed)
 
 
 def _build_client_drain(broker: ComponentsBroker, seed: int, *, observes_zones: bool) -> ClientDrain:
--- a/heathwell/service/query_admission.py
+++ b/heathwell/service/query_admission.py
@@ -14,7 +14,7 @@
 from heathwell.service.service_context import ServiceContext
 from heathwell.service.settings_change import ServiceSnapshot
 from heathwell.service.shard_reachability import ShardReachability
-from heathwell.service.storm_control import StormControl
+from heathwell.service.storm_protection import StormProtection
 
 # No answer is expected in less than this fraction of the mean latency of a class's parts.
 MINIMUM_LATENCY_FRACTION = 0.5
@@ -71,12 +71,12 @@
         self,
         broker: AdmissionBroker,
         reachability: ShardReachability,
-        storm_control: StormControl | None,
+        storm_protection: StormProtection | None,
         rng: random.Random,
     ) -> None:
         self._broker = broker
         self._reachability = reachability
-        self._storm_control = storm_control
+        self._storm_protection = storm_protection
         self._rng = rng
 
     def admit(self, plan: QueryPlan, client: str) -> Admission:
@@ -103,11 +103,11 @@
     ) -> int:
         """Return after how long (us) the client of a rejected query may retry.
 
-        This is by the retry schedule of the storm control if it is enabled, else ``otherwise_us``, else a
+        This is by the retry schedule of the storm protection if it is enabled, else ``otherwise_us``, else a
         jittered fraction of the class's latency objective.
         """
-        if self._storm_control is not None:
-            return self._storm_control.retry_after_us(client, plan.key, query_cost_us(plan, version))
+        if self._storm_protection is not None:
+            return self._storm_protection.retry_after_us(client, plan.key, query_cost_us(plan, version))
         if otherwise_us is not None:
             return otherwise_us
         objective_us = version.settings.classes[plan.query_class].latency_objective_us
@@ -115,10 +115,10 @@
         return int(longest_us * self._rng.uniform(*RETRY_JITTER))
 
     def _check_storm(self, plan: QueryPlan, client: str) -> None:
-        if self._storm_control is None:
+        if self._storm_protection is None:
             return
         cost_us = query_cost_us(plan, self._broker.current_version)
-        retry_after_us = self._storm_control.check(client, plan.key, cost_us)
+        retry_after_us = self._storm_protection.check(client, plan.key, cost_us)
         if retry_after_us is not None:
             raise AdmissionRejectedError(RejectionReason.RETRY_STORM, retry_after_us)
 
--- a/heathwell/service/reply_recorder.py
+++ b/heathwell/service/reply_recorder.py
@@ -1,4 +1,4 @@
-"""Records each reply in the statistics, the storm control, the event log and the query explanations."""
+"""Records each reply in the statistics, the storm protection, the event log and the query explanations."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServiceQuery
 from heathwell.service.service_statistics import ServiceStatistics
-from heathwell.service.storm_control import StormControl
+from heathwell.service.storm_protection import StormProtection
 
 
 class ReplyRecorder:
-    """Records the replies of one broker; ``statistics`` and ``storm_control`` are optional."""
+    """Records the replies of one broker; ``statistics`` and ``storm_protection`` are optional."""
 
     def __init__(
         self,
         broker: ServiceContext,
         explanations: QueryExplanations,
         statistics: ServiceStatistics | None,
-        storm_control: StormControl | None,
+        storm_protection: StormProtection | None,
     ) -> None:
         self._broker = broker
         self._explanations = explanations
         self._statistics = statistics
-        self._storm_control = storm_control
+        self._storm_protection = storm_protection
 
     def record(self, query: ServiceQuery, reply: Reply, duration_us: int) -> None:
         """Record the reply to a query that was admitted ``duration_us`` ago."""
@@ -32,8 +32,8 @@
         query_class = self._broker.query_class_of(query)
         if self._statistics is not None:
             self._statistics.record_reply(now, query.client_id, query.plan.key, reply)
-        if self._storm_control is not None:
-            self._storm_control.record_reply(
+        if self._storm_protection is not None:
+            self._storm_protection.record_reply(
                 query_cost_us(query.plan, query.settings_version),
                 is_answer=reply.kind in (ReplyKind.ANSWERED, ReplyKind.MISS),
                 within_objective=duration_us <= query_class.latency_objective_us,
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -74,7 +74,7 @@
         self._connections = components.connections
         self._restrictions = components.restrictions
         self._fair_admission = components.fair_admission
-        self._storm_control = components.storm_control
+        self._storm_protection = components.storm_protection
         self._admission = components.admission
         self._intake = components.intake
         self._planner = components.planner
@@ -193,7 +193,7 @@
     @property
     def storm_controller(self) -> StormController | None:
         """The controller of retry storms; ``None`` if the settings disable it."""
-        return self._storm_control.controller if self._storm_control is not None else None
+        return self._storm_protection.controller if self._storm_protection is not None else None
 
     @property
     def region_links(self) -> RegionLinks | None:
@@ -202,8 +202,8 @@
 
     def pace_accepts(self, listener: Listener) -> None:
         """Limit the rate at which a listener accepts connections, by the state of the storm controller."""
-        if self._storm_control is not None:
-            self._storm_control.pace_accepts(listener)
+        if self._storm_protection is not None:
+            self._storm_protection.pace_accepts(listener)
 
     @property
     def should_drain_clients(self) -> bool:
--- a/heathwell/service/storm_control.py
+++ b/heathwell/service/storm_protection.py
@@ -14,7 +14,7 @@
 
 
 class StormEndpoint(Protocol):
-    """What :class:`StormControl` reads of an endpoint."""
+    """What :class:`StormProtection` reads of an endpoint."""
 
     @property
     def node(self) -> str:
@@ -26,7 +26,7 @@
 
 
 class StormBroker(DriverContext, Protocol):
-    """What :class:`StormControl` uses of its broker."""
+    """What :class:`StormProtection` uses of its broker."""
 
     @property
     def endpoints(self) -> Mapping[str, StormEndpoint]:
@@ -36,7 +36,7 @@
         """Return the fraction of its capacity that an endpoint has now."""
 
 
-class StormControl:
+class StormProtection:
     """Runs the storm controller of one broker with the broker's clock and the capacity of its endpoints."""
 
     def __init__(self, broker: StormBroker, service_settings: ServiceSettings, seed: int) -> None:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -393,7 +393,7 @@
     "heathwell.service.service_statistics",
     "heathwell.service.settings_change",
     "heathwell.service.shard_reachability",
-    "heathwell.service.storm_control",
+    "heathwell.service.storm_protection",
 )
 
 
