--- a/heathwell/service/discovery.py
+++ b/heathwell/service/discovery.py
@@ -15,7 +15,7 @@
 }
 
 
-class EndpointListReader:
+class EndpointListConverter:
     """Converts endpoint lists from discovery messages to updates for the decision module.
 
     Endpoints have their own clocks, so messages hold the age of a process rather than its start time. The age
@@ -69,7 +69,7 @@
         self.is_pushed = is_pushed
         self.on_update = on_update
         self.log = log
-        self._endpoint_list = EndpointListReader()
+        self._endpoint_list = EndpointListConverter()
         self._stream: Stream | None = None
         self._index = 0
         self._pending_requests = 0
