--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: learned costs, the concurrency limit that follows queueing, and fair queueing of servers."""
+"""Admission: learned costs, the adaptive concurrency limit, and fair queueing of servers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def test_the_cost_model_learns_costs_follows_changes_and_resists_outliers():
-    draws = random.Random(2)
+    rng = random.Random(2)
     model = CostModel(1000.0, 4)
 
     def true_cost(features, scale=1.0):
@@ -29,17 +29,17 @@
 
     def train(count, scale):
         for _ in range(count):
-            searches = draws.randrange(1, 20)
-            features = search_features(searches, 10 * searches, draws.randrange(2) * searches)
-            model.learn(features, true_cost(features, scale) * draws.uniform(0.8, 1.2))
+            searches = rng.randrange(1, 20)
+            features = search_features(searches, 10 * searches, rng.randrange(2) * searches)
+            model.learn(features, true_cost(features, scale) * rng.uniform(0.8, 1.2))
 
     first = search_features(4, 40, 0)
-    assert model.predict(first) == 4000  # as stated, before it has learned
+    assert model.predict(first) == 4000  # the configured cost, before the model has learned
     train(200, 1.0)
     for searches in (1, 5, 15):
         features = search_features(searches, 10 * searches, 0)
         assert 0.85 < model.predict(features) / true_cost(features) < 1.15
-    train(600, 3.0)  # the hosts became slower
+    train(600, 3.0)  # the hosts are now three times slower
     assert 0.8 < model.predict(first) / true_cost(first, 3.0) < 1.2
     for _ in range(3000):
         model.learn(first, true_cost(first, 3.0))  # features that never vary
@@ -93,11 +93,11 @@
 
 
 class FixedRateHosts:
-    """A fair queue before hosts that serve admitted work in order, at a fixed rate.
+    """A fair queue in front of hosts that serve admitted work in order and at a fixed rate.
 
     Args:
         weights: Weight of each server (flow) of the queue.
-        seed: Seed of the queue's random draws.
+        seed: Seed of the queue's random rng.
     """
 
     def __init__(self, weights, seed=1):
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -1,4 +1,4 @@
-"""The broker against stand-in hosts on virtual time, without faults."""
+"""The broker with stand-in hosts on virtual time, without faults."""
 
 from __future__ import annotations
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Coverage sets, data ages and tokens: algebra, bounds, decisions, and stated ages against true ones."""
+"""Coverage sets, data ages and consistency tokens, and a comparison of reported ages with true ones."""
 
 from __future__ import annotations
 
@@ -467,7 +467,7 @@
 
 
 def test_ages_do_not_depend_on_the_clocks_of_hosts():
-    """A watermark holds source time alone: the source's offset of 90 days cancels."""
+    """Watermarks hold only source times, so the 90 days' offset of the source clock cancels out."""
     assert SOURCE_CLOCK_OFFSET_US > 90 * 86_400_000_000
     world = World(9, FRESHNESS_SETTINGS)
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Faults of hosts, clients and discovery, each injected into a deployment on virtual time."""
+"""Faults of hosts, clients and discovery, injected into a deployment on virtual time."""
 
 from __future__ import annotations
 
@@ -121,7 +121,10 @@
 
 @pytest.mark.parametrize(("reset_after_us", "is_retried"), [(100_000, True), (900_000, False)])
 def test_a_keyed_part_is_retried_after_a_reset_only_within_its_idempotency_window(reset_after_us, is_retried):
-    """Within the window the part is sent a second time, after it never: the effect happens once."""
+    """A part sent again after its idempotency window could have its effect twice.
+
+    Within the window it is retried after a reset; afterwards it is not.
+    """
     text = DEMO_SETTINGS.replace(
         "(repeat keyed) (dedup 750ms) (late-worth 10%) (work 30ms)",
         "(repeat keyed) (dedup 750ms) (late-worth 10%) (work 1400ms)",
@@ -364,7 +367,10 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_clients_that_disconnect_while_results_arrive_leave_no_state(seed):
-    """An attempt may be decided for a query whose client disconnects in the same turn: it is unsent."""
+    """The module may decide on an attempt in the turn of the loop in which the client disconnects.
+
+    Such an attempt must not be sent, and must not stay registered.
+    """
     world = World(seed, DEMO_SETTINGS.replace("(open-cap 600)", "(open-cap 0)"), shuffle=seed)
 
     def disconnect_early(number):
@@ -379,7 +385,7 @@
         for leaf in world.fleet.leaves[::2]:
             inject_fault(leaf, "failclass", 3.0, text="price-search")
         for number in range(80):
-            world.loop.spawn(disconnect_early(number), "leaver")
+            world.loop.spawn(disconnect_early(number), "disconnecting client")
             yield from sleep(world.loop, 7_000)
         yield from sleep(world.loop, 5_000_000)
         broker = world.fleet.brokers[0].broker
--- a/tests/test_region_reachability.py
+++ b/tests/test_region_reachability.py
@@ -1,4 +1,4 @@
-"""A broker cut off from shards: answerable queries, drained clients, cost of crossings, losses of a link."""
+"""A broker cut off from shards: answerable queries, drained clients, crossing costs, and packet losses."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
     assert sorted(closed_at_us) == list(range(400)) and drain.closed_count == 400
     assert max(sum(at == when for at in closed_at_us.values()) for when in closed_at_us.values()) < 90
     wait(12_000_000, 16_000_000, reconnected, is_cut_off=False)
-    # A new cut, of which the reconnected clients have not been notified.
+    # The broker is cut off again: the reconnected clients have not yet been disconnected for that.
     wait(16_000_000, 20_000_000, reconnected, is_cut_off=True)
     assert drain.closed_count == 450
     assert not ClientDrain(0, 1).take_due(9, [IdleClient(*client) for client in idle])
@@ -180,13 +180,13 @@
 
 
 def test_packet_losses_delay_by_retransmission_timeouts_that_double():
-    draws = random.Random(3)
-    delays_us = [retransmission_delay_us(100, 0.3, draws) for _ in range(4000)]
+    rng = random.Random(3)
+    delays_us = [retransmission_delay_us(100, 0.3, rng) for _ in range(4000)]
     assert set(delays_us) <= {RETRANSMISSION_TIMEOUT_US * (2**losses - 1) for losses in range(12)}
     assert 0.27 < sum(delay_us > 0 for delay_us in delays_us) / 4000 < 0.33
     # A message of ten packets is delayed by the loss of any of them.
-    assert sum(retransmission_delay_us(14_480, 0.05, draws) > 0 for _ in range(2000)) > 600
-    assert retransmission_delay_us(100, 0.0, draws) == 0
+    assert sum(retransmission_delay_us(14_480, 0.05, rng) > 0 for _ in range(2000)) > 600
+    assert retransmission_delay_us(100, 0.0, rng) == 0
 
 
 def test_service_around_a_fault_is_counted_by_class_phase_and_locality():
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -160,7 +160,7 @@
     driver = make_driver_with_link_down()
     driver.regions.on_probe_ended(driver.now_us, REMOTE_NODES[0], "ok")
     driver.wait(300)
-    # The earlier failures belong to the earlier fault.
+    # Failures from before the change of state are ignored.
     assert driver.link.state == LinkState.HALF_OPEN
     for node in REMOTE_NODES[:4]:
         driver.end(driver.send(node), "unreachable")
@@ -327,7 +327,7 @@
 
 
 class CombinedFaultScenario(RegionScenario):
-    """A cut that includes discovery, or a slow link together with slow local hosts."""
+    """A region cut that also cuts off discovery, or a slow link together with slow local hosts."""
 
     def _inject_region_fault(self):
         yield from sleep(self.loop, 9_000_000)
--- a/tests/test_retry_storms.py
+++ b/tests/test_retry_storms.py
@@ -1,4 +1,4 @@
-"""Retry storms: bounded records, spread retry-after times, storm states, and an outage on virtual time."""
+"""Retry storms: bounded records, spread retry times, storm states, and an outage on virtual time."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 class LimitedCapacityBroker:
-    """A storm controller before a service that answers a fixed work rate and rejects the rest."""
+    """A storm controller in front of a service that answers a fixed rate of work and rejects the rest."""
 
     def __init__(self, limits=None, capacity_us=1_000_000.0):
         self.storms = StormController(limits or StormLimits(), 0, 3)
@@ -128,7 +128,7 @@
     assert broker.storms.state == StormState.CALM and broker.storms.capacity_us > 500_000
     for turn in range(24):
         for number in range(60):  # the same clients in every turn
-            broker.request(f"mad{number}")
+            broker.request(f"repeating{number}")
         broker.request(f"fresh{turn}")
         broker.tick()
     assert (
@@ -220,7 +220,7 @@
 
 
 def read_once(stream):
-    """Serve a connection by one read."""
+    """Serve a connection by a single read."""
     yield from stream.read()
 
 
--- a/tests/test_service_comparison.py
+++ b/tests/test_service_comparison.py
@@ -1,4 +1,4 @@
-"""Service statistics, by which one broker is compared with another, and digests of programs."""
+"""Service statistics, by which brokers are compared, and digests of programs and settings."""
 
 from heathwell import policy
 from heathwell.broker.replies import Reply, ReplyKind
--- a/tests/test_top_k_merge.py
+++ b/tests/test_top_k_merge.py
@@ -1,4 +1,4 @@
-"""The top-k merge: equal to brute force in any order of parts; superseded parts; malformed rows."""
+"""The top-k merge: comparison with brute force in any order of parts, superseded parts, malformed rows."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from heathwell.service.merging import MalformedRowsError, Row, TopKMerge, id_rank
 
-SCORES = st.sampled_from([-1.0, 0.0, 0.25, 0.5, 0.5, 1.0])  # few values, for ties
+SCORES = st.sampled_from([-1.0, 0.0, 0.25, 0.5, 0.5, 1.0])  # few values, so that ties occur
 SHARDS = st.dictionaries(st.one_of(st.integers(0, 40), st.sampled_from("abcd")), SCORES, max_size=12)
 
 
 def ranked(rows):
-    """Return rows by falling score, then by id."""
+    """Return rows sorted by descending score, then by id."""
     return sorted(rows, key=lambda row: (-row.score, id_rank(row.id)))
 
 
--- a/tests/test_vector_batches.py
+++ b/tests/test_vector_batches.py
@@ -1,4 +1,4 @@
-"""A batch of 16 MB at the vector server, and single gets beside it."""
+"""A batch of 16 MB at the vector server, with concurrent gets of single keys."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @pytest.fixture(scope="module")
 def wide_searches():
-    """820 searches, over 16 MB as JSON."""
+    """Return 820 searches, which are over 16 MB as JSON."""
     searches = [
         {"query": np.random.default_rng(seed).normal(0, 1, 1024).tolist(), "limit": 3} for seed in range(820)
     ]
@@ -39,7 +39,7 @@
 
 
 def check_wide_answers(service_settings, searches, answer):
-    """Check the number of results, and three of them against brute force."""
+    """Check the number of results, and compare three of them with brute force."""
     assert len(answer["result"]) == 820
     for number in (0, 400, 819):
         expected = brute_force(service_settings, "wide", searches[number]["query"], 3)
@@ -49,7 +49,10 @@
 
 
 def test_single_gets_meet_their_objective_beside_a_batch_of_16_megabytes(wide_searches):
-    """Virtual time: whether a chunk is in time depends on how fast hosts answer, here exactly their work."""
+    """A large batch must not delay queries of another server beyond their latency objective.
+
+    On virtual time hosts take exactly their work, so the result does not depend on the machine's speed.
+    """
     world = World(text=WIDE)
     responses = []
 
@@ -79,7 +82,7 @@
 
 
 def test_a_batch_of_16_megabytes_is_answered_over_sockets_beside_single_gets(wide_searches):
-    """Clients, hosts and broker share a process here: all objectives are so long that none of them counts."""
+    """Checks correctness only: clients, hosts and broker share a process, so all objectives are very long."""
     text = re.sub(r"\(aim \w+\) \(limit \w+\)", "(aim 60s) (limit 60s)", WIDE)
     with running(text) as fleet:
         host, port = fleet.broker.address.split(":")
--- a/tests/test_vector_filters.py
+++ b/tests/test_vector_filters.py
@@ -1,4 +1,4 @@
-"""Filters and score bounds of one shard, against one point at a time."""
+"""Filters and score bounds of one shard, compared with an evaluation point by point."""
 
 from __future__ import annotations
 
@@ -99,8 +99,8 @@
 @given(st.sampled_from(["cosine", "dot", "euclid"]), st.integers(0, 10_000), st.integers(1, 30))
 def test_no_row_scores_above_the_bound_of_its_shard(distance, seed, limit):
     shard = generate_shard(GeneratedCollection("bounded", 6, distance, "exact", 4, 50, 0.0, 0.3), seed % 4)
-    draws = np.random.default_rng(seed)
-    raw = draws.normal(0, draws.uniform(0.1, 4), (2, 6)).astype("<f4")
+    rng = np.random.default_rng(seed)
+    raw = rng.normal(0, rng.uniform(0.1, 4), (2, 6)).astype("<f4")
     best = shard.score_bounds(shard.decode_queries(raw.tobytes(), 2))
     answer = shard.search(SearchRequest("bounded", raw.tobytes(), [SearchParameters(limit)] * 2))
     for rows, bound in zip(answer.lists, best, strict=True):
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -1,4 +1,4 @@
-"""The vector server by `qdrant-client` over sockets, against brute force."""
+"""The vector server as used by `qdrant-client` over sockets, compared with brute force."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @pytest.fixture(scope="module")
 def fleet():
-    """A running fleet that the module's tests share."""
+    """Return a running fleet, which the tests of this module share."""
     with running() as running_fleet:
         yield running_fleet
 
@@ -209,9 +209,9 @@
 
 
 def raw_exchange(fleet, data, pause=0.0, *, end=False):
-    """Send bytes as they are; return the response until the server closes or sends nothing for 2 s.
+    """Send raw bytes; return what the server sends until it closes or is silent for 2 s.
 
-    With ``end`` the connection is closed after the request, and nothing is returned.
+    With ``end`` the connection is closed right after the request, and nothing is returned.
     """
     host, port = fleet.broker.vector_address.split(":")
     with socket.create_connection((host, int(port)), 5) as connection:
@@ -343,7 +343,8 @@
         time.sleep(0.5)
         verdict = judge(from_lines(list(fleet.events)), slack=100_000)
         assert verdict.kept, verdict.breaches[:3]
-        for event in fleet.events:  # with a better bound of the host, superseding its part is a breach
+        # The auditor reports a superseded part as a breach if its host had reported a better bound.
+        for event in fleet.events:
             if event["ev"] == "bound":
                 event["best"] = [2.0]
         assert {breach.rule for breach in judge(from_lines(list(fleet.events)), slack=100_000).breaches} == {
@@ -352,7 +353,10 @@
 
 
 def test_a_search_without_enough_time_is_rejected_before_any_part_is_sent():
-    """Virtual time: whether a search is shed depends on how fast hosts answer, here exactly their work."""
+    """A search that can't be answered within its timeout must not cost the hosts any work.
+
+    On virtual time hosts take exactly their work, so the result does not depend on the machine's speed.
+    """
     slow_settings = DEMO_SETTINGS.replace("(work 2ms))\n(collection far", "(work 80ms))\n(collection far")
     world = World(text=slow_settings)
     url = "/collections/prices/points/query"
--- a/tests/vector_fleet.py
+++ b/tests/vector_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet with a vector server on a thread, brute force over its points, and a POST on virtual time."""
+"""Helpers of vector tests: a fleet on a thread, brute-force search, and POST requests on virtual time."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class RunningFleet:
-    """A fleet on sockets, whose loop runs on a thread of its own."""
+    """A fleet on sockets whose event loop runs on its own thread."""
 
     def __init__(self, text: str = DEMO_SETTINGS) -> None:
         self.service_settings = loads(text)
@@ -70,7 +70,7 @@
             time.sleep(0.02)
 
     def live_endpoint_count(self):
-        """Return how many endpoints the broker's module holds as live."""
+        """Return how many endpoints the broker's decision module lists as live."""
         return sum(endpoint.live for endpoint in self.broker.broker.aggregator.endpoints.values())
 
     def _run(self) -> None:
@@ -124,7 +124,7 @@
 
 @contextmanager
 def running(text: str = DEMO_SETTINGS):
-    """Run a fleet with these settings; no task of it may fail."""
+    """Run a fleet with these settings, and check that none of its tasks failed."""
     fleet = RunningFleet(text)
     try:
         yield fleet
@@ -134,7 +134,7 @@
 
 
 def brute_force(service_settings, name, query, limit, offset=0, keep=lambda _payload: True):
-    """Return (id, score) of the best points of all shards, scored in double precision."""
+    """Return (id, score) of the best points of all shards, with scores computed in double precision."""
     spec = next(collection for collection in service_settings.collections if collection.name == name)
     scores = {}
     query_vector = np.asarray(query, np.float32).astype(np.float64)
@@ -168,7 +168,7 @@
 
 
 def post(world, target, body, headers=()):
-    """Return the response to a POST on a connection of its own, on virtual time."""
+    """Send a POST request on a new connection on virtual time, and return the response."""
     stream = yield from world.net.connect(world.fleet.brokers[0].vector_address, 1_000_000, "client")
     side = ClientSide("broker")
     request = side.request("POST", target, headers, json.dumps(body).encode())
