--- a/heathwell/service/fair_admission.py
+++ b/heathwell/service/fair_admission.py
@@ -13,7 +13,8 @@
 from heathwell.settings import ServiceSettings
 
 FAIR_QUEUE_SEED_MASK = 0xFA1E
-INITIAL_WINDOW_FACTOR = 2.0  # The initial limit is this times the queue target for each replica group.
+# The initial limit for each replica group is this times the queue target, shared by the brokers.
+INITIAL_LIMIT_FACTOR = 2.0
 MINIMUM_TICK_INTERVAL_US = 1000
 
 
@@ -39,12 +40,12 @@
     ) -> None:
         fronts = service_settings.fronts
         groups = service_settings.fleet.cells
-        initial_window = INITIAL_WINDOW_FACTOR * fronts.queue_target * groups / broker_count
+        initial_limit_us = INITIAL_LIMIT_FACTOR * fronts.queue_target * groups / broker_count
         self._broker = broker
         self._timer: Timer | None = None
         self.queue = FairQueue(
             {"memcached": fronts.memcached, "vector": fronts.vector},
-            ConcurrencyLimiter(fronts.queue_target, initial_window),
+            ConcurrencyLimiter(fronts.queue_target, initial_limit_us),
             seed ^ FAIR_QUEUE_SEED_MASK,
         )
 
--- a/heathwell/service/query_cost.py
+++ b/heathwell/service/query_cost.py
@@ -6,7 +6,7 @@
 from heathwell.service.query_plans import QueryPlan
 from heathwell.service.settings_change import ServiceSnapshot
 
-ROUNDING_UP = 0.999
+ROUNDING_UP = 0.999  # Added before the truncation to an integer; allows for rounding errors of the fraction.
 
 
 def part_work_us(plan: QueryPlan, version: SettingsVersion[ServiceSnapshot]) -> int:
--- a/heathwell/service/regions/client_drain.py
+++ b/heathwell/service/regions/client_drain.py
@@ -12,8 +12,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-# How long a broker must be cut off before clients are closed. The steps of half-open links end within this
-# time.
+# How long a broker must be cut off before clients are closed; steps of half-open links end within this time.
 CONFIRMATION_US = 1_000_000
 RECOVERY_US = 3_000_000  # How long a broker must be connected before another cut counts as a new one.
 NEVER_AT_US = -1
--- a/heathwell/service/reply_recorder.py
+++ b/heathwell/service/reply_recorder.py
@@ -38,7 +38,7 @@
                 is_answer=reply.kind in (ReplyKind.ANSWERED, ReplyKind.MISS),
                 within_objective=duration_us <= query_class.latency_objective_us,
             )
-        if self._broker.events.is_enabled:  # building the lists is expensive
+        if self._broker.events.is_enabled:  # Building the lists is expensive.
             self._log(query, reply, duration_us)
         self._explanations.record(
             ExplainedQuery(query, query_class.name, reply, duration_us, now),
--- a/heathwell/service/storm_protection.py
+++ b/heathwell/service/storm_protection.py
@@ -37,7 +37,7 @@
 
 
 class StormProtection:
-    """Runs the storm controller of one broker with the broker's clock and the capacity of its endpoints."""
+    """Runs the storm controller of one broker, with the broker's clock and the capacity of its endpoints."""
 
     def __init__(self, broker: StormBroker, service_settings: ServiceSettings, seed: int) -> None:
         limits = service_settings.storms
