--- a/heathwell/servers/memcached.py
+++ b/heathwell/servers/memcached.py
@@ -89,7 +89,7 @@
         now = self.broker.loop.now()
         self.broker.loop.call_at(now + DRAIN_CHECK_INTERVAL_US, self._drain_idle_clients)
         drain = self.broker.client_drain
-        drain.tick(now, is_cut_off=self.broker.should_drain_clients)
+        drain.tick(now, should_drain=self.broker.should_drain_clients)
         if not drain.is_active:
             return
         idle = [
--- a/heathwell/servers/vector.py
+++ b/heathwell/servers/vector.py
@@ -64,4 +64,4 @@
         self.broker.loop.call_at(self.broker.loop.now() + DRAIN_CHECK_INTERVAL_US, self._check_drain)
         drain = self.broker.client_drain
         for connection in self.clients.connections.values():
-            connection.closes_with_answer = drain.is_active and connection.opened_at_us < drain.cut_since_us
+            connection.closes_with_answer = drain.is_active and connection.opened_at_us < drain.drain_since_us
--- a/tests/test_event_orderings_servers.py
+++ b/tests/test_event_orderings_servers.py
@@ -123,7 +123,7 @@
         now = self.servers.loop.now()
         drain = self.server.broker.client_drain
         drain.spread_us = 1
-        drain.tick(now - 5_000_000, is_cut_off=True)
+        drain.tick(now - 5_000_000, should_drain=True)
         drain.tick = lambda _now_us, **_state: None
         for connection in self.connections():
             connection.opened_at_us = now - 6_000_000
--- a/tests/test_region_reachability.py
+++ b/tests/test_region_reachability.py
@@ -52,7 +52,7 @@
 
     def wait(now_us, until_us, clients, *, is_cut_off):
         for at_us in range(now_us, until_us, 250_000):
-            drain.tick(at_us, is_cut_off=is_cut_off)
+            drain.tick(at_us, should_drain=is_cut_off)
             open_clients = [IdleClient(*client) for client in clients if client[0] not in closed_at_us]
             for client in drain.take_due(at_us, open_clients):
                 closed_at_us[client] = at_us
