--- a/heathwell/service/key_spaces.py
+++ b/heathwell/service/key_spaces.py
@@ -130,27 +130,27 @@
 
 def merge(shape: str, first: Iterable[bytes], second: Iterable[bytes]) -> JsonObject:
     """Return one body merged from the data of both steps' parts, independent of the order of the parts."""
-    heads = [_json.decode(data) for data in first]
+    first_bodies = [_json.decode(data) for data in first]
     match KeyShape(shape):
         case KeyShape.RECORD:
-            return heads[0] if heads else {}
+            return first_bodies[0] if first_bodies else {}
         case KeyShape.SEARCH:
-            return _merge_search(heads)
+            return _merge_search(first_bodies)
         case KeyShape.REPORT:
-            return _merge_report(heads, (_json.decode(data) for data in second))
+            return _merge_report(first_bodies, (_json.decode(data) for data in second))
 
 
-def _merge_search(heads: Iterable[JsonObject]) -> JsonObject:
-    offers = [offer for head in heads for offer in head["rows"]]
-    offers.sort(key=lambda offer: (offer["price"], offer["id"]))
-    return {"rows": offers[:MAXIMUM_SEARCH_RESULTS], "found": len(offers)}
+def _merge_search(bodies: Iterable[JsonObject]) -> JsonObject:
+    rows = [row for body in bodies for row in body["rows"]]
+    rows.sort(key=lambda row: (row["price"], row["id"]))
+    return {"rows": rows[:MAXIMUM_SEARCH_RESULTS], "found": len(rows)}
 
 
-def _merge_report(heads: Iterable[JsonObject], details: Iterable[JsonObject]) -> JsonObject:
+def _merge_report(first_bodies: Iterable[JsonObject], second_bodies: Iterable[JsonObject]) -> JsonObject:
     totals: dict[str, int] = {"count": 0, "cents": 0}
-    for head in heads:
+    for body in first_bodies:
         for name in totals:
-            totals[name] += head[name]
-    items = [item for detail in details for item in detail["items"]]
+            totals[name] += body[name]
+    items = [item for body in second_bodies for item in body["items"]]
     items.sort(key=lambda item: str(item["id"]))
     return {"totals": totals, "items": items}
