--- a/heathwell/service/admission/cost_model.py
+++ b/heathwell/service/admission/cost_model.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-MINIMUM_ANSWERS = 20  # Predictions are used after so many answers.
+MINIMUM_ANSWERS = 20  # Predictions are used from this number of answers on.
 FORGETTING_FACTOR = 0.995
 INITIAL_VARIANCE = 100.0
 MAXIMUM_VARIANCE = 1e4
--- a/heathwell/service/coverage/cover_codec.py
+++ b/heathwell/service/coverage/cover_codec.py
@@ -24,7 +24,7 @@
 
 
 def encode_cover(cover: Cover) -> bytes:
-    """Return the encoded form; raise :class:`CoverError` where the source time is negative."""
+    """Return the encoded form; raise :class:`CoverError` if the source time is negative."""
     stamp = NO_DATA if cover.oldest_source_us is None else cover.oldest_source_us + 1
     if stamp < 0:
         raise CoverError(f"source time {cover.oldest_source_us} is negative")
--- a/heathwell/service/freshness/source_clock.py
+++ b/heathwell/service/freshness/source_clock.py
@@ -13,7 +13,7 @@
 
 MAXIMUM_DRIFT = 200e-6  # Between the rates of two clocks: twice the specification of quartz clocks.
 ROUNDING_US = 2  # Times are rounded to microseconds on both sides.
-CONTRADICTIONS_UNTIL_RESET = 8  # So many contradicting samples in a row mean that the source clock was set.
+CONTRADICTIONS_UNTIL_RESET = 8  # This many contradicting samples in a row mean that the source clock was set.
 
 
 class SourceClock:
--- a/heathwell/service/query_admission.py
+++ b/heathwell/service/query_admission.py
@@ -58,7 +58,7 @@
         """Whether the broker is shutting down."""
 
     def is_full(self, parts: int) -> bool:
-        """Return whether a query of so many parts would exceed the limit on open queries and parts."""
+        """Return whether ``parts`` more parts would exceed the limit on open queries and parts."""
 
     def mean_part_latency_us(self, query_class: int) -> float:
         """Return the mean latency of a class's parts."""
--- a/heathwell/service/regions/link_state.py
+++ b/heathwell/service/regions/link_state.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-FLAP_FALLS = 2  # A link that goes down so often within :data:`FLAP_WINDOW_US` is flapping.
+FLAP_FALLS = 2  # A link that goes down this many times within :data:`FLAP_WINDOW_US` is flapping.
 FLAP_WINDOW_US = 10_000_000
 LATENCY_SAMPLES = 32  # The number of latest answers by which the delay of a link is measured.
 FIRST_TRIAL_INTERVAL_US = 500_000
--- a/heathwell/service/regions/region_links.py
+++ b/heathwell/service/regions/region_links.py
@@ -48,7 +48,7 @@
 
 FAILURES = (Outcome.UNREACHABLE, Outcome.BROKEN, Outcome.TIMED_OUT)
 RESPONSES = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED)  # Outcomes that show that the link works.
-LATE_ENDPOINTS = 2  # Late answers of so many endpoints show that a link is slow rather than down.
+LATE_ENDPOINTS = 2  # Late answers from this many endpoints show that a link is slow rather than down.
 # A link is slow if its additional delay exceeds this fraction of the shortest latency objective.
 SLOW_FRACTION = 0.15
 FAST_FRACTION = 0.08  # A slow link is open again if the additional delay is below this fraction.
@@ -56,7 +56,7 @@
 TRIAL_JITTER = (0.6, 1.4)
 TRIAL_ENDPOINTS = 2  # Endpoints probed in a trial: a single one may itself be down.
 SUSPICION_ENDPOINTS = 4  # Endpoints probed once an endpoint of the region is silent.
-QUICK_PROBES = 4  # A slow link is open again after so many fast probes in a row: a single one may be jitter.
+QUICK_PROBES = 4  # A slow link is open again after this many fast probes in a row, as one may be jitter.
 RECOVERY_FRACTIONS = (0.25, 0.5, 1.0)  # The fraction of the region's endpoints usable in each half-open step.
 RECOVERY_STEP_US = 400_000
 LATENCY_GAIN = 0.1
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -384,7 +384,7 @@
         if self._fair_admission is not None:
             self._fair_admission.on_query_closed(query)
 
-    # Hooks of the driver for the quotas of the fleet, where settings enable them.
+    # Hooks of the driver for the quotas of the fleet, if the settings enable them.
 
     def quota_update(self) -> policy.QuotaUpdate | None:
         """Return what this broker may use of the fleet's quotas now; ``None`` without quotas on attempts."""
