--- a/heathwell/service/regions/client_drain.py
+++ b/heathwell/service/regions/client_drain.py
@@ -13,8 +13,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-# How long the reason for the drain must last before clients are closed; half-open steps of links end within
-# it.
+# How long the reason for a drain must last before clients are closed; half-open steps of links are shorter.
 CONFIRMATION_US = 1_000_000
 RECOVERY_US = 3_000_000  # How long a broker must have recovered before another drain counts as a new one.
 NEVER_AT_US = -1
