--- a/heathwell/servers/admin_metrics.py
+++ b/heathwell/servers/admin_metrics.py
@@ -156,10 +156,10 @@
 
     def _region_metrics(self) -> Iterator[Metric]:
         broker = self._broker
-        if broker.regions is None:
+        if broker.region_links is None:
             return
         crossed = CounterMetricFamily("heathwell_crossed", "Attempts over a link", labels=("region", "which"))
-        for link in broker.regions.links.values():
+        for link in broker.region_links.links.values():
             first_count = link.crossed_count - link.additional_crossed_count
             crossed.add_metric((link.region, "first"), first_count)
             crossed.add_metric((link.region, "further"), link.additional_crossed_count)
@@ -168,7 +168,7 @@
             "heathwell_answerable", "Share of a class's queries that can be answered now", labels=("class",)
         )
         for index, spec in enumerate(broker.settings.classes):
-            answerable.add_metric((spec.name,), broker.reachability.served_fraction(index))
+            answerable.add_metric((spec.name,), broker.reachability.answerable_query_fraction(index))
         yield answerable
         yield CounterMetricFamily(
             "heathwell_clients_let_go",
@@ -197,14 +197,14 @@
         yield uses
 
     def _admission_metrics(self) -> Iterator[Metric]:
-        storms = self._broker.storms
+        storms = self._broker.storm_controller
         if storms is not None:
             yield GaugeMetricFamily(
                 "heathwell_storm_rate",
                 "Work let in a second while not calm (s); 0 while calm",
                 value=0.0 if storms.state == "calm" else storms.work_rate_us / 1e6,
             )
-        gate = self._broker.gate
+        gate = self._broker.fair_queue
         if gate is None:
             return
         work = GaugeMetricFamily(
--- a/heathwell/servers/vector_routes.py
+++ b/heathwell/servers/vector_routes.py
@@ -88,7 +88,7 @@
     def _health(self, path: str) -> Response:
         if path == "/readyz" and self._broker.stopping:
             return Response(503, b"stopping\n")
-        if path == "/readyz" and self._broker.cut_off:
+        if path == "/readyz" and self._broker.is_cut_off:
             return Response(503, b"cut off from most shards\n")
         return Response(200, b"ok\n")
 
@@ -100,7 +100,7 @@
 
     def _collection_information(self, spec: Collection) -> answers.CollectionInformation:
         shard_count = len(self._planner.shards(spec))
-        sizes = self._broker.search_answers.points_seen.get(spec.name, {})
+        sizes = self._broker.search_answers.shard_sizes.get(spec.name, {})
         point_count = sum(sizes.values()) if len(sizes) == shard_count else None
         width = self._broker.service_settings.fleet.width
         return answers.collection_information(spec, shard_count, width, point_count)
--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -13,9 +13,9 @@
 from heathwell.servers import vector_api as api
 from heathwell.servers.durations import milliseconds_rounded_up
 from heathwell.service.admission import CostModel, search_features, split_batch
-from heathwell.service.key_spaces import consecutive_shards, place
+from heathwell.service.key_spaces import consecutive_shards, first_shard
 from heathwell.service.merging import MergedRows, TopKMerge
-from heathwell.service.records import PartPlan, Plan, SearchPlan
+from heathwell.service.query_plans import PartPlan, QueryPlan, SearchPlan
 from heathwell.service.reply_merging import merged_rows
 from heathwell.service.service_broker import ServiceBroker
 from heathwell.service.vectors.search_messages import SEARCH_OPERATION
@@ -65,7 +65,9 @@
     def shards(self, spec: Collection) -> list[int]:
         """Return the shards that hold a collection."""
         fleet = self._broker.service_settings.fleet
-        return consecutive_shards(place(spec.name, fleet.shards), spec.parts or fleet.shards, fleet.shards)
+        return consecutive_shards(
+            first_shard(spec.name, fleet.shards), spec.parts or fleet.shards, fleet.shards
+        )
 
     def chunks(self, request: SearchRequest) -> list[list[api.Search]]:
         """Split the searches of a request, in order, so that no chunk occupies an endpoint for long."""
@@ -75,19 +77,19 @@
         indices = split_batch(costs, limits.chunk, limits.chunk_searches)
         return [[request.searches[index] for index in chunk] for chunk in indices]
 
-    def plan(self, request: SearchRequest, searches: Sequence[api.Search]) -> Plan:
+    def plan(self, request: SearchRequest, searches: Sequence[api.Search]) -> QueryPlan:
         """Return the plan of one chunk."""
         spec = request.spec
         shards = self.shards(spec)
         query_class = self.query_class(spec.name, is_batch=request.is_batch)
-        return Plan(
+        return QueryPlan(
             query_class,
             "vectors",
             zlib.crc32(searches[0].vector),
             _model_name(spec),
             tuple(PartPlan(shard, 1 / len(shards), SEARCH_OPERATION, spec.name) for shard in shards),
             search=self._search_plan(request, searches, query_class),
-            front="vector",
+            flow="vector",
         )
 
     def _search_plan(
@@ -95,7 +97,7 @@
     ) -> SearchPlan:
         spec = request.spec
         features = _cost_features(searches)
-        top = TopKMerge(
+        merge = TopKMerge(
             [search.limit for search in searches],
             [search.offset for search in searches],
             [search.want.threshold for search in searches],
@@ -104,7 +106,7 @@
         return SearchPlan(
             _model_name(spec),
             api.encode_searches(spec.name, searches),
-            top,
+            merge,
             features,
             int(self._cost_model(spec).predict(features)),
             request.timeout_us,
@@ -177,7 +179,7 @@
         request = self._request
         index = self._started_count
         self._started_count += 1
-        handle = self._broker.begin(
+        handle = self._broker.start_planned_query(
             self._planner.plan(request, self._chunks[index]),
             self._on_reply(index),
             request.name if len(self._chunks) == 1 else f"{request.name}/{index}",
--- a/heathwell/service/answer_freshness.py
+++ b/heathwell/service/answer_freshness.py
@@ -1,4 +1,4 @@
-"""Whether an endpoint's answer is fresh enough, and how old the reply made from several answers is."""
+"""Decides whether an endpoint's answer is fresh enough, and determines the age of a merged reply."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServicePart, ServiceQuery
 
-TURNED_DOWN = "turned down"  # an interface: the label of a metric, and a reason on the admin page
+# An interface: the key of a counter that the metrics export, and a reason on the admin page.
+REJECTED_AS_STALE = "turned down"
 
 
 class AnswerFreshness:
-    """Judges answers by the position of the data source that they stand at.
+    """Evaluates answers by the position of the data source up to which their data is applied.
 
-    ``replicas_of`` gives the live nodes that hold a shard.
+    ``replicas_of`` returns the live nodes that hold a shard.
     """
 
     def __init__(self, broker: ServiceContext, replicas_of: Callable[[int], list[str]]) -> None:
@@ -26,8 +27,8 @@
         self._decider = FreshnessDecider(self.clock, replicas_of)
 
     @property
-    def liars(self) -> int:
-        """How many answers claimed a position that the data source had not reached."""
+    def future_watermark_count(self) -> int:
+        """The number of answers with a position that the data source had not yet reached."""
         return self._decider.lag_tracker.future_watermark_count
 
     def is_acceptable(
@@ -39,7 +40,7 @@
         result: frames.Result,
         sent_at_us: int,
     ) -> bool:
-        """Whether an answer may be used; a rejected one is counted, and noted at its part."""
+        """Return whether an answer may be used; a rejected one is counted and recorded in its part."""
         now = self._broker.loop.now()
         query_class = self._broker.query_class_of(query)
         verdict = self._decider.decide(
@@ -49,28 +50,28 @@
             Watermark(result.position, result.source_us),
             self._broker.snapshot_of(query).freshness_policies[query.plan.query_class],
             attempted_nodes=part.attempted_nodes(),
-            rejected_count=part.turned_down,
+            rejected_count=part.rejected_answer_count,
             duration_us=now - sent_at_us,
             time_left_us=query.started_at_us + query_class.latency_objective_us - now,
             minimum_position=_required_position(query, part.plan.shard),
         )
-        part.known_age = verdict.age_us is not None
+        part.has_known_age = verdict.age_us is not None
         if not verdict.is_accepted:
             reason = verdict.reason.value if verdict.reason is not None else ""
-            part.turned_down += 1
-            part.status = f"{TURNED_DOWN}: {reason}"
-            self._broker.counters[TURNED_DOWN, query_class.name, reason] += 1
+            part.rejected_answer_count += 1
+            part.status = f"{REJECTED_AS_STALE}: {reason}"
+            self._broker.counters[REJECTED_AS_STALE, query_class.name, reason] += 1
             self._broker.events("turned", p=key[0], seq=key[1], node=node, why=reason)
         return verdict.is_accepted
 
     def age_of(self, query: ServiceQuery, parts: Sequence[ServicePart]) -> Age | None:
-        """The age, as of now, of a reply that rests on answered parts; None where there are none."""
+        """Return the age, as of now, of a reply made from answered parts; None if there are none."""
         if not parts:
             return None
         now = self._broker.loop.now()
         bound_us = None
-        if all(part.known_age for part in parts):
-            bound_us = self.clock.age(now, min(part.source_us for part in parts))
+        if all(part.has_known_age for part in parts):
+            bound_us = self.clock.maximum_age_us(now, min(part.source_us for part in parts))
         target_age_us = (
             self._broker.snapshot_of(query).freshness_policies[query.plan.query_class].target_age_us
         )
@@ -80,7 +81,7 @@
             part.position >= first_positions.get(part.plan.shard, 0) for part in parts if part.step == 2
         )
         shards_behind = {
-            part.plan.shard for part in parts if part.position < query.plan.at_least(part.plan.shard)
+            part.plan.shard for part in parts if part.position < query.plan.token_position(part.plan.shard)
         }
         return Age(
             bound_us,
@@ -92,15 +93,18 @@
         )
 
     def age_at_us(self, part: ServicePart, at_us: int) -> int | None:
-        """The age of a part's data at an instant; None where it is not known."""
-        if part.data is None or not part.known_age:
+        """Return the age of a part's data at a time of the broker's loop; None if it is unknown."""
+        if part.data is None or not part.has_known_age:
             return None
-        return self.clock.age(at_us, part.source_us) or 0
+        return self.clock.maximum_age_us(at_us, part.source_us) or 0
 
 
 def _required_position(query: ServiceQuery, shard: int) -> int:
-    """The position that an answer of a shard must stand at: the client's, and that of the first step."""
-    positions = [query.plan.at_least(shard)]
+    """Return the position that a shard's answer must have reached.
+
+    This is the position of the client's token, or that of the first step's answer if it is later.
+    """
+    positions = [query.plan.token_position(shard)]
     if query.step > 1:
         positions += [
             part.position
--- a/heathwell/service/broker_components.py
+++ b/heathwell/service/broker_components.py
@@ -28,7 +28,7 @@
 from heathwell.service.search_answers import SearchAnswers, SearchBroker
 from heathwell.service.shard_reachability import ShardReachability
 from heathwell.service.source_clock import SourceClockClient
-from heathwell.service.storm_control import StormBroker, StormControl
+from heathwell.service.storm_protection import StormBroker, StormProtection
 
 if TYPE_CHECKING:
     from heathwell.service.zone_observer import ZoneObserver
@@ -48,7 +48,7 @@
     StormBroker,
     Protocol,
 ):
-    """What the components together use of their broker."""
+    """What all components together use of their broker."""
 
     @property
     def endpoints(self) -> Mapping[str, Endpoint]:
@@ -59,21 +59,21 @@
         """The names of the query classes, in their order."""
 
     def live_replicas(self, shard: int) -> list[str]:
-        """Return the endpoints listed as live that hold a shard."""
+        """Return the live endpoints that hold a shard."""
 
     def restrict_zones(self, query_class: int | None, nodes: frozenset[str]) -> None:
-        """Deprioritize endpoints for one query class, or (None) for all."""
+        """Deprioritize endpoints for one query class, or with None for all classes."""
 
     def probe(self, node: str) -> None:
         """Send a probe to an endpoint of an evacuated zone."""
 
     def on_endpoint_update(self, update: policy.EndpointUpdate) -> None:
-        """Handle an update of the endpoint list."""
+        """Handle an update to the endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class BrokerComponents:
-    """The components of one broker; those that settings leave out are ``None``."""
+    """The components of one broker; those that the settings disable are ``None``."""
 
     quota_gate: QuotaGate | None
     connections: EndpointConnections
@@ -86,7 +86,7 @@
     costs: CostModels
     search_answers: SearchAnswers
     fair_admission: FairAdmission | None
-    storm_control: StormControl | None
+    storm_protection: StormProtection | None
     admission: QueryAdmission
     client_drain: ClientDrain
     intake: QueryIntake
@@ -95,9 +95,9 @@
 
 
 def build_components(
-    broker: ComponentsBroker, net: Net, options: BrokerOptions, draw: random.Random
+    broker: ComponentsBroker, net: Net, options: BrokerOptions, rng: random.Random
 ) -> BrokerComponents:
-    """Build the components; several schedule their first tick here, in this order."""
+    """Build the components in a fixed order, as several of them schedule their first tick here."""
     seed = options.seed
     quota_gate = QuotaGate(broker, options.agent) if options.agent is not None else None
     connections = EndpointConnections(broker, broker, net, quota_gate)
@@ -109,8 +109,8 @@
     reachability = ShardReachability(broker, restrictions, broker.live_replicas)
     costs = CostModels()
     fair_admission = _build_fair_admission(broker, options)
-    storm_control = _build_storm_control(broker, seed)
-    admission = QueryAdmission(broker, reachability, storm_control, draw)
+    storm_protection = _build_storm_protection(broker, seed)
+    admission = QueryAdmission(broker, reachability, storm_protection, rng)
     return BrokerComponents(
         quota_gate=quota_gate,
         connections=connections,
@@ -123,17 +123,17 @@
         costs=costs,
         search_answers=SearchAnswers(broker, costs),
         fair_admission=fair_admission,
-        storm_control=storm_control,
+        storm_protection=storm_protection,
         admission=admission,
         client_drain=_build_client_drain(broker, seed, observes_zones=zone_observer is not None),
         intake=QueryIntake(broker, admission, fair_admission, options.statistics),
         planner=PartPlanner(broker),
-        recorder=ReplyRecorder(broker, explanations, options.statistics, storm_control),
+        recorder=ReplyRecorder(broker, explanations, options.statistics, storm_protection),
     )
 
 
 def build_discovery_client(broker: ComponentsBroker, net: Net, options: BrokerOptions) -> DiscoveryClient:
-    """Build the client of discovery, which reports each endpoint update to the broker."""
+    """Build the discovery client, which reports each endpoint update to the broker."""
     discovery = broker.service_settings.discovery
     return DiscoveryClient(
         broker.loop,
@@ -176,10 +176,10 @@
     return FairAdmission(broker, broker.service_settings, options.aggregator_count, options.seed)
 
 
-def _build_storm_control(broker: ComponentsBroker, seed: int) -> StormControl | None:
+def _build_storm_protection(broker: ComponentsBroker, seed: int) -> StormProtection | None:
     if not broker.service_settings.storms.enabled:
         return None
-    return StormControl(broker, broker.service_settings, seed)
+    return StormProtection(broker, broker.service_settings, seed)
 
 
 def _build_client_drain(broker: ComponentsBroker, seed: int, *, observes_zones: bool) -> ClientDrain:
--- a/heathwell/service/fair_admission.py
+++ b/heathwell/service/fair_admission.py
@@ -1,4 +1,4 @@
-"""Queues in front of the module: each server of a client protocol gets its share of the concurrency."""
+"""Fair queueing before the decision module: each server of a client protocol gets its share of the limit."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 from heathwell.service.service_records import ServiceQuery
 from heathwell.settings import ServiceSettings
 
-GATE_SEED_MASK = 0xFA1E
-INITIAL_WINDOW_FACTOR = 2.0  # of the queue target, by replica group
+FAIR_QUEUE_SEED_MASK = 0xFA1E
+# The initial limit for each replica group is this times the queue target, shared by the brokers.
+INITIAL_LIMIT_FACTOR = 2.0
 MINIMUM_TICK_INTERVAL_US = 1000
 
 
@@ -22,38 +23,38 @@
 
     @property
     def queries(self) -> Mapping[str, ServiceQuery]:
-        """The queries that it holds, by id."""
+        """The queries that the broker holds, by id."""
 
     def enter_query(self, query: ServiceQuery) -> None:
         """Pass a query to the decision module."""
 
-    def reject_crowded_query(self, query: ServiceQuery, retry_after_us: int) -> None:
-        """Reject a query that waits too long; its client may retry after ``retry_after_us``."""
+    def reject_queued_query(self, query: ServiceQuery, retry_after_us: int) -> None:
+        """Reject a query that is queued for too long; its client may retry after ``retry_after_us``."""
 
 
 class FairAdmission:
-    """The queues of one broker; ``broker_count`` brokers share the endpoints."""
+    """The fair queue of one broker; ``broker_count`` brokers share the endpoints."""
 
     def __init__(
         self, broker: FairAdmissionBroker, service_settings: ServiceSettings, broker_count: int, seed: int
     ) -> None:
         fronts = service_settings.fronts
         groups = service_settings.fleet.cells
-        initial_window = INITIAL_WINDOW_FACTOR * fronts.queue_target * groups / broker_count
+        initial_limit_us = INITIAL_LIMIT_FACTOR * fronts.queue_target * groups / broker_count
         self._broker = broker
         self._timer: Timer | None = None
         self.queue = FairQueue(
             {"memcached": fronts.memcached, "vector": fronts.vector},
-            ConcurrencyLimiter(fronts.queue_target, initial_window),
-            seed ^ GATE_SEED_MASK,
+            ConcurrencyLimiter(fronts.queue_target, initial_limit_us),
+            seed ^ FAIR_QUEUE_SEED_MASK,
         )
 
     def offer(self, query: ServiceQuery) -> None:
         """Pass a new query on at once, queue it, or reject it."""
         cost_us = query_cost_us(query.plan, query.settings_version)
         now = self._broker.loop.now()
-        patience_us = self._patience_us(query, now)
-        decision = self.queue.offer(now, query.plan.front, query.id, cost_us, patience_us)
+        queue_timeout_us = self._queue_timeout_us(query, now)
+        decision = self.queue.offer(now, query.plan.flow, query.id, cost_us, queue_timeout_us)
         if decision == AdmissionDecision.ADMIT:
             self._broker.enter_query(query)
         elif decision == AdmissionDecision.QUEUE:
@@ -63,40 +64,38 @@
             self._broker.loop.call_soon(self._reject, query)
 
     def on_query_closed(self, query: ServiceQuery) -> None:
-        """Free the place of a query that has had its reply or lost its client."""
+        """Remove a query that was answered or whose client has disconnected."""
         self.queue.end(self._broker.loop.now(), query.id)
         if self.queue.is_queueing:
             self._broker.loop.call_soon(self._tick)
 
     def on_part_answered(self, sent_at_us: int | None, work_us: int) -> None:
-        """Learn the concurrency that endpoints bear from an answer's round trip and the work it took."""
+        """Adapt the concurrency limit to an answer's round trip and the work it took."""
         if work_us:
             now = self._broker.loop.now()
             round_trip_us = now - sent_at_us if sent_at_us is not None else 0
             self.queue.limiter.on_part_answered(now, round_trip_us, work_us)
 
-    def _patience_us(self, query: ServiceQuery, now: int) -> int:
-        """How long a query may be queued."""
+    def _queue_timeout_us(self, query: ServiceQuery, now: int) -> int:
+        """Return for how long a query may be queued."""
         left_us = query.deadline_us - now
         search = query.plan.search
-        if search is not None and search.patience_us:
-            return min(search.patience_us, left_us // 2)
+        if search is not None and search.queue_timeout_us:
+            return min(search.queue_timeout_us, left_us // 2)
         objective_us = self._broker.query_class_of(query).latency_objective_us
         return int(self._broker.service_settings.fronts.patience * min(objective_us, left_us))
 
     def _reject(self, query: ServiceQuery) -> None:
         query_class = self._broker.query_class_of(query)
-        self._broker.counters["crowded", query.plan.front, query_class.name] += 1
+        self._broker.counters["crowded", query.plan.flow, query_class.name] += 1
         objective_us = query_class.latency_objective_us
         longest_us = min(objective_us, self._broker.settings.max_retry_after_us or objective_us)
-        retry_after_us = self.queue.retry_after_us(query.plan.front, longest_us)
+        retry_after_us = self.queue.retry_after_us(query.plan.flow, longest_us)
         query.queued = False
-        self._broker.reject_crowded_query(query, retry_after_us)
+        self._broker.reject_queued_query(query, retry_after_us)
 
     def _tick(self) -> None:
-        """Pass on queries whose turn it is, reject those that were queued for too long, and schedule the next
-        tick.
-        """
+        """Admit queued queries that fit now, reject expired ones, and schedule the next tick."""
         if self._broker.dead:
             return
         now = self._broker.loop.now()
--- a/heathwell/service/freshness/consistency_token.py
+++ b/heathwell/service/freshness/consistency_token.py
@@ -1,8 +1,8 @@
-"""Consistency tokens: with one a client requests that an answer is not older than an earlier one.
+"""Consistency tokens, by which a client requests an answer that is not older than an earlier one.
 
-A token holds the positions that an answer rests on, by shard, in a form short enough for a memcached key. An
-answer of too many shards gets a token of their least position alone. A checksum detects mangled tokens. It is
-no signature: a client that forges a token affects only its own answers.
+A token holds by shard the source positions of an answer's data, in a form short enough for a memcached key.
+If an answer has too many shards its token only holds their lowest position. A checksum detects corrupted
+tokens. Tokens are not signed, as a client that forges one affects only its own answers.
 """
 
 from __future__ import annotations
@@ -17,41 +17,41 @@
 from heathwell.service.freshness.errors import TokenError
 
 MAXIMUM_CHARACTERS = 120
-BY_SHARD = 1  # the first byte of a token with a position for each shard
-LEAST_ONLY = 2
+BY_SHARD = 1  # The first byte of a token with a position for each shard.
+MINIMUM_ONLY = 2  # The first byte of a token with only the lowest position.
 CHECKSUM_BYTES = 4
 
 
 @dataclass(frozen=True, slots=True)
 class TokenPositions:
-    """Positions by shard, and the least position for any other shard."""
+    """Positions by shard, and the position that applies to all other shards."""
 
     by_shard: dict[int, int] = field(default_factory=dict)
-    least: int = 0
+    minimum: int = 0
 
 
 def make_token(positions: Mapping[int, int]) -> str:
-    """Return the token of an answer's positions by shard; empty where it rests on none."""
+    """Return the token for an answer's positions by shard; empty if there are none."""
     if not positions:
         return ""
-    least = min(positions.values())
-    body = bytearray([BY_SHARD]) + varint.encode(least)
+    minimum = min(positions.values())
+    body = bytearray([BY_SHARD]) + varint.encode(minimum)
     previous_shard = 0
     for shard in sorted(positions):
-        body += varint.encode(shard - previous_shard) + varint.encode(positions[shard] - least)
+        body += varint.encode(shard - previous_shard) + varint.encode(positions[shard] - minimum)
         previous_shard = shard
     text = _seal(bytes(body))
-    return text if len(text) <= MAXIMUM_CHARACTERS else _seal(bytes([LEAST_ONLY]) + varint.encode(least))
+    return text if len(text) <= MAXIMUM_CHARACTERS else _seal(bytes([MINIMUM_ONLY]) + varint.encode(minimum))
 
 
 def read_token(text: str) -> TokenPositions:
     """Return the positions in a token; raise :class:`TokenError`."""
     body = _unseal(text)
     try:
-        least, offset = varint.decode(body, 1)
-        if body[0] == LEAST_ONLY and offset == len(body):
-            return TokenPositions(least=least)
-        positions = _read_positions(body, offset, least) if body[0] == BY_SHARD else {}
+        minimum, offset = varint.decode(body, 1)
+        if body[0] == MINIMUM_ONLY and offset == len(body):
+            return TokenPositions(minimum=minimum)
+        positions = _read_positions(body, offset, minimum) if body[0] == BY_SHARD else {}
     except ValueError as problem:
         raise TokenError(str(problem)) from None
     if body[0] != BY_SHARD:
@@ -59,14 +59,14 @@
     return TokenPositions(by_shard=positions)
 
 
-def _read_positions(body: bytes, offset: int, least: int) -> dict[int, int]:
+def _read_positions(body: bytes, offset: int, minimum: int) -> dict[int, int]:
     positions = {}
     shard = 0
     while offset < len(body):
         gap, offset = varint.decode(body, offset)
         excess, offset = varint.decode(body, offset)
         shard += gap
-        positions[shard] = least + excess
+        positions[shard] = minimum + excess
     return positions
 
 
--- a/heathwell/service/host_link.py
+++ b/heathwell/service/host_link.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint with many attempts in flight; each attempt ends with exactly one outcome."""
+"""A connection to one endpoint that multiplexes attempts; each attempt ends with exactly one outcome."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 )
 
 OUTCOMES = {"ok": policy.Outcome.OK, "error": policy.Outcome.ERROR, "full": policy.Outcome.REJECTED}
-HEARTBEATS_PER_TIMEOUT = 4  # pings within the time after which an endpoint closes a silent connection
+HEARTBEATS_PER_TIMEOUT = 4  # Pings within the time after which an endpoint closes a silent connection.
 
 
 class AttemptObserver(Protocol):
-    """Is notified of the ends of attempts and probes."""
+    """Receives the outcomes of attempts and probes, and the endpoint's notices."""
 
     def on_attempt_result(
         self, node: str, key: AttemptKey, outcome: policy.Outcome, result: frames.Result | None
@@ -38,34 +38,34 @@
         """Handle the one outcome of a probe."""
 
     def parts_to_send(self, node: str, parts: list[frames.PartRequest]) -> list[frames.PartRequest]:
-        """Return those attempts that waited for the connection and may still be sent.
+        """Return which of the attempts that waited for the connection may still be sent.
 
-        The observer itself ends the others.
+        The observer ends the others itself.
         """
 
     def on_score_bound(self, node: str, key: AttemptKey, best: list[float]) -> None:
-        """Handle an endpoint's bounds, sent before its work, on the scores of an attempt."""
+        """Handle the bounds on an attempt's scores, which an endpoint sends before it searches."""
 
     def on_late_answer(self, node: str) -> None:
-        """Handle a result of an attempt that has ended already."""
+        """Handle a result for an attempt that has already ended."""
 
     def on_endpoint_draining(self, node: str) -> None:
-        """Handle an endpoint's notice that it drains."""
+        """Handle an endpoint's notice that it is draining."""
 
 
 @dataclass(slots=True)
 class InFlightAttempt:
-    """An attempt; its frame begins at ``frame_offset`` of the stream, ``None`` while it is unsent."""
+    """An attempt whose frame begins at ``frame_offset`` of the stream; ``None`` until it is written."""
 
     frame_offset: int | None = None
 
 
 class HostLink:
-    """One broker's connection to one endpoint: opened when there is something to send, closed when idle.
+    """A broker's connection to one endpoint, opened when there is something to send and closed when idle.
 
-    After ``endpoint_idle_timeout_us`` of silence the endpoint may close a connection, so pings are sent in
-    time; 0 means that it does not. ``on_closed`` is called at each end of a connection, with whether the
-    endpoint has observed it.
+    The endpoint may close a connection after ``endpoint_idle_timeout_us`` of silence (0: it does not), so
+    pings are sent more often than that. ``on_closed`` is called whenever a connection has ended, with whether
+    the endpoint has observed the end.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         net: Net,
         node: str,
         name: str,
-        owner: AttemptObserver,
+        observer: AttemptObserver,
         *,
         connect_timeout_us: int,
         probe_timeout_us: int,
@@ -87,7 +87,7 @@
         self.net = net
         self.node = node
         self.name = name
-        self.owner = owner
+        self.observer = observer
         self.log = log
         self.connect_timeout_us = connect_timeout_us
         self.probe_timeout_us = probe_timeout_us
@@ -97,7 +97,7 @@
         self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
         self.stream: Stream | None = None
         self.late_answers = 0
-        self._waiting: list[list[frames.PartRequest]] = []
+        self._pending_calls: list[list[frames.PartRequest]] = []
         self._task: Task[None] | None = None
         self._probes: dict[int, Timer] = {}
         self._probe_number = 0
@@ -114,22 +114,22 @@
         return self.stream is not None
 
     def send(self, parts: list[frames.PartRequest]) -> None:
-        """Send attempts in one call; each ends with one outcome."""
+        """Send attempts in one call; each ends with exactly one outcome."""
         for part in parts:
             self.in_flight[part.id, part.seq] = InFlightAttempt()
         if self.stream is None:
-            self._waiting.append(parts)
+            self._pending_calls.append(parts)
             self._connect()
         else:
             self._write_call(parts)
 
     def abandon(self, key: AttemptKey) -> bool:
-        """Stop waiting for an attempt that the owner has ended by itself; true if it was in flight."""
+        """Stop waiting for an attempt that the observer has ended itself; return whether it was in flight."""
         sent = self.in_flight.pop(key, None)
         if sent is None:
             return False
         if sent.frame_offset is None:
-            for parts in self._waiting:
+            for parts in self._pending_calls:
                 parts[:] = [part for part in parts if (part.id, part.seq) != key]
         elif self.stream is not None:
             self._write(frames.encode(frames.CancelPart(*key)))
@@ -137,15 +137,15 @@
         return True
 
     def withdraw(self, key: AttemptKey) -> bool:
-        """Withdraw an attempt that is unsent."""
+        """Withdraw an attempt if it was not written to a stream; return whether it was withdrawn."""
         return key in self.in_flight and self.in_flight[key].frame_offset is None and self.abandon(key)
 
     def probe(self) -> None:
-        """Send a ping; the probe ends with one outcome."""
+        """Send a ping as a probe, which ends with exactly one outcome."""
         self._probe_number += 1
         number = self._probe_number
         self._probes[number] = self.loop.call_at(
-            self.loop.now() + self.probe_timeout_us, self._probe_over, number, policy.Outcome.TIMED_OUT
+            self.loop.now() + self.probe_timeout_us, self._end_probe, number, policy.Outcome.TIMED_OUT
         )
         if self.stream is None:
             self._connect()
@@ -164,7 +164,7 @@
     def _run(self) -> Coro[None]:
         stream: Stream | None = None
         outcome = policy.Outcome.UNREACHABLE
-        seen = False
+        end_observed = False
         try:
             stream = yield from self.net.connect(self.node, self.connect_timeout_us)
             outcome = policy.Outcome.BROKEN
@@ -177,32 +177,36 @@
             self._send_heartbeat()
             for number in self._probes:
                 self._write(frames.encode(frames.Ping(number)))
-            waiting = self._waiting
-            self._waiting = []
+            waiting = self._pending_calls
+            self._pending_calls = []
             for parts in waiting:
-                sendable = self.owner.parts_to_send(self.node, parts)
+                sendable = self.observer.parts_to_send(self.node, parts)
                 if sendable:
                     self._write_call(sendable)
             self._idle.restart()
             yield from inner_protocol.listen(stream, self._on_message)
-            seen = True
+            end_observed = True
             if self.in_flight:
-                raise StreamBrokenError(  # noqa: TRY301  # ends as any break does, below
-                    "the host closed with attempts out"
+                raise StreamBrokenError(  # noqa: TRY301  # handled below as any break
+                    "endpoint closed the connection with attempts in flight"
                 )
         except ConnectError as error:
-            seen = str(error) == "ECONNREFUSED"
-            self.log("debug", "no connection", node=self.node, why=str(error))
+            end_observed = str(error) == "ECONNREFUSED"
+            self.log("debug", "connection failed", node=self.node, why=str(error))
         except (StreamBrokenError, frames.FrameError) as error:
-            seen = seen or isinstance(error, StreamBrokenError) and not isinstance(error, StreamOverrunError)
-            self.log("info", "connection lost", node=self.node, why=str(error), out=len(self.in_flight))
+            end_observed = (
+                end_observed
+                or isinstance(error, StreamBrokenError)
+                and not isinstance(error, StreamOverrunError)
+            )
+            self.log("info", "connection lost", node=self.node, why=str(error), in_flight=len(self.in_flight))
         finally:
             self._on_connection_lost(stream, outcome)
             if self.on_closed is not None:
-                self.on_closed(seen)
+                self.on_closed(end_observed)
 
     def _send_heartbeat(self) -> None:
-        """Ping at intervals, where the endpoint closes silent connections."""
+        """Send a ping and schedule the next, if the endpoint closes silent connections."""
         if self._heartbeat_timer is not None:
             self._heartbeat_timer.cancel()
         if self.endpoint_idle_timeout_us and self.stream is not None:
@@ -217,21 +221,21 @@
             case frames.Result():
                 key = (message.id, message.seq)
                 if self.in_flight.pop(key, None) is None:
-                    self.late_answers += 1  # it has ended already, and has no effect any more
-                    self.owner.on_late_answer(self.node)
+                    self.late_answers += 1  # The attempt has already ended, so the answer has no effect.
+                    self.observer.on_late_answer(self.node)
                 else:
                     outcome = OUTCOMES.get(message.outcome, policy.Outcome.ERROR)
-                    self.owner.on_attempt_result(self.node, key, outcome, message)
+                    self.observer.on_attempt_result(self.node, key, outcome, message)
                 self._idle.restart()
             case frames.ScoreBound(id=part, seq=seq, best=best):
                 if (part, seq) in self.in_flight:
-                    self.owner.on_score_bound(self.node, (part, seq), best)
+                    self.observer.on_score_bound(self.node, (part, seq), best)
             case frames.Pong(number=number):
                 if number not in self._probes:
-                    self.owner.on_late_answer(self.node)
-                self._probe_over(number, policy.Outcome.OK)
+                    self.observer.on_late_answer(self.node)
+                self._end_probe(number, policy.Outcome.OK)
             case frames.DrainNotice():
-                self.owner.on_endpoint_draining(self.node)
+                self.observer.on_endpoint_draining(self.node)
 
     def _write_call(self, parts: list[frames.PartRequest]) -> None:
         assert self.stream is not None
@@ -243,29 +247,32 @@
 
     def _write(self, data: bytes) -> None:
         if self.stream is not None:
-            self.stream.try_write(data)  # the reading side reports that a connection is broken
+            self.stream.try_write(data)  # The reading task reports a broken connection.
 
     def _on_connection_lost(self, stream: Stream | None, outcome: policy.Outcome) -> None:
-        """Report the outcomes of a lost connection: what was unsent provably never ran, the rest may have."""
+        """Report the outcomes of all attempts and probes on a lost connection.
+
+        Attempts whose bytes were not sent are unreachable, as they can't have run; the others may have run.
+        """
         sent_bytes = stream.sent if stream is not None else 0
         self.stream = None
         self._task = None
         in_flight = self.in_flight
         self.in_flight = {}
-        self._waiting = []
+        self._pending_calls = []
         for key, attempt in in_flight.items():
             is_unsent = attempt.frame_offset is None or attempt.frame_offset >= sent_bytes
-            self.owner.on_attempt_result(
+            self.observer.on_attempt_result(
                 self.node, key, policy.Outcome.UNREACHABLE if is_unsent else outcome, None
             )
         for number in list(self._probes):
-            self._probe_over(number, outcome)
+            self._end_probe(number, outcome)
         if stream is not None:
             stream.abort() if in_flight else stream.close()
 
-    def _probe_over(self, number: int, outcome: policy.Outcome) -> None:
+    def _end_probe(self, number: int, outcome: policy.Outcome) -> None:
         timer = self._probes.pop(number, None)
         if timer is not None:
             timer.cancel()
-            self.owner.on_probe_result(self.node, outcome)
+            self.observer.on_probe_result(self.node, outcome)
             self._idle.restart()
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -1,4 +1,4 @@
-"""The intake of queries: from a client's key or plan to a query that is admitted, or rejected at once."""
+"""Query intake: turns a client's key or a plan into a query that is admitted, or rejected at once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from heathwell.service.fair_admission import FairAdmission
 from heathwell.service.key_spaces import KeySpaces
 from heathwell.service.query_admission import Admission, AdmissionRejectedError, QueryAdmission
-from heathwell.service.records import Plan
+from heathwell.service.query_plans import QueryPlan
 from heathwell.service.service_context import ServiceContext
 from heathwell.service.service_records import ServiceQuery
 from heathwell.service.service_statistics import ServiceStatistics
@@ -25,7 +25,7 @@
         """The key spaces for queries that are admitted now."""
 
     def next_job(self) -> int:
-        """Return the number of a new query."""
+        """Return the number for a new query."""
 
     def admit(self, query: ServiceQuery) -> Handle:
         """Register a query and start its deadline timer."""
@@ -49,33 +49,35 @@
         self._fair_admission = fair_admission
         self._statistics = statistics
 
-    def ask(self, key: str, on_reply: OnReply, request: str, client: str) -> Handle | None:
-        """Start the query of a key; its one reply is given to ``on_reply``, never before this returns.
+    def start_query(self, key: str, on_reply: OnReply, request: str, client: str) -> Handle | None:
+        """Start the query of a key; ``on_reply`` gets its one reply, never before this method returns.
 
-        A key of no key space is a miss, and one that is malformed fails; neither reaches the decision
-        module. Return ``None`` in those cases and where :meth:`begin` does.
+        A key of no key space is a miss, and a key with a malformed token fails; neither reaches the decision
+        module. Return ``None`` in those cases and if :meth:`start_planned_query` does.
         """
         plan = self._broker.keys.plan(key)
         if plan is None:
             self._broker.loop.call_soon(on_reply, Reply(ReplyKind.MISS, reason="no such key space"))
             return None
-        if plan.wrong:
-            self._broker.loop.call_soon(on_reply, Reply(ReplyKind.FAILED, reason=plan.wrong))
+        if plan.token_error:
+            self._broker.loop.call_soon(on_reply, Reply(ReplyKind.FAILED, reason=plan.token_error))
             return None
-        return self.begin(plan, on_reply, request, client)
+        return self.start_planned_query(plan, on_reply, request, client)
 
-    def begin(self, plan: Plan, on_reply: OnReply, request: str, client: str) -> Handle | None:
-        """Start the query of a plan; return ``None`` where it is rejected at admission."""
+    def start_planned_query(
+        self, plan: QueryPlan, on_reply: OnReply, request: str, client: str
+    ) -> Handle | None:
+        """Start the query of a plan; return ``None`` if it is rejected at admission."""
         spec = self._broker.settings.classes[plan.query_class]
-        who = f"{client}|{plan.subject}"
+        client_id = f"{client}|{plan.subject}"
         if self._statistics is not None:
-            self._statistics.asked(self._broker.loop.now(), who, plan.key, spec.name)
+            self._statistics.record_query(self._broker.loop.now(), client_id, plan.key, spec.name)
         try:
-            admission = self._admission.admit(plan, who)
+            admission = self._admission.admit(plan, client_id)
         except AdmissionRejectedError as rejection:
-            self._reject(plan, who, request, on_reply, rejection)
+            self._reject(plan, client_id, request, on_reply, rejection)
             return None
-        query = self._make_query(plan, who, on_reply, admission)
+        query = self._make_query(plan, client_id, on_reply, admission)
         self._log_admission(query, request)
         handle = self._broker.admit(query)
         if self._fair_admission is not None:
@@ -84,7 +86,9 @@
             self._broker.enter_query(query)
         return handle
 
-    def _make_query(self, plan: Plan, who: str, on_reply: OnReply, admission: Admission) -> ServiceQuery:
+    def _make_query(
+        self, plan: QueryPlan, client_id: str, on_reply: OnReply, admission: Admission
+    ) -> ServiceQuery:
         now = self._broker.loop.now()
         job = self._broker.next_job()
         limits = self._broker.service_settings.limits
@@ -97,15 +101,18 @@
             now + time_left_us,
             on_reply,
             plan=plan,
-            cut_off=admission.cut_off_parts,
-            who=who,
+            unreachable_parts=admission.unreachable_parts,
+            client_id=client_id,
         )
 
     def _log_admission(self, query: ServiceQuery, request: str) -> None:
         plan = query.plan
         search_fields: dict[str, Sequence[float | None]] = {}
         if plan.search is not None:
-            search_fields = {"wanted": plan.search.top.requested_counts, "least": plan.search.top.thresholds}
+            search_fields = {
+                "wanted": plan.search.merge.requested_counts,
+                "least": plan.search.merge.thresholds,
+            }
         self._broker.events(
             "take",
             q=query.id,
@@ -120,14 +127,19 @@
         )
 
     def _reject(
-        self, plan: Plan, who: str, request: str, on_reply: OnReply, rejection: AdmissionRejectedError
+        self,
+        plan: QueryPlan,
+        client_id: str,
+        request: str,
+        on_reply: OnReply,
+        rejection: AdmissionRejectedError,
     ) -> None:
-        """Reply to a query that never reaches the decision module."""
+        """Reply to a query that is rejected before it reaches the decision module."""
         class_name = self._broker.settings.classes[plan.query_class].name
         reason = rejection.reason.value
         self._broker.counters["door", class_name, reason] += 1
         self._broker.events("door", req=request, key=plan.key, klass=class_name, why=reason)
         reply = replies.rejection(class_name, rejection.retry_after_us, reason)
         if self._statistics is not None:
-            self._statistics.ended(self._broker.loop.now(), who, plan.key, reply)
+            self._statistics.record_reply(self._broker.loop.now(), client_id, plan.key, reply)
         self._broker.loop.call_soon(on_reply, reply)
--- a/heathwell/service/service_records.py
+++ b/heathwell/service/service_records.py
@@ -6,27 +6,29 @@
 from dataclasses import dataclass
 
 from heathwell.broker.query_state import PartState, QueryState
-from heathwell.service.records import PartPlan, Plan
+from heathwell.service.query_plans import PartPlan, QueryPlan
 from heathwell.service.settings_change import ServiceSnapshot
 
 
 @dataclass(slots=True)
 class ServicePart(PartState):
-    """A part with the source position (and its instant) that its answer's data stands at."""
+    """A part, with the source position of its answer's data and the source time of that position."""
 
     plan: PartPlan
     position: int = 0
     source_us: int = 0
-    known_age: bool = False
-    turned_down: int = 0
+    has_known_age: bool = False
+    rejected_answer_count: int = 0
 
 
 @dataclass(slots=True)
 class ServiceQuery(QueryState[ServicePart, ServiceSnapshot]):
-    """A query with its plan; ``cut_off`` are parts that no endpoint within reach holds, ``who`` names its
-    client and subject.
+    """A query with its plan.
+
+    ``unreachable_parts`` are those that no reachable endpoint holds; ``client_id`` names the client and its
+    subject.
     """
 
-    plan: Plan = Plan(0, "", 0, "", ())
-    cut_off: Sequence[PartPlan] = ()
-    who: str = ""
+    plan: QueryPlan = QueryPlan(0, "", 0, "", ())
+    unreachable_parts: Sequence[PartPlan] = ()
+    client_id: str = ""
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Coverage sets, data ages and tokens: algebra, bounds, decisions, and stated ages against true ones."""
+"""Coverage sets, data ages and consistency tokens, and a comparison of reported ages with true ones."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 
 def test_a_cover_cannot_answer_parts_that_were_not_requested():
-    with pytest.raises(CoverError, match="not asked for"):
+    with pytest.raises(CoverError, match=r"answered parts \[2\] were not requested"):
         Cover.of([1], [1, 2])
     assert Cover.of([3, 4, 9], [4]).missing() == [3, 9]
     assert Cover.of([1, 2], [2]).weight({1: 0.25, 2: 0.75}) == 0.75
@@ -117,15 +117,15 @@
         assert clock.add(now_us, now_us + request_us + response_us, source_time(now_us + request_us))
         now_us += request_us + response_us
     at_us = now_us + elapsed_us
-    assert clock.lower(at_us) <= source_time(at_us) <= clock.upper(at_us)
-    assert clock.age(at_us, source_time(at_us) - 5_000) >= 5_000
+    assert clock.lower_bound_us(at_us) <= source_time(at_us) <= clock.upper_bound_us(at_us)
+    assert clock.maximum_age_us(at_us, source_time(at_us) - 5_000) >= 5_000
 
 
 def test_a_step_of_the_source_clock_is_accepted_after_repeated_samples():
     clock = SourceClock()
     clock.add(1000, 1200, 50_000)
     assert [clock.add(at_us, at_us + 100, 9_000_000 + at_us) for at_us in range(2000, 2020)].count(True) >= 10
-    assert clock.lower(3000) > 9_000_000
+    assert clock.lower_bound_us(3000) > 9_000_000
 
 
 def make_decider():
@@ -449,7 +449,7 @@
     inject_fault(scenario.fleet.leaves[1], "lie", 60, 60.0)
     ages = scenario.run().age_verdict()
     assert ages.kept and ages.unknown > 0
-    assert sum(broker.broker.freshness.liars for broker in scenario.fleet.brokers) > 0
+    assert sum(broker.broker.freshness.future_watermark_count for broker in scenario.fleet.brokers) > 0
 
 
 def test_the_auditor_finds_a_broker_that_counts_a_part_twice(monkeypatch):
@@ -467,7 +467,7 @@
 
 
 def test_ages_do_not_depend_on_the_clocks_of_hosts():
-    """A watermark holds source time alone: the source's offset of 90 days cancels."""
+    """Watermarks hold only source times, so the 90 days' offset of the source clock cancels out."""
     assert SOURCE_CLOCK_OFFSET_US > 90 * 86_400_000_000
     world = World(9, FRESHNESS_SETTINGS)
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -159,7 +159,7 @@
     driver = make_driver_with_link_down()
     driver.regions.on_probe_ended(driver.now_us, REMOTE_NODES[0], "ok")
     driver.wait(300)
-    # The earlier failures belong to the earlier fault.
+    # Failures from before the change of state are ignored.
     assert driver.link.state == LinkState.HALF_OPEN
     for node in REMOTE_NODES[:4]:
         driver.end(driver.send(node), "unreachable")
@@ -326,7 +326,7 @@
 
 
 class CombinedFaultScenario(RegionScenario):
-    """A cut that includes discovery, or a slow link together with slow local hosts."""
+    """A region cut that also cuts off discovery, or a slow link together with slow local hosts."""
 
     def _inject_region_fault(self):
         yield from sleep(self.loop, 9_000_000)
@@ -367,7 +367,7 @@
     assert during.on_time + during.partial + during.late > 0.9 * during.queries
     assert any(event["ev"] == "door" and event["why"] == "cut off" for event in scenario.events)
     assert any(event["ev"] == "link" and event["state"] == "down" for event in scenario.events)
-    links = [link for broker in scenario.fleet.brokers for link in broker.broker.regions.links.values()]
+    links = [link for broker in scenario.fleet.brokers for link in broker.broker.region_links.links.values()]
     assert all(link.state == LinkState.OPEN for link in links)
     if fault != "region lost":
         local = scenario.counts[ServiceKey("sale-record", Phase.DURING, is_local=True)]
--- a/tests/test_top_k_merge.py
+++ b/tests/test_top_k_merge.py
@@ -1,4 +1,4 @@
-"""The top-k merge: equal to brute force in any order of parts; superseded parts; malformed rows."""
+"""The top-k merge: comparison with brute force in any order of parts, superseded parts, malformed rows."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from heathwell.service.merging import MalformedRowsError, Row, TopKMerge, id_rank
 
-SCORES = st.sampled_from([-1.0, 0.0, 0.25, 0.5, 0.5, 1.0])  # few values, for ties
+SCORES = st.sampled_from([-1.0, 0.0, 0.25, 0.5, 0.5, 1.0])  # few values, so that ties occur
 SHARDS = st.dictionaries(st.one_of(st.integers(0, 40), st.sampled_from("abcd")), SCORES, max_size=12)
 
 
 def ranked(rows):
-    """Return rows by falling score, then by id."""
+    """Return rows sorted by descending score, then by id."""
     return sorted(rows, key=lambda row: (-row.score, id_rank(row.id)))
 
 
@@ -101,9 +101,9 @@
 def test_recall_counts_missing_parts_unless_their_bounds_exclude_them():
     merge = TopKMerge([2], [0], [None])
     merge.add_rows("a", [[Row(1, 0.9), Row(2, 0.8)]], point_count=100)
-    assert merge.result(0, ["b", "c"], merge.usual_point_count()).recall == pytest.approx(1 / 3)
+    assert merge.result(0, ["b", "c"], merge.mean_point_count()).recall == pytest.approx(1 / 3)
     merge.add_bounds("b", [0.5])
-    assert merge.result(0, ["b", "c"], merge.usual_point_count()).recall == pytest.approx(0.5)
+    assert merge.result(0, ["b", "c"], merge.mean_point_count()).recall == pytest.approx(0.5)
     assert merge.take_superseded() == ["b"]  # c has sent no bound
     merge.add_rows("c", [[Row(3, 0.85)]], point_count=100, recall=0.9)
     assert merge.result(0, ["b"], 100).recall == pytest.approx(0.95)
