--- a/heathwell/fleet/membership/__init__.py
+++ b/heathwell/fleet/membership/__init__.py
@@ -12,7 +12,7 @@
 from heathwell.fleet.membership.membership_table import MemberEntry, MembershipTable, ReportOutcome
 from heathwell.fleet.membership.messages import MembershipReply, MembershipReport
 from heathwell.fleet.membership.states import (
-    GONE_STATES,
+    FINAL_STATES,
     TRANSITIONS,
     MemberEvent,
     MembershipTimeouts,
@@ -21,7 +21,7 @@
 )
 
 __all__ = [
-    "GONE_STATES",
+    "FINAL_STATES",
     "TRANSITIONS",
     "IncarnationEnded",
     "LocalMember",
--- a/heathwell/fleet/membership/local_member.py
+++ b/heathwell/fleet/membership/local_member.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from heathwell.fleet.membership.messages import MembershipReply, MembershipReport
-from heathwell.fleet.membership.states import GONE_STATES, MembershipTimeouts
+from heathwell.fleet.membership.states import FINAL_STATES, MembershipTimeouts
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
             and reply.reply_number <= position.reply_number
         ):
             return None
-        if reply.state in GONE_STATES:
+        if reply.state in FINAL_STATES:
             self.incarnation = max(self.incarnation, reply.minimum_incarnation - 1)
             return self._end_incarnation(f"{coordinator} has it as {reply.state}: {reply.reason}")
         self.reply_positions[coordinator] = ReplyPosition(coordinator_incarnation, reply.reply_number)
--- a/heathwell/fleet/membership/membership_table.py
+++ b/heathwell/fleet/membership/membership_table.py
@@ -12,7 +12,7 @@
 
 from heathwell.fleet.membership.messages import MembershipReply, MembershipReport
 from heathwell.fleet.membership.states import (
-    GONE_STATES,
+    FINAL_STATES,
     TRANSITIONS,
     MemberEvent,
     MembershipTimeouts,
@@ -84,11 +84,11 @@
             transitions.append(
                 MemberTransition(report.name, report.incarnation, None, MemberState.JOINING, FIRST_REPORT)
             )
-        if entry.state in GONE_STATES:
+        if entry.state in FINAL_STATES:
             reply = MembershipReply(entry.state, self.reply_number, entry.incarnation + 1, ALREADY_GONE)
             return ReportOutcome(reply, transitions)
         transitions += self._refresh(now_us, entry, report)
-        minimum_incarnation = entry.incarnation + 1 if entry.state in GONE_STATES else 0
+        minimum_incarnation = entry.incarnation + 1 if entry.state in FINAL_STATES else 0
         return ReportOutcome(
             MembershipReply(entry.state, self.reply_number, minimum_incarnation), transitions
         )
@@ -104,7 +104,7 @@
             elif silence_us >= self.timeouts.suspect_timeout_us:
                 transitions += self._apply(now_us, entry, MemberEvent.SUSPECT_TIMEOUT, reason)
             gone_duration_us = now_us - entry.state_changed_at_us
-            if entry.state in GONE_STATES and gone_duration_us >= self.timeouts.gone_retention_us:
+            if entry.state in FINAL_STATES and gone_duration_us >= self.timeouts.gone_retention_us:
                 del self.entries[entry.name]
         return transitions
 
@@ -112,7 +112,7 @@
         """The entries that are not in a final state. Only an alive one is granted anything; a suspect one
         keeps what it holds.
         """
-        return (entry for entry in self.entries.values() if entry.state not in GONE_STATES)
+        return (entry for entry in self.entries.values() if entry.state not in FINAL_STATES)
 
     def _rejected(self, minimum_incarnation: int, reason: str) -> ReportOutcome:
         reply = MembershipReply(MemberState.DEAD, self.reply_number, minimum_incarnation, reason)
@@ -169,7 +169,7 @@
         """Whether a new name can be added; a full table drops the entry that has been gone for longest."""
         if len(self.entries) < self.timeouts.max_entries:
             return True
-        gone = [entry for entry in self.entries.values() if entry.state in GONE_STATES]
+        gone = [entry for entry in self.entries.values() if entry.state in FINAL_STATES]
         if not gone:
             return False
         oldest = min(gone, key=lambda entry: entry.state_changed_at_us)
--- a/heathwell/fleet/membership/states.py
+++ b/heathwell/fleet/membership/states.py
@@ -64,7 +64,7 @@
 }
 """The state that follows each event in each state; total over both enumerations."""
 
-GONE_STATES = frozenset({MemberState.LEFT, MemberState.DEAD})
+FINAL_STATES = frozenset({MemberState.LEFT, MemberState.DEAD})
 """Final states: the name can rejoin only under a later incarnation."""
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 from heathwell.codec import frames
 from heathwell.fleet.control import messages
 from heathwell.fleet.membership import (
-    GONE_STATES,
+    FINAL_STATES,
     TRANSITIONS,
     LocalMember,
     MemberEvent,
@@ -32,7 +32,7 @@
     assert set(TRANSITIONS) == set(MemberState) == {"joining", "alive", "suspect", "left", "dead"}
     for state, row in TRANSITIONS.items():
         assert set(row) == set(MemberEvent)
-        assert state not in GONE_STATES or set(row.values()) == {state}
+        assert state not in FINAL_STATES or set(row.values()) == {state}
 
 
 def test_a_broker_joins_and_is_alive_once_it_has_received_a_reply():
