--- a/heathwell/fleet/membership/membership_table.py
+++ b/heathwell/fleet/membership/membership_table.py
@@ -104,7 +104,7 @@
             elif silence_us >= self.timeouts.suspect_timeout_us:
                 transitions += self._apply(now_us, entry, MemberEvent.SUSPECT_TIMEOUT, reason)
             gone_duration_us = now_us - entry.state_changed_at_us
-            if entry.state in FINAL_STATES and gone_duration_us >= self.timeouts.gone_retention_us:
+            if entry.state in FINAL_STATES and gone_duration_us >= self.timeouts.final_state_retention_us:
                 del self.entries[entry.name]
         return transitions
 
--- a/heathwell/fleet/membership/states.py
+++ b/heathwell/fleet/membership/states.py
@@ -74,7 +74,7 @@
 
     suspect_timeout_us: int = 2_000_000
     dead_timeout_us: int = 5_000_000
-    gone_retention_us: int = 60_000_000  # how long an entry in a final state is still listed
+    final_state_retention_us: int = 60_000_000  # how long an entry in a final state is still listed
     max_entries: int = 1_024  # entries in final states included; further names are rejected
 
 
