--- a/heathwell/fleet/control/fleet_agent.py
+++ b/heathwell/fleet/control/fleet_agent.py
@@ -92,7 +92,7 @@
                 address,
                 self.member.name,
                 MEMBER_ROLE,
-                silence_us=SILENT_SUSPECT_TIMEOUTS * timings.membership.suspect_timeout_us,
+                silence_timeout_us=SILENT_SUSPECT_TIMEOUTS * timings.membership.suspect_timeout_us,
                 seed=seed * SEEDS_PER_MEMBER + number,
                 on_message=partial(self._on_message, address),
                 log=self.log,
--- a/heathwell/fleet/control/link.py
+++ b/heathwell/fleet/control/link.py
@@ -26,7 +26,7 @@
     """A connection to ``address`` that introduces itself as ``name`` in ``role``.
 
     ``on_message`` is called with each message but the peer's hello. A peer that stays silent for longer than
-    ``silence_us`` counts as lost at the next :meth:`send`, as a connection whose peer has vanished is
+    ``silence_timeout_us`` counts as lost at the next :meth:`send`, as a connection whose peer has vanished is
     never reset. ``fleet`` is the fleet's name ("" where it has none); a coordinator of another fleet
     refuses it.
     """
@@ -39,7 +39,7 @@
         name: str,
         role: str,
         *,
-        silence_us: int,
+        silence_timeout_us: int,
         seed: int,
         on_message: Callable[[frames.AnyMessage], None],
         log: Callable[..., None],
@@ -51,7 +51,7 @@
         self.name = name
         self.role = role
         self.fleet = fleet
-        self.silence_us = silence_us
+        self.silence_timeout_us = silence_timeout_us
         self.on_message = on_message
         self.log = log
         self.random = random.Random(seed)
@@ -72,7 +72,7 @@
         if self.stream is None:
             return False
         silent_us = self.loop.now() - self.last_received_at_us
-        if silent_us > self.silence_us or self.stream.unsent > MAX_UNSENT_BYTES:
+        if silent_us > self.silence_timeout_us or self.stream.unsent > MAX_UNSENT_BYTES:
             self.stream.abort()
             return False
         self.stream.offer(frames.encode(message))
--- a/heathwell/fleet/control/quota_coordinator.py
+++ b/heathwell/fleet/control/quota_coordinator.py
@@ -78,7 +78,7 @@
             address,
             str(self.coordinator.number),
             COORDINATOR_ROLE,
-            silence_us=self.coordinator.timings.fraction_lease.duration_us // SILENT_LEASE_FRACTION,
+            silence_timeout_us=self.coordinator.timings.fraction_lease.duration_us // SILENT_LEASE_FRACTION,
             seed=seed * SEEDS_PER_COORDINATOR + number,
             on_message=partial(self._on_peer_message, number),
             log=self.log,
--- a/heathwell/fleet/control/rollout.py
+++ b/heathwell/fleet/control/rollout.py
@@ -336,7 +336,7 @@
             address,
             f"rollout {self.controller.id}",
             "controller",
-            silence_us=REPORT_TIMEOUT_US,
+            silence_timeout_us=REPORT_TIMEOUT_US,
             seed=seed,
             on_message=lambda message: self._on_message(address, message),
             log=self.log,
