--- a/heathwell/cli/agent.py
+++ b/heathwell/cli/agent.py
@@ -14,7 +14,7 @@
 from heathwell.cli.process import Process, serving
 from heathwell.codec import frames
 from heathwell.eventloop import Coro, sleep
-from heathwell.fleet.control.broker_process import SupervisedBroker, supervise_broker
+from heathwell.fleet.control.broker_process import SupervisedBroker, create_supervised_broker
 from heathwell.fleet.control.node_agent import DesiredVersionRejectedError, NodeAgent
 from heathwell.fleet.control.state_file import base_version
 
@@ -79,7 +79,7 @@
         name, zone, address = text.split(":", 2)
         if not 0 <= int(zone) < zone_count:
             raise ValueError(f"{text}: there are {zone_count} zones")
-        brokers.append(supervise_broker(name, int(zone), address, arguments_by_broker.get(name, [])))
+        brokers.append(create_supervised_broker(name, int(zone), address, arguments_by_broker.get(name, [])))
     return brokers
 
 
--- a/heathwell/fleet/control/broker_process.py
+++ b/heathwell/fleet/control/broker_process.py
@@ -169,7 +169,7 @@
         return command
 
 
-def supervise_broker(
+def create_supervised_broker(
     name: str,
     zone_number: int,
     address: str,
--- a/tests/test_version_compatibility.py
+++ b/tests/test_version_compatibility.py
@@ -136,8 +136,8 @@
     state_file = tmp_path / STATE_FILE_NAME
     state_file.write_text((FILES / STATE_FILE_NAME).read_text())
     brokers = [
-        broker_process.supervise_broker("b0", 0, "127.0.0.1:1", ["--x"]),
-        broker_process.supervise_broker("b1", 2, "127.0.0.1:2", []),
+        broker_process.create_supervised_broker("b0", 0, "127.0.0.1:1", ["--x"]),
+        broker_process.create_supervised_broker("b1", 2, "127.0.0.1:2", []),
     ]
     loop, net = virtual_loop(1)
 
