--- a/heathwell/fleet/control/node_agent.py
+++ b/heathwell/fleet/control/node_agent.py
@@ -45,7 +45,7 @@
 TICK_INTERVAL_US = 100_000
 POLL_INTERVAL_US = 500_000  # between polls of a broker for its sums
 POLL_TIMEOUT_US = 1_500_000
-CONTROLLERS_MOST = 64  # connections at a time
+MAX_CONTROLLER_CONNECTIONS = 64
 EXIT_NOT_STARTED = 127  # the shell's code for a command that cannot be run
 
 
@@ -94,7 +94,7 @@
 
     def start(self, listen: str) -> str:
         """Listen for controllers and start to tick; returns the listening address."""
-        self.listener = self.net.listen(listen, self._serve, f"agent {self.name}", CONTROLLERS_MOST)
+        self.listener = self.net.listen(listen, self._serve, f"agent {self.name}", MAX_CONTROLLER_CONNECTIONS)
         self.loop.call_soon(self._tick)
         for broker in self.brokers.values():
             self.loop.spawn(self._poll_forever(broker), f"asks {broker.name}")
