--- a/heathwell/fleet/control/rollout.py
+++ b/heathwell/fleet/control/rollout.py
@@ -31,7 +31,7 @@
 
 TICK_INTERVAL_US = 200_000
 REPORT_TIMEOUT_US = 10 * TICK_INTERVAL_US  # after which a machine that has not reported counts as lost
-OPERATORS_MOST = 16  # connections at a time
+MAX_OPERATOR_CONNECTIONS = 16
 REJECTIONS_MOST = 3  # of one broker's desired version, before the rollout is undone
 BUSY_STATES = frozenset(
     {
@@ -112,7 +112,7 @@
 
     def start(self, listen: str) -> str:
         """Listen for operators and start to tick; returns the listening address."""
-        self.listener = self.net.listen(listen, self._serve, "rollout", OPERATORS_MOST)
+        self.listener = self.net.listen(listen, self._serve, "rollout", MAX_OPERATOR_CONNECTIONS)
         self.loop.call_soon(self._tick)
         return self.listener.address
 
