--- a/heathwell/fleet/control/rollout.py
+++ b/heathwell/fleet/control/rollout.py
@@ -32,7 +32,7 @@
 TICK_INTERVAL_US = 200_000
 REPORT_TIMEOUT_US = 10 * TICK_INTERVAL_US  # after which a machine that has not reported counts as lost
 MAX_OPERATOR_CONNECTIONS = 16
-REJECTIONS_MOST = 3  # of one broker's desired version, before the rollout is undone
+REJECTION_LIMIT = 3  # rejections of one broker's desired version after which the rollout is rolled back
 BUSY_STATES = frozenset(
     {
         SupervisorState.STARTING,
@@ -353,7 +353,7 @@
         """An agent did not take a decision; a broker whose agent repeats this undoes the rollout."""
         self._rejections[broker] += 1
         self._warn_once(f"{broker}: a wish was not taken: {reason}")
-        if self._rejections[broker] >= REJECTIONS_MOST and self.controller.state == RolloutState.DEPLOYING:
+        if self._rejections[broker] >= REJECTION_LIMIT and self.controller.state == RolloutState.DEPLOYING:
             self._complete(self.controller.apply_event(RolloutEvent.REGRESSED, f"{broker}: {reason}"))
 
     def _serve(self, stream: Stream) -> Coro[None]:
