--- a/heathwell/fleet/control/quota_coordinator.py
+++ b/heathwell/fleet/control/quota_coordinator.py
@@ -30,7 +30,7 @@
 SILENT_LEASE_FRACTION = 2  # a peer that is silent for half a lease counts as lost
 SEEDS_PER_COORDINATOR = 64  # its links draw from seeds of their own
 MAX_CONNECTIONS = 4_096
-LEADING_FRACTION = 0  # whoever holds its lease decides on zones
+LEADER_FRACTION = 0  # the holder of its lease is the leader, which decides on zone evacuation
 DecisionCarrier = TypeVar("DecisionCarrier", frames.RenewalReply, frames.LeaseRequest, frames.LeaseVote)
 
 
@@ -127,7 +127,7 @@
 
     def _tick_evacuation(self, now: int, evacuation: EvacuationCoordinator) -> None:
         """Decide on zones where this coordinator leads, and log what changed."""
-        is_leader = LEADING_FRACTION in self.coordinator.held_fractions(now)
+        is_leader = LEADER_FRACTION in self.coordinator.held_fractions(now)
         for transition in evacuation.tick(now, is_leader=is_leader):
             decision = evacuation.decision
             states = {
