--- a/heathwell/fleet/control/quota_coordinator.py
+++ b/heathwell/fleet/control/quota_coordinator.py
@@ -27,7 +27,7 @@
 from heathwell.observability.event_log import EventLog, NoEvents
 
 TICKS_PER_LEASE = 12  # how often a fraction's lease is requested anew, so that some requests may be lost
-SILENT_LEASE_FRACTION = 2  # a peer that is silent for half a lease counts as lost
+SILENCE_TIMEOUTS_PER_LEASE = 2  # a peer that is silent for half a fraction lease counts as lost
 SEEDS_PER_COORDINATOR = 64  # its links draw from seeds of their own
 MAX_CONNECTIONS = 4_096
 LEADER_FRACTION = 0  # the holder of its lease is the leader, which decides on zone evacuation
@@ -78,7 +78,8 @@
             address,
             str(self.coordinator.number),
             COORDINATOR_ROLE,
-            silence_timeout_us=self.coordinator.timings.fraction_lease.duration_us // SILENT_LEASE_FRACTION,
+            silence_timeout_us=self.coordinator.timings.fraction_lease.duration_us
+            // SILENCE_TIMEOUTS_PER_LEASE,
             seed=seed * SEEDS_PER_COORDINATOR + number,
             on_message=partial(self._on_peer_message, number),
             log=self.log,
