--- a/heathwell/fleet/control/fleet_agent.py
+++ b/heathwell/fleet/control/fleet_agent.py
@@ -29,7 +29,9 @@
 )
 from heathwell.observability.event_log import EventLog, NoEvents
 
-SILENT_SUSPECT_TIMEOUTS = 2  # a coordinator that is silent for so many counts as lost
+SUSPECT_TIMEOUTS_PER_SILENCE_TIMEOUT = (
+    2  # a coordinator that is silent for two suspect timeouts counts as lost
+)
 SEEDS_PER_MEMBER = 64  # its links draw from seeds of their own
 UNIT_MILLIUNITS = 1_000
 
@@ -92,7 +94,8 @@
                 address,
                 self.member.name,
                 MEMBER_ROLE,
-                silence_timeout_us=SILENT_SUSPECT_TIMEOUTS * timings.membership.suspect_timeout_us,
+                silence_timeout_us=SUSPECT_TIMEOUTS_PER_SILENCE_TIMEOUT
+                * timings.membership.suspect_timeout_us,
                 seed=seed * SEEDS_PER_MEMBER + number,
                 on_message=partial(self._on_message, address),
                 log=self.log,
