--- a/heathwell/fleet/control/parameters.py
+++ b/heathwell/fleet/control/parameters.py
@@ -17,7 +17,7 @@
 SLOW_START_BUDGET = "cold"
 ROLLOUT_BUDGET = "rollout"
 ENDPOINT_SCOPE = "host"
-FRACTION_LEASE_GRANTS = 2  # a fraction's lease lasts for so many grants
+GRANT_LEASES_PER_FRACTION_LEASE = 2
 
 
 def max_brokers(fleet: Fleet) -> int:
@@ -80,7 +80,7 @@
     """
     return QuotaTimings(
         Lease(fleet.lease, fleet.drift),
-        Lease(FRACTION_LEASE_GRANTS * fleet.lease, fleet.drift),
+        Lease(GRANT_LEASES_PER_FRACTION_LEASE * fleet.lease, fleet.drift),
         fleet.suspect,
         MembershipTimeouts(fleet.suspect, fleet.dead),
     )
