--- a/heathwell/fleet/control/fleet_agent.py
+++ b/heathwell/fleet/control/fleet_agent.py
@@ -33,7 +33,7 @@
     2  # a coordinator that is silent for two suspect timeouts counts as lost
 )
 SEEDS_PER_MEMBER = 64  # its links draw from seeds of their own
-UNIT_MILLIUNITS = 1_000
+MILLIUNITS_PER_UNIT = 1_000
 
 
 class ZoneObserver(Protocol):
@@ -118,7 +118,7 @@
         self._on_incarnation_ended(self.quotas.check_clock(now))
         return now
 
-    def acquire(self, budget: str, milliunits: int = UNIT_MILLIUNITS) -> bool:
+    def acquire(self, budget: str, milliunits: int = MILLIUNITS_PER_UNIT) -> bool:
         """Use so many milliunits of a budget now, of a count one unit until :meth:`release`. Returns False
         where they are not free, or no such budget is set.
         """
--- a/heathwell/fleet/control/parameters.py
+++ b/heathwell/fleet/control/parameters.py
@@ -12,7 +12,7 @@
 from heathwell.fleet.quotas import Budget, BudgetKind, Lease, QuotaTimings
 from heathwell.settings.schema import Fleet, FleetBudget
 
-MILLIUNITS = 1_000  # of a unit a second, in which rates are counted
+MILLIUNITS_PER_UNIT = 1_000  # rates are counted in milliunits per second
 CONNECTIONS_BUDGET = "connections"
 SLOW_START_BUDGET = "cold"
 ROLLOUT_BUDGET = "rollout"
@@ -58,8 +58,8 @@
     return Budget(
         settings.name,
         BudgetKind.RATE,
-        int(settings.whole * MILLIUNITS),
-        int(settings.whole * settings.aside * MILLIUNITS),
+        int(settings.whole * MILLIUNITS_PER_UNIT),
+        int(settings.whole * settings.aside * MILLIUNITS_PER_UNIT),
         max_brokers(fleet),
         len(fleet.coordinators),
         burst_window_us=settings.burst,
