--- a/heathwell/fleet/evacuation/plan.py
+++ b/heathwell/fleet/evacuation/plan.py
@@ -13,7 +13,7 @@
 from heathwell.fleet.evacuation.evidence import ZoneClassKey
 
 MINIMUM_RATE = 1e-9  # keeps a share of no load finite
-NEGLIGIBLE_EVACUATION_SHARE = 0.95  # a zone that keeps at least this share is not evacuated
+MAX_REMAINING_SHARE = 0.95  # a zone that would keep at least this share of its traffic is not evacuated
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
         if query_classes:
             return EvacuationPlan(0.0, query_classes, f"{', '.join(query_classes)} alone: {shortage}")
         remaining_share = min(1.0, excess / zone_rate)
-        if remaining_share >= NEGLIGIBLE_EVACUATION_SHARE:
+        if remaining_share >= MAX_REMAINING_SHARE:
             return EvacuationPlan(1.0, (), shortage)
         return EvacuationPlan(remaining_share, (), f"{remaining_share:.0%} stays: {shortage}")
 
