--- a/heathwell/fleet/rollout/preflight.py
+++ b/heathwell/fleet/rollout/preflight.py
@@ -31,7 +31,7 @@
 DROP_CLASSES = "--drop-classes"
 MANY_ENDPOINTS = "--many-hosts"
 CHANGE_IDEMPOTENCY = "--change-repeat"
-TIMEOUT_FAR_OFF = "--far"
+CHANGE_TIMEOUT = "--far"
 
 
 @dataclass(frozen=True, slots=True)
@@ -155,5 +155,5 @@
             f"class {after.name}: limit from {before.timeout_us / 1e6:g} s to "
             f"{after.timeout_us / 1e6:g} s, over "
             "a factor of two",
-            TIMEOUT_FAR_OFF,
+            CHANGE_TIMEOUT,
         )
