--- a/heathwell/fleet/control/evacuation_coordinator.py
+++ b/heathwell/fleet/control/evacuation_coordinator.py
@@ -33,8 +33,8 @@
 DEFAULT_OPERATOR = "an operator"
 
 
-class ZoneQuery(StrEnum):
-    """An operator's command that only reads."""
+class ZoneReadCommand(StrEnum):
+    """An operator's command on zones that changes nothing."""
 
     STATUS = "status"
 
@@ -130,7 +130,7 @@
     def on_operator_command(self, now_us: int, command: frames.OperatorCommand) -> frames.ZonesStatus:
         """Carry out an operator's command; the reply has the zones' states, and an error in ``text``."""
         error_text = ""
-        if command.word != ZoneQuery.STATUS:
+        if command.word != ZoneReadCommand.STATUS:
             try:
                 self._execute(now_us, command)
             except EvacuationError as error:
