--- a/heathwell/fleet/control/rollout.py
+++ b/heathwell/fleet/control/rollout.py
@@ -45,7 +45,7 @@
 UPDATE_STATES = frozenset({RolloutState.DEPLOYING, RolloutState.ROLLING_BACK})
 WARNING_STATES = frozenset({RolloutState.HELD, RolloutState.ROLLING_BACK})
 OPERATOR_EVENTS = frozenset({"hold", "resume", "undo"})  # words that are values of RolloutEvent
-STATUS_WORD = "status"
+STATUS_COMMAND = "status"
 
 
 class BrokerStatusRecord(TypedDict):
@@ -131,7 +131,7 @@
             if not self._complete(self.controller.apply_event(RolloutEvent(command.word), reason)):
                 text = f"{command.word}: not while it is {self.controller.state}"
                 return self._status_reply(text)
-        elif command.word != STATUS_WORD:
+        elif command.word != STATUS_COMMAND:
             text = f"unknown word '{command.word}': hold, resume, undo, status"
             return self._status_reply(text)
         return self._status_reply("")
