--- a/heathwell/fleet/evacuation/__init__.py
+++ b/heathwell/fleet/evacuation/__init__.py
@@ -1,7 +1,7 @@
 """Evacuating a zone that fails, as a fleet, and restoring it at a pace that its hosts can bear.
 
-Each broker sums up what it observed of each zone (`evidence`); the quota coordinator that holds the first
-fraction's lease weighs the reports (`health`), estimates load and capacity, and publishes one numbered
+Each broker sums up what it observed of each zone (`zone_observations`); the quota coordinator that holds the
+first fraction's lease weighs the reports (`health`), estimates load and capacity, and publishes one numbered
 decision for all (`controller`). Pure: the clock is handed in, nothing here does I/O. Imports nothing of
 heathwell but itself.
 """
@@ -11,19 +11,19 @@
 from heathwell.fleet.evacuation.decision import Decision, ZoneDirective
 from heathwell.fleet.evacuation.drill import Drill, DrillStage, DrillStageReport
 from heathwell.fleet.evacuation.errors import EvacuationError, UnknownOperatorActionError, UnknownZoneError
-from heathwell.fleet.evacuation.evidence import (
+from heathwell.fleet.evacuation.health import HealthAssessment
+from heathwell.fleet.evacuation.load import LoadEstimator
+from heathwell.fleet.evacuation.orders import OperatorAction
+from heathwell.fleet.evacuation.parameters import RESTORE_SHARES, EvacuationParameters
+from heathwell.fleet.evacuation.state_machine import ZoneEvent, ZoneState, ZoneStateMachine
+from heathwell.fleet.evacuation.zone_observations import (
     PROBE_CLASS,
     AttemptCounts,
     AttemptResult,
     BrokerReport,
-    Evidence,
     ZoneClassKey,
+    ZoneObservations,
 )
-from heathwell.fleet.evacuation.health import HealthAssessment
-from heathwell.fleet.evacuation.load import LoadEstimator
-from heathwell.fleet.evacuation.orders import OperatorAction
-from heathwell.fleet.evacuation.parameters import RESTORE_SHARES, EvacuationParameters
-from heathwell.fleet.evacuation.state_machine import ZoneEvent, ZoneState, ZoneStateMachine
 
 __all__ = [
     "PROBE_CLASS",
@@ -39,7 +39,7 @@
     "EvacuationController",
     "EvacuationError",
     "EvacuationParameters",
-    "Evidence",
+    "ZoneObservations",
     "HealthAssessment",
     "LoadEstimator",
     "OperatorAction",
--- a/heathwell/fleet/evacuation/capacity.py
+++ b/heathwell/fleet/evacuation/capacity.py
@@ -15,7 +15,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from heathwell.fleet.evacuation.evidence import AttemptCounts, sum_counts
+from heathwell.fleet.evacuation.zone_observations import AttemptCounts, sum_counts
 
 MAX_EXTRAPOLATION = 4.0
 MINIMUM_ANSWERS = 20  # answers of an interval from which a rate or a mean duration is taken
--- a/heathwell/fleet/evacuation/controller.py
+++ b/heathwell/fleet/evacuation/controller.py
@@ -12,7 +12,6 @@
 
 from heathwell.fleet.evacuation.decision import Decision
 from heathwell.fleet.evacuation.errors import UnknownOperatorActionError, UnknownZoneError
-from heathwell.fleet.evacuation.evidence import AttemptCounts, BrokerReport, ZoneClassKey, sum_counts
 from heathwell.fleet.evacuation.health import HealthAssessment, HealthAssessor
 from heathwell.fleet.evacuation.orders import OperatorAction
 from heathwell.fleet.evacuation.parameters import RESTORE_SHARES, EvacuationParameters
@@ -23,6 +22,7 @@
     ZoneState,
     ZoneStateMachine,
 )
+from heathwell.fleet.evacuation.zone_observations import AttemptCounts, BrokerReport, ZoneClassKey, sum_counts
 
 CHANCE_DEVIATIONS = 1.5  # standard deviations of the loss that count as chance
 SPARSE_STEP_FACTOR = 4  # a step with too few attempts to judge lasts so many times its usual duration
--- a/heathwell/fleet/evacuation/drill.py
+++ b/heathwell/fleet/evacuation/drill.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from heathwell.fleet.evacuation.evidence import AttemptCounts, CountsByKey, sum_counts
 from heathwell.fleet.evacuation.orders import OperatorAction
 from heathwell.fleet.evacuation.state_machine import ZoneState
+from heathwell.fleet.evacuation.zone_observations import AttemptCounts, CountsByKey, sum_counts
 
 BASELINE_US = 5_000_000  # before and after: what is usual
 MINIMUM_ATTEMPTS = 10  # attempts of a tick for its loss to count
--- a/heathwell/fleet/evacuation/health.py
+++ b/heathwell/fleet/evacuation/health.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from statistics import median_low
 
-from heathwell.fleet.evacuation.evidence import PROBE_CLASS, AttemptCounts, BrokerReport, sum_counts
 from heathwell.fleet.evacuation.parameters import EvacuationParameters
+from heathwell.fleet.evacuation.zone_observations import PROBE_CLASS, AttemptCounts, BrokerReport, sum_counts
 
 
 @dataclass(frozen=True, slots=True)
--- a/heathwell/fleet/evacuation/load.py
+++ b/heathwell/fleet/evacuation/load.py
@@ -11,7 +11,7 @@
 from collections import defaultdict
 
 from heathwell.fleet.evacuation.capacity import HEALTHY_LOSS
-from heathwell.fleet.evacuation.evidence import AttemptCounts, CountsByKey, ZoneClassKey
+from heathwell.fleet.evacuation.zone_observations import AttemptCounts, CountsByKey, ZoneClassKey
 
 MINIMUM_RATE = 1e-9  # keeps a ratio to no load finite
 
--- a/heathwell/fleet/evacuation/plan.py
+++ b/heathwell/fleet/evacuation/plan.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from heathwell.fleet.evacuation.decision import QueryClassNames
-from heathwell.fleet.evacuation.evidence import ZoneClassKey
+from heathwell.fleet.evacuation.zone_observations import ZoneClassKey
 
 MINIMUM_RATE = 1e-9  # keeps a share of no load finite
 MAX_REMAINING_SHARE = 0.95  # a zone that would keep at least this share of its traffic is not evacuated
--- a/heathwell/fleet/evacuation/evidence.py
+++ b/heathwell/fleet/evacuation/zone_observations.py
@@ -130,7 +130,7 @@
     sums: dict[ZoneClassKey, _AttemptSums] = field(default_factory=dict)
 
 
-class Evidence:
+class ZoneObservations:
     """One broker's observations of the last intervals; ``zone`` is the one that it stands in."""
 
     CUT_OFF_LOSS = 0.8  # loss at every other zone from which a broker takes itself for cut off
--- a/heathwell/service/zone_observer.py
+++ b/heathwell/service/zone_observer.py
@@ -20,8 +20,8 @@
     AttemptResult,
     BrokerReport,
     Decision,
-    Evidence,
     ZoneDirective,
+    ZoneObservations,
     ZoneState,
 )
 
@@ -86,7 +86,7 @@
         self.decision = Decision(0, 0)
         self._broker = broker
         self._zone_names = zone_names
-        self._evidence = Evidence(broker.name.partition("r")[0], zone)
+        self._evidence = ZoneObservations(broker.name.partition("r")[0], zone)
         self._random = random.Random(seed)
         self._restricted: dict[int | None, frozenset[str]] = {}
         broker.loop.call_at(broker.loop.now() + TICK_INTERVAL_US, self._tick)
--- a/heathwell/testing/simulation/fixed_threshold_controller.py
+++ b/heathwell/testing/simulation/fixed_threshold_controller.py
@@ -6,7 +6,7 @@
 
 from heathwell.fleet.control.evacuation_coordinator import EvacuationCoordinator
 from heathwell.fleet.evacuation import EvacuationController, ZoneState, ZoneTransition
-from heathwell.fleet.evacuation.evidence import sum_counts
+from heathwell.fleet.evacuation.zone_observations import sum_counts
 from heathwell.settings import ServiceSettings
 
 LOSS_THRESHOLD: Final = 0.5
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -16,12 +16,12 @@
     Drill,
     EvacuationController,
     EvacuationParameters,
-    Evidence,
     LoadEstimator,
     UnknownOperatorActionError,
     UnknownZoneError,
     ZoneClassKey,
     ZoneDirective,
+    ZoneObservations,
     ZoneState,
     ZoneTransition,
 )
@@ -44,7 +44,7 @@
         self.random = random.Random(seed)
         self.rate = rate
         self.now = 10 * SECOND_US
-        self.brokers = {f"b{n}": Evidence(f"b{n}", ZONES[n % 3]) for n in range(9)}
+        self.brokers = {f"b{n}": ZoneObservations(f"b{n}", ZONES[n % 3]) for n in range(9)}
         self.silent: set[str] = set()
         self.false_reporters: dict[str, str] = {}
         self.loss = usual_loss
@@ -600,8 +600,8 @@
 
 
 @pytest.mark.parametrize("count", [40_000])
-def test_the_evidence_of_a_broker_is_bounded(count):
-    evidence = Evidence("b0", "a")
+def test_the_observations_of_a_broker_are_bounded(count):
+    observations = ZoneObservations("b0", "a")
     for number in range(count):
-        evidence.record_attempt(number, f"z{number}", f"c{number}", AttemptResult.BAD)
-    assert len(evidence.report(count).counts) <= 32 * 64
+        observations.record_attempt(number, f"z{number}", f"c{number}", AttemptResult.BAD)
+    assert len(observations.report(count).counts) <= 32 * 64
