--- a/heathwell/fleet/evacuation/zone_observations.py
+++ b/heathwell/fleet/evacuation/zone_observations.py
@@ -18,7 +18,7 @@
 MAX_ZONES = 64
 MAX_KEYS_PER_INTERVAL = MAX_QUERY_CLASSES * MAX_ZONES
 PROBE_CLASS = "probe"  # the query class under which probes are reported
-LATE_LOSS = 0.5  # what a late attempt counts as, of a failed one
+LATE_LOSS_WEIGHT = 0.5  # a late attempt counts as half a failed one
 
 
 class AttemptResult(StrEnum):
@@ -61,7 +61,7 @@
     @property
     def loss(self) -> float:
         """The lost share, from 0 to 1; a late attempt counts as half a lost one. 0 without any attempt."""
-        return (self.bad + self.late * LATE_LOSS) / self.total if self.total else 0.0
+        return (self.bad + self.late * LATE_LOSS_WEIGHT) / self.total if self.total else 0.0
 
     def __add__(self, other: AttemptCounts) -> AttemptCounts:
         return AttemptCounts(
