--- a/heathwell/fleet/evacuation/load.py
+++ b/heathwell/fleet/evacuation/load.py
@@ -10,7 +10,7 @@
 
 from collections import defaultdict
 
-from heathwell.fleet.evacuation.capacity import HEALTHY_LOSS
+from heathwell.fleet.evacuation.capacity import MAX_HEALTHY_LOSS
 from heathwell.fleet.evacuation.zone_observations import AttemptCounts, CountsByKey, ZoneClassKey
 
 MINIMUM_RATE = 1e-9  # keeps a ratio to no load finite
@@ -44,4 +44,4 @@
         by_zone: defaultdict[str, AttemptCounts] = defaultdict(AttemptCounts)
         for (zone, _), some in counts.items():
             by_zone[zone] += some
-        return all(some.loss <= HEALTHY_LOSS for some in by_zone.values())
+        return all(some.loss <= MAX_HEALTHY_LOSS for some in by_zone.values())
