--- a/heathwell/fleet/evacuation/capacity.py
+++ b/heathwell/fleet/evacuation/capacity.py
@@ -20,7 +20,7 @@
 MAX_EXTRAPOLATION = 4.0
 MINIMUM_ANSWERS = 20  # answers of an interval from which a rate or a mean duration is taken
 MAX_HEALTHY_LOSS = 0.1  # loss up to which a zone has the capacity for its current rate
-USUAL_SLOWDOWN = 2.0  # times its idle duration up to which an answer is in its usual time
+MAX_USUAL_SLOWDOWN = 2.0  # multiple of its idle duration up to which an answer counts as in its usual time
 PEAK_DECAY_US = 600_000_000  # in which the highest rate decays to nothing: hosts are added and removed
 IDLE_DURATION_DRIFT = 0.02  # rise of the idle duration an interval, so that one lucky interval doesn't stay
 
@@ -63,7 +63,7 @@
             return
         estimate.rate = total.answered * 1e6 / self._interval_us
         estimate.utilization = math.sqrt(1 - 1 / slowdown)
-        if total.loss <= MAX_HEALTHY_LOSS and slowdown <= USUAL_SLOWDOWN:
+        if total.loss <= MAX_HEALTHY_LOSS and slowdown <= MAX_USUAL_SLOWDOWN:
             estimate.peak_rate = max(estimate.decayed_peak_rate(now_us), estimate.rate)
             estimate.peak_at_us = now_us
 
