--- a/heathwell/fleet/evacuation/controller.py
+++ b/heathwell/fleet/evacuation/controller.py
@@ -24,7 +24,7 @@
 )
 from heathwell.fleet.evacuation.zone_observations import AttemptCounts, BrokerReport, ZoneClassKey, sum_counts
 
-CHANCE_DEVIATIONS = 1.5  # standard deviations of the loss that count as chance
+LOSS_MARGIN_STANDARD_ERRORS = 1.5  # standard errors by which a measured loss may exceed the limit
 SPARSE_STEP_FACTOR = 4  # a step with too few attempts to judge lasts so many times its usual duration
 
 
@@ -186,7 +186,7 @@
         loss = f"{counts.loss:.0%} of {counts.total} lost"
         enough_attempts = counts.total >= self.parameters.minimum_attempts
         loss_limit = 1 - self.parameters.required_success_fraction
-        if enough_attempts and counts.loss - _chance_loss(counts) > loss_limit:
+        if enough_attempts and counts.loss - _loss_margin(counts) > loss_limit:
             if machine.restore_step == 0:
                 machine.handle(now_us, ZoneEvent.RESTORE_FAILED, f"{loss} at the first step")
             else:
@@ -230,8 +230,8 @@
         return planner.plan(name, healthy_zones, ClassHealth(observed, unhealthy))
 
 
-def _chance_loss(counts: AttemptCounts) -> float:
+def _loss_margin(counts: AttemptCounts) -> float:
     """What chance may add to the loss of so few attempts (binomial standard error)."""
     if not counts.total:
         return 0.0
-    return CHANCE_DEVIATIONS * math.sqrt(counts.loss * (1 - counts.loss) / counts.total)
+    return LOSS_MARGIN_STANDARD_ERRORS * math.sqrt(counts.loss * (1 - counts.loss) / counts.total)
