--- a/heathwell/fleet/rollout/canary_analysis.py
+++ b/heathwell/fleet/rollout/canary_analysis.py
@@ -33,8 +33,8 @@
 from heathwell.fleet.rollout.verdict import AnalysisLimits, Verdict, VerdictKind
 
 PROOF_CONFIDENCE = 0.9  # with which a class is shown to be within the tolerance
-COST_CONFIDENCE = 0.9995  # with which processor time a query is shown to have grown
-COST_MIN_QUERIES = 3  # in a zone and window, on each side
+CPU_TIME_CONFIDENCE = 0.9995  # with which processor time a query is shown to have grown
+CPU_TIME_MIN_QUERIES = 3  # in a zone and window, on each side
 
 
 class CanaryAnalysis:
@@ -46,7 +46,7 @@
         self.windows = 0
         self.fault_windows = 0
         self._series: dict[str, DifferenceSeries] = defaultdict(DifferenceSeries)
-        self._cost_series = DifferenceSeries()  # of the logarithm of processor time a query
+        self._cpu_time_series = DifferenceSeries()  # of the logarithm of processor time a query
         self._error_spending = ErrorSpending(limits.false_alarm_rate, limits.planned_looks)
         self._fault_detector = FaultDetector(limits.fault_loss)
         self._liveness = LivenessCheck(limits)
@@ -68,7 +68,7 @@
         self._record_differences(windows)
         return (
             self._collapse.observe(groups)
-            or self._cost_verdict()
+            or self._cpu_time_verdict()
             or self._memory_growth.verdict()
             or self._repeat_test()
         )
@@ -106,17 +106,17 @@
             if not window.silent:
                 zones[window.zone].append(window)
         by_class: dict[str, list[WeightedValue]] = defaultdict(list)
-        costs: list[WeightedValue] = []
+        cpu_times: list[WeightedValue] = []
         for zone_windows in zones.values():
             groups = split_by_version(zone_windows)
             self._compare_zone(groups, by_class)
-            cost = _cost_difference(groups)
-            if cost is not None:
-                costs.append(cost)
+            cpu_time = _cpu_time_difference(groups)
+            if cpu_time is not None:
+                cpu_times.append(cpu_time)
         for name, zone_values in by_class.items():
             self._series[name].append_window(zone_values)
-        if costs:
-            self._cost_series.append_window(costs)
+        if cpu_times:
+            self._cpu_time_series.append_window(cpu_times)
 
     def _compare_zone(self, groups: WindowGroups, by_class: dict[str, list[WeightedValue]]) -> None:
         """Append a zone's difference of goodput to each class that both sides answered."""
@@ -145,7 +145,7 @@
         ]
 
     def _is_proven(self, name: str) -> bool:
-        """Whether it is unlikely that the change costs this class more than the tolerance."""
+        """Whether it is unlikely that the change cpu_times this class more than the tolerance."""
         series = self._series[name]
         estimate = series.estimate()
         quantile = student_quantile(PROOF_CONFIDENCE, series.degrees_of_freedom)
@@ -171,27 +171,27 @@
                 )
         return Verdict(VerdictKind.CONTINUE)
 
-    def _cost_verdict(self) -> Verdict | None:
+    def _cpu_time_verdict(self) -> Verdict | None:
         """A verdict where processor time a query has clearly grown beyond the limit."""
-        limit = self.limits.max_cost_ratio
-        estimate = self._cost_series.estimate()
+        limit = self.limits.max_cpu_time_ratio
+        estimate = self._cpu_time_series.estimate()
         if estimate.mean <= math.log(limit):
             return None
-        quantile = student_quantile(COST_CONFIDENCE, self._cost_series.degrees_of_freedom)
+        quantile = student_quantile(CPU_TIME_CONFIDENCE, self._cpu_time_series.degrees_of_freedom)
         lower_bound = estimate.mean - quantile * estimate.standard_error
         if lower_bound <= math.log((1 + limit) / 2):
             return None
         return Verdict(VerdictKind.WORSE, f"{math.exp(estimate.mean):.2f} times the processor a query")
 
 
-def _cost_difference(groups: WindowGroups) -> WeightedValue | None:
+def _cpu_time_difference(groups: WindowGroups) -> WeightedValue | None:
     """A zone's logarithm of the ratio of processor time a query; None with too few queries for one."""
     canary_queries = _total_queries(groups.canary)
     baseline_queries = _total_queries(groups.baseline)
     canary_cpu_us = sum(window.cpu_us for window in groups.canary)
     baseline_cpu_us = sum(window.cpu_us for window in groups.baseline)
     queries = min(canary_queries, baseline_queries)
-    if queries < COST_MIN_QUERIES or min(canary_cpu_us, baseline_cpu_us) <= 0:
+    if queries < CPU_TIME_MIN_QUERIES or min(canary_cpu_us, baseline_cpu_us) <= 0:
         return None
     ratio = (canary_cpu_us / canary_queries) / (baseline_cpu_us / baseline_queries)
     return WeightedValue(math.log(ratio), queries)
--- a/heathwell/fleet/rollout/verdict.py
+++ b/heathwell/fleet/rollout/verdict.py
@@ -38,7 +38,7 @@
     tolerance: float = 0.02  # loss of goodput that is shown to be exceeded by no class
     min_queries: int = 60  # of a class, on each side, for a conclusion on it
     planned_looks: int = 12  # repetitions of the test until a stage's maximum duration
-    max_cost_ratio: float = 1.3  # of processor time a query, canary to baseline
+    max_cpu_time_ratio: float = 1.3  # canary to baseline, of the CPU time per query
     max_memory_growth: float = 0.3  # of the canary beyond the baseline, as a fraction of the baseline
     unexpected_exit_limit: int = 2
     silent_window_limit: int = 3  # in a row
