--- a/heathwell/fleet/__init__.py
+++ b/heathwell/fleet/__init__.py
@@ -1,5 +1,6 @@
-"""What the brokers of one fleet decide together; off unless settings say ``(fleet ...)``.
+"""Coordination of a fleet of brokers; enabled by the ``(fleet ...)`` form of the settings.
 
-``membership``, ``quotas``, ``rollout`` and ``evacuation`` are pure deciders: events in, actions out, clock
-and seed handed in. ``control`` is their I/O: processes and connections. Nothing here is part of ``run``.
+``membership``, ``quotas``, ``rollout`` and ``evacuation`` make the decisions without I/O: events in, actions
+out; the clock and the seed are arguments. ``control`` does their I/O: processes and connections. ``run`` uses
+nothing of this package.
 """
--- a/heathwell/fleet/membership/__init__.py
+++ b/heathwell/fleet/membership/__init__.py
@@ -1,11 +1,12 @@
 """Membership of a fleet of brokers, as each quota coordinator sees it.
 
-Job: decide which broker processes are members, from their reports and from silence. Owns the state machine of
-a member, the coordinator's table and the broker's own view of itself. Pure: instants are handed in, nothing
-here reads a clock or a socket. May import the standard library only.
+Decides which broker processes are members, from their reports and from missing reports. Owns the state
+machine of a member, the coordinator's table and the broker's own view of itself. Does no I/O: times are
+arguments, nothing here reads a clock or a socket. Imports only the standard library.
 
-An incarnation is one life of a broker. A process that restarts, or that finds it was declared dead, comes
-back under a higher incarnation, and what was granted to an earlier one is not its own.
+An incarnation is one membership of a broker, from joining to leaving or being declared dead. A process that
+restarts, or that finds it was declared dead, joins again under a higher incarnation and does not inherit the
+grants of an earlier one.
 """
 
 from heathwell.fleet.membership.local_member import IncarnationEnded, LocalMember
--- a/heathwell/fleet/membership/local_member.py
+++ b/heathwell/fleet/membership/local_member.py
@@ -1,12 +1,12 @@
 """A broker's own view of its membership.
 
-Job: number this process's incarnations, write its reports and detect when an incarnation has ended. Owns the
-incarnation number and the positions in each coordinator's replies. May import the states and messages of this
-package only.
+Numbers this process's incarnations, builds its reports and detects when an incarnation has ended. Owns the
+incarnation number and the last reply number received from each coordinator. Imports only the states and
+messages of this package.
 
-A process that was stopped and continues has missed being declared dead. It sees that from its own clock: more
-time between two turns of its loop than the dead timeout. It must then drop what it held before it does
-anything else, and report as a new incarnation.
+A process that was suspended may have been declared dead meanwhile. It detects that on its own clock: more
+time has passed between two iterations of its event loop than the dead timeout. It must then drop its grants
+before it does anything else, and report as a new incarnation.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncarnationEnded:
-    """This process's incarnation has ended; the process continues as the next one and holds nothing."""
+    """This process's incarnation has ended; the process continues as the next one, without grants."""
 
     reason: str
 
@@ -33,8 +33,8 @@
 
 
 class LocalMember:
-    """This broker. The first ``incarnation`` is handed in (Unix time of the start in us will do); it only
-    grows from there. ``now_us`` is the broker's own monotonic clock.
+    """This broker as a member. ``incarnation`` is the first incarnation number, for instance the Unix time of
+    the start in us; it only increases. ``now_us`` is the broker's own monotonic clock.
     """
 
     def __init__(
@@ -58,7 +58,10 @@
         self._last_turn_at_us = now_us
 
     def check_clock(self, now_us: int) -> IncarnationEnded | None:
-        """To be called first in each turn of the loop, before anything that was granted is used."""
+        """End the incarnation if the process was suspended for too long.
+
+        Must be called first in each iteration of the event loop, before a grant is used.
+        """
         gap_us = now_us - self._last_turn_at_us
         self._last_turn_at_us = now_us
         if gap_us < self.timeouts.dead_timeout_us:
@@ -66,7 +69,7 @@
         return self._end_incarnation(f"stopped for {gap_us // 1000} ms")
 
     def report(self, coordinator: str, *, leaving: bool = False) -> MembershipReport:
-        """The report to send to a coordinator now."""
+        """Return the report to send to a coordinator now."""
         position = self.reply_positions.get(coordinator)
         return MembershipReport(
             name=self.name,
@@ -82,8 +85,10 @@
     def on_reply(
         self, coordinator: str, coordinator_incarnation: str, incarnation: int, reply: MembershipReply
     ) -> IncarnationEnded | None:
-        """Apply a coordinator's reply to a report of ``incarnation``. Replies to an earlier incarnation of
-        ours, and those that came out of order, are ignored; numbers count within a coordinator's incarnation.
+        """Apply a coordinator's reply to a report of ``incarnation``.
+
+        Replies to an earlier incarnation of this broker and replies received out of order are ignored. Reply
+        numbers are ordered within one incarnation of the coordinator.
         """
         if incarnation != self.incarnation:
             return None
--- a/heathwell/fleet/membership/membership_table.py
+++ b/heathwell/fleet/membership/membership_table.py
@@ -1,8 +1,8 @@
 """A coordinator's table of the fleet's members.
 
-Job: apply reports and timeouts to the entries, one a name. Owns the entries of one incarnation of one
-coordinator; all instants (``_at_us``, ``now_us``) are of that coordinator's clock. May import the states and
-messages of this package only.
+Applies reports and timeouts to the entries, one per name. Owns the entries of one incarnation of one
+coordinator; all times (``_at_us``, ``now_us``) are on that coordinator's clock. Imports only the states and
+messages of this package.
 """
 
 from __future__ import annotations
@@ -20,7 +20,8 @@
     MemberTransition,
 )
 
-# Reasons go into replies on the wire and into event logs, so their wording stays as it was first released.
+# Reasons of replies and transitions. They are sent on the wire and written to event logs, so their wording
+# must not change.
 LATER_INCARNATION_KNOWN = "a later incarnation is known"
 TABLE_FULL = "the roll is full"
 ALREADY_GONE = "it was taken for gone"
@@ -31,8 +32,10 @@
 
 @dataclass(slots=True)
 class MemberEntry:
-    """One incarnation of a name. ``acknowledged_reply_number`` is the highest number of our replies that it
-    is known to have received, ``acknowledged_at_us`` when we learned of it (None: it has received none).
+    """One incarnation of a member.
+
+    ``acknowledged_reply_number`` is the highest number of this table's replies that the member has
+    acknowledged, ``acknowledged_at_us`` when that acknowledgement arrived (None: there was none).
     """
 
     name: str
@@ -66,8 +69,10 @@
     entries: dict[str, MemberEntry] = field(default_factory=dict)
 
     def on_report(self, now_us: int, report: MembershipReport) -> ReportOutcome:
-        """Apply a broker's report. One that can't be taken is answered by a final state, with the lowest
-        incarnation that may come instead.
+        """Apply a broker's report.
+
+        A rejected report is answered with a final state and the lowest incarnation under which the broker may
+        report instead.
         """
         self.reply_number += 1
         transitions: list[MemberTransition] = []
@@ -94,7 +99,7 @@
         )
 
     def tick(self, now_us: int) -> list[MemberTransition]:
-        """Apply timeouts, and remove entries that have been in a final state for the retention time."""
+        """Apply timeouts, and remove entries whose retention time in a final state is over."""
         transitions: list[MemberTransition] = []
         for entry in list(self.entries.values()):
             silence_us = now_us - entry.last_report_at_us
@@ -109,8 +114,9 @@
         return transitions
 
     def members(self) -> Iterator[MemberEntry]:
-        """The entries that are not in a final state. Only an alive one is granted anything; a suspect one
-        keeps what it holds.
+        """Return the entries that are not in a final state.
+
+        Only alive members receive grants; suspect ones keep the grants that they hold.
         """
         return (entry for entry in self.entries.values() if entry.state not in FINAL_STATES)
 
@@ -133,7 +139,7 @@
         return entry
 
     def _refresh(self, now_us: int, entry: MemberEntry, report: MembershipReport) -> list[MemberTransition]:
-        """Take over a report of the entry's incarnation."""
+        """Apply a report of the entry's incarnation."""
         entry.last_report_at_us = now_us
         entry.zone = report.zone
         entry.version = report.version
@@ -156,7 +162,7 @@
     def _apply(
         self, now_us: int, entry: MemberEntry, event: MemberEvent, reason: str
     ) -> list[MemberTransition]:
-        """Move the entry by the table; no transition where the state stays."""
+        """Apply an event to the entry; return no transition if its state does not change."""
         before = entry.state
         after = TRANSITIONS[before][event]
         if before == after:
@@ -166,7 +172,9 @@
         return [MemberTransition(entry.name, entry.incarnation, before, after, reason)]
 
     def _has_capacity(self) -> bool:
-        """Whether a new name can be added; a full table drops the entry that has been gone for longest."""
+        """Whether a new name can be added; a full table evicts the entry that has been in a final state the
+        longest.
+        """
         if len(self.entries) < self.timeouts.max_entries:
             return True
         gone = [entry for entry in self.entries.values() if entry.state in FINAL_STATES]
--- a/heathwell/fleet/membership/messages.py
+++ b/heathwell/fleet/membership/messages.py
@@ -1,7 +1,7 @@
 """Messages between a broker and a coordinator about membership.
 
-Job: the typed records of a report and its reply; the codec's frames carry them on the wire. Owns no state.
-May import the states of this package only.
+The typed records of a report and its reply; the codec's frames carry them on the wire. Owns no state. Imports
+only the states of this package.
 """
 
 from __future__ import annotations
@@ -13,9 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipReport:
-    """A broker's report of itself. ``last_reply_number`` is the highest number of a reply that it received
-    from the coordinator's ``coordinator_incarnation``; an empty incarnation and 0 stand for none yet, as on
-    the wire.
+    """A broker's report about itself.
+
+    ``last_reply_number`` is the highest number of a reply received from the ``coordinator_incarnation`` of
+    the coordinator. An empty incarnation and 0 mean that no reply was received yet, as on the wire.
     """
 
     name: str
@@ -30,9 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipReply:
-    """A coordinator's reply to a report: the ``state`` that its table now has, and the reply's own number
-    within the coordinator's incarnation. ``minimum_incarnation`` is the lowest incarnation under which the
-    name may rejoin; it counts only where the state is final.
+    """A coordinator's reply to a report: the member's ``state`` in its table, and the reply's number within
+    the coordinator's incarnation.
+
+    ``minimum_incarnation`` is the lowest incarnation under which the name may rejoin; it is meaningful only
+    if the state is final.
     """
 
     state: MemberState
--- a/heathwell/fleet/membership/states.py
+++ b/heathwell/fleet/membership/states.py
@@ -1,7 +1,6 @@
-"""The state machine of one incarnation of a member.
+"""The state machine of one incarnation of a member: states, events and the table of transitions.
 
-Job: name the states, the events and the one table of transitions between them. Owns no data. May import the
-standard library only.
+Owns no data. Imports only the standard library.
 """
 
 from __future__ import annotations
@@ -11,7 +10,7 @@
 
 
 class MemberState(StrEnum):
-    """The state of one incarnation. The values stand on the wire, in event logs and in metrics."""
+    """The state of one incarnation. The values are used on the wire, in event logs and in metrics."""
 
     JOINING = "joining"
     ALIVE = "alive"
@@ -21,12 +20,12 @@
 
 
 class MemberEvent(StrEnum):
-    """What may move an incarnation to another state."""
+    """Events that may change the state of an incarnation."""
 
     REPORT_ACKNOWLEDGED = "report acknowledged"
-    """It reported, and shows that it received a recent reply."""
+    """It reported and has recently acknowledged a reply."""
     REPORT_UNACKNOWLEDGED = "report unacknowledged"
-    """It reported without having received a recent reply: the way back to it may be cut."""
+    """It reported but has not recently acknowledged a reply: replies may not reach it."""
     SUSPECT_TIMEOUT = "suspect timeout"
     DEAD_TIMEOUT = "dead timeout"
     LEAVE_ANNOUNCED = "leave announced"
@@ -62,7 +61,7 @@
     MemberState.LEFT: dict.fromkeys(MemberEvent, MemberState.LEFT),
     MemberState.DEAD: dict.fromkeys(MemberEvent, MemberState.DEAD),
 }
-"""The state that follows each event in each state; total over both enumerations."""
+"""The next state for each state and event; every combination is listed."""
 
 FINAL_STATES = frozenset({MemberState.LEFT, MemberState.DEAD})
 """Final states: the name can rejoin only under a later incarnation."""
@@ -70,12 +69,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipTimeouts:
-    """When silence changes a state, and the bounds of the table."""
+    """Durations without a report after which a state changes, and limits of the table."""
 
     suspect_timeout_us: int = 2_000_000
     dead_timeout_us: int = 5_000_000
-    final_state_retention_us: int = 60_000_000  # how long an entry in a final state is still listed
-    max_entries: int = 1_024  # entries in final states included; further names are rejected
+    final_state_retention_us: int = 60_000_000  # how long an entry in a final state stays in the table
+    max_entries: int = 1_024  # including entries in final states; further names are rejected
 
 
 @dataclass(frozen=True, slots=True)
--- a/heathwell/fleet/quotas/__init__.py
+++ b/heathwell/fleet/quotas/__init__.py
@@ -1,26 +1,28 @@
-"""Quotas: budgets of a fleet, divided among its brokers by leases.
+"""Quotas: fleet-wide budgets, divided among the brokers by leases.
 
-Job: let each broker use its quota without asking anybody at the moment of use, and never let the fleet hold
-more than a budget's total. Pure: instants are handed in and amounts are integers. May import
+Lets each broker use its quota without a request at the time of use, while the fleet never holds more than a
+budget's total. Does no I/O: times are arguments and amounts are integers. May import
 :mod:`heathwell.fleet.membership`.
 
-Why no more than the total is ever held, whatever is lost, restarted or stopped (`docs/fleet.md` at length):
+Why the total is never exceeded, whichever messages are lost and whichever processes restart or are suspended
+(see `docs/fleet.md` for details):
 
-1. A broker's own minimum is reserved within the total beforehand, for the most brokers there may be.
-2. The rest is cut into fixed fractions, as many as coordinators. Only the holder of a fraction's lease grants
-   of it, and for that lease a coordinator needs the votes of a majority. Two majorities share a voter, and a
-   voter votes for one candidate of a fraction at a time.
-3. A holder counts its lease from before it requested it, and shorter by the bound on clock drift; a grantor
-   from after it answered, and longer by it. So a lease ends at its holder first, be it a vote or a grant.
-4. No grant ends, by its grantor's count, after the grantor's fraction lease. So once a fraction's lease may
-   have a new holder, no grant of the old one is held any more. A coordinator that starts again with nothing
-   remembered is a new candidate, and a new voter is silent for the longest time that a forgotten vote may
-   last.
-5. A ledger charges a member with the largest grant that it may still hold: those granted, not expired, and
-   not superseded by a later one that the member reports as active. A grant is given only within what the
-   charges leave.
-6. A rate accrues at the quota of the moment and never beyond a burst window of it, and slower by the bound on
-   drift.
+1. Each broker's minimum is reserved within the total in advance, for the maximum number of brokers.
+2. The rest is divided into fixed fractions, one per coordinator. Only the holder of a fraction's lease makes
+   grants from it, and a coordinator needs the votes of a majority for that lease. Any two majorities share a
+   voter, and a voter votes for one candidate of a fraction at a time.
+3. A holder counts its lease from the time of its request and shortens it by the bound on clock drift. A
+   grantor counts it from the time of its answer and lengthens it by that bound. So a lease, be it a vote or a
+   grant, expires at its holder first.
+4. By its grantor's count no grant ends after the grantor's fraction lease. So no grant of the previous holder
+   is still valid when a fraction's lease can have a new holder. A restarted coordinator has no state: it is a
+   new candidate, and as a voter it stays silent for the longest time that a vote of its previous incarnation
+   may last.
+5. A ledger charges a member with the largest grant that it may still hold: of all grants that have not
+   expired and are not superseded by a later one that the member reports as active. A new grant is limited to
+   what the charges leave.
+6. A rate accrues at the current quota, reduced by the bound on clock drift, up to one burst window of that
+   quota.
 """
 
 from heathwell.fleet.quotas.allocation import QuotaRequest, allocate
--- a/heathwell/fleet/quotas/allocation.py
+++ b/heathwell/fleet/quotas/allocation.py
@@ -1,7 +1,7 @@
 """Weighted max-min fair allocation (Bertsekas and Gallager, Data Networks, 6.5.2).
 
-Job: divide an amount among requests so that nobody gets more than it requests while one that gets less for
-its weight requests more. Owns no state. May import the standard library only.
+Divides an amount among requests so that no request gets more than its demand while another one, whose share
+per weight is smaller, is not satisfied. Owns no state. Imports only the standard library.
 """
 
 from __future__ import annotations
@@ -11,17 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaRequest:
-    """What a member could use now, and its weight (at least 1)."""
+    """The demand of a member, and its weight (at least 1)."""
 
     demand: int
     weight: int = 1
 
 
 def allocate(amount: int, requests: dict[str, QuotaRequest], minimum: int = 0) -> dict[str, int]:
-    """Allocations of an amount by name; they never add up to more.
+    """Return allocations by name, whose sum never exceeds the amount.
 
-    Each gets at least ``minimum`` where the amount suffices, as who requests little now may request more
-    before its next renewal. What nobody requests is spread by weight. Linear but for one sort.
+    Each gets at least ``minimum`` if the amount suffices, because a member with little demand may need more
+    before its next renewal. The remainder beyond all demands is divided by weight. Runs in linear time except
+    for one sort.
     """
     if not requests:
         return {}
@@ -40,8 +41,9 @@
 
 
 def _fill_progressively(amount: int, requests: dict[str, QuotaRequest]) -> dict[str, int]:
-    """Fill the least demand for its weight first, each from what remains for the weights that remain. Whole
-    numbers: the rest of a division goes to the last, who request most.
+    """Allocate in ascending order of demand per weight, each a share of the remaining amount by weight.
+
+    Amounts are integers: the remainders of the divisions go to the last requests, which are the largest.
     """
     remaining = amount
     remaining_weight = sum(request.weight for request in requests.values())
--- a/heathwell/fleet/quotas/broker_quotas.py
+++ b/heathwell/fleet/quotas/broker_quotas.py
@@ -1,7 +1,7 @@
 """A broker's quotas of all budgets, renewed with all coordinators.
 
-Job: hand renewals out, take replies in, and give each use the holder of its budget. Owns the broker's holders
-and its membership. Pure: the clock and the replies are handed in. May import membership and this package.
+Builds renewals, applies replies and returns the quota holder of a budget. Owns the broker's quota holders and
+its membership. Does no I/O: the clock and the replies are arguments. Imports membership and this package.
 """
 
 from __future__ import annotations
@@ -23,9 +23,11 @@
 
 
 class BrokerQuotas:
-    """One broker's quotas. :meth:`check_clock` goes before each use, so that a stop of the process is noticed
-    before anything leaves. Of budgets that exist for each host the recently used are held, ``MAX_HOLDERS``
-    holders at most.
+    """One broker's quotas.
+
+    :meth:`check_clock` must be called before each use, so that a suspension of the process is detected before
+    anything is sent. Of per-host budgets only the recently used ones have a holder; there are at most
+    ``MAX_HOLDERS`` holders.
     """
 
     MAX_HOLDERS = 256
@@ -53,12 +55,17 @@
         self._scoped_used_at_us: dict[str, int] = {}  # by full name
 
     def check_clock(self, now_us: int) -> IncarnationEnded | None:
-        """Drop all grants if the process was suspended for too long; called first in a turn of the loop."""
+        """Drop all grants if the process was suspended for too long.
+
+        Must be called first in each iteration of the event loop.
+        """
         return self._drop_if_ended(now_us, self.member.check_clock(now_us))
 
     def renewals(self, now_us: int, *, leaving: bool = False) -> list[AddressedRenewal]:
-        """What to send to each coordinator now. A broker that leaves holds no grant any more by then; a count
-        with units still in use is left out, and stays charged until its grants have expired.
+        """Return the renewal to send to each coordinator now.
+
+        A leaving broker drops its grants first. A count budget with units still in use is left out of its
+        renewals, so that it stays charged until its grants have expired.
         """
         self._remove_unused(now_us)
         if leaving:
@@ -73,7 +80,7 @@
         return renewals
 
     def on_reply(self, now_us: int, coordinator: str, reply: QuotaRenewalReply) -> IncarnationEnded | None:
-        """Apply a coordinator's reply. One to an earlier incarnation of ours grants this one nothing."""
+        """Apply a coordinator's reply; one to an earlier incarnation of this broker is ignored."""
         if reply.incarnation != self.member.incarnation:
             return None
         ended = self.member.on_reply(
@@ -88,13 +95,14 @@
         return None
 
     def acquire(self, now_us: int, budget: str, milliunits: int = MILLIUNITS_PER_UNIT) -> bool:
-        """Use a unit, or another amount of a rate; false where no holder or its quota allows it."""
+        """Use one unit, or another amount of a rate; return False if there is no holder or no free quota."""
         holder = self.holder(now_us, budget)
         return holder is not None and holder.acquire(now_us, milliunits)
 
     def holder(self, now_us: int, name: str) -> QuotaHolder | None:
-        """The holder of a budget, opened for one host's at its first use; None for a budget that is unknown,
-        and where as many as may be are open.
+        """Return the holder of a budget; that of a per-host budget is opened at its first use.
+
+        None for an unknown budget, and for a new holder beyond ``MAX_HOLDERS``.
         """
         budget_name = BudgetName.parse(name)
         holder = self.holders.get(name)
@@ -107,7 +115,7 @@
         return holder
 
     def _open_holder(self, now_us: int, budget: Budget) -> QuotaHolder:
-        # Many brokers that each get less than a unit a second must not all use their first in one moment.
+        # Many brokers that each get less than one unit per second must not all use their first unit at once.
         is_rate = budget.kind == BudgetKind.RATE
         initial_milliunits = self.random.randrange(MILLIUNITS_PER_UNIT) if is_rate else 0
         drift = self.timings.grant_lease.clock_drift
--- a/heathwell/fleet/quotas/budget.py
+++ b/heathwell/fleet/quotas/budget.py
@@ -1,7 +1,7 @@
-"""What a budget is, as settings state it.
+"""Budgets as the settings define them.
 
-Job: the checked record of one fleet-wide budget, and the names of budgets that exist once for each host. Owns
-no state. May import this package's errors only.
+The validated record of one fleet-wide budget, and the names of per-host budgets. Owns no state. Imports only
+this package's errors.
 
 A *budget* is the limit for the entire fleet; a *quota* is the part of it that one broker may use now.
 """
@@ -19,43 +19,43 @@
 
 
 class BudgetKind(StrEnum):
-    """What a budget limits. The values stand in settings, on the wire and in reports."""
+    """What a budget limits. The values are used in settings, on the wire and in reports."""
 
     RATE = "rate"
-    """Uses a second, in milliunits a second."""
+    """Uses per second, in milliunits per second."""
     COUNT = "count"
     """Units in use at the same time."""
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetName:
-    """A budget's name taken apart: ``base@scope``; ``scope`` is None where the name has no separator."""
+    """The parts of a budget's name ``base@scope``; ``scope`` is None if the name has no separator."""
 
     base: str
     scope: str | None = None
 
     @classmethod
     def parse(cls, name: str) -> BudgetName:
-        """Split at the first separator."""
+        """Split a name at its first separator."""
         base, separator, scope = name.partition(SCOPE_SEPARATOR)
         return cls(base, scope if separator else None)
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """One limit for the entire fleet: ``total`` milliunits a second of a rate, units of a count.
-
-    - ``reserved`` of the total is divided equally among ``max_brokers`` brokers beforehand, as the minimum
-      that each may use without any coordinator; the rest is cut into ``fraction_count`` fractions.
-    - ``burst_window_us``: how much of a rate may accrue unused, as time at the quota of the moment.
-    - ``linger_timeout_us``: how long a host may keep what a dead holder of a count held.
-    - ``minimum_grant``: the least that a member is granted that requests little.
-    - ``scope_kind``: not empty ("host") where there is such a budget for each of these, named ``name@scope``.
-    - ``uncounted``: what the fleet may use beside the total without counting it here (a first connection
-      each).
-    - ``sticky``: who holds a unit keeps it for as long as it requests it, as a leader lease.
-
-    Raises :class:`InvalidBudgetError` for values that contradict each other.
+    """One limit for the entire fleet: ``total`` is in milliunits per second for a rate, in units for a count.
+
+    - ``reserved`` of the total is divided equally among ``max_brokers`` brokers in advance, as the minimum
+      that each may use without a coordinator; the rest is divided into ``fraction_count`` fractions.
+    - ``burst_window_us``: how much unused rate may accrue, as time at the current quota.
+    - ``linger_timeout_us``: how long a host may keep the units of a count whose holder has died.
+    - ``minimum_grant``: the minimum granted to a member with little demand.
+    - ``scope_kind``: "host" for a budget that exists once per host, named ``name@scope``; otherwise empty.
+    - ``uncounted``: what the fleet may use in addition to the total without counting it (each broker's first
+      connection to a host).
+    - ``sticky``: the holder of a unit keeps it for as long as it requests it, as for a leader lease.
+
+    Raises :class:`InvalidBudgetError` for inconsistent values.
     """
 
     name: str
@@ -75,29 +75,32 @@
         if not 0 <= self.reserved <= self.total or self.max_brokers < 1 or self.fraction_count < 1:
             raise InvalidBudgetError(
                 self.name,
-                "0 <= reserved <= total, and at least 1 broker and 1 fraction are expected",
+                "expected 0 <= reserved <= total, max_brokers >= 1 and fraction_count >= 1, got "
+                f"reserved {self.reserved}, total {self.total}, max_brokers {self.max_brokers}, "
+                f"fraction_count {self.fraction_count}",
             )
         burst = self.broker_minimum * self.burst_window_us
         one_unit = MILLIUNITS_PER_UNIT * US_PER_SECOND
         if self.kind == BudgetKind.RATE and self.broker_minimum and burst < one_unit:
             raise InvalidBudgetError(
                 self.name,
-                f"a broker's own {self.broker_minimum / MILLIUNITS_PER_UNIT} a second never make a unit "
-                f"within {self.burst_window_us / US_PER_SECOND} s",
+                f"the broker minimum of {self.broker_minimum / MILLIUNITS_PER_UNIT} per second accrues less "
+                f"than one unit within the burst window of {self.burst_window_us / US_PER_SECOND} s",
             )
 
     @property
     def broker_minimum(self) -> int:
-        """The quota that each broker has without any grant."""
+        """The quota of each broker without any grant."""
         return self.reserved // self.max_brokers
 
     def for_scope(self, scope: str) -> Budget:
-        """The budget of one host, say, of a budget that exists for each."""
+        """Return the budget of one scope, such as a host, of a per-scope budget."""
         return replace(self, name=f"{self.name}{SCOPE_SEPARATOR}{scope}", scope_kind="")
 
     def fraction_amount(self, fraction: int) -> int:
-        """What the holder of a fraction's lease may grant. The fractions add up to the total less what is
-        reserved.
+        """Return what the holder of a fraction's lease may grant.
+
+        The fractions add up to the total less ``reserved``.
         """
         grantable = self.total - self.reserved
         upper = grantable * (fraction + 1) // self.fraction_count
--- a/heathwell/fleet/quotas/budget_statistics.py
+++ b/heathwell/fleet/quotas/budget_statistics.py
@@ -1,6 +1,6 @@
-"""What a broker used of each budget, as its metrics page shows it.
+"""Statistics of a broker's use of each budget, for its metrics page.
 
-Job: sum the holders of a budget and of its endpoints. Owns no state. May import this package's holders.
+Sums the quota holders of a budget over its endpoints. Owns no state. Imports this package's quota holders.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetStatistics:
-    """One budget at one broker.
+    """Use of one budget at one broker.
 
-    ``quota`` is in units, of a rate in units a second; ``in_use`` are units of a count; ``admitted`` and
-    ``rejected`` count uses since the start.
+    ``quota`` is in units, for a rate in units per second; ``in_use`` is the number of units of a count in
+    use; ``admitted`` and ``rejected`` count uses since the start.
     """
 
     quota: float = 0.0
@@ -26,7 +26,7 @@
     rejected: int = 0
 
     def __add__(self, other: BudgetStatistics) -> BudgetStatistics:
-        """The sum of two holders of one budget."""
+        """Return the sum over two holders of one budget."""
         return BudgetStatistics(
             self.quota + other.quota,
             self.in_use + other.in_use,
@@ -36,7 +36,7 @@
 
 
 def statistics_by_budget(holders: Iterable[QuotaHolder], now_us: int) -> dict[str, BudgetStatistics]:
-    """The statistics at ``now_us`` by a budget's name; those of its endpoints are summed."""
+    """Return the statistics at ``now_us`` by budget name, summed over a budget's endpoints."""
     statistics: dict[str, BudgetStatistics] = {}
     for holder in holders:
         base = BudgetName.parse(holder.budget.name).base
--- a/heathwell/fleet/quotas/errors.py
+++ b/heathwell/fleet/quotas/errors.py
@@ -1,7 +1,4 @@
-"""Errors of this package.
-
-Job: one base class and the typed errors below it. Owns no state. May import the standard library only.
-"""
+"""Errors of this package: a base class and the errors derived from it. Imports only the standard library."""
 
 from __future__ import annotations
 
@@ -11,7 +8,7 @@
 
 
 class InvalidBudgetError(QuotaError):
-    """A budget whose values contradict each other."""
+    """A budget with inconsistent values."""
 
     def __init__(self, budget: str, problem: str) -> None:
         super().__init__(f"budget {budget}: {problem}")
@@ -23,17 +20,18 @@
     """A budget that the coordinator was not started with."""
 
     def __init__(self, budget: str) -> None:
-        super().__init__(f"budget {budget}: begins with a restart only")
+        super().__init__(f"budget {budget}: unknown to this coordinator; a new budget requires a restart")
         self.budget = budget
 
 
 class BudgetResizeError(QuotaError):
-    """A change of a budget that is not possible while brokers run that rely on the old values."""
+    """A change to a budget that is not possible while brokers rely on the old values."""
 
     def __init__(self, budget: str, old_reserved: int, new_reserved: int) -> None:
         super().__init__(
-            f"budget {budget}: only the total, the minimum grant and the timeouts may change while it runs, "
-            f"not what is reserved ({old_reserved} before, {new_reserved} now): brokers rely on it"
+            f"budget {budget}: only the total, the minimum grant, the burst window and the linger timeout "
+            "may change without a restart, as brokers rely on the other values "
+            f"(reserved: {old_reserved} before, {new_reserved} now)"
         )
         self.budget = budget
         self.old_reserved = old_reserved
@@ -41,8 +39,8 @@
 
 
 class UnitNotHeldError(QuotaError):
-    """A release of a unit while none is in use."""
+    """A release of a unit of a count while no unit is in use."""
 
     def __init__(self, budget: str) -> None:
-        super().__init__(f"budget {budget}: a unit is released that nobody holds")
+        super().__init__(f"budget {budget}: released a unit while no unit is in use")
         self.budget = budget
--- a/heathwell/fleet/quotas/fraction_lease.py
+++ b/heathwell/fleet/quotas/fraction_lease.py
@@ -1,12 +1,13 @@
-"""Which coordinator may grant of a fraction: the one whose lease a majority of coordinators voted for.
+"""The vote on a fraction's lease, whose holder alone makes grants from the fraction.
 
-Job: both sides of the vote. Owns the votes of one incarnation of one coordinator, given (:class:`LeaseVoter`)
-and received (:class:`LeaseCandidate`). May import this package's lease and messages.
+A coordinator holds the lease while a majority of the coordinators votes for it. Owns the votes of one
+incarnation of one coordinator, cast (:class:`LeaseVoter`) and received (:class:`LeaseCandidate`). Imports
+this package's lease and messages.
 
-A voter votes for one candidate of a fraction at a time, a candidate being one incarnation of one coordinator.
-Nothing is on disk: a new incarnation holds no state. So as a voter it stays silent for as long as a vote of
-an earlier incarnation may last, and as a candidate it cannot use votes for that incarnation, which have to
-expire first.
+A voter votes for one candidate of a fraction at a time; a candidate is one incarnation of one coordinator.
+Votes are not stored on disk, so a new incarnation starts without state. As a voter it stays silent for as
+long as a vote of an earlier incarnation may last. As a candidate it cannot use the votes for an earlier
+incarnation, which must expire first.
 """
 
 from __future__ import annotations
@@ -19,25 +20,24 @@
 
 
 class CastVote(NamedTuple):
-    """A vote for a candidate, and when it expires on the voter's clock."""
+    """A vote for a candidate, and its expiry on the voter's clock."""
 
     candidate: str
     expires_at_us: int
 
 
 class LeaseVoter:
-    """One incarnation of a coordinator as a voter. ``now_us`` is its own clock."""
+    """One incarnation of a coordinator as a voter. All times are on its own clock."""
 
     def __init__(self, name: str, now_us: int, lease: Lease) -> None:
         self.name = name
         self.lease = lease
-        self.silent_until_us = lease.grantor_expires_at_us(
-            now_us
-        )  # an earlier incarnation may just have voted
+        # An earlier incarnation may have voted just before this one started.
+        self.silent_until_us = lease.grantor_expires_at_us(now_us)
         self.votes: dict[int, CastVote] = {}  # by fraction
 
     def on_request(self, now_us: int, request: FractionLeaseRequest) -> FractionLeaseVote:
-        """Vote for the candidate, renew the vote, or name the candidate that has it."""
+        """Vote for the candidate, renew the vote for it, or return the candidate that has the vote."""
         if now_us < self.silent_until_us:
             return FractionLeaseVote(request.fraction, self.name, request.requested_at_us, None)
         vote = self.votes.get(request.fraction)
@@ -49,10 +49,10 @@
 
 @dataclass(slots=True)
 class ReceivedVotes:
-    """Votes of one fraction, by our own clock.
+    """Votes received on one fraction; times are on the candidate's clock.
 
-    ``expires_at_us`` is the end of each voter's vote for us; ``other_voted_at_us`` is when we last sent a
-    request to a voter that had voted for another.
+    ``expires_at_us`` is the expiry of each vote for this candidate, by voter. ``other_voted_at_us`` is when
+    the last request was sent whose answer was a vote for another candidate.
     """
 
     other_voted_at_us: int
@@ -60,9 +60,11 @@
 
 
 class LeaseCandidate:
-    """One incarnation of a coordinator as a candidate. It requests its ``home_fraction`` always; another only
-    once no sign of a holder was seen for ``takeover_timeout_us``, and it stops renewing that as soon as the
-    coordinator whose home it is is seen again.
+    """One incarnation of a coordinator as a candidate.
+
+    It always requests its ``home_fraction``. It requests another fraction only after ``takeover_timeout_us``
+    without a sign of a holder, and stops renewing that lease as soon as it receives a message from the
+    coordinator whose home fraction it is.
     """
 
     def __init__(
@@ -84,11 +86,11 @@
         self.home_coordinator_seen_at_us: dict[int, int] = {}  # by fraction
 
     def on_home_coordinator_seen(self, now_us: int, fraction: int) -> None:
-        """A message came from the coordinator whose home this fraction is."""
+        """Record a message from the coordinator whose home fraction this is."""
         self.home_coordinator_seen_at_us[fraction] = now_us
 
     def requests(self, now_us: int) -> list[FractionLeaseRequest]:
-        """The requests to send to all voters now, this coordinator's own included."""
+        """Return the requests to send to all voters now, including this coordinator's own voter."""
         return [
             FractionLeaseRequest(fraction, self.incarnation, now_us)
             for fraction in self.votes
@@ -96,7 +98,7 @@
         ]
 
     def on_vote(self, vote: FractionLeaseVote) -> None:
-        """Count a voter's answer from when we sent the request, on our clock."""
+        """Record a voter's answer; its lease counts from the request, on this candidate's clock."""
         votes = self.votes[vote.fraction]
         if vote.holder == self.incarnation:
             expires_at_us = self.lease.holder_expires_at_us(vote.requested_at_us)
@@ -106,15 +108,16 @@
             votes.other_voted_at_us = max(votes.other_voted_at_us, vote.requested_at_us)
 
     def lease_expires_at_us(self, fraction: int) -> int | None:
-        """Until when (our clock) a majority's votes for us last; None where there is no majority. The instant
-        may have passed.
+        """Return until when a majority of votes for this candidate lasts; None without a majority.
+
+        The time may have passed already.
         """
         majority = self.voter_count // 2 + 1
         latest_first = sorted(self.votes[fraction].expires_at_us.values(), reverse=True)
         return latest_first[majority - 1] if len(latest_first) >= majority else None
 
     def holds(self, now_us: int, fraction: int) -> bool:
-        """Whether we hold the fraction's lease now."""
+        """Whether this candidate holds the fraction's lease now."""
         expires_at_us = self.lease_expires_at_us(fraction)
         return expires_at_us is not None and expires_at_us > now_us
 
--- a/heathwell/fleet/quotas/fraction_ledger.py
+++ b/heathwell/fleet/quotas/fraction_ledger.py
@@ -1,11 +1,11 @@
 """The ledger of one fraction of one budget, at the coordinator that holds the fraction's lease.
 
-Job: decide each grant so that what members may hold never exceeds the fraction. Owns one account a member
-(one incarnation of a broker). All instants are of the coordinator's own clock. May import this package's
+Decides on each grant so that what members may hold never exceeds the fraction. Owns one account per member
+(one incarnation of a broker). All times are on the coordinator's own clock. Imports this package's
 allocation, budget, lease and messages.
 
-The ledger is lost with the coordinator's incarnation and need not survive it: no grant outlasts the fraction
-lease that it was given under.
+The ledger is lost when the coordinator's incarnation ends and need not survive it: no grant outlasts the
+fraction lease under which it was made.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 
 class OutstandingGrant(NamedTuple):
-    """A grant that a member may still go by."""
+    """A grant that a member may still use."""
 
     amount: int
     expires_at_us: int
 
 
 class _Expiry(NamedTuple):
-    """When a grant of a member expires; ordered by time."""
+    """The expiry of a member's grant, in a heap ordered by time."""
 
     expires_at_us: int
     member: str
@@ -36,8 +36,9 @@
 
 @dataclass(slots=True)
 class MemberAccount:
-    """What a member may hold: its grants by number, in order, and ``charge``, the largest of them when last
-    computed.
+    """The grants that a member may hold, by ascending number.
+
+    ``charge`` is the amount of the largest of them when it was last computed.
     """
 
     grants: dict[int, OutstandingGrant] = field(default_factory=dict)
@@ -46,21 +47,21 @@
     charge: int = 0
 
     def current_charge(self, now_us: int) -> int:
-        """Drop what has expired; the largest amount that the member may hold."""
+        """Drop expired grants and return the largest amount that the member may hold."""
         expired = [number for number, grant in self.grants.items() if grant.expires_at_us <= now_us]
         for number in expired:
             del self.grants[number]
         return max((grant.amount for grant in self.grants.values()), default=0)
 
     def discard_before(self, number: int) -> bool:
-        """Drop grants that a later one has superseded; whether there were any."""
+        """Drop the grants with a number below ``number``; return whether there were any."""
         superseded = [old for old in self.grants if old < number]
         for old in superseded:
             del self.grants[old]
         return bool(superseded)
 
     def merge_oldest(self) -> None:
-        """Merge the two oldest grants into one that is as large and as long as either."""
+        """Merge the two oldest grants into one with the larger amount and the later expiry."""
         first, second = sorted(self.grants)[:2]
         older = self.grants.pop(first)
         newer = self.grants[second]
@@ -71,21 +72,22 @@
 
 @dataclass(frozen=True, slots=True)
 class _GrantTerm:
-    """A grant's duration as sent to the member, and its end here."""
+    """A grant's duration as sent to the member, and its expiry on the coordinator's clock."""
 
     duration_us: int
     expires_at_us: int
 
 
 class FractionLedger:
-    """The ledger of one fraction, for as long as its ``grantor`` holds the lease without a break.
+    """The ledger of one fraction while its ``grantor`` holds the fraction's lease without interruption.
 
-    Grants are numbered from ``last_grant_number`` on; allocations are recomputed when the last are older than
-    ``allocation_max_age_us``. Where ``expected_members`` is set, a member gets of what nobody requests no
-    more than one of so many would, as all may request in a moment.
+    Grants are numbered from ``last_grant_number`` on; allocations are recomputed when they are older than
+    ``allocation_max_age_us``. If ``expected_members`` is set, a member gets at most an even part for that
+    many members, or twice its demand if that is more, because all of them may send requests within a short
+    time.
     """
 
-    MAX_GRANTS_PER_MEMBER = 8  # kept apart; the oldest beyond it are merged
+    MAX_GRANTS_PER_MEMBER = 8  # beyond it the oldest grants of a member are merged
 
     def __init__(
         self,
@@ -111,16 +113,16 @@
         self._allocated_at_us: int | None = None
 
     def resize(self, budget: Budget) -> None:
-        """Another total from now on. Grants beyond it expire; nothing new is granted until it fits."""
+        """Apply a changed budget. Nothing is granted until enough earlier grants have expired to fit."""
         self.budget = budget
         self._allocated_at_us = None
 
     def has_requests_since(self, instant_us: int) -> bool:
-        """Whether any member has sent a request since."""
+        """Whether any member has sent a request since ``instant_us``."""
         return any(account.requested_at_us >= instant_us for account in self.accounts.values())
 
     def total_charge(self, now_us: int) -> int:
-        """What members may hold now, in all."""
+        """Return the total amount that members may hold now."""
         while self._expiries and self._expiries[0].expires_at_us <= now_us:
             member = heappop(self._expiries).member
             if member in self.accounts:
@@ -128,7 +130,7 @@
         return self._total_charge
 
     def on_request(self, now_us: int, request: GrantRequest, lease_expires_at_us: int) -> Grant:
-        """Answer a member's request. No grant is counted beyond ``lease_expires_at_us``, the end of the
+        """Answer a member's request. No grant ends after ``lease_expires_at_us``, the expiry of the
         fraction's lease.
         """
         account = self.accounts.setdefault(request.member, MemberAccount())
@@ -155,7 +157,7 @@
         )
 
     def _record(self, member: str, account: MemberAccount, grant: OutstandingGrant) -> None:
-        """Charge the member with a new grant, on top of those that it may still go by."""
+        """Add a new grant to the member's account and raise its charge if the grant is larger."""
         self.last_grant_number += 1
         account.grants[self.last_grant_number] = grant
         heappush(self._expiries, _Expiry(grant.expires_at_us, member))
@@ -186,8 +188,10 @@
         self._allocated_at_us = None
 
     def _term(self, now_us: int, lease_expires_at_us: int) -> _GrantTerm:
-        """Cut a grant so that it ends with the fraction's lease at the latest. What lingers at hosts after
-        the holder of a count has died lies within the charge.
+        """Return the term of a grant, shortened so that it ends no later than the fraction's lease.
+
+        For a count it includes the time that units may linger at hosts after their holder has died, so that
+        the charge covers them.
         """
         linger_us = self.budget.linger_timeout_us if self.budget.kind == BudgetKind.COUNT else 0
         remaining_us = lease_expires_at_us - now_us - linger_us
@@ -200,7 +204,7 @@
         return _GrantTerm(lease.duration_us, now_us + linger_us + lease.grantor_duration_us)
 
     def _allocation(self, now_us: int, member: str) -> int:
-        """What the member is to have by the recent requests of all."""
+        """Return the member's allocation, based on the recent requests of all members."""
         demand = self.accounts[member].request.demand
         if self.budget.sticky:
             return demand
@@ -217,8 +221,9 @@
         return allocation
 
     def _allocate(self, now_us: int, requester: str) -> None:
-        """Divide the fraction among members with a recent request. A silent one keeps what it may hold, no
-        more, and is removed once that has expired.
+        """Divide the fraction among the members with a recent request.
+
+        A member without one gets no new grant, and is removed once its grants have expired.
         """
         recent_since_us = now_us - self.lease.grantor_duration_us // 2
         silent = [
@@ -240,6 +245,6 @@
         self._allocated_at_us = now_us
 
     def _available(self, now_us: int, member: str) -> int:
-        """What other members leave of the fraction."""
+        """Return what the charges of the other members leave of the fraction."""
         others = self.total_charge(now_us) - self.accounts[member].charge
         return max(0, self.budget.fraction_amount(self.fraction) - others)
--- a/heathwell/fleet/quotas/messages.py
+++ b/heathwell/fleet/quotas/messages.py
@@ -1,10 +1,10 @@
 """Messages between brokers and coordinators about quotas.
 
-Job: the typed records of renewals, grants and fraction leases; the codec's frames carry them on the wire.
-Owns no state. May import membership's messages.
+The typed records of renewals, grants and fraction leases; the codec's frames carry them on the wire. Owns no
+state. Imports membership's messages.
 
-Every ``requested_at_us`` is of the requester's own clock and is returned unchanged with the answer, so that a
-lease can be counted from before it was requested.
+Every ``requested_at_us`` is on the requester's own clock and is returned unchanged in the answer, so that the
+requester can count the lease from the time of its request.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FractionLeaseRequest:
-    """One incarnation of a coordinator (the candidate) requests a fraction's lease of a voter."""
+    """A request by one incarnation of a coordinator (the candidate) to a voter for a fraction's lease."""
 
     fraction: int
     candidate: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FractionLeaseVote:
-    """A voter's answer: whose vote the fraction has now; None where the voter may not vote yet."""
+    """A voter's answer: ``holder`` is the candidate that has its vote now; None if it may not vote yet."""
 
     fraction: int
     voter: str
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantRequest:
-    """One incarnation of a broker (the member) requests its quota of a fraction.
+    """A request by one incarnation of a broker (the member) for its quota of a fraction.
 
-    ``active_grant_number`` is the number of the grant that it goes by, 0 for none. Of a count it is only one
-    that covers what is in fact in use, so that units count as returned once they are. ``releasing``: the
-    member holds nothing more and goes by no grant.
+    ``active_grant_number`` is the number of the grant that the member uses, 0 for none. For a count only a
+    grant that covers the units in use is active, so that units count as released only once they are.
+    ``releasing``: the member holds no grant any more.
     """
 
     member: str
@@ -52,8 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """A quota granted by the holder of a fraction's lease; numbers grow within an incarnation of it.
-    ``duration_us`` is the lease's, shorter where the fraction's lease ends sooner, and 0 where nothing is
+    """A quota granted by the holder of a fraction's lease; numbers increase within an incarnation of the
+    holder.
+
+    ``duration_us`` is that of a grant lease, or less if the fraction's lease ends sooner, and 0 if nothing is
     granted.
     """
 
@@ -68,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveGrant:
-    """The grant of a fraction that a broker goes by."""
+    """The grant of a fraction that a broker uses."""
 
     fraction: int
     grantor: str
@@ -77,14 +79,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetDemand:
-    """What a broker could use of one budget, and by which grants it goes."""
+    """A broker's demand for one budget, and the grants that it uses."""
 
     budget: str
     demand: int
     active_grants: tuple[ActiveGrant, ...] = ()
 
     def active_grant_number(self, fraction: int, grantor: str) -> int:
-        """The number of the latest grant that it goes by of a fraction and grantor; 0 for none."""
+        """Return the highest number of an active grant of a fraction and grantor; 0 for none."""
         numbers = (
             grant.number
             for grant in self.active_grants
@@ -104,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressedRenewal:
-    """A renewal and the coordinator that it is for."""
+    """A renewal and the coordinator to which it is sent."""
 
     coordinator: str
     renewal: QuotaRenewal
@@ -112,8 +114,9 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaRenewalReply:
-    """A coordinator's reply, with grants of the fractions whose leases it holds. ``incarnation`` is the
-    broker's, as in the renewal; ``coordinator_incarnation`` names the coordinator's.
+    """A coordinator's reply, with grants from the fractions whose leases it holds.
+
+    ``incarnation`` is the broker's, as in the renewal.
     """
 
     membership: MembershipReply
--- a/heathwell/fleet/quotas/quota_coordinator.py
+++ b/heathwell/fleet/quotas/quota_coordinator.py
@@ -1,7 +1,8 @@
 """One incarnation of one quota coordinator, one of a quorum.
 
-Job: join its membership table, its votes, the fraction leases that it holds and their ledgers. Owns all four.
-Pure: messages and the clock are handed in, messages to send come out. May import membership and this package.
+Combines its membership table, its votes, the fraction leases that it holds and their ledgers, and owns all
+four. Does no I/O: messages and the clock are arguments, messages to send are return values. Imports
+membership and this package.
 """
 
 from __future__ import annotations
@@ -32,11 +33,11 @@
 from heathwell.fleet.quotas.timings import QuotaTimings
 
 RESIZABLE_FIELDS = frozenset({"total", "minimum_grant", "burst_window_us", "linger_timeout_us"})
-"""What may change of a budget while brokers run that rely on the rest of it."""
+"""Fields of a budget that may change while brokers run; they rely on all others."""
 
 
 class LedgerKey(NamedTuple):
-    """A fraction of a budget by its full name; the order is that of the operator's views."""
+    """A fraction of a budget, which is given by its full name; the order is that of the operator's views."""
 
     budget: str
     fraction: int
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CoordinatorTick:
-    """Requests to send to all other coordinators, and what silence has changed among members."""
+    """Lease requests to send to all other coordinators, and members' transitions after timeouts."""
 
     lease_requests: list[FractionLeaseRequest]
     transitions: list[MemberTransition]
@@ -52,19 +53,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalOutcome:
-    """The reply to a renewal, and what the renewal changed among members."""
+    """The reply to a renewal, and the members' transitions that the renewal caused."""
 
     reply: QuotaRenewalReply
     transitions: list[MemberTransition]
 
 
 class QuotaCoordinator:
-    """``number`` is its place among ``coordinator_count`` and its home fraction; ``incarnation`` names this
-    life of it and no other, ever. With ``MAX_LEDGERS`` ledgers open, further budgets are granted nothing.
+    """One incarnation of a quota coordinator.
+
+    ``number`` is its index among ``coordinator_count`` coordinators and its home fraction. ``incarnation``
+    must never be reused by a later incarnation. While ``MAX_LEDGERS`` ledgers are open, further budgets get
+    no grants.
     """
 
     MAX_LEDGERS = 2_048
-    ALLOCATIONS_PER_LEASE = 30  # how often in a grant lease allocations are recomputed at most
+    ALLOCATIONS_PER_LEASE = 30  # maximum recomputations of allocations within a grant lease
 
     def __init__(
         self,
@@ -92,11 +96,14 @@
             self.timings.takeover_timeout_us,
         )
         self.ledgers: dict[LedgerKey, FractionLedger] = {}
-        self._last_closed_grant_number = 0  # the highest of any ledger that was closed
+        self._last_closed_grant_number = 0  # highest over all closed ledgers
         self._alive_count = 0
 
     def tick(self, now_us: int) -> CoordinatorTick:
-        """To be called some times within a fraction lease. The requests' own vote has been counted."""
+        """Expire members and ledgers, and return the lease requests to send.
+
+        Must be called several times within a fraction lease. This coordinator's own vote is counted already.
+        """
         requests = self.candidate.requests(now_us)
         for request in requests:
             self.candidate.on_vote(self.voter.on_request(now_us, request))
@@ -110,23 +117,23 @@
     def on_lease_request(
         self, now_us: int, coordinator: int, request: FractionLeaseRequest
     ) -> FractionLeaseVote:
-        """Answer another coordinator's request."""
+        """Answer another coordinator's lease request."""
         self.candidate.on_home_coordinator_seen(now_us, coordinator)
         return self.voter.on_request(now_us, request)
 
     def on_lease_vote(self, now_us: int, coordinator: int, vote: FractionLeaseVote) -> None:
-        """Count another coordinator's vote."""
+        """Record another coordinator's vote."""
         self.candidate.on_home_coordinator_seen(now_us, coordinator)
         self.candidate.on_vote(vote)
 
     def held_fractions(self, now_us: int) -> list[int]:
-        """The fractions whose leases this incarnation holds now."""
+        """Return the fractions whose leases this incarnation holds now."""
         return [
             fraction for fraction in range(self.coordinator_count) if self.candidate.holds(now_us, fraction)
         ]
 
     def held_fraction_remaining_us(self, now_us: int) -> dict[int, int]:
-        """How long each lease that is held now lasts yet, by fraction."""
+        """Return the remaining duration of each lease that is held now, by fraction."""
         remaining_us: dict[int, int] = {}
         for fraction in range(self.coordinator_count):
             expires_at_us = self.candidate.lease_expires_at_us(fraction)
@@ -135,8 +142,10 @@
         return remaining_us
 
     def on_renewal(self, now_us: int, renewal: QuotaRenewal) -> RenewalOutcome:
-        """Answer a broker's renewal, with grants of every fraction held here. Only a broker that is known to
-        receive our replies is granted any, as what is granted to another is lost for a lease.
+        """Answer a broker's renewal, with grants from every fraction whose lease is held here.
+
+        Only a broker that is known to receive this coordinator's replies gets grants: the quota in a grant
+        that is not received is unavailable to all until the grant has expired.
         """
         report = renewal.report
         outcome = self.membership.on_report(now_us, report)
@@ -158,9 +167,10 @@
         return RenewalOutcome(reply, outcome.transitions)
 
     def resize(self, budget: Budget) -> Budget:
-        """Another total, minimum grant or other timeouts of a budget; returns the budget that it replaces.
-        Raises :class:`UnknownBudgetError`, and :class:`BudgetResizeError` for any other change, as brokers
-        rely on what is reserved.
+        """Replace a budget by one that differs in ``RESIZABLE_FIELDS`` only; return the former budget.
+
+        Raises :class:`UnknownBudgetError`, and :class:`BudgetResizeError` for a change of any other field, as
+        brokers rely on the reserved minimum.
         """
         old = self.budgets.get(budget.name)
         if old is None:
@@ -185,8 +195,9 @@
         )
 
     def _ledger(self, budget_name: str, fraction: int) -> FractionLedger | None:
-        """The ledger of a budget's fraction, opened at the first request; None for a budget that is unknown,
-        and where as many as may be are open.
+        """Return the ledger of a budget's fraction, opened at the first request.
+
+        None for an unknown budget, and for a new ledger beyond ``MAX_LEDGERS``.
         """
         name = BudgetName.parse(budget_name)
         key = LedgerKey(budget_name, fraction)
@@ -213,8 +224,10 @@
         return ledger
 
     def _close_unused_ledgers(self, now_us: int) -> None:
-        """Close ledgers that nobody holds anything of or has sent a request to for a lease. Numbers go on
-        from theirs, as members remember the highest.
+        """Close ledgers without valid grants and without requests for a grant lease.
+
+        Ledgers opened later continue their grant numbers, as members reject numbers that are not higher than
+        the last.
         """
         recent_since_us = now_us - self.timings.grant_lease.grantor_duration_us
         for key, ledger in list(self.ledgers.items()):
@@ -224,7 +237,7 @@
 
 
 def _can_replace(old: Budget, new: Budget) -> bool:
-    """Whether only resizable fields differ."""
+    """Whether the budgets differ in resizable fields only."""
     return all(
         getattr(old, field.name) == getattr(new, field.name)
         for field in fields(Budget)
@@ -233,5 +246,5 @@
 
 
 def _member_name(report: MembershipReport) -> str:
-    """One incarnation of a broker, as ledgers know it."""
+    """Return the name of a broker's incarnation in ledgers."""
     return f"{report.name}#{report.incarnation}"
--- a/heathwell/fleet/quotas/timings.py
+++ b/heathwell/fleet/quotas/timings.py
@@ -1,7 +1,7 @@
 """The leases and timeouts of a fleet.
 
-Job: one record of all times that brokers and coordinators of a fleet must agree on. Owns no state. May import
-membership and this package's lease.
+One record of all durations on which the brokers and coordinators of a fleet must agree. Owns no state.
+Imports membership and this package's lease.
 """
 
 from __future__ import annotations
@@ -16,9 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaTimings:
-    """``grant_lease`` is that of brokers' grants, ``fraction_lease`` that of coordinators' fractions, which
-    must outlast it. ``takeover_timeout_us``: for how long another coordinator's fraction must have had no
-    sign of a holder before this one requests it.
+    """Durations of leases and membership timeouts.
+
+    ``grant_lease`` applies to brokers' grants, ``fraction_lease`` to coordinators' fractions; the latter must
+    be longer. ``takeover_timeout_us`` is the time without a sign of a holder after which a coordinator
+    requests another coordinator's home fraction.
     """
 
     grant_lease: Lease = field(default_factory=Lease)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -233,7 +233,7 @@
 
 
 def test_a_unit_that_is_not_held_can_not_be_released():
-    with pytest.raises(UnitNotHeldError, match="nobody holds"):
+    with pytest.raises(UnitNotHeldError, match="pool: released a unit while no unit is in use"):
         QuotaHolder(POOL, 0.03, 0).release()
 
 
@@ -295,7 +295,7 @@
         coordinator.resize(replace(POOL, total=100, reserved=50))  # more reserved than the total was before
     with pytest.raises(BudgetResizeError, match="pool: only the total"):
         coordinator.resize(replace(larger, max_brokers=11))
-    with pytest.raises(UnknownBudgetError, match="other: begins with a restart only"):
+    with pytest.raises(UnknownBudgetError, match="other: unknown to this coordinator"):
         coordinator.resize(replace(POOL, name="other"))
     assert coordinator.budgets["pool"] == larger
 
