--- a/heathwell/fleet/evacuation/__init__.py
+++ b/heathwell/fleet/evacuation/__init__.py
@@ -1,9 +1,9 @@
-"""Evacuating a zone that fails, as a fleet, and restoring it at a pace that its hosts can bear.
+"""Fleet-wide evacuation of a failing zone, and its restore in steps that its hosts have the capacity for.
 
-Each broker sums up what it observed of each zone (`zone_observations`); the quota coordinator that holds the
-first fraction's lease weighs the reports (`health`), estimates load and capacity, and publishes one numbered
-decision for all (`controller`). Pure: the clock is handed in, nothing here does I/O. Imports nothing of
-heathwell but itself.
+Each broker counts the results of its attempts at each zone (`zone_observations`). The quota coordinator that
+holds the first fraction's lease assesses the zones from these reports (`health`), estimates load and
+capacity, and publishes one numbered decision for all brokers (`controller`). The package does no I/O, and the
+clock is an argument. It imports no other package of heathwell.
 """
 
 from heathwell.fleet.evacuation.capacity import CapacityEstimator
--- a/heathwell/fleet/evacuation/controller.py
+++ b/heathwell/fleet/evacuation/controller.py
@@ -1,7 +1,7 @@
-"""Decides which zones the fleet evacuates and restores. Pure: reports of brokers in, decisions out.
+"""Decides which zones the fleet evacuates and restores, from the reports of brokers; does no I/O.
 
-Owns the state machine of each zone and the numbered decision. May import the other modules of this package
-but for the drill. The clock is handed in, in microseconds.
+Owns the state machine of each zone and the numbered decision. Imports the other modules of this package
+except the drill. The clock is an argument, in microseconds.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from heathwell.fleet.evacuation.zone_observations import AttemptCounts, BrokerReport, ZoneClassKey, sum_counts
 
 LOSS_MARGIN_STANDARD_ERRORS = 1.5  # standard errors by which a measured loss may exceed the limit
-SPARSE_STEP_FACTOR = 4  # a step with too few attempts to judge lasts so many times its usual duration
+SPARSE_STEP_FACTOR = 4  # factor on the duration of a restore step with too few attempts to assess it
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneTransition:
-    """One zone's change of state, or of the restore's step; ``str()`` is its text in logs."""
+    """A change of a zone's state or restore step; ``str()`` returns its text for logs."""
 
     zone: str
     before: ZoneState
@@ -42,10 +42,10 @@
 
 
 class EvacuationController:
-    """Decides for the fleet under one term.
+    """Decides for the fleet during one term.
 
-    It starts from ``standing_decision``, the one that brokers follow as it starts. ``priority_weights`` (of a
-    part, by query class) may be set by its owner; without them all classes are alike.
+    It starts from ``standing_decision``, which the brokers follow when it starts. ``priority_weights`` is the
+    priority weight of a part by query class, set by the owner; without it no class is preferred.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self.decision = Decision(term, 0, standing)
 
     def record_report(self, now_us: int, report: BrokerReport) -> None:
-        """Take in a broker's report; it counts until the next one, or until it is too old."""
+        """Record a broker's report, which is used until the next one arrives or it is too old."""
         self.health.record_report(now_us, report)
 
     def update_load(
@@ -81,13 +81,15 @@
         capacity: Mapping[str, float],
         rate_by_class: Mapping[ZoneClassKey, float] | None = None,
     ) -> None:
-        """Parts a second by zone, requested and possible; the former by (zone, class) too, if known."""
+        """Set the requested rate and the capacity by zone, in parts per second; ``rate_by_class`` is the
+        requested rate by zone and query class, if known.
+        """
         self.load = FleetLoad(rate, capacity, rate_by_class or {})
 
     def assess(self, zone: str, query_class: str | None = None) -> HealthAssessment:
-        """Whether the other zones agree that a zone, or one query class there, is unhealthy."""
-        # A zone that doesn't serve in full is not healthy merely for lack of attempts: its hosts are ejected,
-        # and few attempts go there any more.
+        """Return whether the other zones agree that a zone, or one query class there, is unhealthy."""
+        # A zone that does not serve as usual must not count as healthy for lack of attempts: its hosts are
+        # ejected, so that few attempts are sent to it.
         is_serving = self.zones[zone].state == ZoneState.SERVING
         minimum_attempts = self.parameters.minimum_attempts if is_serving else 1
         return self.health.assess(zone, query_class, minimum_attempts)
@@ -95,7 +97,7 @@
     def execute_order(self, now_us: int, zone: str, action: str, operator: str, reason: str) -> None:
         """Carry out an operator's order; ``action`` is a value of `OperatorAction`.
 
-        Raises `UnknownZoneError` or `UnknownOperatorActionError`, and changes nothing then.
+        Raises `UnknownZoneError` or `UnknownOperatorActionError` without changing anything.
         """
         machine = self.zones.get(zone)
         if machine is None:
@@ -118,11 +120,14 @@
         self._publish()
 
     def reconcile(self, now_us: int) -> list[ZoneTransition]:
-        """Move each zone on by what is known now; to be called every second or so. Returns what changed."""
+        """Apply the current reports to each zone's state machine and return the transitions.
+
+        Must be called about once per second.
+        """
         self.health.expire(now_us)
         transitions = []
         for name, machine in self.zones.items():
-            # What an operator began is finished, though the zone is pinned.
+            # An evacuation ordered by an operator is completed although it pins the zone.
             if machine.pinned_by is not None and machine.state != ZoneState.EVACUATING:
                 continue
             state_before = machine.state
@@ -135,7 +140,7 @@
         return transitions
 
     def _publish(self) -> None:
-        """Number a new decision where a directive has changed."""
+        """Make a new numbered decision if a directive has changed."""
         directives = {
             name: directive
             for name, machine in self.zones.items()
@@ -202,7 +207,7 @@
             machine.handle(now_us, ZoneEvent.STEP_COMPLETED, reason)
 
     def _restored_counts(self, name: str, machine: ZoneStateMachine) -> AttemptCounts:
-        """What other zones' brokers observe of the query classes that are being restored."""
+        """Return what other zones' brokers observed of the query classes that are being restored."""
         if not machine.query_classes:
             return self.health.outside_counts(name)
         return sum_counts(
@@ -231,7 +236,7 @@
 
 
 def _loss_margin(counts: AttemptCounts) -> float:
-    """What chance may add to the loss of so few attempts (binomial standard error)."""
+    """Return the margin for random variation of the measured loss, in binomial standard errors."""
     if not counts.total:
         return 0.0
     return LOSS_MARGIN_STANDARD_ERRORS * math.sqrt(counts.loss * (1 - counts.loss) / counts.total)
--- a/heathwell/fleet/evacuation/decision.py
+++ b/heathwell/fleet/evacuation/decision.py
@@ -1,6 +1,6 @@
-"""The numbered decision that all brokers go by. Owns its records; imports nothing of heathwell.
+"""The numbered decision that all brokers follow. Owns its records; imports no other package of heathwell.
 
-A decision crosses the wire: its fields are converted in `heathwell/fleet/control/messages.py`.
+Decisions are sent on the wire: their fields are converted in `heathwell/fleet/control/messages.py`.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneDirective:
-    """What all brokers are to do with one zone.
+    """How all brokers must treat one zone.
 
-    ``traffic_share`` of its usual first attempts goes there, from 0 (none) to 1 (as usual).
-    ``query_classes`` are those evacuated where it is not the entire zone; empty: all. ``state`` is a value of
-    `ZoneState`, held as the string that came over the wire: a later version may send one that is not known
+    ``traffic_share`` is the share of the zone's usual first attempts that are sent to it, from 0 (none) to 1
+    (all). ``query_classes`` are the evacuated classes if only some are; empty means all. ``state`` is a value
+    of `ZoneState`, kept as the string received, because a later version may send a state that is unknown
     here.
     """
 
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """Directives for all zones but those that serve. Of two decisions the greater (term, number) counts."""
+    """Directives for all zones except serving ones. The greater (term, number) has precedence."""
 
     term: int
     number: int
     zones: dict[str, ZoneDirective] = field(default_factory=dict)
 
     def is_newer_than(self, other: Decision) -> bool:
-        """Whether it replaces ``other``, whoever brings it."""
+        """Whether this decision replaces ``other``, regardless of its sender."""
         return (self.term, self.number) > (other.term, other.number)
--- a/heathwell/fleet/evacuation/drill.py
+++ b/heathwell/fleet/evacuation/drill.py
@@ -1,9 +1,9 @@
 """An evacuation drill: a healthy zone is evacuated and restored on purpose, and the cost is reported.
 
-The fleet's own controller evacuates and restores; the drill decides when, counts the loss in other zones
-meanwhile, and cancels itself at once where that is beyond its limit. Pure: counts in, orders out; the clock
-is handed in, in microseconds. Owns the course of one drill. May import the evidence's records, the states
-and the orders.
+The fleet's controller carries out the evacuation and the restore. The drill decides when they start, measures
+the loss in other zones meanwhile, and cancels itself if that exceeds its limit. Does no I/O: counts in,
+orders out; the clock is an argument, in microseconds. Owns the stages of one drill. Imports the records of
+`zone_observations`, the zone states and the orders.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from heathwell.fleet.evacuation.state_machine import ZoneState
 from heathwell.fleet.evacuation.zone_observations import AttemptCounts, CountsByKey, sum_counts
 
-BASELINE_US = 5_000_000  # before and after: what is usual
-MINIMUM_ATTEMPTS = 10  # attempts of a tick for its loss to count
-CANCEL_TICKS = 3  # in a row with too much lost before a drill is cancelled
-TRANSITION_TIMEOUT_US = 120_000_000  # for the controller to evacuate, or to restore
+BASELINE_US = 5_000_000  # duration of the stages before and after, which measure the usual loss
+MINIMUM_ATTEMPTS = 10  # minimum attempts in a tick for its loss to be considered
+CANCEL_TICKS = 3  # consecutive ticks with a loss beyond the limit after which a drill is cancelled
+TRANSITION_TIMEOUT_US = 120_000_000  # time that the controller has to evacuate or to restore the zone
 
 
 class DrillStage(StrEnum):
-    """Stages of a drill; the values are those of the command's output."""
+    """Stages of a drill; the values are used in the command's output."""
 
     BEFORE = "before"
     EVACUATING = "leaving"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _StageEnd:
-    """What follows a stage, and the order that the controller is given as it ends."""
+    """The stage that follows, and the order that is sent to the controller when a stage ends."""
 
     next_stage: DrillStage
     action: OperatorAction | None = None
@@ -51,9 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DrillStageReport:
-    """What one stage cost: attempts a second and lost shares, from 0 to 1.
+    """Attempts per second and loss (0 to 1) during one stage, in the zone and in the other zones
+    ("elsewhere").
 
-    ``worst_tick_loss`` is the greatest loss in other zones of a single tick.
+    ``worst_tick_loss`` is the highest loss in other zones in a single tick.
     """
 
     stage: DrillStage
@@ -67,7 +68,7 @@
 
 @dataclass(slots=True)
 class _StageSums:
-    """Attempts during one stage by query class: at the zone and in the others."""
+    """Attempts during one stage by query class, at the zone and at the other zones."""
 
     stage: DrillStage
     began_at_us: int
@@ -78,12 +79,12 @@
 
     def add(self, zone: str, counts: CountsByKey) -> None:
         """Add one tick's counts; ``zone`` is the one that the drill evacuates."""
-        for (counted_zone, query_class), some in counts.items():
+        for (counted_zone, query_class), class_counts in counts.items():
             sums = self.in_zone if counted_zone == zone else self.elsewhere
-            sums[query_class] = sums.get(query_class, AttemptCounts()) + some
+            sums[query_class] = sums.get(query_class, AttemptCounts()) + class_counts
 
     def to_report(self) -> DrillStageReport:
-        """The sums as rates and shares."""
+        """Return the sums as rates and shares."""
         in_zone = sum_counts(self.in_zone.values())
         elsewhere = sum_counts(self.elsewhere.values())
         seconds = max(self.duration_us, 1) / 1e6
@@ -94,15 +95,15 @@
             elsewhere.total / seconds,
             elsewhere.loss,
             self.worst_tick_loss,
-            {query_class: some.loss for query_class, some in sorted(self.elsewhere.items())},
+            {query_class: counts.loss for query_class, counts in sorted(self.elsewhere.items())},
         )
 
 
 class Drill:
     """A drill of one zone, which stays evacuated for ``hold_us``.
 
-    ``loss_limit`` is the share that may be lost in other zones beyond the usual; ``cancel_reason`` is why
-    the drill was cancelled, if it was.
+    ``loss_limit`` is the loss in other zones beyond their usual loss at which the drill is cancelled;
+    ``cancel_reason`` is None unless it was cancelled.
     """
 
     def __init__(self, zone: str, now_us: int, hold_us: int, loss_limit: float) -> None:
@@ -115,14 +116,14 @@
 
     @property
     def stage(self) -> DrillStage:
-        """The present stage."""
+        """The current stage."""
         return self._stages[-1].stage
 
     def tick(self, now_us: int, state: str, counts: CountsByKey) -> OperatorAction | None:
-        """Go on by the zone's ``state`` (a value of `ZoneState`) and what all brokers observed since the
-        last tick.
+        """Advance the drill and return the order to send to the controller now, if any.
 
-        Returns what is to be ordered of the controller now.
+        ``state`` is the zone's state (a value of `ZoneState`), ``counts`` are the attempts of all brokers
+        since the last tick.
         """
         current = self._stages[-1]
         current.duration_us = now_us - current.began_at_us
@@ -140,11 +141,13 @@
         return end.action
 
     def report(self) -> list[DrillStageReport]:
-        """What each stage cost, the present one included."""
+        """Return a report of each stage, including the current one."""
         return [sums.to_report() for sums in self._stages if sums.stage != DrillStage.FINISHED]
 
     def _watch_loss(self, current: _StageSums, counts: CountsByKey) -> None:
-        elsewhere = sum_counts(some for (zone, _), some in counts.items() if zone != self.zone)
+        elsewhere = sum_counts(
+            class_counts for (zone, _), class_counts in counts.items() if zone != self.zone
+        )
         if elsewhere.total < MINIMUM_ATTEMPTS:
             return
         current.worst_tick_loss = max(current.worst_tick_loss, elsewhere.loss)
--- a/heathwell/fleet/evacuation/errors.py
+++ b/heathwell/fleet/evacuation/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the evacuation package. Imports nothing of heathwell."""
+"""Errors of the evacuation package. Imports no other package of heathwell."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class EvacuationError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of all errors that this package raises."""
 
 
 class UnknownZoneError(EvacuationError):
-    """An operator named a zone that the fleet doesn't have; ``known_zones`` are those that it has."""
+    """An operator named a zone that does not exist; ``known_zones`` are the zones of the fleet."""
 
     def __init__(self, zone: str, known_zones: Iterable[str]) -> None:
         self.zone = zone
@@ -19,7 +19,7 @@
 
 
 class UnknownOperatorActionError(EvacuationError):
-    """An operator ordered what is none of `OperatorAction`."""
+    """An operator's order is not a value of `OperatorAction`."""
 
     def __init__(self, action: str) -> None:
         self.action = action
--- a/heathwell/fleet/evacuation/health.py
+++ b/heathwell/fleet/evacuation/health.py
@@ -1,9 +1,9 @@
-"""Whether a zone is unhealthy, weighed from the reports of brokers in other zones.
+"""Assesses whether a zone is unhealthy, from the reports of brokers in other zones.
 
-Owns the latest report of each broker. May import the evidence's records and the parameters.
+Owns the latest report of each broker. Imports the records of `zone_observations` and the parameters.
 
-A zone counts as unhealthy only if it is so from all other zones: where some of them reach it well the path is
-unhealthy, which each broker handles by itself.
+A zone counts as unhealthy only if it is unhealthy from all other zones. If some of them reach it well, a
+network path is faulty, which each broker handles on its own.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthAssessment:
-    """The conclusion on a zone, or on one query class there, with its evidence in words."""
+    """The assessment of a zone, or of one query class there; ``reason`` describes the observations."""
 
     is_unhealthy: bool
     reason: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Observation:
-    """What one broker reports on the zone in question."""
+    """What one broker reports about the assessed zone."""
 
     broker_zone: str
     cut_off: bool
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class _ZoneVote:
-    """Weight of the reports from one zone, and of those among them that see too much loss."""
+    """Weight of all reports from one zone, and of those with too much loss (``against``)."""
 
     weight: int = 0
     against: int = 0
@@ -56,11 +56,11 @@
         self._received: dict[str, _ReceivedReport] = {}
 
     def record_report(self, now_us: int, report: BrokerReport) -> None:
-        """Take in a broker's report; it replaces the earlier one."""
+        """Record a broker's report, which replaces its previous one."""
         self._received[report.broker] = _ReceivedReport(now_us, report)
 
     def expire(self, now_us: int) -> None:
-        """Drop the reports that are older than ``report_max_age_us``."""
+        """Drop reports that are older than ``report_max_age_us``."""
         oldest_at_us = now_us - self._parameters.report_max_age_us
         self._received = {
             broker: received
@@ -69,15 +69,15 @@
         }
 
     def reports(self) -> list[BrokerReport]:
-        """The latest report of each broker."""
+        """Return the latest report of each broker."""
         return [received.report for received in self._received.values()]
 
     def outside_counts(self, zone: str, query_class: str | None = None) -> AttemptCounts:
-        """What brokers of other zones observed of a zone: of one query class, or of all."""
+        """Return the counts of other zones' brokers for a zone, of one query class or of all."""
         return sum_counts(observation.counts for observation in self._observations(zone, query_class))
 
     def observed_classes(self, zone: str) -> frozenset[str]:
-        """The query classes of which enough attempts were observed there; probes are none."""
+        """Return the query classes with enough attempts at a zone, without the class of probes."""
         reported = {
             query_class
             for report in self.reports()
@@ -91,9 +91,9 @@
         )
 
     def answers_probes(self, zone: str) -> bool:
-        """Whether the few attempts that still go to a zone are answered.
+        """Whether the few attempts that are still sent to an evacuated zone are answered.
 
-        Without any attempt from outside, at least one of its own brokers must not be cut off.
+        If other zones made none, at least one of the zone's own brokers must not be cut off.
         """
         counts = self.outside_counts(zone)
         if counts.total:
@@ -102,9 +102,9 @@
         return any(not report.cut_off for report in own_reports)
 
     def assess(self, zone: str, query_class: str | None, minimum_attempts: int) -> HealthAssessment:
-        """Whether the other zones agree that a zone, or one query class there, is unhealthy.
+        """Return whether the other zones agree that a zone, or one query class there, is unhealthy.
 
-        Below ``minimum_attempts`` (at least 1) it counts as healthy.
+        With fewer than ``minimum_attempts`` (at least 1) it counts as healthy.
         """
         observations = self._observations(zone, query_class)
         counts = sum_counts(observation.counts for observation in observations)
@@ -132,10 +132,10 @@
         )
 
     def _observations(self, zone: str, query_class: str | None) -> list[_Observation]:
-        """What brokers of other zones report, but for those that are cut off themselves.
+        """Return the reports of other zones' brokers, without those that are cut off.
 
-        The latter count only where the rest observe the same: of three zones two may be down, and no broker
-        is cut off.
+        The latter are included if the others observe an unhealthy zone as well: if two of three zones are
+        down, the brokers of the third reach no other zone although they are not cut off.
         """
         observations = [
             _Observation(report.zone, report.cut_off, report.counts_of(zone, query_class))
@@ -147,10 +147,11 @@
         return observations if connected_loss >= self._parameters.unhealthy_loss else connected
 
     def _votes(self, observations: Iterable[_Observation]) -> dict[str, _ZoneVote]:
-        """Votes by the brokers' zone.
+        """Return the votes by the brokers' zone.
 
-        Brokers can lie, or share an unhealthy path, so that both their weight and the zones must agree. The
-        number of attempts is a broker's own claim as well: none has more weight than the median of them.
+        Brokers may send false reports or share a faulty path, so both the brokers by weight and the zones
+        must agree. The number of attempts is reported by the broker itself, so the weight of each is limited
+        to the median.
         """
         totals = [observation.counts.total for observation in observations if observation.counts.total]
         weight_limit = median_low(totals)
@@ -168,7 +169,7 @@
 
 
 def _zones_with(minimum_attempts: int, observations: Iterable[_Observation]) -> list[str]:
-    """The brokers' zones from which at least so many attempts were observed."""
+    """Return the zones whose brokers made at least ``minimum_attempts`` attempts."""
     totals: defaultdict[str, int] = defaultdict(int)
     for observation in observations:
         totals[observation.broker_zone] += observation.counts.total
--- a/heathwell/fleet/evacuation/load.py
+++ b/heathwell/fleet/evacuation/load.py
@@ -1,9 +1,9 @@
-"""Estimates the parts a second that are requested of each zone.
+"""Estimates the load of each zone, in requested parts per second.
 
-Attempts don't measure it while a zone is unhealthy, as one part is retried again and again. So the load is
-what is answered while every zone is healthy, and the last such figure while one is not.
+Attempts do not measure the load while a zone is unhealthy, because a part is retried repeatedly. So the load
+is the rate of answers while all zones are healthy, and the last such rate while one is not.
 
-Owns that figure. May import the evidence's records.
+Owns the last rate of a healthy fleet. Imports the records of `zone_observations`.
 """
 
 from __future__ import annotations
@@ -13,28 +13,30 @@
 from heathwell.fleet.evacuation.capacity import MAX_HEALTHY_LOSS
 from heathwell.fleet.evacuation.zone_observations import AttemptCounts, CountsByKey, ZoneClassKey
 
-MINIMUM_RATE = 1e-9  # keeps a ratio to no load finite
+MINIMUM_RATE = 1e-9  # avoids a division by zero without load
 
 RateByKey = dict[ZoneClassKey, float]
 
 
 class LoadEstimator:
-    """Load of all zones; ``interval_us`` is what each observation sums up."""
+    """Estimates the load of all zones; ``interval_us`` is the interval that each observation covers."""
 
     def __init__(self, interval_us: int) -> None:
         self._interval_us = interval_us
         self._healthy_rates: RateByKey = {}
 
     def observe(self, counts: CountsByKey) -> RateByKey:
-        """Take in what all brokers together observed in the last interval.
+        """Record the counts of all brokers in the last interval.
 
-        Returns the load by zone and query class, in parts a second.
+        Returns the load by zone and query class, in parts per second.
         """
-        answered = {key: some.answered * 1e6 / self._interval_us for key, some in counts.items()}
+        answered = {
+            key: class_counts.answered * 1e6 / self._interval_us for key, class_counts in counts.items()
+        }
         if not self._healthy_rates or self._all_healthy(counts):
             self._healthy_rates = answered
             return answered
-        # What is answered now is more than before only where the load has grown meanwhile.
+        # More answers than while healthy mean that the load has grown since.
         healthy_total = max(sum(self._healthy_rates.values()), MINIMUM_RATE)
         growth = max(1.0, sum(answered.values()) / healthy_total)
         return {key: rate * growth for key, rate in self._healthy_rates.items()}
@@ -42,6 +44,6 @@
     @staticmethod
     def _all_healthy(counts: CountsByKey) -> bool:
         by_zone: defaultdict[str, AttemptCounts] = defaultdict(AttemptCounts)
-        for (zone, _), some in counts.items():
-            by_zone[zone] += some
-        return all(some.loss <= MAX_HEALTHY_LOSS for some in by_zone.values())
+        for (zone, _), class_counts in counts.items():
+            by_zone[zone] += class_counts
+        return all(zone_counts.loss <= MAX_HEALTHY_LOSS for zone_counts in by_zone.values())
--- a/heathwell/fleet/evacuation/orders.py
+++ b/heathwell/fleet/evacuation/orders.py
@@ -1,4 +1,4 @@
-"""What an operator can order for a zone. Imports nothing of heathwell."""
+"""The actions that an operator can order for a zone. Imports no other package of heathwell."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class OperatorAction(StrEnum):
-    """Actions by an operator on one zone; the values are those of the command line and of the wire."""
+    """Actions of an operator on one zone; the values are used on the command line and on the wire."""
 
     EVACUATE = "leave"
     """Evacuate the zone, and pin it."""
     RESTORE = "return"
     """Restore the zone step by step, and unpin it."""
     PIN = "pin"
-    """Leave the zone as it is until it is unpinned."""
+    """Keep the zone's state until it is unpinned."""
     UNPIN = "unpin"
-    """Leave the zone to the controller again."""
+    """Let the controller decide on the zone again."""
--- a/heathwell/fleet/evacuation/parameters.py
+++ b/heathwell/fleet/evacuation/parameters.py
@@ -1,10 +1,10 @@
-"""Tuned thresholds and durations of zone evacuation. Owns no state; imports nothing of heathwell."""
+"""Thresholds and durations of zone evacuation. Owns no state; imports no other package of heathwell."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Shares of a zone's usual traffic that a restore goes through, one step after the other.
+# The share of its usual traffic that a zone receives in each step of a restore.
 RESTORE_SHARES = (0.02, 0.1, 0.3, 0.6, 1.0)
 
 
@@ -15,26 +15,25 @@
     ``unhealthy_loss``
         loss from which a broker's report counts against a zone
     ``agreement_fraction``
-        of the attempts that the other zones' brokers report: how much must come from brokers that see at
-        least that loss
+        fraction of the other zones' reports, weighted by attempts, that must count against a zone
     ``confirmation_us``
         how long a suspected zone must stay unhealthy before it is evacuated
     ``drain_us``
-        how long an evacuating zone is given until it counts as evacuated
+        time after which an evacuating zone counts as evacuated
     ``minimum_evacuation_us``, ``maximum_evacuation_us``
-        the least time that a zone stays evacuated, and the bound to which repeated evacuations double it
+        minimum time that a zone stays evacuated, and the limit up to which repeated evacuations double it
     ``flap_window_us``
-        an evacuation that follows the last one within this time doubles the next one's least time
+        an evacuation within this time after the last one doubles the minimum time
     ``restore_step_us``
-        the least duration of one step of a restore
+        minimum duration of one step of a restore
     ``report_max_age_us``
-        age from which a broker's report counts no more
+        age from which a broker's report is ignored
     ``usable_capacity_fraction``
-        of the other zones' capacity that an evacuation may fill
+        fraction of the other zones' capacity that may be used for an evacuation
     ``minimum_attempts``
-        attempts, of all other zones' brokers together, below which nothing is concluded about a zone
+        total attempts by other zones' brokers below which a zone is not assessed
     ``required_success_fraction``
-        of probes, or of the attempts of a restore's step, that must succeed
+        fraction of probes, or of the attempts in a restore step, that must succeed
     """
 
     unhealthy_loss: float = 0.4
--- a/heathwell/fleet/evacuation/plan.py
+++ b/heathwell/fleet/evacuation/plan.py
@@ -1,7 +1,7 @@
-"""How much of an unhealthy zone is evacuated: all, a share, some query classes, or nothing.
+"""Plans how much of an unhealthy zone is evacuated: all, a share, some query classes, or nothing.
 
-What the other zones can't bear stays. Owns no state. May import the records
-of evidence and decision.
+Traffic for which the other zones lack the capacity stays. Owns no state. Imports the records of
+`zone_observations` and `decision`.
 """
 
 from __future__ import annotations
@@ -12,15 +12,16 @@
 from heathwell.fleet.evacuation.decision import QueryClassNames
 from heathwell.fleet.evacuation.zone_observations import ZoneClassKey
 
-MINIMUM_RATE = 1e-9  # keeps a share of no load finite
+MINIMUM_RATE = 1e-9  # avoids a division by zero for a zone without load
 MAX_REMAINING_SHARE = 0.95  # a zone that would keep at least this share of its traffic is not evacuated
 
 
 @dataclass(frozen=True, slots=True)
 class FleetLoad:
-    """Parts a second: requested of each zone, its hosts' capacity, and requested by (zone, query class).
+    """Requested rate and capacity of each zone, and requested rate by zone and query class, in parts per
+    second.
 
-    A zone without a capacity is one of which none is known. ``rate_by_class`` is empty where not known.
+    The capacity of a zone that is not listed is unknown. ``rate_by_class`` is empty if unknown.
     """
 
     rate: Mapping[str, float] = field(default_factory=dict)
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassHealth:
-    """Of a zone: query classes of which enough was observed, and the unhealthy ones among them."""
+    """The query classes with enough attempts at a zone, and the unhealthy ones among them."""
 
     observed: frozenset[str]
     unhealthy: frozenset[str]
@@ -38,7 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuationPlan:
-    """``traffic_share`` (0 to 1) stays in the zone; ``query_classes``, if not empty, are evacuated alone."""
+    """What is evacuated: ``traffic_share`` (0 to 1) stays in the zone; only ``query_classes`` are evacuated,
+    unless empty.
+    """
 
     traffic_share: float
     query_classes: QueryClassNames
@@ -46,16 +49,16 @@
 
     @property
     def evacuates(self) -> bool:
-        """Whether anything leaves the zone."""
+        """Whether any traffic is evacuated."""
         return self.traffic_share < 1 or bool(self.query_classes)
 
 
 @dataclass(frozen=True, slots=True)
 class EvacuationPlanner:
-    """Plans against one state of the fleet.
+    """Plans evacuations for one load of the fleet.
 
-    ``priority_weights`` of a part, by query class; classes without one are not moved on their own for lack of
-    capacity. ``usable_capacity_fraction`` of the other zones' capacity may be filled.
+    ``priority_weights`` is the priority weight of a part by query class; a class without one is not evacuated
+    on its own when capacity is short. ``usable_capacity_fraction`` of the other zones' capacity may be used.
     """
 
     load: FleetLoad
@@ -63,23 +66,25 @@
     usable_capacity_fraction: float
 
     def plan(self, zone: str, healthy_zones: Collection[str], classes: ClassHealth) -> EvacuationPlan:
-        """What of ``zone`` the ``healthy_zones`` take over.
+        """Return how much of the traffic of ``zone`` the ``healthy_zones`` take over.
 
-        No shard is left without a replica: what only this zone holds is requested there as before.
+        No shard becomes unavailable: shards that only this zone holds are still requested there.
         """
         if not healthy_zones:
             return EvacuationPlan(1.0, (), "no other zone is serving")
         capacity = sum(self.load.capacity.get(other, 0.0) for other in healthy_zones)
         if not capacity:
             return EvacuationPlan(0.0, (), "the other zones' capacity is not known")
-        # A class of which too little was observed is neither healthy nor unhealthy: it goes with the zone.
+        # A class with too few attempts is neither healthy nor unhealthy: it is evacuated with the zone.
         if classes.unhealthy and classes.unhealthy < classes.observed:
             unhealthy = tuple(sorted(classes.unhealthy))
             return EvacuationPlan(0.0, unhealthy, f"only {', '.join(unhealthy)} is unhealthy there")
         return self._plan_within(zone, capacity)
 
     def _plan_within(self, zone: str, capacity: float) -> EvacuationPlan:
-        """The entire zone where its load fits, else the most valuable classes, else a share."""
+        """Plan for the entire zone if its load fits, else for the classes of highest weight, else for a
+        share.
+        """
         total_rate = sum(self.load.rate.values())
         usable = self.usable_capacity_fraction * capacity
         if total_rate <= usable:
@@ -98,9 +103,9 @@
         return EvacuationPlan(remaining_share, (), f"{remaining_share:.0%} stays: {shortage}")
 
     def _most_valuable_classes(self, zone: str, free_rate: float) -> QueryClassNames:
-        """The classes that fit completely into ``free_rate``, by descending priority weight.
+        """Return the classes that fit completely into ``free_rate``, chosen by descending priority weight.
 
-        Empty where all or none of them fit, or where no weight is known.
+        Empty if all or none of them fit, or if no weight is known.
         """
         rates = {
             query_class: rate
--- a/heathwell/fleet/evacuation/state_machine.py
+++ b/heathwell/fleet/evacuation/state_machine.py
@@ -1,7 +1,7 @@
 """The state machine of one zone: serving, suspected, evacuated, restored.
 
-Owns the states, the transition table and what a transition sets; what brings an event about is the
-controller's. May import the parameters and the decision's records.
+Owns the states, the transition table and the effects of a transition; the controller decides on the events.
+Imports the parameters and the decision's records.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ZoneState(StrEnum):
-    """States of a zone; the values are those of the wire and of event logs."""
+    """States of a zone; the values are used on the wire and in event logs."""
 
     SERVING = "served"
     SUSPECTED = "doubted"
@@ -24,33 +24,35 @@
 
 
 class ZoneEvent(StrEnum):
-    """What moves a zone from state to state."""
+    """Events that may change the state of a zone."""
 
     UNHEALTHY = "unhealthy"
-    """The other zones' brokers agree that it is unhealthy."""
+    """The other zones' brokers agree that the zone is unhealthy."""
     HEALTHY = "healthy"
-    """They agree on that no more."""
+    """The other zones' brokers no longer agree that the zone is unhealthy."""
     CONFIRMED = "confirmed"
-    """It was unhealthy for long enough, and the others can bear at least a part of it."""
+    """The zone was unhealthy for long enough, and other zones have the capacity for at least a part of its
+    load.
+    """
     DRAINED = "drained"
-    """Its brokers and clients had the time to go elsewhere."""
+    """Brokers and clients have had enough time to move to other zones."""
     PROBES_ANSWERED = "probes answered"
-    """It was evacuated for long enough, and probes are answered."""
+    """The zone was evacuated for long enough, and probes are answered."""
     STEP_COMPLETED = "step completed"
-    """A step of the restore did well for long enough; there is a further one."""
+    """A restore step succeeded, and another one follows."""
     STEP_REVERTED = "step reverted"
-    """A step of the restore lost too much; there is an earlier one."""
+    """A restore step after the first one lost too many attempts."""
     RESTORE_FAILED = "restore failed"
-    """The first step lost too much."""
+    """The first restore step lost too many attempts."""
     RESTORE_COMPLETED = "restore completed"
-    """The last step did well."""
+    """The last restore step succeeded."""
     EVACUATION_ORDERED = "evacuation ordered"
-    """By an operator."""
+    """An operator ordered an evacuation."""
     RESTORE_ORDERED = "restore ordered"
-    """By an operator."""
+    """An operator ordered a restore."""
 
 
-# The state that an event leads to; an event that a state doesn't list changes nothing.
+# The next state for each state and event; events that a state does not list are ignored.
 TRANSITIONS: dict[ZoneState, dict[ZoneEvent, ZoneState]] = {
     ZoneState.SERVING: {
         ZoneEvent.UNHEALTHY: ZoneState.SUSPECTED,
@@ -82,10 +84,10 @@
 
 @dataclass(slots=True)
 class ZoneStateMachine:
-    """One zone's state, and what its directive to brokers is made of.
+    """The state of one zone, and the content of its directive to brokers.
 
-    ``restore_step`` is an index of ``RESTORE_SHARES``. ``pinned_by`` is the operator, with the reason, whose
-    order holds until the next one.
+    ``restore_step`` is an index into ``RESTORE_SHARES``. ``pinned_by`` names the operator who pinned the
+    zone, with the reason; None if it is not pinned.
     """
 
     parameters: EvacuationParameters
@@ -100,7 +102,7 @@
     pinned_by: str | None = None
 
     def resume(self, now_us: int, directive: ZoneDirective) -> None:
-        """Go on from what brokers do already, as an earlier controller decided it."""
+        """Continue from the directive of an earlier controller, which brokers follow already."""
         self.state = _known_state(directive.state)
         self.traffic_share = directive.traffic_share
         self.query_classes = directive.query_classes
@@ -112,18 +114,18 @@
         self.restore_step = next(steps_reached, 0)
 
     def to_directive(self) -> ZoneDirective | None:
-        """What brokers are to do; None where they serve the zone as usual."""
+        """Return the directive for brokers; None if they serve the zone as usual."""
         if self.state in STATES_WITHOUT_DIRECTIVE:
             return None
         return ZoneDirective(self.state.value, self.traffic_share, self.query_classes, self.reason)
 
     def set_scope(self, traffic_share: float, query_classes: QueryClassNames) -> None:
-        """What an evacuation leaves in the zone, and the query classes that it is of (empty: all)."""
+        """Set the traffic share that stays in the zone and the evacuated query classes (empty: all)."""
         self.traffic_share = traffic_share
         self.query_classes = query_classes
 
     def handle(self, now_us: int, event: ZoneEvent, reason: str) -> None:
-        """Make the transition that ``TRANSITIONS`` lists for the event; none where it lists none."""
+        """Make the transition that ``TRANSITIONS`` lists for the event; ignore any other event."""
         next_state = TRANSITIONS[self.state].get(event)
         if next_state is None:
             return
@@ -152,7 +154,7 @@
         self.last_evacuated_at_us = now_us
 
     def _enter_restore_step(self, event: ZoneEvent) -> None:
-        # `query_classes` stays: where classes alone were evacuated, they alone are restored.
+        # `query_classes` is kept: if only some classes were evacuated, only these are restored.
         match event:
             case ZoneEvent.STEP_COMPLETED:
                 self.restore_step += 1
@@ -169,7 +171,7 @@
 
 
 def _known_state(value: str) -> ZoneState:
-    # A state of a later version: brokers hold to its share, and probes and steps lead out of it from here.
+    # A state of a later version counts as evacuated: probes and restore steps then lead back to serving.
     try:
         return ZoneState(value)
     except ValueError:
--- a/heathwell/fleet/evacuation/zone_observations.py
+++ b/heathwell/fleet/evacuation/zone_observations.py
@@ -1,7 +1,7 @@
-"""What one broker observed of each zone lately, by query class: bounded sums over a few intervals.
+"""Attempt counts of one broker by zone and query class, over a few recent intervals and bounded in size.
 
-Owns the records of observation (`AttemptCounts`, `BrokerReport`) and a broker's sums; concludes nothing
-about a zone. Imports nothing of heathwell.
+Owns the records (`AttemptCounts`, `BrokerReport`) and a broker's counters; does not assess any zone. Imports
+no other package of heathwell.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 INTERVAL_US = 500_000
-INTERVALS = 4  # a report is of the last two seconds
+INTERVALS = 4  # a report covers the last two seconds
 MAX_QUERY_CLASSES = 32
 MAX_ZONES = 64
 MAX_KEYS_PER_INTERVAL = MAX_QUERY_CLASSES * MAX_ZONES
@@ -22,12 +22,12 @@
 
 
 class AttemptResult(StrEnum):
-    """How an attempt at a zone's host counts."""
+    """The result of an attempt at a zone's host, as it is counted."""
 
     GOOD = "good"
-    """Answered in its usual time."""
+    """Answered in the usual time."""
     LATE = "late"
-    """Without an answer for long, or answered late."""
+    """Answered late, or unanswered for too long."""
     BAD = "bad"
     """Timed out, rejected, broken, unreachable or an error."""
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptCounts:
-    """Attempts by result; ``took_ms`` is the summed duration of those answered, in milliseconds."""
+    """Attempts by result; ``took_ms`` is the total duration of the answered ones in milliseconds."""
 
     good: int = 0
     late: int = 0
@@ -50,17 +50,17 @@
 
     @property
     def total(self) -> int:
-        """Attempts of all results."""
+        """The number of all attempts."""
         return self.good + self.late + self.bad
 
     @property
     def answered(self) -> int:
-        """Attempts that were answered, in time or late."""
+        """The number of answered attempts, including late ones."""
         return self.good + self.late
 
     @property
     def loss(self) -> float:
-        """The lost share, from 0 to 1; a late attempt counts as half a lost one. 0 without any attempt."""
+        """The fraction of lost attempts, 0 to 1; a late one counts as half a lost one. 0 without attempts."""
         return (self.bad + self.late * LATE_LOSS_WEIGHT) / self.total if self.total else 0.0
 
     def __add__(self, other: AttemptCounts) -> AttemptCounts:
@@ -73,16 +73,16 @@
 
 
 def sum_counts(counts: Iterable[AttemptCounts]) -> AttemptCounts:
-    """The sum of all ``counts``; of none it is empty."""
+    """Return the sum of all ``counts``."""
     return sum(counts, AttemptCounts())
 
 
 @dataclass(frozen=True, slots=True)
 class BrokerReport:
-    """What one broker, standing in ``zone``, observed of all zones in the last intervals.
+    """The attempt counts of one broker, located in ``zone``, for all zones over the last intervals.
 
-    ``cut_off``: it reaches nearly nothing in any other zone, so that it is more likely cut off itself than
-    all others are unhealthy.
+    ``cut_off``: nearly all its attempts at every other zone fail, so that the broker itself is more likely
+    cut off than all other zones are unhealthy.
     """
 
     broker: str
@@ -91,7 +91,7 @@
     cut_off: bool = False
 
     def counts_of(self, zone: str, query_class: str | None = None) -> AttemptCounts:
-        """What it observed of a zone: of one query class, or of all together."""
+        """Return the counts for a zone, of one query class or of all together."""
         return sum_counts(
             counts
             for (observed_zone, observed_class), counts in self.counts.items()
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class _AttemptSums:
-    """Counts of one key in one interval while it lasts."""
+    """Counters of one key during one interval."""
 
     good: int = 0
     late: int = 0
@@ -120,7 +120,7 @@
         self.duration_us += duration_us
 
     def to_counts(self) -> AttemptCounts:
-        """The counts as they are reported, with the duration in milliseconds, rounded down."""
+        """Return the counts for a report, with the duration in milliseconds, rounded down."""
         return AttemptCounts(self.good, self.late, self.bad, self.duration_us // 1000)
 
 
@@ -131,11 +131,11 @@
 
 
 class ZoneObservations:
-    """One broker's observations of the last intervals; ``zone`` is the one that it stands in."""
+    """The attempts of one broker, located in ``zone``, over the last intervals."""
 
-    CUT_OFF_LOSS = 0.8  # loss at every other zone from which a broker takes itself for cut off
-    OWN_ZONE_REACHED_LOSS = 0.5  # loss below which it reaches its own zone
-    MINIMUM_ATTEMPTS = 3  # attempts at a zone for it to count there
+    CUT_OFF_LOSS = 0.8  # loss at every other zone from which a broker reports itself as cut off
+    OWN_ZONE_REACHED_LOSS = 0.5  # loss in its own zone below which a broker can reach that zone
+    MINIMUM_ATTEMPTS = 3  # minimum attempts at a zone for its loss to be considered
 
     def __init__(self, broker: str, zone: str) -> None:
         self.broker = broker
@@ -145,9 +145,9 @@
     def record_attempt(
         self, now_us: int, zone: str, query_class: str, result: AttemptResult, duration_us: int = 0
     ) -> None:
-        """Count an attempt at a host of ``zone`` that ended or is late by now.
+        """Count an attempt at a host of ``zone`` that has ended or is late.
 
-        ``duration_us`` is that of an answer, 0 where there was none. Attempts of a key beyond
+        ``duration_us`` is the time to the answer, 0 without one. Attempts of a new key beyond
         ``MAX_KEYS_PER_INTERVAL`` are not counted.
         """
         number = now_us // INTERVAL_US
@@ -160,7 +160,7 @@
         sums.setdefault(key, _AttemptSums()).add(result, duration_us)
 
     def report(self, now_us: int) -> BrokerReport:
-        """What it observed in the last intervals."""
+        """Return the report on the last intervals."""
         oldest = now_us // INTERVAL_US - INTERVALS
         counts: CountsByKey = {}
         for interval in self._intervals:
@@ -181,5 +181,6 @@
         ]
         if not others or any(zone_counts.loss < self.CUT_OFF_LOSS for zone_counts in others):
             return False
-        # Of two zones the other may be the unhealthy one: the reports of its own brokers show which.
+        # With one other zone only, that zone may be the unhealthy one: a broker that reaches its own zone is
+        # not cut off.
         return not (len(others) == 1 and by_zone[self.zone].loss < self.OWN_ZONE_REACHED_LOSS)
