--- a/heathwell/fleet/rollout/__init__.py
+++ b/heathwell/fleet/rollout/__init__.py
@@ -1,16 +1,18 @@
-"""Rollout of a new program or new settings in stages, each compared with brokers that still run the old ones.
+"""Rollout of a new program or new settings in stages, each compared with brokers that still run the old
+version.
 
-Pure: what brokers did is handed in a window at a time, the clock with it; the desired version of each broker
-comes out. May import nothing of heathwell outside this package. The modules, each importing those above it:
+Does no I/O: the statistics of the brokers are passed in one window at a time, with the clock; the result is
+the desired version of each broker. Imports no other package of heathwell. Each module imports only modules
+listed above it:
 
 - ``errors``: the exceptions;
-- ``plan``: stages, and which brokers each one updates;
-- ``observations``, ``verdict``: what brokers did in a window, and what can be concluded;
+- ``plan``: the stages, and which brokers each one updates;
+- ``observations``, ``verdict``: the statistics of a window, and the conclusions from them;
 - ``sequential_analysis``, ``fault_detector``, ``immediate_checks``, ``canary_analysis``: the analysis of
   a stage;
 - ``rollout_controller``: the state machine of a rollout;
 - ``preflight_settings``, ``preflight``: checks of new settings before a rollout begins;
-- ``broker_supervisor``: the processes of one broker on its machine.
+- ``broker_supervisor``: starts, replaces and stops the processes of one broker on its machine.
 """
 
 from heathwell.fleet.rollout.canary_analysis import CanaryAnalysis
--- a/heathwell/fleet/rollout/broker_supervisor.py
+++ b/heathwell/fleet/rollout/broker_supervisor.py
@@ -1,12 +1,13 @@
-"""One broker of a machine: which version runs, and how it is replaced while its address takes connections.
+"""Supervises the processes of one broker, and replaces its version without closing its listening socket.
 
-The new process is started beside the old one and shares its listening socket. Only once it serves, and has
-reported the digests that its files have, is the old one stopped, and it finishes what is in flight. A
-process that crashes is started again after a delay that doubles; after too many crashes the previous version
-is run, or the supervisor stops and waits for an operator.
+The new process is started beside the old one and shares its listening socket. The old process is stopped only
+when the new one serves and has reported the digests of the version's files; it then completes its requests in
+flight. A process that crashes is restarted with exponential backoff. After too many crashes the supervisor
+falls back to the previous version, or stops until an operator sets a version.
 
-Owns the processes' roles, delays and failures of one broker; pure: what is to be done comes out as actions.
-Imports the errors of this package. All instants are of one monotonic clock, in microseconds.
+Owns the roles of the processes, the delays and the failures of one broker. Does no I/O: it returns the
+actions to carry out. Imports the errors of this package. All times are on one monotonic clock, in
+microseconds.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class SupervisorState(StrEnum):
-    """States of a broker on its machine. The values are those of the machine's report."""
+    """States of a broker on its machine. The values are used in the machine's report."""
 
     EMPTY = "empty"
     STARTING = "starting"
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplySettings:
-    """Hand a running process the settings of another version of the same program."""
+    """Apply the settings of another version of the same program to a running process."""
 
     run: int
     version: str
@@ -67,21 +68,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SupervisorLimits:
-    """Timeouts (us) and counts."""
+    """Timeouts and delays (us), and limits on crashes and starts."""
 
     start_timeout_us: int = 30_000_000
     drain_timeout_us: int = 10_000_000
-    apply_timeout_us: int = 3_000_000  # for a process to report other settings; then it is replaced
+    apply_timeout_us: int = 3_000_000  # until a process must report new settings; after that it is replaced
     initial_backoff_us: int = 200_000
     max_backoff_us: int = 10_000_000
-    crash_limit: int = 6  # crashes, each within ``crash_interval_us`` of the one before
+    crash_limit: int = 6  # consecutive crashes, each within ``crash_interval_us`` of the previous one
     crash_interval_us: int = 30_000_000
-    start_attempts: int = 2  # beside a process that serves, before the version counts as failed
+    start_attempts: int = 2  # beside a serving process, after which the version counts as failed
 
 
 @dataclass(slots=True)
 class BrokerProcess:
-    """One process; ``stop_requested_at_us`` is None until a stop was requested."""
+    """One process of a broker; ``stop_requested_at_us`` is None until a stop is requested."""
 
     run: int
     version: str
@@ -91,22 +92,22 @@
 
 @dataclass(slots=True)
 class BrokerSupervisor:
-    """Runs ``desired_version`` of one broker.
+    """Keeps ``desired_version`` of one broker running.
 
-    At most one process serves, one is starting (beside it or alone) and one is draining. ``failures`` gives
-    by version why it could not be run. Versions are empty strings where there is none. Methods return the
-    actions that follow, which the caller carries out in order.
+    At most one process serves, one is starting (beside it or alone) and one is draining. ``failures`` is the
+    reason by version why it could not be run. An empty string means no version. Methods return actions, which
+    the caller must carry out in order.
     """
 
     name: str
     limits: SupervisorLimits = field(default_factory=SupervisorLimits)
     state: SupervisorState = SupervisorState.EMPTY
     desired_version: str = ""
-    previous_version: str = ""  # what served before, to fall back on
+    previous_version: str = ""  # version that served before, used as the fallback
     serving: BrokerProcess | None = None
     starting: BrokerProcess | None = None
     draining: BrokerProcess | None = None
-    applying_version: str = ""  # whose settings were handed to the serving process
+    applying_version: str = ""  # version whose settings the serving process is applying
     apply_requested_at_us: int = 0
     last_run: int = 0
     unexpected_exits: int = 0
@@ -121,16 +122,16 @@
 
     @property
     def version(self) -> str:
-        """The version that serves now; empty while none does."""
+        """The version of the serving process; empty without one."""
         return self.serving.version if self.serving is not None else ""
 
     def set_desired_version(
         self, now_us: int, version: str, term: int = 0, number: int = 0, *, in_place: bool = False
     ) -> list[SupervisorAction]:
-        """Take a decision on the version to run; repeating one has no effect.
+        """Apply a decision on the version to run; repeating one has no effect.
 
-        ``in_place``: the version differs from the serving one in its settings alone, which may be handed
-        over. Raises :class:`StaleDecisionError` for a (term, number) below that of the last decision.
+        ``in_place``: the version differs from the serving one only in its settings, which the running process
+        may apply. Raises :class:`StaleDecisionError` for a (term, number) below that of the last decision.
         """
         if (term, number) < (self.term, self.number):
             raise StaleDecisionError(term, number, self.term, self.number)
@@ -142,7 +143,7 @@
         return self._take_actions()
 
     def on_process_ready(self, now_us: int, run: int) -> list[SupervisorAction]:
-        """A starting process serves: the one that served before is drained."""
+        """Handle that the starting process serves: the process that served before is drained."""
         process = self.starting
         if process is None or process.run != run:
             return []
@@ -151,7 +152,7 @@
         self.serving = process
         if replaced is not None and replaced.version != process.version:
             self.previous_version = replaced.version
-        self._log("info", f"{process.version} serves")
+        self._log("info", f"version {process.version} is serving")
         if replaced is not None:
             self._stop(now_us, replaced)
             self.draining = replaced
@@ -159,30 +160,30 @@
         return self._take_actions()
 
     def on_process_rejected(self, now_us: int, run: int, reason: str) -> list[SupervisorAction]:
-        """A starting process serves, but what it reports of itself is not so: it is killed."""
+        """Handle that the starting process serves but did not report the expected digests: it is killed."""
         process = self.starting
         if process is None or process.run != run:
             return []
         self._kill_starting(now_us, process)
         self._record_failed_start(now_us, process.version, reason)
-        # Nothing is started here: the next tick does so.
+        # The next tick starts another process.
         return self._take_actions()
 
     def on_settings_applied(self, now_us: int, run: int, version: str) -> list[SupervisorAction]:
-        """The serving process reports that it runs with a version's settings."""
+        """Handle the serving process's report that it has applied the settings of a version."""
         serving = self.serving
         if serving is not None and serving.run == run and self.applying_version == version:
             self.previous_version = serving.version
             serving.version = version
             self.applying_version = ""
-            self._log("info", f"{version} in place")
+            self._log("info", f"applied the settings of version {version} without a restart")
             self._reconcile(now_us)
         return self._take_actions()
 
     def on_process_exited(
         self, now_us: int, run: int, exit_code: int, in_flight: int = 0
     ) -> list[SupervisorAction]:
-        """A process has ended, with ``in_flight`` requests by its last report."""
+        """Handle that a process has exited; ``in_flight`` is the number of requests in its last report."""
         if self.draining is not None and self.draining.run == run:
             drained = self.draining
             self.draining = None
@@ -196,13 +197,15 @@
             crashed = self.serving
             self.serving = None
             self.unexpected_exits += 1
-            self._log("error", f"{crashed.version} ended with {exit_code} by itself")
+            self._log(
+                "error", f"process of version {crashed.version} exited unexpectedly with code {exit_code}"
+            )
             self._back_off(now_us)
         self._reconcile(now_us)
         return self._take_actions()
 
     def tick(self, now_us: int) -> list[SupervisorAction]:
-        """Act on timeouts and start what is due; to be called at short intervals."""
+        """Handle timeouts and start a process if one is due. Must be called at short intervals."""
         self._check_start_timeout(now_us)
         self._check_drain_timeout(now_us)
         self._check_apply_timeout(now_us)
@@ -210,7 +213,7 @@
         return self._take_actions()
 
     def adopt_process(self, now_us: int, run: int, version: str) -> None:
-        """Take over a process that was started before this supervisor, and still serves."""
+        """Adopt a serving process that an earlier supervisor started."""
         self.last_run = max(self.last_run, run)
         self.serving = BrokerProcess(run, version, now_us)
         self.state = SupervisorState.RUNNING
@@ -226,7 +229,7 @@
         if self.state is SupervisorState.FAILED:
             self.state = SupervisorState.EMPTY
         if self.starting is not None and self.starting.version != version:
-            self._kill_starting(now_us, self.starting)  # it has taken no connection yet
+            self._kill_starting(now_us, self.starting)  # it has not accepted any connection yet
         self.applying_version = ""
         serving = self.serving
         if in_place and serving is not None and serving.version != version and self.draining is None:
@@ -247,7 +250,10 @@
             return
         if now_us - process.stop_requested_at_us < self.limits.drain_timeout_us:
             return
-        self._log("warning", f"{process.version} did not finish in time and is killed")
+        seconds = self.limits.drain_timeout_us / 1e6
+        self._log(
+            "warning", f"process of version {process.version} did not drain within {seconds:g} s; killing it"
+        )
         self._stop(now_us, process, force=True)
 
     def _check_apply_timeout(self, now_us: int) -> None:
@@ -255,14 +261,23 @@
             return
         if now_us - self.apply_requested_at_us < self.limits.apply_timeout_us:
             return
-        self._log("warning", f"{self.applying_version} did not go in, the process is replaced")
+        seconds = self.limits.apply_timeout_us / 1e6
+        self._log(
+            "warning",
+            f"settings of version {self.applying_version} were not applied within {seconds:g} s; "
+            "replacing the process",
+        )
         self.applying_version = ""
 
     # Failures.
 
     def _record_failed_start(self, now_us: int, version: str, reason: str) -> None:
-        """Beside a serving process the version fails after some attempts; alone it is a crash."""
-        self._log("error", f"{version}: {reason}")
+        """Record a failed start.
+
+        Beside a serving process the version fails after ``start_attempts``; without one the failure counts
+        as a crash.
+        """
+        self._log("error", f"process of version {version} failed to start: {reason}")
         self._failed_starts += 1
         if self.serving is None:
             self.failures[version] = reason
@@ -271,13 +286,23 @@
             self.failures[version] = reason
 
     def _record_failed_drain(self, process: BrokerProcess, exit_code: int, in_flight: int) -> None:
-        """Record a failure of a version that is started a second time, as its first process ended badly."""
+        """Record a failed drain as a failure of the desired version.
+
+        A rollout restarts a process of the new version to observe its drain, so the drained process may be of
+        that version.
+        """
         self.unexpected_exits += 1
         self.failures[self.desired_version] = f"{process.version} ended with {exit_code}, {in_flight} held"
-        self._log("error", f"{process.version} did not end in order: {exit_code}, {in_flight} held")
+        self._log(
+            "error",
+            f"process of version {process.version} exited with code {exit_code} while draining, "
+            f"{in_flight} requests in flight",
+        )
 
     def _back_off(self, now_us: int) -> None:
-        """Delay the next start after a crash; after too many run the previous version, or none."""
+        """Delay the next start after a crash; after too many crashes fall back to the previous version, or
+        stop.
+        """
         last_crash_at_us = self._last_crash_at_us
         recent = last_crash_at_us is not None and now_us - last_crash_at_us < self.limits.crash_interval_us
         self._crashes = self._crashes + 1 if recent else 1
@@ -289,15 +314,21 @@
         if self.previous_version and self.desired_version not in self.failures:
             self.failures[self.desired_version] = f"ended {self._crashes} times in a row"
             self._crashes = 0
-            self._log("error", f"{self.desired_version} is abandoned, back to {self.previous_version}")
+            self._log(
+                "error",
+                f"version {self.desired_version} keeps crashing; falling back to {self.previous_version}",
+            )
         else:
             self.state = SupervisorState.FAILED
-            self._log("error", f"abandoned after {self._crashes} crashes in a row: it needs an operator")
+            self._log(
+                "error",
+                f"not restarted after {self._crashes} consecutive crashes; an operator must set a version",
+            )
 
     # Processes.
 
     def _reconcile(self, now_us: int) -> None:
-        """Start the process that is due, and set the state."""
+        """Start a process if one is due, and update the state."""
         if self.state is SupervisorState.FAILED:
             return
         if self._is_start_due(now_us):
@@ -319,8 +350,9 @@
         return self.desired_version
 
     def _current_state(self) -> SupervisorState:
-        """The state follows from the processes alone, so it is derived here and has no transition table; only
-        FAILED is entered by an event (:meth:`_back_off`) and left by a new decision.
+        """Return the state, which is derived from the processes instead of a transition table.
+
+        Only FAILED is entered by an event (:meth:`_back_off`) and left by a new decision.
         """
         if self.serving is not None and self.applying_version:
             return SupervisorState.APPLYING
--- a/heathwell/fleet/rollout/canary_analysis.py
+++ b/heathwell/fleet/rollout/canary_analysis.py
@@ -1,11 +1,11 @@
-"""Whether brokers on the new version (canary) do worse than those of the same zone on the old one (baseline).
+"""Tests whether brokers on the new version (canary) perform worse than those on the old one (baseline).
 
-Each window gives, by class, the difference of a query's mean goodput between canary and baseline, zone by
-zone: what hits both sides cancels. Over windows a weighted t-test decides whether the mean difference is
-below zero. It is repeated during the stage, and its error is divided over these interim analyses
-(:mod:`sequential_analysis`) and over classes (Bonferroni).
+Each window yields, by query class and zone, the difference in mean goodput per query between canary and
+baseline; effects on both sides cancel out. Over the windows a weighted t-test decides whether the mean
+difference is below zero. The test is repeated during the stage; its error is divided over these interim
+analyses (:mod:`sequential_analysis`) and over the classes (Bonferroni).
 
-Owns the evidence of one stage; pure. Imports the other modules of this package below the controller.
+Owns the measurements of one stage; does no I/O. Imports modules of this package, except the controller.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 )
 from heathwell.fleet.rollout.verdict import AnalysisLimits, Verdict, VerdictKind
 
-PROOF_CONFIDENCE = 0.9  # with which a class is shown to be within the tolerance
-CPU_TIME_CONFIDENCE = 0.9995  # with which processor time a query is shown to have grown
-CPU_TIME_MIN_QUERIES = 3  # in a zone and window, on each side
+PROOF_CONFIDENCE = 0.9  # confidence required to show that a class is within the tolerance
+CPU_TIME_CONFIDENCE = 0.9995  # confidence required to show that the CPU time per query has grown
+CPU_TIME_MIN_QUERIES = 3  # minimum queries in a zone and window, on each side
 
 
 class CanaryAnalysis:
-    """The analysis of one stage, over ``planned_windows`` at the most."""
+    """The analysis of one stage, over at most ``planned_windows``."""
 
     def __init__(self, limits: AnalysisLimits, planned_windows: int) -> None:
         self.limits = limits
@@ -46,7 +46,7 @@
         self.windows = 0
         self.fault_windows = 0
         self._series: dict[str, DifferenceSeries] = defaultdict(DifferenceSeries)
-        self._cpu_time_series = DifferenceSeries()  # of the logarithm of processor time a query
+        self._cpu_time_series = DifferenceSeries()  # logarithm of the CPU time per query
         self._error_spending = ErrorSpending(limits.false_alarm_rate, limits.planned_looks)
         self._fault_detector = FaultDetector(limits.fault_loss)
         self._liveness = LivenessCheck(limits)
@@ -54,7 +54,7 @@
         self._memory_growth = MemoryGrowthCheck(limits)
 
     def observe(self, windows: list[BrokerWindow]) -> Verdict:
-        """Take one window of all brokers, and return what can be concluded by now."""
+        """Add one window of all brokers and return the verdict so far."""
         self.windows += 1
         groups = split_by_version(windows)
         self._memory_growth.observe(groups)
@@ -74,7 +74,7 @@
         )
 
     def final_verdict(self, *, require_proof: bool) -> Verdict:
-        """The conclusion at the stage's end; with ``require_proof`` every class must be within the
+        """Return the verdict at the end of the stage; with ``require_proof`` every class must be within the
         tolerance.
         """
         decided = self._decided_classes()
@@ -100,7 +100,7 @@
         return ALL_CLASSES in decided and all(self._is_proven(name) for name in decided)
 
     def _record_differences(self, windows: list[BrokerWindow]) -> None:
-        """Add one window to the series: of each class the mean over zones, weighted by queries."""
+        """Add one window to the series: for each class the mean over zones, weighted by queries."""
         zones: dict[str, list[BrokerWindow]] = defaultdict(list)
         for window in windows:
             if not window.silent:
@@ -119,10 +119,10 @@
             self._cpu_time_series.append_window(cpu_times)
 
     def _compare_zone(self, groups: WindowGroups, by_class: dict[str, list[WeightedValue]]) -> None:
-        """Append a zone's difference of goodput to each class that both sides answered."""
+        """Append a zone's difference in goodput for each class with queries on both sides."""
         canary_classes = statistics_by_class(groups.canary)
         baseline_classes = statistics_by_class(groups.baseline)
-        # In sorted order: the first class of the series that is worse is the one that a verdict names.
+        # Sorted, because a verdict names the first class in this order that is worse.
         for name in sorted(canary_classes.keys() | baseline_classes.keys()):
             canary = canary_classes.get(name, QueryStatistics())
             baseline = baseline_classes.get(name, QueryStatistics())
@@ -136,7 +136,7 @@
             series.baseline_queries += baseline.queries
 
     def _decided_classes(self) -> list[str]:
-        """Classes with enough queries on both sides, in enough windows, for a conclusion."""
+        """Return the classes with enough queries on both sides, in enough windows, for a verdict."""
         return [
             name
             for name, series in self._series.items()
@@ -145,14 +145,14 @@
         ]
 
     def _is_proven(self, name: str) -> bool:
-        """Whether it is unlikely that the change cpu_times this class more than the tolerance."""
+        """Whether this class is shown to lose no more goodput than the tolerance."""
         series = self._series[name]
         estimate = series.estimate()
         quantile = student_quantile(PROOF_CONFIDENCE, series.degrees_of_freedom)
         return estimate.mean - quantile * estimate.standard_error > -self.limits.tolerance
 
     def _repeat_test(self) -> Verdict:
-        """Repeat the test where a look is due."""
+        """Repeat the test if an interim analysis is due."""
         allowed = self._error_spending.next_look(self.windows, self.planned_windows)
         if allowed is None:
             return Verdict(VerdictKind.CONTINUE)
@@ -161,7 +161,7 @@
             series = self._series[name]
             estimate = series.estimate()
             probability = student_cdf(estimate.mean / estimate.standard_error, series.degrees_of_freedom)
-            class_allowed = allowed / (len(decided) + 1)  # one more: the cost
+            class_allowed = allowed / (len(decided) + 1)  # + 1 for the CPU time check
             if estimate.mean < 0 and probability < class_allowed:
                 return Verdict(
                     VerdictKind.WORSE,
@@ -172,7 +172,7 @@
         return Verdict(VerdictKind.CONTINUE)
 
     def _cpu_time_verdict(self) -> Verdict | None:
-        """A verdict where processor time a query has clearly grown beyond the limit."""
+        """Return a verdict if the CPU time per query is shown to have grown beyond the limit."""
         limit = self.limits.max_cpu_time_ratio
         estimate = self._cpu_time_series.estimate()
         if estimate.mean <= math.log(limit):
@@ -185,7 +185,7 @@
 
 
 def _cpu_time_difference(groups: WindowGroups) -> WeightedValue | None:
-    """A zone's logarithm of the ratio of processor time a query; None with too few queries for one."""
+    """Return a zone's logarithm of the ratio of CPU time per query; None with too few queries."""
     canary_queries = _total_queries(groups.canary)
     baseline_queries = _total_queries(groups.baseline)
     canary_cpu_us = sum(window.cpu_us for window in groups.canary)
--- a/heathwell/fleet/rollout/errors.py
+++ b/heathwell/fleet/rollout/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions of the rollout package. Imports nothing of heathwell."""
+"""Exceptions of the rollout package. Imports no other package of heathwell."""
 
 from __future__ import annotations
 
@@ -6,28 +6,31 @@
 
 
 class RolloutError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of all errors that this package raises."""
 
 
 class InvalidPlanError(RolloutError, ValueError):
-    """The stages or limits of a plan contradict each other."""
+    """The stages or limits of a plan are invalid."""
 
 
 @dataclass(eq=False)
 class RecordMismatchError(RolloutError, ValueError):
-    """A stored record belongs to another rollout than the one that is to be restored from it."""
+    """A stored record belongs to another rollout than the one to be restored."""
 
     rollout_id: str
     old_version: str
     new_version: str
 
     def __str__(self) -> str:
-        return f"the record is of change {self.rollout_id}, {self.old_version} to {self.new_version}"
+        return (
+            f"the stored record belongs to rollout {self.rollout_id} "
+            f"from version {self.old_version} to {self.new_version}"
+        )
 
 
 @dataclass(eq=False)
 class StaleDecisionError(RolloutError):
-    """A decision is older than the last one taken: its (term, number) is the smaller pair."""
+    """A decision's (term, number) is below that of the last accepted decision."""
 
     term: int
     number: int
--- a/heathwell/fleet/rollout/fault_detector.py
+++ b/heathwell/fleet/rollout/fault_detector.py
@@ -1,6 +1,7 @@
-"""Detects that the baseline does clearly worse than before: a lost zone, a retry storm, not the rollout.
+"""Detects faults that the rollout did not cause, such as a lost zone or a retry storm: the baseline gets
+worse.
 
-Owns the baseline's recent goodput; pure. Imports the records of this package.
+Owns the baseline's recent goodput; does no I/O. Imports the records of this package.
 """
 
 from __future__ import annotations
@@ -10,23 +11,23 @@
 
 from heathwell.fleet.rollout.observations import BrokerWindow, total_statistics
 
-MIN_QUERIES = 10  # in a window, for a conclusion on it
-MIN_HISTORY = 3  # windows for a usual goodput
-MAX_HISTORY = 31
-SPREAD_FACTOR = 3.0  # standard errors of one window's goodput
-MIN_VARIANCE = 0.01  # of a query's goodput: a fleet without any loss so far still has some spread
+MIN_QUERIES = 10  # minimum queries in a window for it to be assessed
+MIN_HISTORY = 3  # minimum windows for a usual goodput
+MAX_HISTORY = 31  # maximum windows for a usual goodput
+SPREAD_FACTOR = 3.0  # standard errors of one window's goodput that count as random variation
+MIN_VARIANCE = 0.01  # minimum variance of a query's goodput, also for a fleet without any loss so far
 
 
 class FaultDetector:
-    """Fed the baseline's windows of one stage, one at a time."""
+    """Detects a fault from the baseline's windows of one stage."""
 
     def __init__(self, fault_loss: float) -> None:
         self.fault_loss = fault_loss
         self.in_fault = False
-        self._goodput_history: list[float] = []  # a value a window, those in a fault left out
+        self._goodput_history: list[float] = []  # one value per window, without those in a fault
 
     def observe(self, baseline: Iterable[BrokerWindow]) -> bool:
-        """Take one window; whether the baseline is in a fault now."""
+        """Add one window; return whether the baseline is in a fault now."""
         total = total_statistics(baseline)
         if total.queries < MIN_QUERIES:
             self.in_fault = False
@@ -38,12 +39,12 @@
         return self.in_fault
 
     def _usual_goodput(self, current: float) -> float:
-        """The median of the history; the current value until there is one."""
+        """Return the median of the history, or the current value while the history is too short."""
         count = len(self._goodput_history)
         return sorted(self._goodput_history)[count // 2] if count >= MIN_HISTORY else current
 
     def _loss_limit(self, current: float, queries: int) -> float:
-        # Hysteresis: a fault is over once half of the loss has gone.
+        # Hysteresis: a fault ends when the loss falls below half of ``fault_loss``.
         if self.in_fault:
             return self.fault_loss / 2
         usual = self._usual_goodput(current)
--- a/heathwell/fleet/rollout/immediate_checks.py
+++ b/heathwell/fleet/rollout/immediate_checks.py
@@ -1,6 +1,7 @@
-"""Signs that a version is worse which need no statistics: exits, silence, collapse of goodput, memory growth.
+"""Checks for a worse version without statistical tests: exits, missing reports, goodput collapse, memory
+growth.
 
-Owns the counts that these checks need; pure. Imports the records of this package.
+Owns the counters of these checks; does no I/O. Imports the records of this package.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 from heathwell.fleet.rollout.observations import BrokerWindow, WindowGroups, total_statistics
 from heathwell.fleet.rollout.verdict import AnalysisLimits, Verdict, VerdictKind
 
-COLLAPSE_MIN_QUERIES = 5  # a window and side
-COLLAPSE_WINDOWS = 3  # in a row
+COLLAPSE_MIN_QUERIES = 5  # minimum queries per window on each side
+COLLAPSE_WINDOWS = 3  # consecutive windows
 MEMORY_MIN_WINDOWS = 9
 
 
 class LivenessCheck:
-    """Unexpected exits and silence on the canary side alone."""
+    """Checks for unexpected exits and missing reports on the canary side only."""
 
     def __init__(self, limits: AnalysisLimits) -> None:
         self.limits = limits
@@ -26,7 +27,7 @@
         self._silent_windows = Counter[str]()
 
     def observe(self, groups: WindowGroups) -> Verdict | None:
-        """Take one window; a verdict where the new version is plainly worse."""
+        """Add one window; return a verdict if the new version is worse."""
         self._canary_exits += sum(window.unexpected_exits for window in groups.canary)
         self._baseline_exits += sum(window.unexpected_exits for window in groups.baseline)
         for window in (*groups.canary, *groups.baseline):
@@ -46,19 +47,19 @@
 
 
 class CollapseCheck:
-    """Goodput of the canary far below the baseline's, in several windows in a row."""
+    """Checks for a goodput of the canary far below the baseline's in several consecutive windows."""
 
     def __init__(self, limits: AnalysisLimits) -> None:
         self.limits = limits
         self._collapsed_windows = 0
 
     def observe(self, groups: WindowGroups) -> Verdict | None:
-        """Take one window; a verdict where the new version is plainly worse."""
+        """Add one window; return a verdict if the new version is worse."""
         canary = total_statistics(groups.canary)
         baseline = total_statistics(groups.baseline)
         if canary.queries < COLLAPSE_MIN_QUERIES or baseline.queries < COLLAPSE_MIN_QUERIES:
             return None
-        # In this order of operations: another one rounds differently.
+        # The order of operations matters: another one rounds differently.
         threshold = self.limits.collapse_ratio * baseline.goodput / baseline.queries
         collapsed = canary.mean_goodput < threshold
         self._collapsed_windows = self._collapsed_windows + 1 if collapsed else 0
@@ -71,20 +72,20 @@
 
 
 class MemoryGrowthCheck:
-    """Memory of the canary that has grown beyond the baseline's, and is still growing."""
+    """Checks for memory of the canary that has grown beyond the baseline's and is still growing."""
 
     def __init__(self, limits: AnalysisLimits) -> None:
         self.limits = limits
-        self._canary_bytes: list[float] = []  # the mean over brokers, a value a window
+        self._canary_bytes: list[float] = []  # mean over brokers, one value per window
         self._baseline_bytes: list[float] = []
 
     def observe(self, groups: WindowGroups) -> None:
-        """Take one window; brokers that report no memory are left out."""
+        """Add one window; brokers that report no memory are ignored."""
         _append_mean_memory(self._canary_bytes, groups.canary)
         _append_mean_memory(self._baseline_bytes, groups.baseline)
 
     def verdict(self) -> Verdict | None:
-        """A verdict where memory grew in each third of the time, and beyond the limit."""
+        """Return a verdict if memory grew in each third of the windows, and beyond the limit."""
         if len(self._canary_bytes) < MEMORY_MIN_WINDOWS or not self._baseline_bytes:
             return None
         third = len(self._canary_bytes) // 3
--- a/heathwell/fleet/rollout/observations.py
+++ b/heathwell/fleet/rollout/observations.py
@@ -1,6 +1,6 @@
-"""What brokers did during one observation window: the input of the canary analysis.
+"""Statistics of brokers during one observation window: the input of the canary analysis.
 
-Owns the records and their sums; pure. Imports nothing of heathwell.
+Owns the records and their sums; does no I/O. Imports no other package of heathwell.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 @dataclass(slots=True)
 class QueryStatistics:
-    """Outcomes of the queries of one class; a client's retries count with its first attempt.
+    """Outcomes of the queries of one class; a client's retries count as part of its first attempt.
 
-    ``goodput`` is the sum over queries of the fraction of a complete answer that came within the latency
-    objective: from 0 to ``queries``.
+    ``goodput`` is the sum over queries of the fraction of a complete answer that was returned within the
+    latency objective, 0 to ``queries``.
     """
 
     queries: int = 0
@@ -37,7 +37,7 @@
 
     @property
     def mean_goodput(self) -> float:
-        """Goodput of a query, 0 to 1; there must have been one."""
+        """Mean goodput per query, 0 to 1; requires at least one query."""
         return self.goodput / self.queries
 
 
@@ -45,8 +45,8 @@
 class BrokerWindow:
     """One broker during one observation window.
 
-    ``is_canary``: it runs the new version. ``unexpected_exits`` counts ends of its process that were not
-    requested. ``silent``: it did not report, so that the statistics are not to be used.
+    ``is_canary``: it runs the new version. ``unexpected_exits`` counts exits of its process that were not
+    requested. ``silent``: it did not report, so that its statistics must not be used.
     """
 
     broker: str
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowGroups:
-    """The brokers of one window, or of one zone in it, split by the version that they run."""
+    """The brokers of one window, or of one zone in it, by the version that they run."""
 
     canary: list[BrokerWindow]
     baseline: list[BrokerWindow]
 
 
 def split_by_version(windows: Iterable[BrokerWindow]) -> WindowGroups:
-    """Split into brokers on the new version and those on the old one."""
+    """Split windows into those of brokers on the new version and on the old one."""
     groups = WindowGroups([], [])
     for window in windows:
         (groups.canary if window.is_canary else groups.baseline).append(window)
@@ -76,7 +76,7 @@
 
 
 def total_statistics(windows: Iterable[BrokerWindow]) -> QueryStatistics:
-    """Sum over all brokers and classes."""
+    """Return the sum over all brokers and classes."""
     total = QueryStatistics()
     for window in windows:
         for statistics in window.classes.values():
@@ -85,7 +85,7 @@
 
 
 def statistics_by_class(windows: Iterable[BrokerWindow]) -> dict[str, QueryStatistics]:
-    """Sum over brokers by class; where there is any class also the sum of them, as ``ALL_CLASSES``."""
+    """Return the sum over brokers by class, and over all classes as ``ALL_CLASSES`` if there is any."""
     by_class: dict[str, QueryStatistics] = {}
     for window in windows:
         for query_class, statistics in window.classes.items():
--- a/heathwell/fleet/rollout/plan.py
+++ b/heathwell/fleet/rollout/plan.py
@@ -1,6 +1,6 @@
 """Stages of a rollout: which brokers each one updates, in which order, and how many at a time.
 
-Owns the plan and the order of brokers; pure. Imports only the errors of this package.
+Owns the plan and the order of brokers; does no I/O. Imports only the errors of this package.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 from heathwell.fleet.rollout.errors import InvalidPlanError
 
-ROUNDING_TOLERANCE = 1e-9  # keeps a product such as 0.07 * 100 from being rounded up to the next broker
+ROUNDING_TOLERANCE = 1e-9  # prevents that a product such as 0.07 * 100 is rounded up to the next broker
 
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """One stage: ``fraction`` of all brokers, and at least one, run the new version.
+    """One stage: ``fraction`` of all brokers, but at least one, run the new version.
 
     It is observed for ``min_duration_us`` to ``max_duration_us``. With ``require_proof`` the new version must
-    be shown to be no worse than the old one; otherwise no evidence against it is enough.
+    be shown to be no worse than the old one; otherwise it passes unless it is shown to be worse.
     """
 
     fraction: float
@@ -28,7 +28,7 @@
     require_proof: bool = False
 
     def broker_count(self, brokers: int) -> int:
-        """How many of ``brokers`` run the new version."""
+        """Return how many of ``brokers`` run the new version."""
         rounded_up = ceil(self.fraction * brokers - ROUNDING_TOLERANCE)
         return min(brokers, max(1, rounded_up))
 
@@ -38,8 +38,9 @@
     """The stages of a rollout and the limits on concurrent replacements.
 
     Before the last stage at most ``max_zone_fraction`` of a zone is updated, so that every zone keeps a
-    baseline. At any time at most that fraction of a zone, and ``max_concurrent`` brokers in all, are being
-    replaced. Raises :class:`InvalidPlanError` unless the stages grow to the entire fleet.
+    baseline. At any time at most that fraction of a zone, and at most ``max_concurrent`` brokers in total,
+    are being replaced. Raises :class:`InvalidPlanError` for limits out of range, and unless the fractions of
+    the stages increase to 1.
     """
 
     stages: tuple[Stage, ...] = (Stage(0.0), Stage(0.05), Stage(0.25, require_proof=True), Stage(1.0))
@@ -49,28 +50,34 @@
     def __post_init__(self) -> None:
         fractions = [stage.fraction for stage in self.stages]
         if not fractions or fractions != sorted(fractions) or not 0 <= fractions[0] <= fractions[-1] == 1:
-            raise InvalidPlanError("stages: shares must grow to 100%")
+            shares = ", ".join(f"{fraction:.0%}" for fraction in fractions)
+            raise InvalidPlanError(
+                f"stages: expected shares in ascending order, the last one 100%, got {shares or 'none'}"
+            )
         if not 0 < self.max_zone_fraction <= 1 or self.max_concurrent < 1:
-            raise InvalidPlanError("zone-share: in (0, 1]; at-once: at least 1")
+            raise InvalidPlanError(
+                "expected zone-share in (0, 1] and at-once of at least 1, "
+                f"got zone-share {self.max_zone_fraction} and at-once {self.max_concurrent}"
+            )
 
     def is_last(self, stage: int) -> bool:
         """Whether this is the index of the last stage."""
         return stage == len(self.stages) - 1
 
     def zone_limit(self, zone_size: int) -> int:
-        """How many brokers of a zone of that size may be updated, or replaced at a time: at least one."""
+        """Return how many brokers of a zone may be updated, or be replaced at the same time; at least one."""
         return max(1, floor(self.max_zone_fraction * zone_size))
 
 
 def update_order(zones: dict[str, str]) -> list[str]:
-    """All brokers by zone, then by name; ``zones`` gives the zone of each broker."""
+    """Return all brokers ordered by zone, then by name; ``zones`` is the zone of each broker."""
     return sorted(zones, key=lambda name: (zones[name], name))
 
 
 def select_brokers(plan: Plan, stage: int, zones: dict[str, str]) -> list[str]:
-    """The brokers that run the new version in a stage, in update order; those of earlier stages included.
+    """Return the brokers that run the new version in a stage, in update order, including earlier stages.
 
-    The only broker of a zone has no baseline beside it, so it is updated in the last stage alone.
+    The only broker of a zone would leave no baseline there, so it is updated in the last stage.
     """
     order = update_order(zones)
     if plan.is_last(stage):
@@ -89,7 +96,7 @@
 
 
 def next_batch(plan: Plan, pending: list[str], busy: set[str], zones: dict[str, str]) -> list[str]:
-    """Which of the ``pending`` brokers may be replaced now, while the ``busy`` ones still are."""
+    """Return which ``pending`` brokers may be replaced now, while the ``busy`` ones are being replaced."""
     zone_sizes = Counter(zones.values())
     busy_of_zone = Counter(zones[name] for name in busy)
     batch: list[str] = []
--- a/heathwell/fleet/rollout/preflight.py
+++ b/heathwell/fleet/rollout/preflight.py
@@ -1,6 +1,6 @@
-"""Checks of new settings before a rollout begins: those that are well formed and would still cause a fault.
+"""Checks of new settings before a rollout: settings may be valid and still cause a fault.
 
-Owns the rules; pure. Imports the protocols of the settings in this package.
+Owns the rules; does no I/O. Imports the settings protocols of this package.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 )
 
 MAX_ENDPOINT_CHANGE = 0.34  # fraction of endpoints that may be added or removed without an override
-MAX_TIMEOUT_FACTOR = 2.0  # by which a timeout may change without an override
-# Settings that have to be the same in all brokers: the name of the field, and the key in the settings.
+MAX_TIMEOUT_FACTOR = 2.0  # factor by which a timeout may change without an override
+# Settings that must be equal in all brokers: field name to key in the settings.
 IMMUTABLE_FLEET_SETTINGS = {
     "zones": "zones",
     "cells": "cells",
@@ -36,8 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PreflightWarning:
-    """What is wrong with new settings; ``override_flag`` lets an operator take them all the same, None: they
-    are refused.
+    """A problem of new settings.
+
+    With ``override_flag`` an operator can accept it; without one (None) the settings are rejected.
     """
 
     text: str
@@ -45,7 +46,7 @@
 
 
 def preflight_warnings(old: PreflightSettings, new: PreflightSettings) -> list[PreflightWarning]:
-    """All warnings on replacing the ``old`` settings by the ``new`` ones."""
+    """Return all warnings about replacing the ``old`` settings with the ``new`` ones."""
     return [
         *_check_classes_in_use(new),
         *_check_replica_groups(new.fleet),
--- a/heathwell/fleet/rollout/preflight_settings.py
+++ b/heathwell/fleet/rollout/preflight_settings.py
@@ -1,8 +1,8 @@
-"""The parts of the service's settings that the preflight checks read, as protocols.
+"""Protocols for the parts of the service settings that the preflight checks read.
 
-Owns no state. Imports nothing of heathwell: the settings' own records fit these protocols, so that this
-package needs no import of them. Members that a record narrows (to literals, or to lists of its own records)
-are read-only properties.
+Owns no state. Imports no other package of heathwell: the records of the settings implement these protocols,
+so that this package does not import them. Members that a record narrows (to literals, or to lists of its own
+records) are read-only properties.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class QueryClassSettings(Protocol):
-    """A class of query."""
+    """A query class."""
 
     name: str
     timeout_us: int
@@ -23,11 +23,11 @@
 
     @property
     def across(self) -> str:
-        """Use of endpoints of other regions."""
+        """Policy for the use of endpoints in other regions."""
 
 
 class KeySpaceSettings(Protocol):
-    """A prefix of keys, the class of its queries, and their number of parts."""
+    """A key prefix, the class of its queries and their number of parts."""
 
     prefix: str
     query_class: str
@@ -35,20 +35,20 @@
 
 
 class CollectionSettings(Protocol):
-    """A collection of vectors: the classes of its searches, and of those in batches."""
+    """A vector collection: the classes of its single searches and of its batches."""
 
     query_class: str
     batch_class: str
 
 
 class BudgetSettings(Protocol):
-    """A budget that the brokers of the fleet divide; ``whole`` (the settings' key) is its total."""
+    """A fleet-wide budget; ``whole`` (the key in the settings) is its total."""
 
     whole: float
 
     @property
     def name(self) -> str:
-        """What is divided."""
+        """The limited resource."""
 
 
 class RegionSettings(Protocol):
@@ -67,8 +67,8 @@
 
 
 class FleetSettings(Protocol):
-    """Topology of the fleet: ``leaves`` endpoints (0: not stated) in ``cells`` replica groups, of which each
-    shard is on ``width``.
+    """Topology of the fleet: ``leaves`` endpoints (0: unspecified) in ``cells`` replica groups, ``width`` of
+    which hold each shard.
     """
 
     leaves: int
@@ -82,7 +82,7 @@
 
 
 class BrokerLimits(Protocol):
-    """Limits of a broker; ``open_cap`` is on queries and parts in flight, 0 for none."""
+    """Limits of a broker; ``open_cap`` limits the queries and parts in flight, 0 for no limit."""
 
     open_cap: int
 
@@ -92,11 +92,11 @@
 
     @property
     def classes(self) -> Sequence[QueryClassSettings]:
-        """Classes of query."""
+        """The query classes."""
 
     @property
     def keys(self) -> Sequence[KeySpaceSettings]:
-        """The key space of the memcached server."""
+        """The key spaces of the memcached server."""
 
     @property
     def collections(self) -> Sequence[CollectionSettings]:
@@ -104,12 +104,12 @@
 
     @property
     def fleet(self) -> FleetSettings:
-        """Topology and budgets."""
+        """The fleet's topology and budgets."""
 
     @property
     def across(self) -> RegionsSettings:
-        """Regions."""
+        """The regions."""
 
     @property
     def limits(self) -> BrokerLimits:
-        """Limits of a broker."""
+        """The limits of a broker."""
--- a/heathwell/fleet/rollout/rollout_controller.py
+++ b/heathwell/fleet/rollout/rollout_controller.py
@@ -1,11 +1,11 @@
-"""The state machine of one rollout: which version every broker is to run, and when the state changes.
+"""The state machine of one rollout: which version each broker must run, and when the state changes.
 
-Decisions are desired versions, not commands, and what was done is read off what brokers run. So a controller
-that dies between any two steps and is restored from its last record repeats no effect. Its caller stores the
-record before it carries out what follows from it; decisions carry (term, number), of which a machine never
-takes an older one after a newer one.
+Decisions are desired versions instead of commands, and progress is determined from the versions that brokers
+run. So a controller that dies between any two transitions and is restored from its last record repeats no
+effect. The caller must store the record before it acts on it. Decisions carry (term, number); a machine
+rejects one that is older than the last.
 
-Owns state, stage and observation of one rollout; pure. Imports the other modules of this package.
+Owns state, stage and analysis of one rollout; does no I/O. Imports the other modules of this package.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class RolloutState(StrEnum):
-    """States of a rollout. The values are those of its record, its log and its status."""
+    """States of a rollout. The values are used in its record, its log and its status."""
 
     PLANNED = "planned"
     PREFLIGHT = "checking"
@@ -36,7 +36,7 @@
 
 
 class RolloutEvent(StrEnum):
-    """What may change the state. The values are the reasons of steps that have no other."""
+    """Events that may change the state. The values are the default reasons of transitions."""
 
     STARTED = "began"
     PREFLIGHT_PASSED = "sound"
@@ -44,17 +44,17 @@
     STAGE_DEPLOYED = "staged"
     STAGE_PASSED = "passed"
     LAST_STAGE_PASSED = "last"
-    REGRESSED = "worse"  # the new version does worse, or could not be started
-    INCONCLUSIVE = "unsure"  # too few queries for a conclusion
-    FAULT_DETECTED = "trouble"  # both sides do worse: nothing can be concluded
+    REGRESSED = "worse"  # the new version is worse or could not be started
+    INCONCLUSIVE = "unsure"  # too few queries for a verdict
+    FAULT_DETECTED = "trouble"  # both sides are worse than before, so that no verdict is possible
     FAULT_CLEARED = "calm"
-    HOLD = "hold"  # hold, resume and undo are an operator's commands
+    HOLD = "hold"  # hold, resume and undo are commands of an operator
     RESUME = "resume"
     UNDO = "undo"
     ROLLBACK_DEPLOYED = "back"  # all brokers run the old version again
 
 
-# The state that follows from an event; any other event changes nothing.
+# The next state for each state and event; events that a state does not list are ignored.
 TRANSITIONS: dict[RolloutState, dict[RolloutEvent, RolloutState]] = {
     RolloutState.PLANNED: {
         RolloutEvent.STARTED: RolloutState.PREFLIGHT,
@@ -99,12 +99,12 @@
     RolloutState.ROLLING_BACK,
     RolloutState.ROLLED_BACK,
 )
-RESTART_SUFFIX = "~"  # of a version that is to be started once more, so that its shutdown is observed early
-FAULT_WINDOWS = 5  # with a fault on both sides after which a rollout is held
-RECOVERY_WINDOWS = 5  # without one after which it continues
+RESTART_SUFFIX = "~"  # marks a version whose process is restarted once, to observe its shutdown early
+FAULT_WINDOWS = 5  # windows with a fault of the baseline after which a rollout is held
+RECOVERY_WINDOWS = 5  # consecutive windows without a fault after which it continues
 MAX_HISTORY = 200
-FAULT_MIN_QUERIES = 10  # in a window
-FAULT_GOODPUT = 0.8  # of all queries, below which a held rollout stays held
+FAULT_MIN_QUERIES = 10  # minimum queries in a window to detect a fault
+FAULT_GOODPUT = 0.8  # mean goodput of all queries below which a held rollout remains held
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
     number: int
 
 
-HistoryRow = tuple[str, str, str, int, int]  # the fields of Transition, as they are stored
+HistoryRow = tuple[str, str, str, int, int]  # the fields of Transition in the stored record
 
 
 class RolloutRecord(TypedDict):
@@ -141,9 +141,9 @@
 class RolloutController:
     """One rollout from ``old_version`` to ``new_version``.
 
-    ``zones`` gives the zone of each broker as the rollout began; ``term`` is that of the controlling process;
-    ``number`` grows with each step. With ``held_for_fault`` it is held as both sides are in a fault, and goes
-    on by itself.
+    ``zones`` is the zone of each broker at the start of the rollout; ``term`` is that of the controlling
+    process; ``number`` increases with each transition. ``held_for_fault``: the rollout is held because of a
+    fault on both sides, and continues when the fault is over.
     """
 
     id: str
@@ -167,16 +167,16 @@
     # Desired versions.
 
     def updated_brokers(self) -> set[str]:
-        """The brokers that are to run the new version."""
+        """Return the brokers that must run the new version."""
         if self.state in OLD_VERSION_STATES:
             return set()
         return set(select_brokers(self.plan, self.stage, self.zones))
 
     def desired_versions(self) -> dict[str, str]:
-        """The version that each broker is to run.
+        """Return the version that each broker must run.
 
-        From the second stage on the broker that was updated first is started once more: how a version shuts
-        down is part of what is observed.
+        From the second stage on the broker that was updated first is restarted once, so that the shutdown of
+        the new version is observed too.
         """
         updated = self.updated_brokers()
         desired = {name: self.new_version if name in updated else self.old_version for name in self.zones}
@@ -186,10 +186,10 @@
         return desired
 
     def next_updates(self, running_versions: dict[str, str], busy: set[str]) -> dict[str, str]:
-        """The brokers to be replaced now and their desired versions; ``busy`` ones are being replaced.
+        """Return the brokers to replace now with their desired versions; ``busy`` ones are being replaced.
 
-        Brokers that can't be reached are missing from ``running_versions`` and are passed over. Nothing is
-        replaced while the rollout is held.
+        Unreachable brokers are missing from ``running_versions`` and are skipped. Nothing is replaced while
+        the rollout is held.
         """
         if self.state not in (RolloutState.DEPLOYING, RolloutState.ROLLING_BACK):
             return {}
@@ -204,7 +204,7 @@
     # Events.
 
     def apply_event(self, event: RolloutEvent, reason: str = "") -> Transition | None:
-        """Apply one event; returns the step that it makes, None where it changes nothing in this state."""
+        """Apply an event; return the transition, or None if the current state ignores the event."""
         before = self.state
         after = TRANSITIONS[before].get(event)
         if after is None:
@@ -224,7 +224,7 @@
     def observe_versions(
         self, running_versions: dict[str, str], failed: Iterable[str] = ()
     ) -> Transition | None:
-        """Take what brokers run now; ``failed`` ones could not be made to run the desired version."""
+        """Apply the versions that brokers run now; ``failed`` brokers could not run the desired version."""
         failed_brokers = sorted(failed)
         if self.state is RolloutState.DEPLOYING and failed_brokers:
             reason = f"could not be started, or did not end in order: {', '.join(failed_brokers)}"
@@ -240,7 +240,7 @@
         return None
 
     def observe_exits(self, canary_exits: int, baseline_exits: int) -> Transition | None:
-        """Take the numbers of unexpected exits since the rollout began, between stages as well as in them."""
+        """Apply the number of unexpected exits since the rollout began, within and between stages."""
         if self.state not in (RolloutState.DEPLOYING, RolloutState.OBSERVING):
             return None
         if canary_exits < self.limits.unexpected_exit_limit or baseline_exits:
@@ -249,7 +249,7 @@
         return self.apply_event(RolloutEvent.REGRESSED, reason)
 
     def observe_window(self, windows: list[BrokerWindow]) -> Transition | None:
-        """Take what all brokers did during one observation window."""
+        """Apply the statistics of all brokers in one observation window."""
         if self.state is RolloutState.HELD and self.held_for_fault:
             return self._observe_recovery(windows)
         if self.state is not RolloutState.OBSERVING:
@@ -267,7 +267,7 @@
                     RolloutEvent.FAULT_DETECTED, f"{RolloutEvent.FAULT_DETECTED}: {verdict.reason}"
                 )
         else:
-            # A window in a fault is no evidence on the new version, so it does not count.
+            # A window in a fault says nothing about the new version, so it does not count.
             self.observed_duration_us += self.window_duration_us
         return self._end_stage(self.analysis) if self._is_stage_over(self.analysis) else None
 
@@ -280,8 +280,10 @@
         )
 
     def _is_stage_over(self, analysis: CanaryAnalysis) -> bool:
-        """Whether the stage lasted long enough. One that needs proof continues until it has it, but for the
-        last stage, which leaves no baseline to prove it by.
+        """Whether the stage lasted long enough.
+
+        A stage that requires proof continues until it has it, up to its maximum duration. The last stage does
+        not: it leaves no baseline to compare with.
         """
         stage = self.plan.stages[self.stage]
         if self.observed_duration_us < stage.min_duration_us:
@@ -307,7 +309,7 @@
     # The record.
 
     def to_record(self) -> RolloutRecord:
-        """All that the rollout is restored from; an analysis is not kept, a stage is observed anew."""
+        """Return the record to store, without the analysis: after a restore the stage is observed again."""
         return {
             "id": self.id,
             "old": self.old_version,
@@ -326,7 +328,7 @@
         }
 
     def restore(self, record: RolloutRecord, term: int) -> None:
-        """Go on from a record under a new term.
+        """Continue from a record under a new term.
 
         Raises :class:`RecordMismatchError` for the record of another rollout.
         """
@@ -353,6 +355,6 @@
 
 
 def _is_faulty(windows: list[BrokerWindow]) -> bool:
-    """Whether brokers of both versions together lose more than a fault's share of the goodput."""
+    """Whether the mean goodput of the brokers of both versions together is below ``FAULT_GOODPUT``."""
     total = total_statistics(windows)
     return total.queries >= FAULT_MIN_QUERIES and total.goodput < FAULT_GOODPUT * total.queries
--- a/heathwell/fleet/rollout/sequential_analysis.py
+++ b/heathwell/fleet/rollout/sequential_analysis.py
@@ -1,11 +1,12 @@
-"""Statistics of the canary analysis: a weighted mean with its error, and a test that is repeated.
+"""Statistics of the canary analysis: a weighted mean with its standard error, and the error of a repeated
+test.
 
-The test is repeated during a stage, so the allowed error is spent over these interim analyses by O'Brien and
-Fleming's boundary (Lan, DeMets, 1983), each with its own part of the error: by the union bound the sum holds
-however the interim analyses are correlated.
+The test is repeated during a stage, so the allowed error is spent over these interim analyses ("looks") by
+the O'Brien-Fleming boundary (Lan, DeMets, 1983). Each gets its own part of the error: by the union bound the
+total holds for any correlation between the interim analyses.
 
-Owns series and spent error; pure. Imports nothing of heathwell; scipy is loaded by the first call, as most
-processes that import this module make none.
+Owns the series and the spent error; does no I/O. Imports no other package of heathwell. scipy is imported at
+the first call, because most processes that import this module never call it.
 """
 
 from __future__ import annotations
@@ -14,32 +15,32 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-MIN_VALUES = 5  # of a series, below which its standard error is not estimated
+MIN_VALUES = 5  # minimum length of a series for an estimate of its standard error
 
 
 def student_cdf(value: float, degrees_of_freedom: int) -> float:
-    """Cumulative distribution function of Student's t."""
+    """Return the cumulative distribution function of Student's t."""
     from scipy import special  # type: ignore[import-untyped]  # noqa: PLC0415
 
     return float(special.stdtr(degrees_of_freedom, value))
 
 
 def student_quantile(probability: float, degrees_of_freedom: int) -> float:
-    """Inverse of :func:`student_cdf`."""
+    """Return the inverse of :func:`student_cdf`."""
     from scipy import special  # noqa: PLC0415
 
     return float(special.stdtrit(degrees_of_freedom, probability))
 
 
 def normal_cdf(value: float) -> float:
-    """Cumulative distribution function of the normal distribution."""
+    """Return the cumulative distribution function of the normal distribution."""
     from scipy import special  # noqa: PLC0415
 
     return float(special.ndtr(value))
 
 
 def normal_quantile(probability: float) -> float:
-    """Inverse of :func:`normal_cdf`."""
+    """Return the inverse of :func:`normal_cdf`."""
     from scipy import special  # noqa: PLC0415
 
     return float(special.ndtri(probability))
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedValue:
-    """One measurement, and how much it counts."""
+    """A measurement and its weight."""
 
     value: float
     weight: float
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """A mean with its standard error, which is infinite where there are too few values."""
+    """A mean and its standard error, which is infinite if there are too few values."""
 
     mean: float
     standard_error: float
@@ -63,7 +64,7 @@
 
 @dataclass(slots=True)
 class DifferenceSeries:
-    """Differences between canary and baseline, one a window. The counts are queries on either side."""
+    """Differences between canary and baseline, one per window, and the number of queries on each side."""
 
     values: list[WeightedValue] = field(default_factory=list)
     canary_queries: int = 0
@@ -71,11 +72,11 @@
 
     @property
     def degrees_of_freedom(self) -> int:
-        """Of a t-test on this series."""
+        """The degrees of freedom of a t-test on this series."""
         return len(self.values) - 1
 
     def append_window(self, zone_values: Sequence[WeightedValue]) -> None:
-        """Add one window: the weighted mean over its zones, of which there must be one."""
+        """Add one window: the weighted mean over its zones, at least one."""
         total = sum(zone.weight for zone in zone_values)
         mean = sum(zone.value * zone.weight for zone in zone_values) / total
         self.values.append(WeightedValue(mean, total))
@@ -85,14 +86,14 @@
         return len(self.values) >= MIN_VALUES
 
     def estimate(self) -> Estimate:
-        """The weighted mean over windows and its standard error."""
+        """Return the weighted mean over the windows and its standard error."""
         total = sum(window.weight for window in self.values)
         if not self.has_enough_values() or not total:
             return Estimate(0.0, math.inf)
         mean = sum(window.value * window.weight for window in self.values) / total
         spread = sum(window.weight * (window.value - mean) ** 2 for window in self.values)
-        # Equal values do not prove that there is no spread: goodput lies within 0 and 1, and the next query
-        # may differ.
+        # Equal values do not prove a variance of 0: goodput is between 0 and 1, and the next query may
+        # differ.
         floor = 0.25 / total / total
         variance = spread / (self.degrees_of_freedom * total)
         return Estimate(mean, math.sqrt(max(variance, floor)))
@@ -100,7 +101,7 @@
 
 @dataclass(slots=True)
 class ErrorSpending:
-    """The error that a repeated test may spend at each look; ``error`` is the sum over all of them."""
+    """The error that a repeated test may spend at each interim analysis; ``error`` is their total."""
 
     error: float
     planned_looks: int
@@ -108,7 +109,7 @@
     spent: float = 0.0
 
     def next_look(self, windows_done: int, windows_planned: int) -> float | None:
-        """The error that may be spent now, or None while no further look is due."""
+        """Return the error that may be spent now, or None if no interim analysis is due."""
         due = windows_done * self.planned_looks // windows_planned
         if due <= self.looks_done:
             return None
