--- a/heathwell/fleet/control/fleet_view.py
+++ b/heathwell/fleet/control/fleet_view.py
@@ -11,7 +11,7 @@
 from heathwell.codec import frames
 from heathwell.fleet.rollout import BrokerWindow, QueryStatistics
 
-Sums = dict[str, float]  # of one class, as a broker reports them since its start
+QueryCounters = dict[str, float]  # of one class, as a broker reports them since its start
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,7 +114,7 @@
     )
 
 
-def _statistics_between(start: Sums, end: Sums) -> QueryStatistics:
+def _statistics_between(start: QueryCounters, end: QueryCounters) -> QueryStatistics:
     """The difference of two reports of a class; a sum that the second one lacks counts as unchanged."""
     difference = {key: value - start.get(key, 0.0) for key, value in end.items()}
     return QueryStatistics(
