--- a/heathwell/fleet/control/broker_process.py
+++ b/heathwell/fleet/control/broker_process.py
@@ -1,8 +1,8 @@
-"""The processes of one broker on its node: the listening socket, how a process starts, whether it runs.
+"""The processes of one broker on its node: their listening socket, their start and their status.
 
-The socket is opened here and handed to each process, so that connections wait in the kernel while one process
-ends and another begins. Owns sockets and child processes; what is to be started or stopped is decided by the
-:class:`BrokerSupervisor`. Imports the state file's records, the supervisor and address parsing.
+The agent opens the socket and passes it to each process, so that connections wait in the kernel while one
+process exits and another starts. Owns sockets and child processes; the :class:`BrokerSupervisor` decides what
+is started or stopped. Imports the state file's records, the supervisor and address parsing.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from heathwell.fleet.rollout.broker_supervisor import BrokerSupervisor, SupervisorLimits
 
 LISTEN_BACKLOG = 4_096
-STAT_STATE_FIELD = 0  # of /proc/PID/stat, counted behind the command's name
+STAT_STATE_FIELD = 0  # index in /proc/PID/stat after the command's name
 STAT_START_TIME_FIELD = 19
 ZOMBIE = "Z"
 
@@ -39,7 +39,7 @@
     """
 
     pid: int
-    version: str  # that it runs now: settings may be replaced in place
+    version: str  # current version: settings may be applied without a restart
     start_ticks: int
     ready_file: Path
     child: subprocess.Popen[bytes] | None = None
@@ -48,37 +48,39 @@
     reported_at_us: int = 0
 
     def exit_code(self) -> int | None:
-        """How the process ended, None while it runs; of an adopted one is only known that it ended (0)."""
+        """Return the exit code, None while the process runs, and 0 for an adopted process, whose code is
+        unknown.
+        """
         if self.child is not None:
             return self.child.poll()
         return None if process_start_ticks(self.pid) == self.start_ticks else 0
 
     def to_state(self) -> ProcessState:
-        """The record of it for the state file."""
+        """Return the process's record for the state file."""
         return ProcessState(self.pid, self.version, self.start_ticks, str(self.ready_file))
 
 
 @dataclass(slots=True)
 class SupervisedBroker:
-    """One broker of a machine: its supervisor, its socket, its processes by run number."""
+    """One broker of a machine: its supervisor, its socket, and its processes by run number."""
 
     name: str
     zone_number: int
-    arguments: list[str]  # further ones of `heathwell broker`
-    address: str  # HOST:PORT; port 0 until the socket is open, where the kernel is to choose it
+    arguments: list[str]  # additional arguments of `heathwell broker`
+    address: str  # HOST:PORT; if the kernel chooses the port, it is 0 until the socket is open
     supervisor: BrokerSupervisor
     listening_socket: socket.socket | None = None
     processes: dict[int, RunningProcess] = field(default_factory=dict)
 
     def serving_process(self) -> RunningProcess | None:
-        """The process that serves, if there is one."""
+        """Return the serving process, if there is one."""
         serving = self.supervisor.serving
         return self.processes.get(serving.run) if serving is not None else None
 
     def open_socket(self) -> socket.socket:
-        """The listening socket, opened on first use; raises :class:`OSError`.
+        """Return the listening socket, opened on first use; raises :class:`OSError`.
 
-        Its port may be shared with the socket that an earlier agent opened.
+        SO_REUSEPORT allows another socket on the same port, which an earlier agent opened.
         """
         if self.listening_socket is None:
             host, port = split_address(self.address)
@@ -93,7 +95,7 @@
         return self.listening_socket
 
     def to_state(self) -> BrokerState:
-        """The record of it for the state file."""
+        """Return the broker's record for the state file."""
         supervisor = self.supervisor
         return BrokerState(
             address=self.address,
@@ -109,17 +111,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessLauncher:
-    """Starts broker processes, with their files in ``folder`` and event logs in ``events`` (empty: none)."""
+    """Starts broker processes with files in ``folder`` and event logs in ``events`` (empty: none)."""
 
     folder: Path
     events: str = ""
 
     def settings_path(self, broker: SupervisedBroker) -> Path:
-        """The settings file that a broker's processes read: a copy of the version's, which the agent owns."""
+        """Return the path of the settings file of a broker's processes, the agent's copy of the version's
+        file.
+        """
         return self.folder / f"{broker.name}.sx"
 
     def write_settings(self, broker: SupervisedBroker, files: VersionFiles) -> None:
-        """Put a version's settings where the broker's processes read them; raises :class:`OSError`."""
+        """Copy a version's settings to the broker's settings file; raises :class:`OSError`."""
         write_atomically(self.settings_path(broker), Path(files.settings).read_text(encoding="utf-8"))
 
     def launch(self, broker: SupervisedBroker, run: int, version: str, files: VersionFiles) -> RunningProcess:
@@ -142,7 +146,7 @@
         return RunningProcess(child.pid, version, process_start_ticks(child.pid), ready_file, child)
 
     def ready_file(self, broker: SupervisedBroker, run: int) -> Path:
-        """The file that a process writes once it serves."""
+        """Return the path of the file that a process writes when it starts to serve."""
         return self.folder / f"{broker.name}-{run}.ready"
 
     def _command(self, broker: SupervisedBroker, run: int, ready_file: Path, socket_fd: int) -> list[str]:
@@ -176,19 +180,19 @@
     arguments: list[str],
     limits: SupervisorLimits | None = None,
 ) -> SupervisedBroker:
-    """A broker with a supervisor of its own, and no process yet."""
+    """Return a broker with a new supervisor and without processes."""
     supervisor = BrokerSupervisor(name, limits or SupervisorLimits())
     return SupervisedBroker(name, zone_number, arguments, address, supervisor)
 
 
 def send_signal(pid: int, number: int) -> None:
-    """Send a signal to a process; none is sent where it has ended."""
+    """Send a signal to a process unless it has ended."""
     with contextlib.suppress(ProcessLookupError):
         os.kill(pid, number)
 
 
 def process_start_ticks(pid: int) -> int:
-    """When a process was started, in the kernel's ticks; 0 where there is none or only a zombie."""
+    """Return a process's start time in the kernel's ticks; 0 if it does not exist or is a zombie."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     except OSError:
--- a/heathwell/fleet/control/coordinator_metrics.py
+++ b/heathwell/fleet/control/coordinator_metrics.py
@@ -1,7 +1,7 @@
 """The admin pages of a quota coordinator: ``/healthz`` and ``/metrics``.
 
-They read the server's state when they are requested and own nothing but a metrics registry. Imports: the
-quota coordinator's server, `prometheus_client` and the HTTP pages of `heathwell.observability`.
+The pages read the server's state at each request; the module owns only a metrics registry. Imports: the quota
+coordinator's server, `prometheus_client` and the HTTP pages of `heathwell.observability`.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
         yield from serve_pages(stream, self.answer)
 
     def answer(self, request: Request) -> Response:
-        """The page of a request; 503 for ``/healthz`` while no fraction's lease is held."""
+        """Return the page of a request; ``/healthz`` has status 503 while no fraction's lease is held."""
         if request.path == "/metrics":
             return Response(200, generate_latest(self.registry), PROMETHEUS)
         if request.path == "/healthz":
@@ -40,7 +40,7 @@
         return Response(404, b"pages: /healthz /metrics\n")
 
     def collect(self) -> Iterator[Metric]:
-        """The metrics at this moment."""
+        """Return the current metrics."""
         coordinator = self.server.coordinator
         now = self.server.loop.now()
         members = GaugeMetricFamily("heathwell_members", "Members by state", labels=("state",))
--- a/heathwell/fleet/control/evacuation_coordinator.py
+++ b/heathwell/fleet/control/evacuation_coordinator.py
@@ -1,9 +1,9 @@
-"""A quota coordinator's part in zone evacuation: it collects the brokers' reports, passes on the newest
-decision, and decides itself while it is the leader.
+"""A quota coordinator's part in zone evacuation: it collects the brokers' reports, forwards the newest
+decision, and makes decisions while it is the leader.
 
-The leader is the holder of the first fraction's lease (`heathwell/fleet/quotas/__init__.py`), so there is one
-at a time. Nothing is stored on disk: the decision lives in the brokers that follow it, and a new leader first
-listens for what that is. Imports: `heathwell.fleet.evacuation`, the frames' converters and the settings.
+The leader is the holder of the first fraction's lease (`heathwell/fleet/quotas/__init__.py`), so there is at
+most one. Nothing is stored on disk: the brokers keep the decision that they follow, and a new leader first
+listens for it. Imports: `heathwell.fleet.evacuation`, the frames' converters and the settings.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class NotLeaderError(EvacuationError):
-    """An operator's order reached a coordinator that does not decide."""
+    """An operator's order was sent to a coordinator that is not the leader."""
 
     def __init__(self) -> None:
         super().__init__("this coordinator does not decide: ask another")
@@ -48,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """A broker's last report, and when it came (us)."""
+    """A broker's last report, and the time of its receipt."""
 
     received_at_us: int
     report: BrokerReport
 
 
 def evacuation_coordinator_from_settings(service_settings: ServiceSettings) -> EvacuationCoordinator:
-    """The coordinator that the settings define."""
+    """Return the evacuation coordinator that the settings define."""
     return EvacuationCoordinator(
         service_settings.fleet.zones,
         zone_capacity=service_settings.fleet.zone_bears,
@@ -66,9 +66,9 @@
 class EvacuationCoordinator:
     """Evacuation decisions at one quota coordinator.
 
-    ``zone_capacity`` is what the endpoints of one zone can answer, in parts a second; 0 has it estimated from
-    their answers. ``priority_weights`` is the weight of a part by query class. ``controller_type`` makes the
-    controller of each term.
+    ``zone_capacity`` is the capacity of one zone's endpoints in parts per second; 0 means that it is
+    estimated from their answers. ``priority_weights`` is the priority weight of a part by query class.
+    ``controller_type`` is the class of the controller that is created for each term.
     """
 
     def __init__(
@@ -93,18 +93,21 @@
         self._reports: dict[str, ReceivedReport] = {}
 
     def on_report(self, now_us: int, report: BrokerReport) -> None:
-        """Record a broker's report; it replaces the broker's former one."""
+        """Record a broker's report, which replaces its previous one."""
         self._reports[report.broker] = ReceivedReport(now_us, report)
         if self.controller is not None:
             self.controller.record_report(now_us, report)
 
     def on_decision(self, decision: Decision) -> None:
-        """Adopt a decision that another process follows, if it is newer."""
+        """Adopt a decision received from another process, if it is newer."""
         if decision.is_newer_than(self.decision):
             self.decision = decision
 
     def tick(self, now_us: int, *, is_leader: bool) -> list[ZoneTransition]:
-        """Decide where this coordinator leads; to be called several times a second. Returns what changed."""
+        """Make decisions if this coordinator is the leader, and return the transitions.
+
+        Must be called several times per second.
+        """
         self._expire_reports(now_us)
         if not is_leader:
             self.controller = None
@@ -119,7 +122,7 @@
         return transitions
 
     def total_counts(self) -> dict[ZoneClassKey, AttemptCounts]:
-        """The attempt counts of all brokers' last reports, summed by zone and query class."""
+        """Return the attempt counts of all brokers' last reports, summed by zone and query class."""
         totals: dict[ZoneClassKey, AttemptCounts] = {}
         for received in self._reports.values():
             for key, counts in received.report.counts.items():
@@ -128,7 +131,7 @@
         return totals
 
     def on_operator_command(self, now_us: int, command: frames.OperatorCommand) -> frames.ZonesStatus:
-        """Carry out an operator's command; the reply has the zones' states, and an error in ``text``."""
+        """Carry out an operator's command; the reply has the zones' states, and any error in ``text``."""
         error_text = ""
         if command.word != ZoneReadCommand.STATUS:
             try:
@@ -144,7 +147,7 @@
         )
 
     def _execute(self, now_us: int, command: frames.OperatorCommand) -> None:
-        """Carry out an order; raises an :class:`EvacuationError` where it can't be."""
+        """Carry out an order; raises :class:`EvacuationError`, also if this is not the leader."""
         if self.controller is None:
             raise NotLeaderError
         operator = command.who or DEFAULT_OPERATOR
@@ -154,7 +157,7 @@
             self.on_decision(self.controller.decision)
 
     def _zone_states(self) -> dict[str, str]:
-        """By zone its state and who pinned it, as operators read it; nothing where another leads."""
+        """Return each zone's state and who pinned it, for operators; empty if this is not the leader."""
         if self.controller is None:
             return {}
         return {
@@ -170,7 +173,9 @@
         }
 
     def _leading_controller(self, now_us: int) -> EvacuationController | None:
-        """The controller of this coordinator's term; None while it still listens for the last decision."""
+        """Return the controller of this coordinator's term; None while it still listens for the last
+        decision.
+        """
         if self._leading_since_us is None:
             self._leading_since_us = now_us
         if self.controller is not None:
@@ -186,7 +191,7 @@
         return self.controller
 
     def _update_load(self, now_us: int, controller: EvacuationController) -> None:
-        """Hand the controller the current load and capacity of each zone, probes left out."""
+        """Update the controller's load and capacity of each zone, without probes."""
         counts_by_key = {
             key: counts for key, counts in self.total_counts().items() if key.query_class != PROBE_CLASS
         }
--- a/heathwell/fleet/control/fleet_agent.py
+++ b/heathwell/fleet/control/fleet_agent.py
@@ -1,8 +1,8 @@
 """The agent inside a broker: renews its quotas with all quota coordinators, and admits uses within them.
 
-It owns this broker's quotas, the links to the coordinators and the renewal timer. No query waits for it:
-without coordinators, and while they are unreachable, the broker's own minimum may be used. Imports:
-`heathwell.fleet` (evacuation, membership, quotas), the frames' converters and the event loop.
+It owns this broker's quotas, the links to the coordinators and the renewal timer. No query waits for it: the
+broker's reserved minimum is available also while no coordinator is reachable. Imports: `heathwell.fleet`
+(evacuation, membership, quotas), the frames' converters and the event loop.
 """
 
 from __future__ import annotations
@@ -32,25 +32,25 @@
 SUSPECT_TIMEOUTS_PER_SILENCE_TIMEOUT = (
     2  # a coordinator that is silent for two suspect timeouts counts as lost
 )
-SEEDS_PER_MEMBER = 64  # its links draw from seeds of their own
+SEEDS_PER_MEMBER = 64  # each link of a member has its own seed
 MILLIUNITS_PER_UNIT = 1_000
 
 
 class ZoneObserver(Protocol):
-    """What a broker observes of zones, and how it follows decisions on them."""
+    """Reports a broker's observations of zones, and applies decisions on zones."""
 
     def report(self, now: int) -> BrokerReport:
-        """The broker's report at ``now`` (us)."""
+        """Return the broker's report at ``now`` (us)."""
 
     def on_decision(self, decision: Decision) -> None:
-        """Follow a decision that is newer than any before."""
+        """Apply a decision that is newer than all before."""
 
 
 class FleetAgent:
-    """The agent of one broker; renewals begin with the event loop's next turn.
+    """The agent of one broker; renewals begin in the next iteration of the event loop.
 
-    ``coordinators`` are the addresses of all quota coordinators, by number. ``zone_observer`` is None until
-    one is attached; only then reports and decisions on zones are exchanged.
+    ``coordinators`` are the addresses of all quota coordinators, in the order of their numbers. Reports and
+    decisions on zones are exchanged only while a ``zone_observer`` is attached.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
     def _links(
         self, net: Net, coordinators: Sequence[str], timings: QuotaTimings, seed: int, fleet: str
     ) -> dict[str, ControlLink]:
-        """By address the links to the coordinators."""
+        """Return the links to the coordinators by address."""
         return {
             address: ControlLink(
                 self.loop,
@@ -110,17 +110,18 @@
         return self.quotas.member
 
     def check_incarnation(self) -> int:
-        """End the incarnation if its time is over; to be called before anything is used.
+        """End the incarnation if the process was suspended for too long; return the current time (us).
 
-        Returns the time (us) up to which it has been checked.
+        Must be called before any quota is used.
         """
         now = self.loop.now()
         self._on_incarnation_ended(self.quotas.check_clock(now))
         return now
 
     def acquire(self, budget: str, milliunits: int = MILLIUNITS_PER_UNIT) -> bool:
-        """Use so many milliunits of a budget now, of a count one unit until :meth:`release`. Returns False
-        where they are not free, or no such budget is set.
+        """Use an amount of a rate, or one unit of a count until :meth:`release`.
+
+        Returns False if the quota does not allow it or the budget is unknown.
         """
         now = self.check_incarnation()
         holder = self.quotas.holder(now, budget)
@@ -134,7 +135,7 @@
         return is_acquired
 
     def release(self, budget: str) -> None:
-        """Return a unit of a count; without one in use nothing happens."""
+        """Release a unit of a count, if one is in use."""
         now = self.check_incarnation()
         holder = self.quotas.holders.get(budget)
         if holder is not None and holder.in_use:
@@ -142,28 +143,28 @@
             self._log_holder(now, budget, holder)
 
     def holder(self, budget: str) -> QuotaHolder | None:
-        """The holder of a budget, for its quota, demand and excess; None where no such budget is set."""
+        """Return the holder of a budget, for its quota, demand and excess; None for an unknown budget."""
         return self.quotas.holder(self.loop.now(), budget)
 
     def budget(self, name: str) -> Budget | None:
-        """The fleet-wide budget of this name; None where it is not set."""
+        """Return the fleet-wide budget of this name; None for an unknown one."""
         return self.quotas.budgets.get(name)
 
     def statistics(self) -> dict[str, BudgetStatistics]:
-        """This broker's statistics by budget, for the metrics page; those of a budget's endpoints summed."""
+        """Return this broker's statistics by budget for the metrics page, summed over endpoints."""
         return statistics_by_budget(self.quotas.holders.values(), self.loop.now())
 
     def attach_zone_observer(self, zone_observer: ZoneObserver) -> None:
-        """Send the observer's report with each renewal, and hand it each new decision."""
+        """Send the observer's report with each renewal, and pass each new decision to it."""
         self.zone_observer = zone_observer
 
     def leave(self) -> None:
-        """Notify the coordinators that can be reached that this broker leaves; renew no more."""
+        """Notify the reachable coordinators that this broker leaves, and stop renewing."""
         self.is_leaving = True
         self._send_renewals(self.check_incarnation())
 
     def close(self) -> None:
-        """Close all links; renew no more."""
+        """Close all links and stop renewing."""
         self.is_closed = True
         for link in self.links.values():
             link.close()
@@ -174,7 +175,7 @@
             self.loop.call_at(self.loop.now() + self.renewal_interval_us, self._renew)
 
     def _send_renewals(self, now: int) -> None:
-        """Send a renewal to each coordinator. One that leaves has its releases in the event log before."""
+        """Send a renewal to each coordinator. A leaving broker first writes its releases to the event log."""
         report = self.zone_observer.report(now) if self.zone_observer is not None else None
         renewals = self.quotas.renewals(now, leaving=self.is_leaving)
         if self.is_leaving and self.events.is_enabled:
@@ -191,7 +192,7 @@
         self._log_holders(now)
 
     def _on_message(self, address: str, message: frames.AnyMessage) -> None:
-        """Take a coordinator's reply; after :meth:`leave` it is ignored, as it was requested before."""
+        """Apply a coordinator's reply; ignored after :meth:`leave`, as its grants were requested before."""
         if not isinstance(message, frames.RenewalReply):
             return
         now = self.check_incarnation()
@@ -205,20 +206,20 @@
                 self._log_holder(now, name, self.quotas.holders[name])
 
     def _on_decision(self, decision: Decision) -> None:
-        """Hand a newer decision to the observer."""
+        """Pass a newer decision to the observer."""
         if self.zone_observer is not None and decision.is_newer_than(self.decision):
             self.decision = decision
             self.zone_observer.on_decision(decision)
 
     def _on_incarnation_ended(self, ended: IncarnationEnded | None) -> None:
-        """Log that the incarnation has ended, if it has; the next one begins without grants."""
+        """Log the end of the incarnation, if it has ended; the next one begins without grants."""
         if ended is None:
             return
         self.counts["deaths",] += 1
         self.events("dies", why=ended.reason, inc=self.member.incarnation)
         self.log(
             "warning",
-            "this broker was taken for dead: it holds nothing, and comes again",
+            "incarnation ended: grants dropped, rejoining the fleet as the next incarnation",
             why=ended.reason,
             incarnation=self.member.incarnation,
         )
@@ -230,13 +231,13 @@
                 self._log_holder(now, name, holder)
 
     def _log_holder(self, now: int, name: str, holder: QuotaHolder) -> None:
-        """Log what is held by fraction, for how long yet (us, own clock), and of a count what is in use.
+        """Log the grants held by fraction with their remaining time (us, own clock), and the units in use.
 
-        Only changes are logged; the auditors of experiments read them.
+        Only changes are logged. The audit of event logs reads these events.
         """
         if not self.events.is_enabled:
             return
-        quota = holder.quota(now)  # first: it drops the grants that have run out
+        quota = holder.quota(now)  # called first, as it drops expired grants
         state = (quota, holder.in_use, *(grant.expires_at_us for grant in holder.grants.values()))
         if self._logged_states.get(name) == state:
             return
--- a/heathwell/fleet/control/fleet_view.py
+++ b/heathwell/fleet/control/fleet_view.py
@@ -1,7 +1,7 @@
-"""The fleet as a rollout's controller sees it: each machine's last report, and changes between reports.
+"""A rollout controller's view of the fleet: the last report of each machine, and differences between reports.
 
-Owns the last status of each broker, when its machine reported it, and the statuses that windows and exits are
-counted from. Imports the wire's records and the observations of the rollout package.
+Owns the last status of each broker, the time of its machine's report, and the statuses from which windows and
+exits are counted. Imports the frames and the observations of the rollout package.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 from heathwell.codec import frames
 from heathwell.fleet.rollout import BrokerWindow, QueryStatistics
 
-QueryCounters = dict[str, float]  # of one class, as a broker reports them since its start
+QueryCounters = dict[str, float]  # counters of one query class since the start of a broker process, by name
 
 
 @dataclass(frozen=True, slots=True)
 class ExitCounts:
-    """Unexpected exits of brokers that are to run the new version, and of the others."""
+    """Unexpected exits of brokers that must run the new version, and of the others."""
 
     canary: int
     baseline: int
 
 
 class FleetView:
-    """The brokers of all machines by name; a machine is known by its agent's address.
+    """The brokers of all machines by name; a machine is identified by its agent's address.
 
-    A broker's status is recent where its machine reported less than ``report_timeout_us`` ago.
+    A broker's status is recent if its machine reported less than ``report_timeout_us`` ago.
     """
 
     def __init__(self, report_timeout_us: int) -> None:
@@ -38,32 +38,32 @@
 
     @property
     def machine_count(self) -> int:
-        """Machines that have reported at least once."""
+        """The number of machines that have reported at least once."""
         return len(self._reported_at_us)
 
     def on_report(self, now_us: int, address: str, view: frames.MachineView) -> None:
-        """Take a machine's report."""
+        """Record a machine's report."""
         self._reported_at_us[address] = now_us
         for status in view.running:
             self.statuses[status.broker] = status
             self._machine_of[status.broker] = address
 
     def machine_of(self, broker: str) -> str:
-        """The address of the agent that runs a broker, which must be known."""
+        """Return the address of the agent that runs a broker, which must be known."""
         return self._machine_of[broker]
 
     def is_recent(self, now_us: int, broker: str) -> bool:
-        """Whether the machine of a broker, which must be known, has reported lately."""
+        """Whether the status of a broker, which must be known, is recent."""
         return now_us - self._reported_at_us[self._machine_of[broker]] < self.report_timeout_us
 
     def running_versions(self, now_us: int) -> dict[str, str]:
-        """The version of each broker with a recent status."""
+        """Return the version of each broker with a recent status."""
         return {
             name: status.version for name, status in self.statuses.items() if self.is_recent(now_us, name)
         }
 
     def count_exits(self, canaries: set[str]) -> ExitCounts:
-        """Unexpected exits since each broker was first counted: of ``canaries``, and of the others."""
+        """Return the unexpected exits of ``canaries`` and of the others since their first count."""
         canary_exits = 0
         baseline_exits = 0
         for name, status in self.statuses.items():
@@ -75,11 +75,11 @@
         return ExitCounts(canary_exits, baseline_exits)
 
     def reset_windows(self) -> None:
-        """Forget where the last window ended; the next call of :meth:`end_window` starts anew."""
+        """Discard the start of the current window; the next call of :meth:`end_window` begins a new one."""
         self._window_start = {}
 
     def end_window(self, now_us: int, zones: dict[str, str], old_version: str) -> list[BrokerWindow]:
-        """What each broker in ``zones`` did since the last call; one without a status then is left out."""
+        """Return the window of each broker in ``zones`` since the last call, without those not known then."""
         windows = []
         for name, status in self.statuses.items():
             start = self._window_start.get(name)
@@ -96,7 +96,7 @@
 def _window_between(
     start: frames.BrokerStatus, end: frames.BrokerStatus, *, is_canary: bool, silent: bool
 ) -> BrokerWindow:
-    """The difference of two statuses of a broker; the sums of a new process began at 0."""
+    """Return the difference of two statuses of a broker; the counters of a new process began at 0."""
     same_process = start.run == end.run
     start_classes = start.classes if same_process else {}
     return BrokerWindow(
@@ -104,8 +104,8 @@
         zone=end.zone,
         is_canary=is_canary,
         classes={
-            query_class: _statistics_between(start_classes.get(query_class, {}), sums)
-            for query_class, sums in end.classes.items()
+            query_class: _statistics_between(start_classes.get(query_class, {}), counters)
+            for query_class, counters in end.classes.items()
         },
         cpu_us=end.cpu_us - (start.cpu_us if same_process else 0),
         memory_bytes=end.memory,
@@ -115,7 +115,7 @@
 
 
 def _statistics_between(start: QueryCounters, end: QueryCounters) -> QueryStatistics:
-    """The difference of two reports of a class; a sum that the second one lacks counts as unchanged."""
+    """Return the difference of a class's counters; one that ``end`` lacks counts as unchanged."""
     difference = {key: value - start.get(key, 0.0) for key, value in end.items()}
     return QueryStatistics(
         queries=int(difference.get("asked", 0.0)),
--- a/heathwell/fleet/control/link.py
+++ b/heathwell/fleet/control/link.py
@@ -1,8 +1,8 @@
-"""One standing connection to another process of the fleet control.
+"""A persistent connection to another process of the fleet control.
 
-The link owns its connection and one task that makes it, reads it and, once it is lost, makes it anew after a
-random wait. It has no queue: a message that cannot be sent at once is lost. Imports: the inner protocol, its
-frames and the event loop.
+The link owns its connection and one task that connects, reads messages, and reconnects after a random delay
+when the connection is lost. It has no queue: a message that cannot be sent at once is lost. Imports: the
+inner protocol, its frames and the event loop.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from heathwell.fleet.control.messages import MAX_MESSAGE_BYTES
 
 CONNECT_TIMEOUT_US = 1_000_000
-RECONNECT_INTERVAL_US = 300_000  # mean wait between two attempts
-RECONNECT_JITTER = (0.5, 1.5)  # factors between which the wait is drawn
-MAX_UNSENT_BYTES = 1 << 20  # that the peer may leave unread
-COORDINATOR_ROLE = "keeper"  # in a hello
-MEMBER_ROLE = "member"  # in a hello
+RECONNECT_INTERVAL_US = 300_000  # mean delay between two connection attempts
+RECONNECT_JITTER = (0.5, 1.5)  # range of the random factor on the delay
+MAX_UNSENT_BYTES = 1 << 20  # buffered bytes at which a peer that does not read counts as lost
+COORDINATOR_ROLE = "keeper"  # role of a quota coordinator in a hello
+MEMBER_ROLE = "member"  # role of a broker in a hello
 
 
 class ControlLink:
     """A connection to ``address`` that introduces itself as ``name`` in ``role``.
 
-    ``on_message`` is called with each message but the peer's hello. A peer that stays silent for longer than
-    ``silence_timeout_us`` counts as lost at the next :meth:`send`, as a connection whose peer has vanished is
-    never reset. ``fleet`` is the fleet's name ("" where it has none); a coordinator of another fleet
-    refuses it.
+    ``on_message`` is called with each message except the peer's hello. A peer that is silent for longer than
+    ``silence_timeout_us`` counts as lost at the next :meth:`send`, because a connection whose peer has
+    disappeared is never reset. ``fleet`` is the fleet's name ("" without one); a coordinator of another fleet
+    refuses the connection.
     """
 
     def __init__(
@@ -62,12 +62,14 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether a connection stands."""
+        """Whether the link is connected."""
         return self.stream is not None
 
     def send(self, message: frames.Message) -> bool:
-        """Send a message; returns False where it is lost: without a connection, or where the peer is silent
-        or does not read, which ends the connection.
+        """Send a message; return False if it is lost.
+
+        It is lost without a connection, and if the peer is silent or does not read, which ends the
+        connection.
         """
         if self.stream is None:
             return False
@@ -79,7 +81,7 @@
         return True
 
     def close(self) -> None:
-        """End the connection for good."""
+        """Close the connection and do not reconnect."""
         self._task.cancel()
 
     def _run(self) -> Coro[None]:
@@ -91,21 +93,21 @@
             yield from sleep(self.loop, int(RECONNECT_INTERVAL_US * self.random.uniform(*RECONNECT_JITTER)))
 
     def _report_problem(self, problem: str) -> None:
-        """Log a problem once, not with each attempt."""
+        """Log a problem once, instead of at each attempt."""
         if problem == (self._reported_problem or ""):
             return
         self._reported_problem = problem
-        self.log("warning", "control: no connection", to=self.address, why=problem)
+        self.log("warning", "control link not connected, retrying", to=self.address, why=problem)
 
     def _exchange(self) -> Coro[None]:
-        """One connection, from its making to its end, which is always an exception."""
+        """Connect and read messages until the connection ends, which always raises an exception."""
         stream = yield from self.net.connect(self.address, CONNECT_TIMEOUT_US)
         try:
             stream.write(frames.encode(frames.Hello(frames.VERSION, self.name, self.role, fleet=self.fleet)))
             self.last_received_at_us = self.loop.now()
             self.stream = stream
             yield from inner_protocol.listen(stream, self._on_message, MAX_MESSAGE_BYTES)
-            raise StreamBrokenError("closed by the other side")
+            raise StreamBrokenError("connection closed by the peer")
         finally:
             self.stream = None
             stream.abort()
@@ -116,5 +118,5 @@
             self.on_message(message)
             return
         if self._reported_problem:
-            self.log("info", "control: connected again", to=self.address, peer=message.name)
+            self.log("info", "control link connected again", to=self.address, peer=message.name)
         self._reported_problem = None
--- a/heathwell/fleet/control/messages.py
+++ b/heathwell/fleet/control/messages.py
@@ -1,7 +1,7 @@
 """Converters between the records of the fleet's controllers and the frames of the inner protocol.
 
-Each pair is ``<record>_to_frame`` and ``<record>_from_frame``. The functions are pure and keep nothing.
-Frames are bounded here: what exceeds a bound is left out, never refused.
+Each pair of pure functions is ``<record>_to_frame`` and ``<record>_from_frame``. They limit the size of
+frames: what exceeds a limit is dropped, and the frame is not rejected.
 
 Imports: `heathwell.codec.frames` and the records of `heathwell.fleet.evacuation`, `membership` and `quotas`;
 no sockets and no event loop.
@@ -22,14 +22,16 @@
     QuotaRenewalReply,
 )
 
-MAX_MESSAGE_BYTES = 256 << 10  # of one frame between processes of the fleet control
-MAX_DEMANDS = 96  # budgets in one renewal
-NO_HOLDER = ""  # in a vote, where the voter may not vote for anyone yet
-MAX_ATTEMPT_COUNTS = 512  # pairs of zone and query class in one report
+MAX_MESSAGE_BYTES = 256 << 10  # maximum size of a frame between processes of the fleet control
+MAX_DEMANDS = 96  # maximum budgets in one renewal
+NO_HOLDER = ""  # holder in the answer of a voter that may not vote yet
+MAX_ATTEMPT_COUNTS = 512  # maximum pairs of zone and query class in one report
 
 
 def renewal_to_frame(renewal: QuotaRenewal) -> frames.RenewalRequest:
-    """A renewal. Beyond :data:`MAX_DEMANDS` budgets it keeps those with grants, then the largest demands."""
+    """Convert a renewal. Of more than :data:`MAX_DEMANDS` budgets it keeps those with grants, then the
+    largest demands.
+    """
     report = renewal.report
     demands = sorted(renewal.demands, key=lambda demand: (not demand.active_grants, -demand.demand))[
         :MAX_DEMANDS
@@ -59,7 +61,7 @@
 
 
 def renewal_from_frame(message: frames.RenewalRequest) -> QuotaRenewal:
-    """A renewal; budgets beyond :data:`MAX_DEMANDS` are ignored, a negative demand counts as 0."""
+    """Convert a renewal; budgets beyond :data:`MAX_DEMANDS` are ignored, a negative demand becomes 0."""
     report = MembershipReport(
         message.name,
         message.incarnation,
@@ -78,7 +80,7 @@
 
 
 def renewal_reply_to_frame(reply: QuotaRenewalReply) -> frames.RenewalReply:
-    """A quota coordinator's reply to a renewal."""
+    """Convert a quota coordinator's reply to a renewal."""
     membership = reply.membership
     grants = [
         frames.Granted(grant.budget, grant.fraction, grant.number, grant.amount, grant.duration_us)
@@ -97,7 +99,7 @@
 
 
 def renewal_reply_from_frame(message: frames.RenewalReply) -> QuotaRenewalReply:
-    """A reply to a renewal; a state that this version does not know counts as suspected."""
+    """Convert a reply to a renewal; a state that is unknown to this version becomes SUSPECT."""
     membership = MembershipReply(_member_state(message.state), message.number, message.least, message.why)
     return QuotaRenewalReply(
         membership,
@@ -120,7 +122,7 @@
 
 
 def _member_state(text: str) -> MemberState:
-    """A member's state. One that a later version adds is not final, so the broker continues as suspected."""
+    """Parse a member's state. An unknown state of a later version is not final, so it becomes SUSPECT."""
     try:
         return MemberState(text)
     except ValueError:
@@ -128,32 +130,32 @@
 
 
 def lease_request_to_frame(request: FractionLeaseRequest) -> frames.LeaseRequest:
-    """A candidate's request for the lease of a fraction."""
+    """Convert a candidate's request for the lease of a fraction."""
     return frames.LeaseRequest(request.fraction, request.candidate, request.requested_at_us)
 
 
 def lease_request_from_frame(message: frames.LeaseRequest) -> FractionLeaseRequest:
-    """A candidate's request for the lease of a fraction."""
+    """Convert a candidate's request for the lease of a fraction."""
     return FractionLeaseRequest(message.fraction, message.claimant, message.asked_us)
 
 
 def lease_vote_to_frame(vote: FractionLeaseVote) -> frames.LeaseVote:
-    """A vote on the lease of a fraction; without a holder :data:`NO_HOLDER` is sent."""
+    """Convert a vote on the lease of a fraction; no holder becomes :data:`NO_HOLDER`."""
     return frames.LeaseVote(vote.fraction, vote.voter, vote.requested_at_us, vote.holder or NO_HOLDER)
 
 
 def lease_vote_from_frame(message: frames.LeaseVote) -> FractionLeaseVote:
-    """A vote on the lease of a fraction; :data:`NO_HOLDER` becomes None."""
+    """Convert a vote on the lease of a fraction; :data:`NO_HOLDER` becomes None."""
     return FractionLeaseVote(message.fraction, message.voter, message.asked_us, message.owner or None)
 
 
 def broker_report_to_frames(report: BrokerReport) -> list[frames.ZoneReport]:
-    """The attempt counts of a broker's report; its other fields go in the renewal itself."""
+    """Convert the attempt counts of a broker's report; its other fields are fields of the renewal."""
     return attempt_counts_to_frames(report.counts)
 
 
 def attempt_counts_to_frames(counts_by_key: dict[ZoneClassKey, AttemptCounts]) -> list[frames.ZoneReport]:
-    """Attempt counts by zone and query class, at most :data:`MAX_ATTEMPT_COUNTS` of them."""
+    """Convert attempt counts by zone and query class, at most :data:`MAX_ATTEMPT_COUNTS` of them."""
     return [
         frames.ZoneReport(zone, query_class, counts.good, counts.late, counts.bad, counts.took_ms)
         for (zone, query_class), counts in list(counts_by_key.items())[:MAX_ATTEMPT_COUNTS]
@@ -161,7 +163,7 @@
 
 
 def attempt_counts_from_frames(reports: list[frames.ZoneReport]) -> dict[ZoneClassKey, AttemptCounts]:
-    """Attempt counts by zone and query class; negative counts become 0."""
+    """Convert attempt counts by zone and query class; negative counts become 0."""
     return {
         ZoneClassKey(report.zone, report.query_class): AttemptCounts(
             max(0, report.good), max(0, report.late), max(0, report.bad), max(0, report.took_ms)
@@ -171,12 +173,12 @@
 
 
 def broker_report_from_frame(message: frames.RenewalRequest) -> BrokerReport:
-    """A broker's report on zones, as its renewal carries it."""
+    """Return the broker's report on zones that a renewal contains."""
     return BrokerReport(message.name, message.zone, attempt_counts_from_frames(message.seen), message.cut_off)
 
 
 def decision_to_frame(decision: Decision) -> frames.ZoneDecision | None:
-    """A decision on zones; None for term 0, under which none has been made."""
+    """Convert a decision on zones; None for term 0, in which no decision was made."""
     if not decision.term:
         return None
     return frames.ZoneDecision(
@@ -192,7 +194,7 @@
 
 
 def decision_from_frame(message: frames.ZoneDecision | None) -> Decision:
-    """A decision on zones; without a frame the empty one of term 0."""
+    """Convert a decision on zones; no frame becomes the empty decision of term 0."""
     if message is None:
         return Decision(0, 0)
     return Decision(
--- a/heathwell/fleet/control/node_agent.py
+++ b/heathwell/fleet/control/node_agent.py
@@ -1,8 +1,8 @@
 """The agent of a node: starts, replaces and restarts the broker processes that controllers request.
 
-Owns the wiring between the supervisors, the processes, the state file and the control connections. An agent
-that starts again adopts the processes that serve, which have continued meanwhile. Imports the records of the
-state file, the broker processes, the supervisor and the inner protocol.
+Connects the supervisors, the processes, the state file and the control connections. A restarted agent adopts
+the serving processes, which have continued to run. Imports the records of the state file, the broker
+processes, the supervisor and the inner protocol.
 """
 
 from __future__ import annotations
@@ -43,15 +43,15 @@
 from heathwell.observability.digests import program_digest, settings_digest
 
 TICK_INTERVAL_US = 100_000
-POLL_INTERVAL_US = 500_000  # between polls of a broker for its sums
+POLL_INTERVAL_US = 500_000  # interval between polls of a broker's counters
 POLL_TIMEOUT_US = 1_500_000
 MAX_CONTROLLER_CONNECTIONS = 64
-EXIT_NOT_STARTED = 127  # the shell's code for a command that cannot be run
+EXIT_NOT_STARTED = 127  # as the shell's exit code for a command that cannot be run
 
 
 @dataclass(eq=False)
 class DesiredVersionRejectedError(RolloutError):
-    """A decision on a broker's version cannot be taken."""
+    """A decision on a broker's version is rejected."""
 
     reason: str
 
@@ -60,10 +60,10 @@
 
 
 class NodeAgent:
-    """Runs ``brokers``, whose zone numbers index ``zones``; keeps files and state in ``folder``.
+    """Runs ``brokers``, whose zone numbers are indexes of ``zones``; stores files and state in ``folder``.
 
-    ``events`` is the folder of the brokers' event logs, or empty for none. The folder is created, and its
-    state file restored, on construction; errors of both propagate.
+    ``events`` is the folder of the brokers' event logs, or empty for none. The constructor creates ``folder``
+    and restores the state file in it; errors of both propagate.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         self._restore_state()
 
     def start(self, listen: str) -> str:
-        """Listen for controllers and start to tick; returns the listening address."""
+        """Listen for controllers and start the timers; return the listening address."""
         self.listener = self.net.listen(listen, self._serve, f"agent {self.name}", MAX_CONTROLLER_CONNECTIONS)
         self.loop.call_soon(self._tick)
         for broker in self.brokers.values():
@@ -101,7 +101,7 @@
         return self.listener.address
 
     def set_desired_version(self, decision: frames.DesiredVersion) -> None:
-        """Take a decision on the version of one broker; repeating one has no effect.
+        """Apply a decision on the version of one broker; repeating one has no effect.
 
         Raises :class:`DesiredVersionRejectedError` for an unknown broker, files that cannot be read, a known
         version with other files, or a (term, number) below that of the last decision.
@@ -127,7 +127,7 @@
         self._execute(broker, actions)
 
     def stop(self) -> None:
-        """Stop all processes, and start none any more."""
+        """Stop all processes, and start no more."""
         self.stopping = True
         for broker in self.brokers.values():
             for process in broker.processes.values():
@@ -135,11 +135,11 @@
 
     @property
     def process_count(self) -> int:
-        """Processes that have not ended."""
+        """The number of processes that have not ended."""
         return sum(len(broker.processes) for broker in self.brokers.values())
 
     def view(self) -> frames.MachineView:
-        """What runs here, and its sums."""
+        """Return the status and the counters of each broker."""
         now_us = self.loop.now()
         return frames.MachineView(
             self.name, [self._broker_status(broker, now_us) for broker in self.brokers.values()]
@@ -148,7 +148,7 @@
     # Versions.
 
     def _register_version(self, decision: frames.DesiredVersion) -> VersionFiles:
-        """Note where a version's files lie."""
+        """Record the paths and digests of a version's files."""
         base = base_version(decision.version)
         try:
             digests = (
@@ -167,7 +167,7 @@
         return files
 
     def _differs_in_settings_alone(self, broker: SupervisedBroker, files: VersionFiles) -> bool:
-        """Whether a version has the program that the broker serves with, and other settings."""
+        """Whether a version has the same program as the serving version, but other settings."""
         serving = self.versions.get(base_version(broker.supervisor.version))
         if serving is None:
             return False
@@ -195,14 +195,16 @@
                     self.log(level, text)
 
     def _apply_settings(self, broker: SupervisedBroker, run: int, version: str) -> None:
-        """Put a version's settings in place and have the process read them (SIGHUP).
+        """Write a version's settings and make the process read them (SIGHUP).
 
-        A failure is logged alone: the supervisor replaces the process after a timeout.
+        A failure is only logged: the supervisor replaces the process after a timeout.
         """
         try:
             self.launcher.write_settings(broker, self._files_of(version))
         except OSError as error:
-            self.log("error", "settings could not be put in place", broker=broker.name, why=str(error))
+            self.log(
+                "error", "could not write the broker's settings file", broker=broker.name, why=str(error)
+            )
             return
         if run in broker.processes:
             send_signal(broker.processes[run].pid, signal.SIGHUP)
@@ -215,7 +217,7 @@
         try:
             broker.processes[run] = self.launcher.launch(broker, run, version, files)
         except OSError as error:
-            self.log("error", "could not start a process", broker=broker.name, why=str(error))
+            self.log("error", "could not start a broker process", broker=broker.name, why=str(error))
             self.loop.call_soon(self._on_exit, broker, run, EXIT_NOT_STARTED)
             return
         self._save_state()
@@ -244,7 +246,7 @@
         self._save_state()
 
     def _on_ready(self, broker: SupervisedBroker, run: int, process: RunningProcess) -> None:
-        """A process has written its ready file: the digests in it must be those of the version's files."""
+        """Handle a process's ready file, whose digests must equal those of the version's files."""
         supervisor = broker.supervisor
         try:
             ready = read_ready_file(process.ready_file)
@@ -264,7 +266,7 @@
         self._save_state()
 
     def _poll_forever(self, broker: SupervisedBroker) -> Coro[None]:
-        """Poll the serving process for its sums."""
+        """Poll the counters of the serving process."""
         while True:
             yield from sleep(self.loop, POLL_INTERVAL_US)
             serving = broker.supervisor.serving
@@ -278,7 +280,7 @@
             self._check_settings_applied(broker, serving.run, process)
 
     def _poll(self, process: RunningProcess) -> Coro[None]:
-        """Poll a process once; one that does not answer counts as silent after a while."""
+        """Poll a process once; one that does not answer for too long counts as silent."""
         try:
             report = yield from fetch_service_report(self.net, process.admin_address, POLL_TIMEOUT_US)
         except (ConnectError, StreamBrokenError, HttpError, ValueError):
@@ -288,7 +290,7 @@
             process.reported_at_us = self.loop.now()
 
     def _check_settings_applied(self, broker: SupervisedBroker, run: int, process: RunningProcess) -> None:
-        """Notify the supervisor once a process reports the settings that were handed to it."""
+        """Notify the supervisor when a process reports the settings that it had to apply."""
         supervisor = broker.supervisor
         files = self.versions.get(base_version(supervisor.applying_version))
         if files is None or process.report.settings_digest != files.digests[1]:
@@ -310,7 +312,7 @@
                 MAX_MESSAGE_BYTES,
             )
         except frames.FrameError as error:
-            self.log("warning", "control: not our wire", peer=stream.peer, why=str(error))
+            self.log("warning", "control connection closed: invalid frame", peer=stream.peer, why=str(error))
 
     def _on_message(self, stream: Stream, message: frames.AnyMessage) -> None:
         match message:
@@ -354,15 +356,15 @@
     # State file.
 
     def _save_state(self) -> None:
-        """Write the state file; where the disk is full only the file is lost, which is logged."""
+        """Write the state file. An error, such as a full disk, is logged and the agent continues."""
         brokers = {broker.name: broker.to_state() for broker in self.brokers.values()}
         try:
             save_agent_state(self.folder, AgentState(self.versions, brokers))
         except OSError as error:
-            self.log("error", "the agent's notes could not be written", why=str(error))
+            self.log("error", "could not write the agent's state file", why=str(error))
 
     def _restore_state(self) -> None:
-        """Go on from the state file, where there is one."""
+        """Restore the state file, if there is one."""
         state = load_agent_state(self.folder)
         if state is None:
             return
@@ -373,7 +375,7 @@
                 self._restore_broker(broker, broker_state)
 
     def _restore_broker(self, broker: SupervisedBroker, state: BrokerState) -> None:
-        """Adopt the process that serves and stop the others, which had only begun or were draining."""
+        """Adopt the serving process and stop the others, which were starting or draining."""
         supervisor = broker.supervisor
         broker.address = state.address
         supervisor.desired_version = state.desired_version
@@ -383,7 +385,7 @@
         supervisor.number = state.number
         for run, process in state.processes.items():
             if process_start_ticks(process.pid) != process.start_ticks:
-                continue  # it has ended, and its pid may be another process's now
+                continue  # it has ended, and its pid may belong to another process now
             if run != state.serving_run:
                 send_signal(process.pid, signal.SIGTERM)
                 continue
--- a/heathwell/fleet/control/parameters.py
+++ b/heathwell/fleet/control/parameters.py
@@ -1,6 +1,6 @@
 """The parameters of the fleet's controllers, derived from the ``(fleet ...)`` form of the settings.
 
-Pure functions over settings that have passed their checks. Imports: the settings' schema and the records of
+Pure functions of validated settings. Imports: the settings' schema and the records of
 `heathwell.fleet.membership` and `heathwell.fleet.quotas`.
 """
 
@@ -21,12 +21,12 @@
 
 
 def max_brokers(fleet: Fleet) -> int:
-    """For how many brokers minimum quotas are reserved."""
+    """Return the number of brokers for which a minimum quota is reserved."""
     return fleet.most or fleet.brokers
 
 
 def budgets_from_settings(fleet: Fleet) -> Sequence[Budget]:
-    """The fleet-wide budgets, in the order of the settings."""
+    """Return the fleet-wide budgets, in the order of the settings."""
     return tuple(
         _connection_budget(fleet, budget)
         if budget.name == CONNECTIONS_BUDGET
@@ -36,8 +36,9 @@
 
 
 def _connection_budget(fleet: Fleet, settings: FleetBudget) -> Budget:
-    """Connections to one endpoint. A broker's first connection is its own and never requested: only
-    additional ones are granted.
+    """Return the budget of connections to one endpoint.
+
+    Each broker has its first connection without a grant: only additional ones are counted and granted.
     """
     brokers = max_brokers(fleet)
     return Budget(
@@ -54,7 +55,7 @@
 
 
 def _rate_budget(fleet: Fleet, settings: FleetBudget) -> Budget:
-    """A rate, in milliunits a second."""
+    """Return the budget of a rate, in milliunits per second."""
     return Budget(
         settings.name,
         BudgetKind.RATE,
@@ -68,15 +69,16 @@
 
 
 def rollout_lease_budget(fleet: Fleet) -> Budget:
-    """The one unit that the active rollout controller holds as its lease."""
+    """Return the budget of one unit, which the active rollout controller holds as its lease."""
     return Budget(
         ROLLOUT_BUDGET, BudgetKind.COUNT, 1, 0, max_brokers(fleet), len(fleet.coordinators), sticky=True
     )
 
 
 def quota_timings_from_settings(fleet: Fleet) -> QuotaTimings:
-    """The durations of leases and of membership (us). A fraction's lease outlasts a grant, so that a
-    grant made late in it is not cut short.
+    """Return the durations of leases and membership timeouts.
+
+    A fraction's lease lasts longer than a grant, so that grants made late in the lease are not shortened.
     """
     return QuotaTimings(
         Lease(fleet.lease, fleet.drift),
--- a/heathwell/fleet/control/quota_coordinator.py
+++ b/heathwell/fleet/control/quota_coordinator.py
@@ -1,8 +1,8 @@
-"""The server of a quota coordinator: the pure `heathwell.fleet.quotas.QuotaCoordinator` on sockets.
+"""The server of a quota coordinator: the I/O for `heathwell.fleet.quotas.QuotaCoordinator`.
 
-It owns the listener, the connections of members and peers, the links to the other coordinators and the tick;
-what is decided is decided by the coordinator and by the `EvacuationCoordinator`. Nothing is stored on disk.
-Imports: `heathwell.fleet` (membership, quotas), the inner protocol and the event loop.
+It owns the listener, the connections of members and peers, the links to the other coordinators and the timer.
+Decisions are made by that coordinator and by the `EvacuationCoordinator`. Nothing is stored on disk. Imports:
+`heathwell.fleet` (membership, quotas), the inner protocol and the event loop.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 )
 from heathwell.observability.event_log import EventLog, NoEvents
 
-TICKS_PER_LEASE = 12  # how often a fraction's lease is requested anew, so that some requests may be lost
+TICKS_PER_LEASE = 12  # renewals within the duration of a fraction's lease, so that some requests may be lost
 SILENCE_TIMEOUTS_PER_LEASE = 2  # a peer that is silent for half a fraction lease counts as lost
-SEEDS_PER_COORDINATOR = 64  # its links draw from seeds of their own
+SEEDS_PER_COORDINATOR = 64  # each link of a coordinator has its own seed
 MAX_CONNECTIONS = 4_096
 LEADER_FRACTION = 0  # the holder of its lease is the leader, which decides on zone evacuation
 DecisionCarrier = TypeVar("DecisionCarrier", frames.RenewalReply, frames.LeaseRequest, frames.LeaseVote)
@@ -37,8 +37,8 @@
 class QuotaCoordinatorServer:
     """One incarnation of a quota coordinator.
 
-    ``peers`` are the other coordinators' addresses by number; ``evacuation`` is None where no zones are
-    evacuated; ``fleet`` is the fleet's name, and who introduces itself with another is refused.
+    ``peers`` are the other coordinators' addresses by number; ``evacuation`` is None if zone evacuation is
+    off; ``fleet`` is the fleet's name: a peer that introduces itself with another name is refused.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self.fleet = fleet
         self.name = f"k{coordinator.number}"
         self.counts: Counter[tuple[str, ...]] = Counter()
-        self.streams: dict[Stream, str] = {}  # by connection the peer's name, "" before its hello
+        self.streams: dict[Stream, str] = {}  # the peer's name by connection, "" before its hello
         self.listener: Listener | None = None
         self._held_fractions: list[int] = []
         self._tick_interval_us = coordinator.timings.fraction_lease.duration_us // TICKS_PER_LEASE
@@ -71,7 +71,7 @@
         self.loop.call_soon(self._tick)
 
     def _link(self, number: int, address: str, seed: int) -> ControlLink:
-        """A link to another coordinator."""
+        """Return a link to another coordinator."""
         return ControlLink(
             self.loop,
             self.net,
@@ -87,7 +87,7 @@
         )
 
     def start(self, listen: str) -> str:
-        """Listen at an address; returns the one in use."""
+        """Listen on an address; return the address in use."""
         self.listener = self.net.listen(listen, self._serve, self.name, MAX_CONNECTIONS)
         return self.listener.address
 
@@ -101,7 +101,7 @@
             stream.abort()
 
     def resize(self, budgets: Iterable[Budget]) -> list[QuotaError]:
-        """Set new totals. Returns the errors of those budgets that can't be resized; the others are."""
+        """Apply changed budgets; return the errors of those that cannot be resized."""
         errors = []
         for budget in budgets:
             try:
@@ -127,7 +127,7 @@
         self._log_held_fractions(now)
 
     def _tick_evacuation(self, now: int, evacuation: EvacuationCoordinator) -> None:
-        """Decide on zones where this coordinator leads, and log what changed."""
+        """Make decisions on zones if this coordinator is the leader, and log the transitions."""
         is_leader = LEADER_FRACTION in self.coordinator.held_fractions(now)
         for transition in evacuation.tick(now, is_leader=is_leader):
             decision = evacuation.decision
@@ -139,13 +139,13 @@
             )
             self.log(
                 "warning",
-                "zone",
+                "zone state changed",
                 change=str(transition),
                 decision=f"({decision.term}, {decision.number})",
             )
 
     def _with_decision(self, message: DecisionCarrier) -> DecisionCarrier:
-        """The message with the current decision on zones, so that every process passes it on."""
+        """Add the current decision on zones to a message, so that every process forwards it."""
         if self.evacuation is not None:
             message.decision = messages.decision_to_frame(self.evacuation.decision)
         return message
@@ -153,7 +153,7 @@
     def _on_zone_state(
         self, now: int, message: frames.RenewalRequest | frames.LeaseRequest | frames.LeaseVote
     ) -> None:
-        """Take the decision that the sender follows, and a broker's report."""
+        """Apply the decision that the sender follows, and a broker's report."""
         if self.evacuation is None:
             return
         self.evacuation.on_decision(messages.decision_from_frame(message.decision))
@@ -161,7 +161,7 @@
             self.evacuation.on_report(now, messages.broker_report_from_frame(message))
 
     def _log_held_fractions(self, now: int) -> None:
-        """Log the fractions whose lease this coordinator holds, where they have changed."""
+        """Log the fractions whose lease this coordinator holds, if they have changed."""
         held = self.coordinator.held_fractions(now)
         if held == self._held_fractions:
             return
@@ -171,7 +171,7 @@
             fractions=held,
             left={str(fraction): left_us for fraction, left_us in remaining_us.items()},
         )
-        self.log("info", "fractions owned", before=self._held_fractions, after=held)
+        self.log("info", "held fractions changed", before=self._held_fractions, after=held)
         self._held_fractions = held
 
     # Connections: brokers' renewals, other coordinators' lease requests, operators' commands.
@@ -188,7 +188,9 @@
             )
         except frames.FrameError as problem:
             self.counts["garbled",] += 1
-            self.log("warning", "control: not our wire", peer=stream.peer, why=str(problem))
+            self.log(
+                "warning", "control connection closed: invalid frame", peer=stream.peer, why=str(problem)
+            )
         finally:
             del self.streams[stream]
 
@@ -197,7 +199,7 @@
             return
         if stream.unsent > messages.MAX_MESSAGE_BYTES:
             self.counts["unread",] += 1
-            stream.abort()  # it reads nothing: replies are lost anyway
+            stream.abort()  # the peer does not read, so replies are lost anyway
             return
         if isinstance(message, frames.Hello):
             self._on_hello(stream, message)
@@ -207,11 +209,15 @@
             stream.offer(frames.encode(reply))
 
     def _on_hello(self, stream: Stream, hello: frames.Hello) -> None:
-        """Record the peer's name; refuse it if it is of another fleet, whose address this may have been."""
+        """Record the peer's name; refuse a peer of another fleet, which may have used this address before."""
         if hello.fleet and hello.fleet != self.fleet:
             self.counts["other fleet",] += 1
             self.log(
-                "error", "control: of another fleet", peer=hello.name, theirs=hello.fleet, ours=self.fleet
+                "error",
+                "control connection refused: peer of another fleet",
+                peer=hello.name,
+                theirs=hello.fleet,
+                ours=self.fleet,
             )
             refusal = frames.VersionMismatch(f"this is a quota coordinator of fleet '{self.fleet}'")
             stream.offer(frames.encode(refusal))
@@ -219,7 +225,7 @@
         self.streams[stream] = hello.name
 
     def _reply_to(self, now: int, peer: str, message: frames.AnyMessage) -> frames.Message | None:
-        """The reply to a request; None where there is none."""
+        """Return the reply to a message, if there is one."""
         match message:
             case frames.RenewalRequest():
                 self._on_zone_state(now, message)
@@ -236,7 +242,7 @@
                 return None
 
     def _vote(self, now: int, peer: str, message: frames.LeaseRequest) -> frames.LeaseVote | None:
-        """This coordinator's vote; None where the peer is no coordinator, whose names are their numbers."""
+        """Return this coordinator's vote; None if the peer is not one: their names are numbers."""
         if not peer.isdecimal():
             return None
         self._on_zone_state(now, message)
@@ -245,7 +251,7 @@
         return self._with_decision(messages.lease_vote_to_frame(vote))
 
     def _renew(self, now: int, message: frames.RenewalRequest) -> QuotaRenewalReply:
-        """Renew a member's grants; they are in the event log before the reply is sent."""
+        """Renew a member's grants, and write them to the event log before the reply is sent."""
         outcome = self.coordinator.on_renewal(now, messages.renewal_from_frame(message))
         self.counts["renewals",] += 1
         self._log_transitions(outcome.transitions)
@@ -269,7 +275,7 @@
                 )
 
     def _on_peer_message(self, number: int, message: frames.AnyMessage) -> None:
-        """Count a vote of the coordinator ``number``."""
+        """Record a vote of the coordinator ``number``."""
         if not isinstance(message, frames.LeaseVote):
             return
         now = self.loop.now()
@@ -292,7 +298,7 @@
             )
             self.log(
                 "warning" if is_failure else "info",
-                "member",
+                "member state changed",
                 member=transition.name,
                 incarnation=transition.incarnation,
                 before=before or "-",
@@ -301,7 +307,7 @@
             )
 
     def view(self, now: int) -> frames.FleetView:
-        """This coordinator's members, budgets and grants; durations (us) are from ``now``."""
+        """Return this coordinator's members, budgets and grants; durations (us) are relative to ``now``."""
         return frames.FleetView(
             self.name,
             self.coordinator.incarnation,
@@ -312,7 +318,7 @@
         )
 
     def _member_shares(self, now: int) -> list[frames.MemberShare]:
-        """What each member may hold, by budget, fraction and member."""
+        """Return what each member may hold, by budget, fraction and member."""
         return [
             frames.MemberShare(
                 budget,
--- a/heathwell/fleet/control/rollout.py
+++ b/heathwell/fleet/control/rollout.py
@@ -1,8 +1,8 @@
-"""The process of a rollout: drives the rollout's state machine with what the machines' agents report.
+"""The process of a rollout: drives the rollout's state machine with the reports of the machines' agents.
 
-Owns the connections to the agents, the operators' listener and the rollout's file, which is written before
-anything follows from a step. Decisions are the :class:`RolloutController`'s. Imports that package, the view
-of the fleet, the file and the inner protocol.
+Owns the connections to the agents, the operators' listener and the rollout's file, which is written before a
+transition takes effect. The :class:`RolloutController` makes the decisions. Imports that package, the view of
+the fleet, the file and the inner protocol.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from heathwell.fleet.rollout.broker_supervisor import SupervisorState
 
 TICK_INTERVAL_US = 200_000
-REPORT_TIMEOUT_US = 10 * TICK_INTERVAL_US  # after which a machine that has not reported counts as lost
+REPORT_TIMEOUT_US = 10 * TICK_INTERVAL_US  # time without a report after which a machine counts as lost
 MAX_OPERATOR_CONNECTIONS = 16
 REJECTION_LIMIT = 3  # rejections of one broker's desired version after which the rollout is rolled back
 BUSY_STATES = frozenset(
@@ -44,12 +44,12 @@
 OBSERVATION_STATES = frozenset({RolloutState.OBSERVING, RolloutState.HELD})
 UPDATE_STATES = frozenset({RolloutState.DEPLOYING, RolloutState.ROLLING_BACK})
 WARNING_STATES = frozenset({RolloutState.HELD, RolloutState.ROLLING_BACK})
-OPERATOR_EVENTS = frozenset({"hold", "resume", "undo"})  # words that are values of RolloutEvent
+OPERATOR_EVENTS = frozenset({"hold", "resume", "undo"})  # operator commands that are values of RolloutEvent
 STATUS_COMMAND = "status"
 
 
 class BrokerStatusRecord(TypedDict):
-    """One broker in the status that operators read; the field names are those of the reply's JSON."""
+    """One broker in the status for operators; the field names are the keys of the reply's JSON."""
 
     zone: str
     runs: str
@@ -61,7 +61,7 @@
 
 
 class RolloutStatusRecord(RolloutRecord):
-    """The rollout's record, whether this controller holds the fleet's lease, and each broker's state."""
+    """The rollout's record, whether this controller holds the rollout lease, and each broker's state."""
 
     holds: bool
     brokers: dict[str, BrokerStatusRecord]
@@ -70,10 +70,10 @@
 class RolloutRunner:
     """Runs one rollout until it has ended, which sets ``done``.
 
-    ``is_leader`` returns whether this is the fleet's controller at the moment; while it is not, nothing is
-    begun. ``preflight`` returns what speaks against the rollout. ``files`` are the versions' by name.
-    ``crash_at`` is called with the name of each point at which tests may end the process. A record in
-    ``folder`` is continued, under the new ``term``; errors of its reading propagate.
+    ``is_leader`` returns whether this is currently the active controller; while it is not, the rollout waits.
+    ``preflight`` returns the problems that prevent the rollout. ``files`` are the files of each version by
+    name. ``crash_at`` is called with the name of each point at which tests may kill the process. A record in
+    ``folder`` is continued under the new ``term``; errors while reading it propagate.
     """
 
     def __init__(
@@ -111,20 +111,20 @@
         self.links = {address: self._connect(address, seed) for seed, address in enumerate(machines)}
 
     def start(self, listen: str) -> str:
-        """Listen for operators and start to tick; returns the listening address."""
+        """Listen for operators and start the timer; return the listening address."""
         self.listener = self.net.listen(listen, self._serve, "rollout", MAX_OPERATOR_CONNECTIONS)
         self.loop.call_soon(self._tick)
         return self.listener.address
 
     def close(self) -> None:
-        """Close all connections; the last decisions stand."""
+        """Close all connections; the last decisions remain in effect."""
         for link in self.links.values():
             link.close()
         if self.listener is not None:
             self.listener.close()
 
     def on_command(self, command: frames.OperatorCommand) -> frames.RolloutStatus:
-        """Carry out an operator's command; the reply's text names the error, if any."""
+        """Carry out an operator's command; the reply's text is the error, if any."""
         if command.word in OPERATOR_EVENTS:
             operator = command.who or "an operator"
             reason = f"{command.word} by {operator}: {command.why or 'no reason given'}"
@@ -140,7 +140,7 @@
         return frames.RolloutStatus(error_text, dict(self.status()))
 
     def status(self) -> RolloutStatusRecord:
-        """The rollout's record and each broker's state, as operators read them."""
+        """Return the rollout's record and each broker's state, for operators."""
         now_us = self.loop.now()
         updated = self.controller.updated_brokers()
         desired = self.controller.desired_versions()
@@ -171,7 +171,7 @@
             link.send(frames.MachineRequest())
         if not self.is_leader():
             self._warn_once(
-                "another controller has the fleet's lease, or no quota coordinator can be reached: it waits"
+                "waiting for the rollout lease: another controller holds it, or no coordinator is reachable"
             )
             return
         if self._is_unsaved and not self._save():
@@ -195,17 +195,17 @@
             self._complete(self.controller.apply_event(RolloutEvent.PREFLIGHT_PASSED))
 
     def _is_fleet_known(self) -> bool:
-        """Whether every machine has reported; the rollout's brokers are those that are known then."""
+        """Whether every machine has reported; the brokers known at that time are those of the rollout."""
         missing = len(self.links) - self.fleet.machine_count
         if missing > 0:
-            self._warn_once(f"{missing} of {len(self.links)} machines have not answered yet")
+            self._warn_once(f"waiting for the first report of {missing} of {len(self.links)} machines")
             return False
         if not self.controller.zones:
             self.controller.zones = {status.broker: status.zone for status in self.fleet.statuses.values()}
         return True
 
     def _advance(self) -> None:
-        """Hand the controller what is observed; a step ends the turn."""
+        """Pass the observations to the controller; return after the first transition."""
         controller = self.controller
         running_versions = self.fleet.running_versions(self.loop.now())
         if self._complete(controller.observe_versions(running_versions, self._failed_brokers())):
@@ -221,7 +221,7 @@
             self.fleet.reset_windows()
 
     def _failed_brokers(self) -> list[str]:
-        """Brokers that could not be made to run the version that they are to run now."""
+        """Return the brokers that could not run their desired version."""
         controller = self.controller
         desired = controller.desired_versions()
         failed = [
@@ -264,7 +264,7 @@
         self.links[self.fleet.machine_of(broker)].send(decision)
 
     def _observe_window(self) -> None:
-        """Hand the controller a window once it is over."""
+        """Pass a window to the controller when it is over."""
         now_us = self.loop.now()
         controller = self.controller
         if now_us - self._window_ended_at_us < controller.window_duration_us:
@@ -274,23 +274,29 @@
         self._complete(controller.observe_window(windows))
 
     def _finish(self) -> None:
-        """End in a final state, which is entered once all brokers in reach run what was decided."""
+        """End the run, once the rollout is in a final state."""
         controller = self.controller
-        self.log("info", "ended", change=controller.id, state=controller.state, why=controller.reason)
+        self.log("info", "rollout ended", change=controller.id, state=controller.state, why=controller.reason)
         self.done.set()
 
-    # Steps and their record.
+    # Transitions and their record.
 
     def _restore(self, term: int) -> None:
         controller = self.controller
         record = load_rollout_record(self.folder)
         if record is not None:
             controller.restore(record, term)
-            self.log("info", "goes on", change=controller.id, state=controller.state, stage=controller.stage)
+            self.log(
+                "info",
+                "rollout continues from its record",
+                change=controller.id,
+                state=controller.state,
+                stage=controller.stage,
+            )
         controller.term = term
 
     def _complete(self, step: Transition | None) -> bool:
-        """Log and save a step; returns whether there was one."""
+        """Log and save a transition; return whether there was one."""
         if step is None:
             return False
         self.crash_at(f"before {step.after} {step.stage}")
@@ -309,20 +315,20 @@
         return True
 
     def _save(self) -> bool:
-        """Write the record; until this succeeds nothing more is begun."""
+        """Write the record; until this succeeds the rollout does not proceed."""
         try:
             save_rollout_record(self.folder, self.controller.to_record())
         except OSError as error:
             self._is_unsaved = True
-            self._warn_once(f"the course could not be written, nothing more is begun: {error}")
+            self._warn_once(f"could not write the rollout's record, the rollout does not proceed: {error}")
             return False
         if self._is_unsaved:
-            self.log("info", "the course is written again")
+            self.log("info", "the rollout's record can be written again, the rollout proceeds")
         self._is_unsaved = False
         return True
 
     def _warn_once(self, text: str) -> None:
-        """Log a warning, but not the same one twice in a row."""
+        """Log a warning unless it equals the last one."""
         if text != self._last_warning:
             self._last_warning = text
             self.log("warning", text)
@@ -350,9 +356,9 @@
                 self._on_rejected(broker, reason)
 
     def _on_rejected(self, broker: str, reason: str) -> None:
-        """An agent did not take a decision; a broker whose agent repeats this undoes the rollout."""
+        """Handle an agent's rejection of a desired version; repeated ones roll back the rollout."""
         self._rejections[broker] += 1
-        self._warn_once(f"{broker}: a wish was not taken: {reason}")
+        self._warn_once(f"{broker}: the agent rejected the desired version: {reason}")
         if self._rejections[broker] >= REJECTION_LIMIT and self.controller.state == RolloutState.DEPLOYING:
             self._complete(self.controller.apply_event(RolloutEvent.REGRESSED, f"{broker}: {reason}"))
 
@@ -366,7 +372,7 @@
                 MAX_MESSAGE_BYTES,
             )
         except frames.FrameError as error:
-            self.log("warning", "control: not our wire", peer=stream.peer, why=str(error))
+            self.log("warning", "control connection closed: invalid frame", peer=stream.peer, why=str(error))
 
     def _on_operator_message(self, stream: Stream, message: frames.AnyMessage) -> None:
         if isinstance(message, frames.OperatorCommand):
--- a/heathwell/fleet/control/service_report.py
+++ b/heathwell/fleet/control/service_report.py
@@ -1,6 +1,6 @@
-"""What a broker process reports of itself: its ready file once it serves, then ``/service``.
+"""Reads the reports of a broker process: its ready file when it starts to serve, then its page ``/service``.
 
-Owns the reading of both. Imports the event loop's types and the HTTP codec.
+Imports the event loop's types and the HTTP codec.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadyReport:
-    """A ready file: the address of the admin port, and digests of the program and the settings that run."""
+    """A ready file: the address of the admin port, and the digests of the running program and settings."""
 
     admin_address: str
     digests: tuple[str, str]
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceReport:
-    """Sums of a process since its start."""
+    """Counters of a process since its start, and its current state."""
 
     in_flight: int = 0
     cpu_us: int = 0
@@ -41,10 +41,10 @@
 
 
 def fetch_service_report(net: Net, address: str, connect_timeout_us: int) -> Coro[ServiceReport | None]:
-    """Request a process's sums; None for any status but 200.
+    """Request a process's report; None for any status other than 200.
 
     Raises :class:`ConnectError`, :class:`StreamBrokenError`, :class:`HttpError` or :class:`ValueError`. Only
-    the connect has a timeout; the caller cancels the task of an answer that does not come.
+    the connect has a timeout; the caller must cancel the task if no answer arrives.
     """
     stream: Stream | None = None
     try:
--- a/heathwell/fleet/control/state_file.py
+++ b/heathwell/fleet/control/state_file.py
@@ -1,9 +1,9 @@
-"""The state file of a node agent: which versions it has, and which broker processes it has started.
+"""The state file of a node agent: the versions that it knows, and the broker processes that it has started.
 
-The agent writes it before it acts, so that the agent started after it can adopt the processes that still
-serve. Owns the file's name and layout (:func:`save_agent_state` and :func:`load_agent_state` are the only
-ones that know it) and the atomic write that other control processes use too. Imports of heathwell only the
-rollout package's version mark.
+The agent writes it before it acts on a decision, so that an agent started later can adopt the processes that
+still serve. Owns the file's name and layout, which only :func:`save_agent_state` and :func:`load_agent_state`
+depend on, and the atomic write that other control processes use too. Imports only the rollout package's
+version suffix from heathwell.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class VersionFiles:
-    """Where a version's files lie, and the digests that its processes must report."""
+    """The paths of a version's files, and the digests that its processes must report."""
 
     program: str  # folder of the program tree
     settings: str  # path of the settings file
@@ -34,13 +34,13 @@
 
     pid: int
     version: str
-    start_ticks: int  # the kernel's start time: a pid is used again, the pair of both is not
+    start_ticks: int  # the kernel's start time: pids are reused, the pair of both is not
     ready_file: str
 
 
 @dataclass(frozen=True, slots=True)
 class BrokerState:
-    """One broker: the last decision on it, and its processes by run number."""
+    """One broker: the last decision on its version, and its processes by run number."""
 
     address: str
     desired_version: str
@@ -48,25 +48,25 @@
     term: int
     number: int
     last_run: int
-    serving_run: int  # 0 while none serves
+    serving_run: int  # 0 without a serving process
     processes: dict[int, ProcessState] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class AgentState:
-    """What a node agent keeps: versions and brokers, each by name."""
+    """The state of a node agent: versions and brokers, each by name."""
 
     versions: dict[str, VersionFiles]
     brokers: dict[str, BrokerState]
 
 
 def base_version(version: str) -> str:
-    """The version without the mark of a process that is to be started once more."""
+    """Return the version without the suffix that marks a restart."""
     return version.rstrip(RESTART_SUFFIX)
 
 
 class _BrokerRecord(TypedDict):
-    """A broker in the file, whose keys these are; of a process pid, version, start ticks and ready file."""
+    """A broker in the state file. A process is stored as pid, version, start ticks and ready file."""
 
     address: str
     wanted: str
@@ -91,9 +91,9 @@
 
 
 def load_agent_state(folder: Path) -> AgentState | None:
-    """Read the state file in ``folder``; None where there is none.
+    """Read the state file in ``folder``; None if there is no file.
 
-    Raises :class:`OSError`, :class:`ValueError` or :class:`KeyError` where it cannot be read or is damaged.
+    Raises :class:`OSError`, :class:`ValueError` or :class:`KeyError` if it cannot be read or is damaged.
     """
     path = folder / STATE_FILE_NAME
     if not path.exists():
@@ -108,9 +108,10 @@
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Replace a file's content atomically and durably: after a loss of power it is the old or the new.
+    """Replace a file's content atomically and durably: after a power failure it is either the old or the new
+    one.
 
-    Raises :class:`OSError`; the file is unchanged then, unless only the sync of its folder failed.
+    Raises :class:`OSError`; the file is unchanged in that case, unless only the sync of its folder failed.
     """
     partial = path.with_suffix(path.suffix + ".part")
     with partial.open("w", encoding="utf-8") as file:
