--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -67,7 +67,7 @@
         return self.net.at(name.partition("r")[0] if name.startswith("b") else name)
 
     def settle(self):
-        """Wait 1.5 s, in which brokers receive the endpoint list and connect."""
+        """Wait 1.5 s, during which brokers receive the endpoint list and connect."""
         yield from sleep(self.loop, 1_500_000)
 
     def run(self, coroutine):
@@ -115,17 +115,17 @@
         self.received = b""
         self.request_count = 0
         self.unanswered: dict[str, dict[str, Any]] = {}
-        """Of the last reply: bodies of the values flagged as refused or lost, by key."""
+        """Bodies of the values in the last reply that are flagged as refused or lost, by key."""
 
     def read_line(self):
-        """Return the next line without its end; raise StreamBrokenError where the stream ends."""
+        """Return the next line without its end; raise StreamBrokenError if the stream ends."""
         while b"\r\n" not in self.received:
             yield from self._receive()
         line, self.received = self.received.split(b"\r\n", 1)
         return line
 
     def read_block(self, size: int):
-        """Return a data block of ``size`` bytes; raise StreamBrokenError where the stream ends."""
+        """Return a data block of ``size`` bytes; raise StreamBrokenError if the stream ends."""
         while len(self.received) < size + 2:
             yield from self._receive()
         block = self.received[:size]
@@ -133,7 +133,7 @@
         return block
 
     def _receive(self):
-        """Wait for more bytes; raise StreamBrokenError where the stream ends."""
+        """Wait for more bytes; raise StreamBrokenError if the stream ends."""
         data = yield from self.stream.read()
         if not data:
             raise StreamBrokenError("end")
@@ -162,7 +162,7 @@
         self.world.record_event("ask", req=request_id, keys=keys, broker=f"b{self.broker}", limit=timeout_us)
 
     def _record_reply(self, request_id: str, values: dict[str, tuple[int, bytes]], end: str) -> None:
-        """Record a reply and the coverage that its values state."""
+        """Record a reply and the coverage stated in its values."""
         summaries = []
         for key, (_, data) in values.items():
             body = json.loads(data)
@@ -173,7 +173,7 @@
     def read_reply(self):
         """Return the answered values by key and the reply's last line.
 
-        Values flagged as refused or lost are set apart in ``unanswered``.
+        Values flagged as refused or lost are stored in ``unanswered`` instead.
         """
         values: dict[str, tuple[int, bytes]] = {}
         self.unanswered = {}
--- a/tests/test_broker_supervisor.py
+++ b/tests/test_broker_supervisor.py
@@ -1,6 +1,6 @@
-"""The supervisor of a broker's processes: replacement, digests, drain, restarts with backoff and rollback.
+"""The supervisor of a broker's processes: replacement, digests, drain, restarts with backoff, and fallback.
 
-The decisions are tested by themselves, without processes.
+Only its decisions are tested, without processes.
 """
 
 import pytest
@@ -21,7 +21,7 @@
 
 
 def running_supervisor(version="old"):
-    """Return a supervisor whose first process serves with a version."""
+    """Return a supervisor whose first process serves a version."""
     supervisor = BrokerSupervisor("b0")
     supervisor.set_desired_version(0, version, 1, 1)
     supervisor.on_process_ready(SECOND_US, 1)
@@ -173,7 +173,7 @@
 
 
 class SupervisorDriver:
-    """A supervisor, and the processes that it has started, by their runs."""
+    """A supervisor, and the versions of the processes that it has started, by run number."""
 
     def __init__(self):
         self.supervisor = BrokerSupervisor("b0")
@@ -182,7 +182,7 @@
         self.live = {}
 
     def deliver(self, event, which):
-        """Deliver an event 300 ms after the one before and return the supervisor's actions.
+        """Deliver an event 300 ms after the previous one and return the supervisor's actions.
 
         ``which`` chooses the version of a decision, or the process that the event concerns.
         """
@@ -203,7 +203,7 @@
         return self.supervisor.on_process_exited(self.now, run, 0 if event == "exit" else 1)
 
     def carry_out(self, actions):
-        """Start and kill processes as the supervisor orders, and deliver the exits that follow."""
+        """Start and kill processes as the actions require, and deliver the resulting exits."""
         live = self.live
         pending = list(actions)
         while pending:
@@ -224,7 +224,7 @@
     )
 )
 def test_under_random_events_at_most_one_process_serves_one_starts_and_one_drains(steps):
-    """Without any process a start is due, unless the supervisor has failed."""
+    """Also, without any process a start is pending unless the supervisor has failed."""
     driver = SupervisorDriver()
     supervisor = driver.supervisor
     for event, which in steps:
@@ -256,7 +256,9 @@
 
 @pytest.mark.parametrize("code", [1, -15])
 def test_a_failed_drain_is_a_failure_of_the_desired_version(code):
-    """A version that is restarted for the test of its drain fails where the drain of its first run fails."""
+    """A rollout restarts a process of the new version to observe its drain; if that drain fails, so does the
+    version.
+    """
     supervisor = running_supervisor("new")
     supervisor.set_desired_version(2 * SECOND_US, "new~", 1, 2)
     supervisor.on_process_ready(3 * SECOND_US, 2)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -62,7 +62,7 @@
         )
 
     def run(self, seconds):
-        """Send attempts, report them and reconcile for so long, in steps of a quarter of a second."""
+        """Send attempts, report them and reconcile for ``seconds``, in steps of a quarter of a second."""
         for _ in range(int(seconds * 4)):
             self.now += SECOND_US // 4
             for name in self.brokers:
@@ -109,7 +109,7 @@
 
 
 def fleet_with_load(load):
-    """Return a fleet with a load by zone in which zone b fails, eight seconds after that."""
+    """Return a fleet with a load by zone, eight seconds after zone b has failed."""
     fleet = SimulatedFleet()
     fleet.load = load
     fleet.loss = loss_at("b")
@@ -117,9 +117,9 @@
 
 
 def fleet_with_class_load(price_load, report_load):
-    """Return a fleet that loses zone b, after eight seconds.
+    """Return a fleet with a load of 75 per zone, eight seconds after zone b has failed.
 
-    Its zones have a load of 75 each, that of zone b by query class as given; price has twice report's weight.
+    The load of zone b by query class is given; the priority weight of price is twice that of report.
     """
     fleet = SimulatedFleet()
     fleet.controller.priority_weights = {"price": 2.0, "report": 1.0}
@@ -132,7 +132,7 @@
 
 
 def evacuated_fleet():
-    """Return a fleet in which zone b fails, eight seconds after that."""
+    """Return a fleet eight seconds after zone b has failed."""
     fleet = SimulatedFleet()
     fleet.loss = loss_at("b")
     return fleet.run(8)
@@ -144,7 +144,7 @@
 
 
 def replace_recorded_attempts(broker, record):
-    """Let ``record`` receive the broker's method to record attempts, and each attempt, in its place."""
+    """Replace the broker's ``record_attempt`` by ``record``, which also gets the original method."""
     record_attempt = broker.record_attempt
     broker.record_attempt = lambda now_us, zone, query_class, result: record(
         record_attempt, now_us, zone, query_class, result
@@ -237,7 +237,7 @@
 
 
 def test_false_reports_gain_no_weight_by_a_higher_number_of_attempts():
-    """The number of attempts is what a broker reports itself, so the reports are not weighted by it."""
+    """A broker reports the number of its attempts itself, so its weight is limited to the median."""
 
     def record_twenty_failures(record_attempt, now_us, _zone, query_class, _result):
         for _ in range(20):
@@ -278,7 +278,7 @@
 
 
 def test_no_more_traffic_is_evacuated_than_the_other_zones_have_capacity_for():
-    # The two others may be used for 180, and the load is 180.
+    # The usable capacity of the two others is 180, as is the load.
     full = fleet_with_load(dict.fromkeys(ZONES, 60.0))
     assert full.state("b") == ZoneState.EVACUATED and full.controller.decision.zones["b"].traffic_share == 0.0
     over = fleet_with_load(dict.fromkeys(ZONES, 75.0))
@@ -292,7 +292,7 @@
 
 
 def test_a_class_with_few_attempts_is_evacuated_with_its_zone():
-    """Neither the class with few attempts nor the successful probes keep a part of the zone in service."""
+    """Neither a class with too few attempts nor successful probes must keep a part of the zone in service."""
     fleet = SimulatedFleet()
     fleet.loss = loss_at("b")
     for number in range(3):
@@ -324,7 +324,7 @@
 
 
 def test_without_capacity_for_all_the_classes_of_highest_priority_weight_are_evacuated_completely():
-    # The load is 225, of which the others may be used for 180: 30 of the zone's 75.
+    # The load is 225 and the usable capacity of the others 180: 30 of the zone's 75 fit.
     fleet = fleet_with_class_load(price_load=25.0, report_load=50.0)
     directive = fleet.controller.decision.zones["b"]
     assert directive.query_classes == ("price",) and "price alone" in directive.reason
@@ -370,9 +370,9 @@
 
 
 def test_two_failed_zones_of_three_are_evacuated_and_no_broker_of_theirs_counts_as_cut_off():
-    """Brokers of the third zone reach no other zone and report themselves as cut off; those of the two reach
-    the third zone. Endpoints are ejected, so that few attempts are sent to the failed zones: that does not
-    make a suspected zone healthy.
+    """Brokers of the third zone reach no other zone and report themselves as cut off; those of the two failed
+    zones reach the third one. Endpoints are ejected, so few attempts are sent to the failed zones; a
+    suspected zone must not count as healthy because of that.
     """
     fleet = SimulatedFleet()
     fleet.loss = lambda source, target, _query_class: (
@@ -394,7 +394,7 @@
 
 
 def test_load_is_the_rate_before_the_fault_not_the_retries_during_it():
-    """Parts of failed zones are retried repeatedly: counted as load they would exceed the capacity."""
+    """Parts of failed zones are retried repeatedly; counted as load, that would exceed the capacity."""
     estimator = LoadEstimator(2 * SECOND_US)
     usual = {(zone, "price"): AttemptCounts(good=100) for zone in ZONES}
     assert estimator.observe(usual) == dict.fromkeys(usual, 50.0)
@@ -418,7 +418,7 @@
 
 def test_an_unhealthy_zone_receives_no_traffic_of_an_evacuated_one():
     fleet = SimulatedFleet()
-    fleet.capacity = {"a": 80.0, "b": 100.0, "c": 100.0}  # zone a may be used for 72, and the load is 90
+    fleet.capacity = {"a": 80.0, "b": 100.0, "c": 100.0}  # zone a's usable capacity is 72, the load is 90
     fleet.loss = loss_at("b", "c")
     fleet.run(12)
     directives = fleet.controller.decision.zones
@@ -431,7 +431,7 @@
 
 @pytest.mark.parametrize("count", range(20, 60))
 def test_a_mean_duration_that_rounds_below_the_idle_one_is_no_error(count):
-    """The mean of durations in whole milliseconds may lie below the idle duration."""
+    """The mean of durations, which are rounded down to milliseconds, may be below the idle duration."""
     for took_ms in range(count, 20 * count):
         estimator = CapacityEstimator(2 * SECOND_US)
         estimator.observe(2 * SECOND_US, "a", {"price": AttemptCounts(good=count, took_ms=took_ms)})
@@ -451,7 +451,7 @@
 
 
 class SimulatedDrill:
-    """A drill of zone b in the simulated fleet, and the orders that it gave."""
+    """A drill of zone b in the simulated fleet, and the orders that it has returned."""
 
     def __init__(self, seconds=10, max_additional_loss=0.05):
         self.fleet = SimulatedFleet().run(4)
@@ -459,7 +459,7 @@
         self.actions = []
 
     def run(self, until="over", ticks=120):
-        """Run the fleet until the drill is in a stage, at most for so many ticks of two seconds."""
+        """Run the fleet until the drill reaches a stage, for at most ``ticks`` ticks of two seconds."""
         fleet = self.fleet
         for _ in range(ticks):
             if self.drill.stage == until:
--- a/tests/test_evacuation_processes.py
+++ b/tests/test_evacuation_processes.py
@@ -1,6 +1,6 @@
-"""Zone evacuation over processes: brokers, hosts and coordinators of three zones, with faults between.
+"""Zone evacuation with processes: brokers, hosts and coordinators of three zones, and faults between them.
 
-What the fleet decided is read from its event logs.
+The fleet's decisions are read from its event logs.
 """
 
 import json
@@ -55,24 +55,24 @@
 
 
 def state_of(event, default, zone=ZONE):
-    """Return the state of a zone by a decision, or the default where the decision does not name the zone."""
+    """Return the state of a zone in a decision, or the default if the decision does not name the zone."""
     return event["states"].get(zone, [default])[0]
 
 
 def zone_states(events):
-    """Return the states of the zone by each decision after the first."""
+    """Return the state of the zone in each decision after the first."""
     return [state_of(event, "served") for event in coordinator_decisions(events) if event["number"]]
 
 
 def evacuations(events, zone=ZONE):
-    """Return the decisions by which the zone is being evacuated, or is evacuated."""
+    """Return the decisions in which the zone is being evacuated or is evacuated."""
     return [
         event for event in coordinator_decisions(events) if state_of(event, "", zone) in ("leaving", "left")
     ]
 
 
 def check_evacuated_once_and_restored(events):
-    """Check that the zone is evacuated, then restored in steps that only grow."""
+    """Check that the zone is evacuated, then restored in increasing steps."""
     states = zone_states(events)
     assert (
         states.index("leaving") < states.index("left") < states.index("returning") and states[-1] == "served"
@@ -111,7 +111,7 @@
 
 
 def check_last_decision_stands(events):
-    """Check that brokers apply no other decision once there is no coordinator."""
+    """Check that brokers apply no further decision without a coordinator."""
     stopped_at_us = max(event.t for event in events if event.who.startswith("k"))
     assert evacuations(events) and not [
         event for event in decisions(events)[1] if event.t > stopped_at_us + 1_000_000
@@ -119,12 +119,12 @@
 
 
 def check_healthy_zone_is_never_evacuated(events):
-    """Check that of three zones, two of them unhealthy, the healthy one keeps its traffic."""
+    """Check that the only healthy zone of three keeps its traffic."""
     assert evacuations(events) and not evacuations(events, "hki-1")
 
 
 def check_flapping_is_damped(events):
-    """Check that four failures cause at most two evacuations, as each lasts longer than the one before."""
+    """Check that four failures cause at most two evacuations, as each lasts longer than the previous one."""
     states = zone_states(events)
     assert 1 <= states.count("leaving") <= 2
 
@@ -150,8 +150,8 @@
     assert max(terms) > 1 and terms == sorted(terms) and evacuations(events)
 
 
-# The faults, the duration in seconds, and the checks of the event logs: each asserts, or returns what must
-# not be empty.
+# By name of a case: faults, duration in seconds, and checks of the event logs. A check asserts, or returns a
+# collection that must not be empty.
 CASES = {
     "a zone's hosts killed and restarted": (
         f"(at 8s crash (to {ZONE_HOSTS}) (span 8s))",
@@ -245,7 +245,7 @@
 
 
 def write_service_settings(path):
-    """Write the settings of a fleet that evacuates zones, from those of the example; return the path."""
+    """Write the example's settings with zone evacuation enabled; return the path."""
     text = EXAMPLE_SETTINGS
     for old, new in SETTINGS_EDITS:
         assert old in text
@@ -277,7 +277,7 @@
 
 
 class SequentialClient(threading.Thread):
-    """A client of one broker that sends one query after another until it is stopped."""
+    """A client of one broker that sends one query at a time until it is stopped."""
 
     def __init__(self, address):
         super().__init__(daemon=True)
@@ -301,7 +301,7 @@
 
 
 def unused_addresses(count):
-    """Return addresses that nothing listens at."""
+    """Return addresses on which no process listens."""
     listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     addresses = [f"127.0.0.1:{listener.getsockname()[1]}" for listener in listeners]
     for listener in listeners:
@@ -324,7 +324,7 @@
 
 @dataclass(frozen=True)
 class RunningFleet:
-    """A fleet of processes under load, and how an operator addresses it."""
+    """A fleet of processes under load, and the operator's commands for it."""
 
     processes: ProcessFleet
     config: str
@@ -350,7 +350,7 @@
         )
 
     def wait_until_decided(self):
-        """Wait until a coordinator decides, which takes reports of brokers."""
+        """Wait until a coordinator makes decisions, for which it needs reports of brokers."""
         for _ in range(60):
             if self.zone_status().returncode == 0:
                 return
@@ -376,7 +376,7 @@
 
 
 def idle_connection(address):
-    """Return a connection whose only request was answered."""
+    """Return a connection that is idle after one answered request."""
     host, port = address.rsplit(":", 1)
     connection = socket.create_connection((host, int(port)), 60)
     connection.sendall(b"version\r\n")
@@ -407,7 +407,7 @@
         stderr=subprocess.PIPE,
         text=True,
     )
-    # Idle connections are closed within the ten seconds of the settings.
+    # Idle connections are closed within ten seconds, the drain duration in the settings.
     assert [connection.recv(64) for connection in zone_connections] == [b""] * len(zone_connections)
     assert {health(member) for member in zone_brokers} == {b"the fleet leaves this zone\n"}
     assert {health(member) for member in processes.brokers if member.zone != 1} == {b"ok\n"}
@@ -442,7 +442,7 @@
 
 
 class FalseZoneObserver:
-    """A zone observer which reports that all attempts at a zone fail, whatever their results."""
+    """A zone observer that always reports that all attempts at a zone failed."""
 
     def __init__(self, name, zone, reported_zone):
         self.name = name
@@ -455,12 +455,12 @@
         return BrokerReport(self.name, self.zone, {key: AttemptCounts(bad=500)})
 
     def on_decision(self, _decision):
-        """Apply no decision."""
+        """Ignore decisions."""
 
 
 @pytest.fixture
 def false_reporters(running):
-    """Run three more members, whose reports are false, in an event loop beside the processes."""
+    """Run three more members with false reports, in an event loop of the test process."""
     loop, net, _ = socket_loop()
     spec = running.processes.service_settings.fleet
     agents = []
@@ -514,5 +514,5 @@
                 deciding[0]["states"]["hki-2"] in ("served", "doubted")
                 and deciding[0]["decision"]["number"] == 0
             )
-    # The failures that all three report, beside the results of actual attempts.
+    # The failures reported by all three, in addition to the results of actual attempts.
     assert reported[0]["bad"] >= 1500 and reported[0]["good"] > 50
--- a/tests/test_fleet_agent.py
+++ b/tests/test_fleet_agent.py
@@ -1,4 +1,4 @@
-"""The agent of one broker by itself, without coordinators, on virtual time."""
+"""The agent of one broker without coordinators, on virtual time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 def test_a_broker_that_was_suspended_ends_its_incarnation_before_it_logs_what_it_holds():
-    """A unit that is released first after the suspension, as its connection was closed meanwhile."""
+    """The first call after the suspension releases a unit, as its connection was closed meanwhile.
+
+    That call must end the incarnation before it logs what the broker holds.
+    """
     loop, net = virtual_loop(1)
     events = []
     agent = FleetAgent(
@@ -31,7 +34,7 @@
     loop.run(loop.spawn(sleep(loop, SECOND_US), "start"))
     assert agent.acquire("connections")
     before = len(events)
-    # The process runs no turn of its loop for a minute: nothing checks its clock meanwhile.
+    # Nothing calls the agent for a minute, as if the process were suspended: its clock is not checked.
     loop.run(loop.spawn(sleep(loop, 60 * SECOND_US), "suspended"))
     assert len(events) == before
     agent.release("connections")
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,7 +1,7 @@
-"""Quotas and membership over processes, with faults between them: budgets are audited from event logs alone.
+"""Quotas and membership with processes and faults between them; budgets are audited from the event logs only.
 
-Six brokers, three coordinators, six hosts and clients; each connection passes through a relay. The short
-cases run in `make test`, the others by `make test-fleet`. No check depends on how long the machine took.
+There are six brokers, three coordinators, six hosts and clients; each connection passes through a relay. The
+short cases run in `make test`, the others in `make test-fleet`. No check depends on the speed of the machine.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Case:
-    """Faults, and the check of the event logs besides those of the budgets and rules.
+    """Faults, and a check of the event logs in addition to the audit of budgets and rules.
 
     ``load_options`` are added to the script's load; ``settings_edits`` are replacements in the settings.
     """
@@ -59,12 +59,12 @@
 
 
 def states(events: Events, name: str) -> set[str]:
-    """Return the states that coordinators had a broker in."""
+    """Return the states of a broker at the coordinators."""
     return {event["after"] for event in of(events, "member", name=name)}
 
 
 def largest_grant(events: Events, who: str, budget: str = "further") -> int:
-    """Return the largest quota of a budget that a broker's run was granted beyond its own minimum."""
+    """Return the largest total of grants of a budget that a broker's run held at the same time."""
     return max(
         (
             sum(amount for _, amount, *_ in event["held"])
@@ -76,7 +76,7 @@
 
 
 def check_killed_holder_is_granted_anew(events: Events) -> None:
-    """Check that the broker with all of the load is granted most, dies, and its next run is granted anew."""
+    """Check that the broker with all the load gets most of the budget, dies, and its next run gets grants."""
     grantable = 12_000 * 0.6
     assert largest_grant(events, "b0r0") > 0.5 * grantable
     assert "dead" in states(events, "b0")
@@ -84,7 +84,7 @@
 
 
 def check_paused_broker_ends_its_incarnation(events: Events) -> None:
-    """Check that after a pause longer than its lease a broker uses only its minimum until a new grant."""
+    """Check that a broker suspended for longer than its lease uses only its minimum until a new grant."""
     paused = of(events, "paused", name="b1")[0]
     resumed_at_us = paused.t + paused["span"]
     after_pause = [event for event in events if event.who == "b1r0" and event.t >= resumed_at_us - 1_000]
@@ -96,7 +96,7 @@
 
 
 def check_broker_without_reports_is_dead(events: Events) -> None:
-    """Check that a broker whose reports are lost is dead, and learns it from a coordinator's reply."""
+    """Check that a broker whose reports are lost is declared dead and learns it from a reply."""
     assert "dead" in states(events, "b0") and "alive" in states(events, "b0")
     assert of(events, "dies", why=of(events, "dies")[0]["why"])[0]["why"].startswith("127.0.0.1")
 
@@ -107,8 +107,8 @@
     assert suspected and "dead" not in states(events, "b0")
 
 
-def check_lost_replies_are_borne(events: Events) -> None:
-    """Check that a broker whose replies are lost now and then is granted quotas and stays alive."""
+def check_lost_replies_are_tolerated(events: Events) -> None:
+    """Check that a broker that does not receive some of the replies gets grants and is not declared dead."""
     assert len({event.t for event in of(events, "holds", budget="further") if event.who == "b0r0"}) > 3
     assert "dead" not in states(events, "b0")
 
@@ -120,19 +120,19 @@
     owned = [event for event in of(events, "owns") if event.who == "k0r1" and event["fractions"]]
     # A lease of 3 s, less the age of its request.
     assert granted_at_us and min(granted_at_us) - killed_at_us >= 2_500_000 and owned
-    # Its fraction's lease was renewed before the others requested it, or one of them granted of it meanwhile.
+    # Its fraction stays in use: its lease was renewed in time, or another coordinator took the fraction over.
     assert {event["fraction"] for event in of(events, "gives") if event.t > killed_at_us} == {0, 1, 2}
 
 
 def check_later_runs_grant_quotas(events: Events) -> None:
-    """Check that each run of a coordinator has a name of its own, and later runs grant quotas as well."""
+    """Check that each run of a coordinator has its own name, and that the last runs grant quotas too."""
     assert {event.who for event in of(events, "opened", role="keeper")} >= {"k0r2", "k1r1", "k2r1"}
     last_start_at_us = max(event.t for event in of(events, "opened", role="keeper"))
     assert [event for event in of(events, "gives") if event.t > last_start_at_us]
 
 
 def check_partitioned_brokers_use_other_coordinators(events: Events) -> None:
-    """Check that brokers that can't reach one coordinator are granted quotas by the others."""
+    """Check that brokers that cannot reach one coordinator get grants from the others."""
     granted_by_first = {event["to"] for event in of(events, "gives") if event.who == "k0r0"}
     assert granted_by_first == {f"b{n}" for n in range(6)}
     for number in range(3):
@@ -147,7 +147,7 @@
 
 
 def check_host_closes_silent_connection(events: Events) -> None:
-    """Check that a host that receives no end of a connection closes it after its own timeout."""
+    """Check that a host closes a connection after its own timeout if it does not receive its end."""
     assert [event for event in of(events, "quiet") if event["peer"].startswith("b2r0")]
 
 
@@ -194,14 +194,14 @@
             f"(at {4240 + 700 * n}ms way-reset (from b0) (to k*))"
             for n in range(6)
         ),
-        check_lost_replies_are_borne,
+        check_lost_replies_are_tolerated,
     ),
     "coordinators killed while they grant quotas": Case(
         " ".join(f"(at {4500 + 900 * n}ms kill (to k{n % 3}) (span 100ms))" for n in range(7)),
         check_later_runs_grant_quotas,
         14,
     ),
-    "a keeper back with nothing remembered": Case(
+    "a coordinator restarted without state": Case(
         "(at 4s kill (to k0) (span 300ms))", check_restarted_coordinator_waits_for_leases, 12
     ),
     "a coordinator partitioned from half of the brokers": Case(
@@ -236,7 +236,7 @@
 QUICK = (
     "a broker killed while it holds most",
     "a broker stopped past its lease",
-    "a keeper back with nothing remembered",
+    "a coordinator restarted without state",
     "a broker dies with connections open at its hosts",
 )
 
@@ -293,7 +293,7 @@
 
 
 def test_the_fleet_commands_show_members_and_budgets_of_running_coordinators(tmp_path):
-    """One of the three coordinators is down, and is named as one that does not reply."""
+    """One of the three coordinators is down, and the commands list it as not replying."""
     (tmp_path / "market.sx").write_text(EXAMPLE_SETTINGS)
     script = tmp_path / "day.sx"
     script.write_text(
@@ -329,7 +329,7 @@
 
 
 def test_a_coordinator_rejects_brokers_of_another_fleet():
-    """An address may be reused by a coordinator of another fleet, whose members and budgets are its own."""
+    """A coordinator of another fleet may reuse an address; the fleets must not share members or budgets."""
     from heathwell.fleet.control.fleet_agent import FleetAgent  # noqa: PLC0415
     from heathwell.fleet.control.quota_coordinator import QuotaCoordinatorServer  # noqa: PLC0415
 
@@ -374,7 +374,7 @@
 )
 ZONE_OBSERVER = "heathwell.service.zone_observer"
 SERVICE_BROKER = "heathwell.service.service_broker"
-# The parts of the service broker, which the gateway does without.
+# Modules of the service broker, which the gateway does not use.
 SERVICE_BROKER_MODULES = (
     SERVICE_BROKER,
     ZONE_OBSERVER,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership table of a coordinator and the local state of a member, at given times without I/O."""
+"""The membership table of a coordinator and a member's own state, with times as arguments and without I/O."""
 
 import pytest
 
@@ -28,7 +28,7 @@
     return reply
 
 
-def test_the_transitions_are_complete_and_no_event_leads_out_of_a_gone_state():
+def test_the_transitions_are_complete_and_no_event_leads_out_of_a_final_state():
     assert set(TRANSITIONS) == set(MemberState) == {"joining", "alive", "suspect", "left", "dead"}
     for state, row in TRANSITIONS.items():
         assert set(row) == set(MemberEvent)
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize(("gap_seconds", "ends"), [(4.9, False), (5, True), (600, True)])
-def test_a_broker_that_was_stopped_for_long_ends_its_incarnation(gap_seconds, ends):
+def test_a_broker_that_was_suspended_for_long_ends_its_incarnation(gap_seconds, ends):
     member = LocalMember("b1", 5, 0)
     assert member.check_clock(SECOND_US) is None
     ended = member.check_clock(SECOND_US + int(gap_seconds * SECOND_US))
@@ -112,7 +112,7 @@
     assert member.on_reply("k0", table.incarnation, 5, old_reply) is None and not member.reply_positions
 
 
-def test_the_table_is_bounded_and_evicts_gone_members_first():
+def test_the_table_is_bounded_and_evicts_members_in_final_states_first():
     table = MembershipTable("k0.1", MembershipTimeouts(max_entries=3))
     for number in range(3):
         exchange_reports(table, LocalMember(f"b{number}", 1, 0), 0)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,6 +1,6 @@
-"""Quotas of brokers: allocation, arithmetic of leases, ledgers, holders, and simulated fleets with faults.
+"""Quotas of brokers: allocation, lease arithmetic, ledgers, holders, and simulated fleets with faults.
 
-The simulated fleets are audited by what brokers hold and use, not by what the coordinators record.
+The audit of the simulated fleets uses what brokers hold and use, not what the coordinators record.
 """
 
 from dataclasses import replace
@@ -93,7 +93,7 @@
 
 
 def distant_expiry(now):
-    """Return an expiry of the fraction lease that limits no grant."""
+    """Return an expiry of the fraction lease that is too late to shorten any grant."""
     return now + 100 * SECOND_US
 
 
@@ -113,7 +113,7 @@
 
 
 def test_with_many_expected_members_the_first_request_gets_no_more_than_an_even_part():
-    """Otherwise it would hold the entire quota until it has sent two more requests."""
+    """Otherwise the first member would hold the entire quota until it has sent two more requests."""
     ledger = FractionLedger(POOL, 0, "k0.1", LEASE)
     ledger.expected_members = 10
     assert request_grant(ledger, "a", 1).amount == 3 and request_grant(ledger, "b", 1).amount == 3
@@ -232,7 +232,7 @@
     assert holder.request(2, 0, "k0.1", "a").active_grant_number == 2 and not holder.acquire(2)
 
 
-def test_a_unit_that_is_not_held_can_not_be_released():
+def test_a_unit_that_is_not_in_use_cannot_be_released():
     with pytest.raises(UnitNotHeldError, match="pool: released a unit while no unit is in use"):
         QuotaHolder(POOL, 0.03, 0).release()
 
@@ -269,14 +269,14 @@
         {"kind": BudgetKind.RATE, "reserved": 10, "total": 20, "max_brokers": 10},
     ],
 )
-def test_a_contradictory_budget_is_rejected(fields):
+def test_an_inconsistent_budget_is_rejected(fields):
     valid = {"name": "pool", "kind": BudgetKind.COUNT, "total": 30, "reserved": 0, "max_brokers": 10}
     with pytest.raises(InvalidBudgetError, match="pool"):
         Budget(**{**valid, **fields})
 
 
 def test_a_leaving_broker_drops_its_unused_grants_and_units_in_use_stay_charged():
-    """Otherwise it could use a grant after another broker was granted the same quota."""
+    """Otherwise the broker could still use a grant after another one was granted the same quota."""
     budgets = (replace(POOL, name="idle"), replace(POOL, name="busy"))
     quotas = BrokerQuotas(LocalMember("b0", 1, 0), budgets, ("k0",), 0)
     for name in ("idle", "busy"):
@@ -292,7 +292,7 @@
     larger = replace(POOL, total=40, minimum_grant=2, linger_timeout_us=SECOND_US)
     assert coordinator.resize(larger) == POOL and coordinator.budgets["pool"] == larger
     with pytest.raises(BudgetResizeError, match="pool: only the total"):
-        coordinator.resize(replace(POOL, total=100, reserved=50))  # more reserved than the total was before
+        coordinator.resize(replace(POOL, total=100, reserved=50))  # reserves more than the former total
     with pytest.raises(BudgetResizeError, match="pool: only the total"):
         coordinator.resize(replace(larger, max_brokers=11))
     with pytest.raises(UnknownBudgetError, match="other: unknown to this coordinator"):
@@ -364,7 +364,7 @@
     ["kill", pytest.param("stop", marks=pytest.mark.fleet), pytest.param("cut", marks=pytest.mark.fleet)],
 )
 def test_a_lost_coordinator_makes_its_fraction_unavailable_for_a_lease_at_most(fault):
-    """Its grants and its fraction lease expire, then another coordinator grants quotas of its fraction."""
+    """Its grants and its fraction lease expire; then another coordinator makes grants from the fraction."""
     scenario = QuotaScenario(5, brokers=24)
     scenario.run_until(12_000_000)
     lost = scenario.coordinators[1]
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,6 +1,6 @@
 """Rollouts: transitions, stages, preflight checks, and the canary analysis of good and bad releases.
 
-The decisions are tested by themselves, without I/O, or on simulated brokers.
+Decisions are tested without I/O, or with simulated brokers.
 """
 
 import ast
@@ -50,7 +50,7 @@
 
 
 def new_controller(plan=PLAN):
-    """Return a controller that is to roll out version "new" to twelve brokers in three zones."""
+    """Return a controller of a rollout of version "new" to twelve brokers in three zones."""
     return RolloutController("c1", "old", "new", dict(ZONES), plan)
 
 
@@ -68,7 +68,7 @@
 
 
 def deploy(controller, versions, at=None):
-    """Carry out batches until nothing is left; ``at`` is a number of replacements after which to stop."""
+    """Carry out updates until none is pending, or until ``at`` brokers are replaced; return their number."""
     done = 0
     while batch := controller.next_updates(versions, set()):
         for name, version in batch.items():
@@ -80,13 +80,13 @@
 
 
 def deploy_and_observe(controller, versions):
-    """Replace all brokers of the stage and pass the controller the versions that they run then."""
+    """Replace all brokers of the stage and pass the resulting versions to the controller."""
     deploy(controller, versions)
     controller.observe_versions(versions)
 
 
 def windows(controller, versions, goodput=1.0, canary_goodput=1.0, queries=20):
-    """Return a window of each broker, in which the goodput of updated brokers may differ from the others'."""
+    """Return a window of each broker; the goodput of updated brokers may differ from that of the others."""
     return [
         BrokerWindow(
             name,
@@ -174,7 +174,7 @@
 
 
 def test_a_rollout_restored_after_any_step_ends_the_same():
-    """The restored record may be older than the versions that the brokers run."""
+    """The restored record may be older than the versions that brokers already run."""
     for killed_after in range(1, 25):
         controller = started_controller()
         versions = initial_versions()
@@ -337,7 +337,7 @@
 
 
 def test_unexpected_exits_between_stages_count_like_those_within_a_stage():
-    """A version that crashes every 5 s may do so while the next stage is deployed."""
+    """A version that crashes every 5 s may always crash while the next stage is being deployed."""
     controller = started_controller()
     versions = initial_versions()
     assert (
@@ -351,7 +351,9 @@
 
 
 def test_a_broker_with_more_queries_does_not_outweigh_its_zone():
-    """Goodput differs by zone, and the canary is mostly in the worse one: the rollout continues."""
+    """Goodput differs by zone, and most canary queries are in the worse zone: the version must not count as
+    worse.
+    """
     analysis = CanaryAnalysis(AnalysisLimits(), 60)
     for window in range(60):
         worse_goodput = 0.8 + 0.02 * (window % 3)
@@ -369,7 +371,7 @@
 
 
 def test_good_releases_pass_and_bad_ones_are_stopped():
-    """These seeds are reproducible; `benchmarks/releases.py` measures the rates over many."""
+    """The results of these seeds are reproducible; `benchmarks/releases.py` measures the rates over many."""
     good = [run_release(seed) for seed in range(12)]
     assert sum(outcome.stopped for outcome in good) == 0
     for defect in DEFECTS:
@@ -378,8 +380,8 @@
 
 
 def test_a_loss_in_one_small_class_is_found_where_a_threshold_misses_it():
-    """Seeds 0 to 4 are reproducible. Over 200 seeds the analysis misses some losses in the smallest class:
-    `benchmarks/class_regression.py` measures the rate, see docs/measurements.md.
+    """The results of seeds 0 to 4 are reproducible. Over 200 seeds the analysis misses some losses in the
+    smallest class: `benchmarks/class_regression.py` measures the rate, see docs/measurements.md.
     """
     seeds = (0, 1, 2, 3, 4)
     analyzed = [run_release(seed, Defect.WORSE_CLASS) for seed in seeds]
@@ -395,7 +397,7 @@
 
 
 def test_the_sum_of_all_classes_is_named_before_a_single_class():
-    """The sum and the classes are equally worse; which one is named must not depend on the hash seed."""
+    """All classes are equally worse, as is their sum; which one is named must not depend on the hash seed."""
     analysis = CanaryAnalysis(AnalysisLimits(), 12)
     for window in range(60):
         broker_windows = [
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -1,7 +1,7 @@
-"""Rollouts over processes: agents with brokers, a controller, hosts, coordinators and clients, with faults.
+"""Rollouts with processes: agents with brokers, a controller, hosts, coordinators and clients, and faults.
 
-The short cases run in `make test`, the others by `make test-fleet`; many releases by
-`benchmarks/rollouts.py`.
+The short cases run in `make test`, the others in `make test-fleet`; `benchmarks/rollouts.py` runs many
+releases.
 """
 
 import json
@@ -44,7 +44,7 @@
 
 
 def plan_with_stages(version, program, stages, min_stage_duration, max_stage_duration, **options):
-    """Return a rollout of a version in stages of the durations, none of which requires proof."""
+    """Return a rollout of a version in stages of the given durations, none of which requires proof."""
     return RolloutPlan(
         version,
         program=program,
@@ -57,7 +57,7 @@
 
 
 def start_rollout(fleet, stages, min_stage_duration, max_stage_duration):
-    """Plant version v2 and start a controller that rolls it out in these stages."""
+    """Create version v2 and start a controller that rolls it out in these stages."""
     program = plant_version(fleet.folder, "v2")
     return fleet.start_controller(
         plan_with_stages("v2", program, stages, min_stage_duration, max_stage_duration)
@@ -65,7 +65,7 @@
 
 
 def start_short_rollout(fleet, defect=None):
-    """Plant version v2, with a defect where one is given, and start its rollout in short stages."""
+    """Create version v2, with a defect if one is given, and start its rollout in short stages."""
     return fleet.start_controller(
         RolloutPlan("v2", program=plant_version(fleet.folder, "v2", defect), **SHORT)
     )
@@ -79,19 +79,19 @@
 
 
 def operator_command(fleet, action, reason):
-    """Return the command line by which an operator gives the rollout's controller an order."""
+    """Return the command line of an operator's command to the rollout's controller."""
     return [*ROLLOUT_COMMAND, action, "--why", reason, "--state", str(fleet.folder / "change")]
 
 
 def wait_until(is_reached, seconds, poll_seconds):
-    """Wait until the predicate holds, at most for so long; the assertions that follow tell which."""
+    """Wait until the predicate holds or ``seconds`` have passed; the caller asserts which."""
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline and not is_reached():
         time.sleep(poll_seconds)
 
 
 def wait_until_updated(fleet, broker_count):
-    """Wait until so many brokers run version v2, at most for a minute."""
+    """Wait until ``broker_count`` brokers run version v2, for at most a minute."""
 
     def is_updated():
         return sum(status.version == "v2" for status in fleet.broker_statuses().values()) >= broker_count
@@ -144,7 +144,7 @@
     time.sleep(2)
     result = apply_settings(fleet, fleet.config.read_text().replace("(attempts 4)", "(attempts 3)"))
     assert result.exit_code == 0 and fleet.wait_for_version("s2"), result.output
-    # One broker is restarted, to observe how its process ends.
+    # One broker is restarted, to observe the shutdown of its process.
     assert all(status.run <= 2 for status in fleet.broker_statuses().values())
     fleet.end_load()
     events = read_logs([fleet.events])
@@ -185,7 +185,7 @@
     result = fleet.start_controller(RolloutPlan("v2", program=program, **SHORT)).finish()
     assert result.exit_code == 0 and result.record["state"] == "done", result.output
     numbers = [number for *_, number in result.record["history"]]
-    assert numbers == sorted(set(numbers))  # each step once
+    assert numbers == sorted(set(numbers))  # each transition once
     statuses = fleet.broker_statuses().values()
     assert {status.version.rstrip("~") for status in statuses} == {"v2"} and max(
         status.run for status in statuses
@@ -207,7 +207,7 @@
 
 @fleet_only
 def test_a_partitioned_machine_is_rolled_back_once_it_is_reachable(fleet):
-    """While all others are rolled back it keeps the new version, and follows when its link is healed."""
+    """It keeps the new version while all others are rolled back, and follows when it is reachable again."""
     fleet.begin_load()
     controller = start_rollout(fleet, "50%,100%", "30s", "40s")
     wait_until_updated(fleet, 2)
@@ -224,7 +224,7 @@
 
 @fleet_only
 def test_a_stage_waits_for_its_machines_that_are_partitioned_from_the_controller(fleet):
-    """No update is repeated or forced: the stage is complete only when all its brokers report the version."""
+    """No update is repeated or forced: the stage is complete only if all its brokers report the version."""
     fleet.begin_load()
     controller = start_rollout(fleet, "1,50%,100%", "3s", "20s")
     wait_until_updated(fleet, 1)
@@ -324,12 +324,12 @@
 
 
 @fleet_only
-def test_a_rollout_whose_record_can_not_be_written_stops_until_it_can(fleet):
+def test_a_rollout_whose_record_cannot_be_written_stops_until_it_can(fleet):
     folder = fleet.folder / "change"
     controller = start_short_rollout(fleet)
     wait_until((folder / "rollout.json").exists, seconds=30, poll_seconds=0.05)
     (folder / "rollout.json.part").unlink(missing_ok=True)
-    (folder / "rollout.json.part").mkdir()  # no record can be written any more
+    (folder / "rollout.json.part").mkdir()  # prevents writing the record
     time.sleep(6)
     stage = json.loads((folder / "rollout.json").read_text())["stage"]
     assert sum(status.version != "v1" for status in fleet.broker_statuses().values()) <= 1 and stage == 0
--- a/tests/test_state_file.py
+++ b/tests/test_state_file.py
@@ -1,4 +1,4 @@
-"""The state file of a node agent: its layout, which agents of other versions read, and its round trip."""
+"""The state file of a node agent: its layout, which agents of other versions read, and loading and saving."""
 
 from heathwell.fleet.control.state_file import (
     AgentState,
