--- a/heathwell/fleet/membership/membership_table.py
+++ b/heathwell/fleet/membership/membership_table.py
@@ -24,7 +24,7 @@
 # must not change.
 LATER_INCARNATION_KNOWN = "a later incarnation is known"
 TABLE_FULL = "the roll is full"
-ALREADY_GONE = "it was taken for gone"
+STATE_IS_FINAL = "it was taken for gone"
 FIRST_REPORT = "its first report"
 LEAVE_ANNOUNCED = "it said so"
 REPORTED = "it reported"
@@ -90,7 +90,7 @@
                 MemberTransition(report.name, report.incarnation, None, MemberState.JOINING, FIRST_REPORT)
             )
         if entry.state in FINAL_STATES:
-            reply = MembershipReply(entry.state, self.reply_number, entry.incarnation + 1, ALREADY_GONE)
+            reply = MembershipReply(entry.state, self.reply_number, entry.incarnation + 1, STATE_IS_FINAL)
             return ReportOutcome(reply, transitions)
         transitions += self._refresh(now_us, entry, report)
         minimum_incarnation = entry.incarnation + 1 if entry.state in FINAL_STATES else 0
@@ -108,8 +108,8 @@
                 transitions += self._apply(now_us, entry, MemberEvent.DEAD_TIMEOUT, reason)
             elif silence_us >= self.timeouts.suspect_timeout_us:
                 transitions += self._apply(now_us, entry, MemberEvent.SUSPECT_TIMEOUT, reason)
-            gone_duration_us = now_us - entry.state_changed_at_us
-            if entry.state in FINAL_STATES and gone_duration_us >= self.timeouts.final_state_retention_us:
+            final_duration_us = now_us - entry.state_changed_at_us
+            if entry.state in FINAL_STATES and final_duration_us >= self.timeouts.final_state_retention_us:
                 del self.entries[entry.name]
         return transitions
 
@@ -177,9 +177,9 @@
         """
         if len(self.entries) < self.timeouts.max_entries:
             return True
-        gone = [entry for entry in self.entries.values() if entry.state in FINAL_STATES]
-        if not gone:
+        final_entries = [entry for entry in self.entries.values() if entry.state in FINAL_STATES]
+        if not final_entries:
             return False
-        oldest = min(gone, key=lambda entry: entry.state_changed_at_us)
+        oldest = min(final_entries, key=lambda entry: entry.state_changed_at_us)
         del self.entries[oldest.name]
         return True
