--- a/heathwell/fleet/control/quota_coordinator.py
+++ b/heathwell/fleet/control/quota_coordinator.py
@@ -139,7 +139,7 @@
             )
             self.log(
                 "warning",
-                "zone state changed",
+                "zone",
                 change=str(transition),
                 decision=f"({decision.term}, {decision.number})",
             )
@@ -298,7 +298,7 @@
             )
             self.log(
                 "warning" if is_failure else "info",
-                "member state changed",
+                "member",
                 member=transition.name,
                 incarnation=transition.incarnation,
                 before=before or "-",
--- a/heathwell/fleet/control/rollout.py
+++ b/heathwell/fleet/control/rollout.py
@@ -276,7 +276,7 @@
     def _finish(self) -> None:
         """End the run, once the rollout is in a final state."""
         controller = self.controller
-        self.log("info", "rollout ended", change=controller.id, state=controller.state, why=controller.reason)
+        self.log("info", "ended", change=controller.id, state=controller.state, why=controller.reason)
         self.done.set()
 
     # Transitions and their record.
--- a/heathwell/fleet/rollout/broker_supervisor.py
+++ b/heathwell/fleet/rollout/broker_supervisor.py
@@ -77,7 +77,7 @@
     max_backoff_us: int = 10_000_000
     crash_limit: int = 6  # consecutive crashes, each within ``crash_interval_us`` of the previous one
     crash_interval_us: int = 30_000_000
-    start_attempts: int = 2  # beside a serving process, after which the version counts as failed
+    start_attempts: int = 2  # while another process serves, after which the version counts as failed
 
 
 @dataclass(slots=True)
@@ -274,8 +274,8 @@
     def _record_failed_start(self, now_us: int, version: str, reason: str) -> None:
         """Record a failed start.
 
-        Beside a serving process the version fails after ``start_attempts``; without one the failure counts
-        as a crash.
+        While another process serves, the version fails after ``start_attempts``; otherwise each failure
+        counts as a crash.
         """
         self._log("error", f"process of version {version} failed to start: {reason}")
         self._failed_starts += 1
--- a/tests/test_evacuation_processes.py
+++ b/tests/test_evacuation_processes.py
@@ -465,7 +465,7 @@
     spec = running.processes.service_settings.fleet
     agents = []
     for number, zone in enumerate(("hki-1", "espoo-1", "hki-1")):
-        name = f"liar{number}"
+        name = f"false-reporter{number}"
         agents.append(
             FleetAgent(
                 loop,
