--- a/heathwell/fleet/control/broker_process.py
+++ b/heathwell/fleet/control/broker_process.py
@@ -48,9 +48,7 @@
     reported_at_us: int = 0
 
     def exit_code(self) -> int | None:
-        """Return the exit code, None while the process runs, and 0 for an adopted process, whose code is
-        unknown.
-        """
+        """Return the exit code: None while the process runs, 0 for an adopted one, as its code is unknown."""
         if self.child is not None:
             return self.child.poll()
         return None if process_start_ticks(self.pid) == self.start_ticks else 0
@@ -117,9 +115,7 @@
     events: str = ""
 
     def settings_path(self, broker: SupervisedBroker) -> Path:
-        """Return the path of the settings file of a broker's processes, the agent's copy of the version's
-        file.
-        """
+        """Return the path of a broker's settings file, which is the agent's copy of the version's file."""
         return self.folder / f"{broker.name}.sx"
 
     def write_settings(self, broker: SupervisedBroker, files: VersionFiles) -> None:
--- a/heathwell/fleet/control/evacuation_coordinator.py
+++ b/heathwell/fleet/control/evacuation_coordinator.py
@@ -173,9 +173,7 @@
         }
 
     def _leading_controller(self, now_us: int) -> EvacuationController | None:
-        """Return the controller of this coordinator's term; None while it still listens for the last
-        decision.
-        """
+        """Return the controller of the current term; None while the leader listens for the last decision."""
         if self._leading_since_us is None:
             self._leading_since_us = now_us
         if self.controller is not None:
--- a/heathwell/fleet/control/fleet_agent.py
+++ b/heathwell/fleet/control/fleet_agent.py
@@ -29,9 +29,7 @@
 )
 from heathwell.observability.event_log import EventLog, NoEvents
 
-SUSPECT_TIMEOUTS_PER_SILENCE_TIMEOUT = (
-    2  # a coordinator that is silent for two suspect timeouts counts as lost
-)
+SUSPECT_TIMEOUTS_PER_SILENCE_TIMEOUT = 2  # a coordinator that is silent for longer counts as lost
 SEEDS_PER_MEMBER = 64  # each link of a member has its own seed
 MILLIUNITS_PER_UNIT = 1_000
 
--- a/heathwell/fleet/control/quota_coordinator.py
+++ b/heathwell/fleet/control/quota_coordinator.py
@@ -209,7 +209,7 @@
             stream.offer(frames.encode(reply))
 
     def _on_hello(self, stream: Stream, hello: frames.Hello) -> None:
-        """Record the peer's name; refuse a peer of another fleet, which may have used this address before."""
+        """Record the peer's name. Refuse a peer of another fleet, which may have used this address before."""
         if hello.fleet and hello.fleet != self.fleet:
             self.counts["other fleet",] += 1
             self.log(
--- a/heathwell/fleet/control/state_file.py
+++ b/heathwell/fleet/control/state_file.py
@@ -108,8 +108,7 @@
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Replace a file's content atomically and durably: after a power failure it is either the old or the new
-    one.
+    """Replace a file's content atomically and durably: after a power failure it is the old or the new one.
 
     Raises :class:`OSError`; the file is unchanged in that case, unless only the sync of its folder failed.
     """
--- a/heathwell/fleet/evacuation/plan.py
+++ b/heathwell/fleet/evacuation/plan.py
@@ -18,8 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetLoad:
-    """Requested rate and capacity of each zone, and requested rate by zone and query class, in parts per
-    second.
+    """Requested rate and capacity by zone, and requested rate by zone and class, in parts per second.
 
     The capacity of a zone that is not listed is unknown. ``rate_by_class`` is empty if unknown.
     """
@@ -82,9 +81,7 @@
         return self._plan_within(zone, capacity)
 
     def _plan_within(self, zone: str, capacity: float) -> EvacuationPlan:
-        """Plan for the entire zone if its load fits, else for the classes of highest weight, else for a
-        share.
-        """
+        """Plan for the entire zone if its load fits, else the classes of highest weight, else a share."""
         total_rate = sum(self.load.rate.values())
         usable = self.usable_capacity_fraction * capacity
         if total_rate <= usable:
--- a/heathwell/fleet/evacuation/state_machine.py
+++ b/heathwell/fleet/evacuation/state_machine.py
@@ -31,9 +31,7 @@
     HEALTHY = "healthy"
     """The other zones' brokers no longer agree that the zone is unhealthy."""
     CONFIRMED = "confirmed"
-    """The zone was unhealthy for long enough, and other zones have the capacity for at least a part of its
-    load.
-    """
+    """The zone was unhealthy for long enough, and other zones have capacity for a part of its load."""
     DRAINED = "drained"
     """Brokers and clients have had enough time to move to other zones."""
     PROBES_ANSWERED = "probes answered"
--- a/heathwell/fleet/membership/membership_table.py
+++ b/heathwell/fleet/membership/membership_table.py
@@ -172,9 +172,7 @@
         return [MemberTransition(entry.name, entry.incarnation, before, after, reason)]
 
     def _has_capacity(self) -> bool:
-        """Whether a new name can be added; a full table evicts the entry that has been in a final state the
-        longest.
-        """
+        """Whether a new name can be added; a full table evicts the oldest entry in a final state."""
         if len(self.entries) < self.timeouts.max_entries:
             return True
         final_entries = [entry for entry in self.entries.values() if entry.state in FINAL_STATES]
--- a/heathwell/fleet/quotas/messages.py
+++ b/heathwell/fleet/quotas/messages.py
@@ -52,8 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """A quota granted by the holder of a fraction's lease; numbers increase within an incarnation of the
-    holder.
+    """A quota granted by the holder of a fraction's lease, numbered upwards within its incarnation.
 
     ``duration_us`` is that of a grant lease, or less if the fraction's lease ends sooner, and 0 if nothing is
     granted.
--- a/heathwell/fleet/rollout/__init__.py
+++ b/heathwell/fleet/rollout/__init__.py
@@ -1,5 +1,4 @@
-"""Rollout of a new program or new settings in stages, each compared with brokers that still run the old
-version.
+"""Staged rollout of a new program or new settings, compared with brokers that still run the old version.
 
 Does no I/O: the statistics of the brokers are passed in one window at a time, with the clock; the result is
 the desired version of each broker. Imports no other package of heathwell. Each module imports only modules
--- a/heathwell/fleet/rollout/broker_supervisor.py
+++ b/heathwell/fleet/rollout/broker_supervisor.py
@@ -300,9 +300,7 @@
         )
 
     def _back_off(self, now_us: int) -> None:
-        """Delay the next start after a crash; after too many crashes fall back to the previous version, or
-        stop.
-        """
+        """Delay the next start after a crash; after too many, fall back to the previous version or stop."""
         last_crash_at_us = self._last_crash_at_us
         recent = last_crash_at_us is not None and now_us - last_crash_at_us < self.limits.crash_interval_us
         self._crashes = self._crashes + 1 if recent else 1
--- a/heathwell/fleet/rollout/canary_analysis.py
+++ b/heathwell/fleet/rollout/canary_analysis.py
@@ -74,9 +74,7 @@
         )
 
     def final_verdict(self, *, require_proof: bool) -> Verdict:
-        """Return the verdict at the end of the stage; with ``require_proof`` every class must be within the
-        tolerance.
-        """
+        """Return the final verdict; with ``require_proof`` every class must be within the tolerance."""
         decided = self._decided_classes()
         undecided = tuple(sorted(set(self._series) - set(decided) - {ALL_CLASSES}))
         total = self._series[ALL_CLASSES]
--- a/heathwell/fleet/rollout/fault_detector.py
+++ b/heathwell/fleet/rollout/fault_detector.py
@@ -1,5 +1,4 @@
-"""Detects faults that the rollout did not cause, such as a lost zone or a retry storm: the baseline gets
-worse.
+"""Detects faults outside the rollout, such as a lost zone or a retry storm, by a drop of the baseline.
 
 Owns the baseline's recent goodput; does no I/O. Imports the records of this package.
 """
