--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -49,7 +49,7 @@
     settings_edits: dict[str, str] = field(default_factory=dict)
 
 
-def of(events: Events, kind: str, **fields: object) -> Events:
+def events_of(events: Events, kind: str, **fields: object) -> Events:
     """Return the events of a kind whose fields have the given values."""
     return [
         event
@@ -60,7 +60,7 @@
 
 def states(events: Events, name: str) -> set[str]:
     """Return the states of a broker at the coordinators."""
-    return {event["after"] for event in of(events, "member", name=name)}
+    return {event["after"] for event in events_of(events, "member", name=name)}
 
 
 def largest_grant(events: Events, who: str, budget: str = "further") -> int:
@@ -68,7 +68,7 @@
     return max(
         (
             sum(amount for _, amount, *_ in event["held"])
-            for event in of(events, "holds", budget=budget)
+            for event in events_of(events, "holds", budget=budget)
             if event.who == who
         ),
         default=0,
@@ -85,11 +85,11 @@
 
 def check_paused_broker_ends_its_incarnation(events: Events) -> None:
     """Check that a broker suspended for longer than its lease uses only its minimum until a new grant."""
-    paused = of(events, "paused", name="b1")[0]
+    paused = events_of(events, "paused", name="b1")[0]
     resumed_at_us = paused.t + paused["span"]
     after_pause = [event for event in events if event.who == "b1r0" and event.t >= resumed_at_us - 1_000]
     assert [event.ev for event in after_pause if event.ev in ("dies", "holds", "spends", "send")][0] == "dies"
-    assert "stopped for" in of(after_pause, "dies")[0]["why"]
+    assert "stopped for" in events_of(after_pause, "dies")[0]["why"]
     granted_at_us = next(event.t for event in after_pause if event.ev == "holds" and event["held"])
     before_grant = [event for event in after_pause if event.ev == "spends" and event.t < granted_at_us]
     assert len(before_grant) <= 2  # of its own minimum: 0.6/s, with a burst of 2 s
@@ -98,81 +98,89 @@
 def check_broker_without_reports_is_dead(events: Events) -> None:
     """Check that a broker whose reports are lost is declared dead and learns it from a reply."""
     assert "dead" in states(events, "b0") and "alive" in states(events, "b0")
-    assert of(events, "dies", why=of(events, "dies")[0]["why"])[0]["why"].startswith("127.0.0.1")
+    assert events_of(events, "dies", why=events_of(events, "dies")[0]["why"])[0]["why"].startswith(
+        "127.0.0.1"
+    )
 
 
 def check_broker_without_replies_is_suspected(events: Events) -> None:
     """Check that a broker that reports but receives no reply is suspected and not dead."""
-    suspected = [event for event in of(events, "member", name="b0", after="suspect")]
+    suspected = [event for event in events_of(events, "member", name="b0", after="suspect")]
     assert suspected and "dead" not in states(events, "b0")
 
 
 def check_lost_replies_are_tolerated(events: Events) -> None:
     """Check that a broker that does not receive some of the replies gets grants and is not declared dead."""
-    assert len({event.t for event in of(events, "holds", budget="further") if event.who == "b0r0"}) > 3
+    assert len({event.t for event in events_of(events, "holds", budget="further") if event.who == "b0r0"}) > 3
     assert "dead" not in states(events, "b0")
 
 
 def check_restarted_coordinator_waits_for_leases(events: Events) -> None:
     """Check that a restarted coordinator grants nothing while a lease of its previous run may last."""
     killed_at_us = max(event.t for event in events if event.who == "k0r0")
-    granted_at_us = [event.t for event in of(events, "gives") if event.who == "k0r1"]
-    owned = [event for event in of(events, "owns") if event.who == "k0r1" and event["fractions"]]
+    granted_at_us = [event.t for event in events_of(events, "gives") if event.who == "k0r1"]
+    owned = [event for event in events_of(events, "owns") if event.who == "k0r1" and event["fractions"]]
     # A lease of 3 s, less the age of its request.
     assert granted_at_us and min(granted_at_us) - killed_at_us >= 2_500_000 and owned
     # Its fraction stays in use: its lease was renewed in time, or another coordinator took the fraction over.
-    assert {event["fraction"] for event in of(events, "gives") if event.t > killed_at_us} == {0, 1, 2}
+    assert {event["fraction"] for event in events_of(events, "gives") if event.t > killed_at_us} == {0, 1, 2}
 
 
 def check_later_runs_grant_quotas(events: Events) -> None:
     """Check that each run of a coordinator has its own name, and that the last runs grant quotas too."""
-    assert {event.who for event in of(events, "opened", role="keeper")} >= {"k0r2", "k1r1", "k2r1"}
-    last_start_at_us = max(event.t for event in of(events, "opened", role="keeper"))
-    assert [event for event in of(events, "gives") if event.t > last_start_at_us]
+    assert {event.who for event in events_of(events, "opened", role="keeper")} >= {"k0r2", "k1r1", "k2r1"}
+    last_start_at_us = max(event.t for event in events_of(events, "opened", role="keeper"))
+    assert [event for event in events_of(events, "gives") if event.t > last_start_at_us]
 
 
 def check_partitioned_brokers_use_other_coordinators(events: Events) -> None:
     """Check that brokers that cannot reach one coordinator get grants from the others."""
-    granted_by_first = {event["to"] for event in of(events, "gives") if event.who == "k0r0"}
+    granted_by_first = {event["to"] for event in events_of(events, "gives") if event.who == "k0r0"}
     assert granted_by_first == {f"b{n}" for n in range(6)}
     for number in range(3):
-        assert [event for event in of(events, "gives", to=f"b{number}") if event.who in ("k1r0", "k2r0")]
+        assert [
+            event for event in events_of(events, "gives", to=f"b{number}") if event.who in ("k1r0", "k2r0")
+        ]
 
 
 def check_each_broker_has_two_incarnations(events: Events) -> None:
     """Check that each restarted broker joins again under a later incarnation."""
-    assert {event.who for event in of(events, "joins")} >= {f"b{n}r1" for n in range(6)}
-    incarnations = {n: [event["inc"] for event in of(events, "joins", name=f"b{n}")] for n in range(6)}
+    assert {event.who for event in events_of(events, "joins")} >= {f"b{n}r1" for n in range(6)}
+    incarnations = {n: [event["inc"] for event in events_of(events, "joins", name=f"b{n}")] for n in range(6)}
     assert all(joined == sorted(set(joined)) and len(joined) == 2 for joined in incarnations.values())
 
 
 def check_host_closes_silent_connection(events: Events) -> None:
     """Check that a host closes a connection after its own timeout if it does not receive its end."""
-    assert [event for event in of(events, "quiet") if event["peer"].startswith("b2r0")]
+    assert [event for event in events_of(events, "quiet") if event["peer"].startswith("b2r0")]
 
 
 def check_smaller_budget_is_kept(events: Events) -> None:
     """Check that all coordinators apply the smaller total, and grants are within it four seconds later."""
-    resized = of(events, "resized", budget="further", whole=8_000)
+    resized = events_of(events, "resized", budget="further", whole=8_000)
     assert {event.who for event in resized} == {"k0r0", "k1r0", "k2r0"}
     in_effect_at_us = max(event.t for event in resized) + 4_000_000
-    later = [event for event in of(events, "holds", budget="further") if event.t > in_effect_at_us]
+    later = [event for event in events_of(events, "holds", budget="further") if event.t > in_effect_at_us]
     assert later and all(sum(amount for _, amount, *_ in event["held"]) <= 8_000 - 4_800 for event in later)
 
 
 def check_brokers_use_their_minimum(events: Events) -> None:
     """Check that once all grants have expired each broker uses its reserved minimum."""
     stopped_at_us = max(event.t for event in events if event.who.startswith("k"))
-    used = [event for event in of(events, "spends", budget="further") if event.t > stopped_at_us + 2_500_000]
+    used = [
+        event
+        for event in events_of(events, "spends", budget="further")
+        if event.t > stopped_at_us + 2_500_000
+    ]
     assert used and not [
-        event for event in of(events, "holds") if event.t > stopped_at_us + 2_500_000 and event["held"]
+        event for event in events_of(events, "holds") if event.t > stopped_at_us + 2_500_000 and event["held"]
     ]
 
 
 def check_brokers_join_and_leave(events: Events) -> None:
     """Check that many brokers join and leave."""
-    assert len({event["name"] for event in of(events, "joins")}) > 60
-    assert len({event["name"] for event in of(events, "member", after="left")}) > 30
+    assert len({event["name"] for event in events_of(events, "joins")}) > 60
+    assert len({event["name"] for event in events_of(events, "member", after="left")}) > 30
 
 
 CASES = {
