--- a/heathwell/fleet/control/parameters.py
+++ b/heathwell/fleet/control/parameters.py
@@ -1,6 +1,6 @@
 """The parameters of the fleet's controllers, derived from the ``(fleet ...)`` form of the settings.
 
-Pure functions over settings that have passed their checks. Imports: the settings' schema and the records of
+Pure functions of validated settings. Imports: the settings' schema and the records of
 `heathwell.fleet.membership` and `heathwell.fleet.quotas`.
 """
 
@@ -12,21 +12,21 @@
 from heathwell.fleet.quotas import Budget, BudgetKind, Lease, QuotaTimings
 from heathwell.settings.schema import Fleet, FleetBudget
 
-MILLIUNITS = 1_000  # of a unit a second, in which rates are counted
+MILLIUNITS_PER_UNIT = 1_000  # rates are counted in milliunits per second
 CONNECTIONS_BUDGET = "connections"
 SLOW_START_BUDGET = "cold"
 ROLLOUT_BUDGET = "rollout"
 ENDPOINT_SCOPE = "host"
-FRACTION_LEASE_GRANTS = 2  # a fraction's lease lasts for so many grants
+GRANT_LEASES_PER_FRACTION_LEASE = 2
 
 
 def max_brokers(fleet: Fleet) -> int:
-    """For how many brokers minimum quotas are reserved."""
+    """Return the number of brokers for which a minimum quota is reserved."""
     return fleet.most or fleet.brokers
 
 
 def budgets_from_settings(fleet: Fleet) -> Sequence[Budget]:
-    """The fleet-wide budgets, in the order of the settings."""
+    """Return the fleet-wide budgets, in the order of the settings."""
     return tuple(
         _connection_budget(fleet, budget)
         if budget.name == CONNECTIONS_BUDGET
@@ -36,8 +36,9 @@
 
 
 def _connection_budget(fleet: Fleet, settings: FleetBudget) -> Budget:
-    """Connections to one endpoint. A broker's first connection is its own and never requested: only
-    additional ones are granted.
+    """Return the budget of connections to one endpoint.
+
+    Each broker has its first connection without a grant: only additional ones are counted and granted.
     """
     brokers = max_brokers(fleet)
     return Budget(
@@ -54,12 +55,12 @@
 
 
 def _rate_budget(fleet: Fleet, settings: FleetBudget) -> Budget:
-    """A rate, in milliunits a second."""
+    """Return the budget of a rate, in milliunits per second."""
     return Budget(
         settings.name,
         BudgetKind.RATE,
-        int(settings.whole * MILLIUNITS),
-        int(settings.whole * settings.aside * MILLIUNITS),
+        int(settings.whole * MILLIUNITS_PER_UNIT),
+        int(settings.whole * settings.aside * MILLIUNITS_PER_UNIT),
         max_brokers(fleet),
         len(fleet.coordinators),
         burst_window_us=settings.burst,
@@ -68,19 +69,20 @@
 
 
 def rollout_lease_budget(fleet: Fleet) -> Budget:
-    """The one unit that the active rollout controller holds as its lease."""
+    """Return the budget of one unit, which the active rollout controller holds as its lease."""
     return Budget(
         ROLLOUT_BUDGET, BudgetKind.COUNT, 1, 0, max_brokers(fleet), len(fleet.coordinators), sticky=True
     )
 
 
 def quota_timings_from_settings(fleet: Fleet) -> QuotaTimings:
-    """The durations of leases and of membership (us). A fraction's lease outlasts a grant, so that a
-    grant made late in it is not cut short.
+    """Return the durations of leases and membership timeouts.
+
+    A fraction's lease lasts longer than a grant, so that grants made late in the lease are not shortened.
     """
     return QuotaTimings(
         Lease(fleet.lease, fleet.drift),
-        Lease(FRACTION_LEASE_GRANTS * fleet.lease, fleet.drift),
+        Lease(GRANT_LEASES_PER_FRACTION_LEASE * fleet.lease, fleet.drift),
         fleet.suspect,
         MembershipTimeouts(fleet.suspect, fleet.dead),
     )
