--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -293,7 +293,7 @@
 
 def test_a_last_attempt_with_more_time_does_not_make_first_attempts_look_like_retries():
     """The latency objective of a retry counts from its client's first attempt."""
-    driver = Driver(make_settings())
+    driver = AggregatorDriver(make_settings())
     for _ in range(20):
         (send,) = actions_of_type(driver.query(0, [0], timeout_us=1_500_000), policy.Send)
         driver.end(send)
@@ -382,9 +382,9 @@
     return policy.EndpointUpdate(policy.UpdateKind.INCREMENTAL, entries)
 
 
-def test_a_removed_endpoint_is_forgotten_only_after_the_time_of_a_slow_start(drive):
+def test_a_removed_endpoint_is_forgotten_only_after_the_time_of_a_slow_start(make_driver):
     """If it returns after that time, it is in slow start again."""
-    driver = drive()
+    driver = make_driver()
     driver.step(0, incremental_update(policy.EndpointEntry("s1", 1, policy.EndpointState.GONE)))
     driver.step(5_000_000, incremental_update())
     assert "s1" in driver.aggregator.endpoints and not driver.aggregator.endpoints["s1"].live
@@ -394,9 +394,9 @@
     assert driver.aggregator.slow_start_fraction(driver.aggregator.endpoints["s1"]) < 1.0
 
 
-def test_lost_connections_neither_shed_queries_nor_eject_endpoints(drive):
+def test_lost_connections_neither_shed_queries_nor_eject_endpoints(make_driver):
     """Each lost part is retried once at another replica, and the retry does not use the retry budget."""
-    driver = drive()
+    driver = make_driver()
     first = None
     for _ in range(40):
         for send in actions_of_type(driver.query(0, FOUR_SHARDS), policy.Send):
@@ -413,17 +413,19 @@
     assert driver.aggregator.retry_budget.bucket.tokens >= 1
 
 
-def test_a_lost_keyed_part_is_retried_within_its_idempotency_window_only(drive):
+def test_a_lost_keyed_part_is_retried_within_its_idempotency_window_only(make_driver):
     """After the window, a repeated key would have a second effect. A lost non-idempotent part is never
     retried, as it may have run.
     """
-    driver = drive()
-    (send,) = of(driver.query(3, [0]), policy.Send)
-    assert of(driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=100_000), policy.Send)
-    (send,) = of(driver.query(3, [0]), policy.Send)
-    assert not of(driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=750_000), policy.Send)
-    (send,) = of(driver.query(4, [0]), policy.Send)
-    assert not of(driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=1000), policy.Send)
+    driver = make_driver()
+    (send,) = actions_of_type(driver.query(3, [0]), policy.Send)
+    assert actions_of_type(driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=100_000), policy.Send)
+    (send,) = actions_of_type(driver.query(3, [0]), policy.Send)
+    assert not actions_of_type(
+        driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=750_000), policy.Send
+    )
+    (send,) = actions_of_type(driver.query(4, [0]), policy.Send)
+    assert not actions_of_type(driver.end(send, policy.Outcome.CONNECTION_LOST, after_us=1000), policy.Send)
 
 
 def test_closed_connections_of_clients_and_nodes_are_freed_without_the_garbage_collector():
