--- a/heathwell/codec/varint.py
+++ b/heathwell/codec/varint.py
@@ -32,4 +32,4 @@
         value |= (byte & VALUE_MASK) << (BITS_PER_BYTE * index)
         if byte < CONTINUATION_BIT:
             return value, offset + index + 1
-    raise ValueError(f"varint: no end within the data or within {MAX_BYTES} bytes at offset {offset}")
+    raise ValueError("varint: ends too early")  # sent to clients whose consistency token is malformed
