--- a/heathwell/__init__.py
+++ b/heathwell/__init__.py
@@ -1,4 +1,4 @@
-"""heathwell: an aggregator of queries over replicated shards that degrades honestly."""
+"""heathwell: a query aggregator over replicated shards that reports the completeness of each answer."""
 
 from heathwell.policy import Settings
 from heathwell.policy.aggregator import Aggregator
--- a/heathwell/__main__.py
+++ b/heathwell/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m heathwell`."""
+"""Entry point of `python -m heathwell`."""
 
 from heathwell.cli import main
 
--- a/heathwell/client.py
+++ b/heathwell/client.py
@@ -3,8 +3,8 @@
     client = RetryingClient("127.0.0.1", 11211, useful=8.0)
     answer = client.get("price:apple")
 
-It waits as long as the broker requests, never retries sooner, stops when an answer would come too late to be
-useful, and spreads its reconnects. It imports nothing else of heathwell.
+It waits as long as the broker requests before a retry, stops when an answer would come too late to be useful,
+and adds jitter to its reconnects. It imports nothing else of heathwell.
 """
 
 from __future__ import annotations
@@ -22,7 +22,8 @@
 
 FIRST_RECONNECT_SECONDS = 0.1
 MAX_RECONNECT_SECONDS = 2.0
-RECONNECT_JITTER = (0.5, 1.5)  # all clients notice the end of an outage at once
+# Factors on the delay: all clients notice the end of an outage at once, and must not reconnect together.
+RECONNECT_JITTER = (0.5, 1.5)
 
 
 class AnswerKind(StrEnum):
@@ -33,10 +34,10 @@
     MISS = "miss"
     REFUSED = "refused"
     FAILED = "failed"
-    LOST = "lost"  # no broker was reached
+    LOST = "lost"  # no reply: no connection, a timeout or a protocol error
 
 
-# The former names of the kinds.
+# Module-level names of the kinds, from before `AnswerKind`; `heathwell.heed` exports them too.
 WHOLE = AnswerKind.WHOLE
 PARTIAL = AnswerKind.PARTIAL
 MISS = AnswerKind.MISS
@@ -47,15 +48,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """How a request ended: ``kind``, the body of the value, and in how many attempts (``tries``)."""
+    """How a request ended: its kind, the decoded body of the value, and the number of attempts."""
 
     kind: AnswerKind
     body: dict[str, Any] = field(default_factory=dict)
-    tries: int = 1  # the name is an interface
+    tries: int = 1
 
 
 class RetryingClient:
-    """One connection to one broker; not for several threads at once. Times in seconds."""
+    """A client with one connection to one broker; it is not thread-safe. Times are in seconds.
+
+    ``useful`` is the time after which an answer is of no use: no retry starts later. ``timeout`` bounds each
+    connect and each read.
+    """
 
     def __init__(
         self,
@@ -112,7 +117,7 @@
 
 
 def _read(value: bytes | None, attempts: int) -> Answer:
-    """Return the answer in a value as the broker writes it (docs/clients-memcached.md)."""
+    """Decode a value as the broker writes it (docs/clients-memcached.md)."""
     if value is None:
         return Answer(AnswerKind.MISS, {}, attempts)
     body: dict[str, Any] = json.loads(value)
--- a/heathwell/observability/__init__.py
+++ b/heathwell/observability/__init__.py
@@ -1,1 +1,1 @@
-"""What a program tells its operators beside its service: the event log and pages of HTTP."""
+"""Observability of a process: its event log, digests of what it runs, and the HTTP server of admin pages."""
--- a/heathwell/observability/digests.py
+++ b/heathwell/observability/digests.py
@@ -1,4 +1,4 @@
-"""Digests that name a program tree and a settings file, to tell versions of a broker apart."""
+"""Digests of a program tree and of a settings file, which identify the version that a broker runs."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def program_digest(package: Path) -> str:
-    """What names a program tree: its sources, by name and content."""
+    """Return a digest of the names and contents of a package's source files."""
     whole = hashlib.sha256()
     for path in sorted(package.rglob("*.py")):
         whole.update(str(path.relative_to(package)).encode() + b"\0" + path.read_bytes() + b"\0")
@@ -15,5 +15,5 @@
 
 
 def settings_digest(path: str | Path) -> str:
-    """What names a settings file."""
+    """Return a digest of a settings file's content."""
     return hashlib.sha256(Path(path).read_bytes()).hexdigest()[:12]
--- a/heathwell/observability/event_log.py
+++ b/heathwell/observability/event_log.py
@@ -1,4 +1,4 @@
-"""The event log: a JSON line for each thing that passed a socket, on demand only."""
+"""The event log: one JSON line for each event, such as a message sent or received. It is off by default."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 import msgspec
 
 EventRecord = dict[str, Any]
-"""An event: its time ``t`` (us), who logged it, its name ``ev``, and its own fields, each of a JSON type."""
+"""An event: its time ``t`` (us), the process ``who`` that logged it, its name ``ev``, and its own fields."""
 
 
 class EventClock(Protocol):
-    """The clock that events are logged by."""
+    """The clock that timestamps events."""
 
     def now(self) -> int:
-        """Return the time (us)."""
+        """Return the time in microseconds."""
 
 
 class EventLog(Protocol):
-    """Where events go; ``is_enabled`` is false where they are dropped, so that costly fields are not made."""
+    """A sink of events. Callers skip computing costly fields where ``is_enabled`` is false."""
 
     is_enabled: bool
 
@@ -30,11 +30,11 @@
         """Write the events logged so far."""
 
     def close(self) -> None:
-        """Log an orderly end, flush and close."""
+        """Log the event ``closed``, which marks a graceful shutdown, then flush and close."""
 
 
 class NoEvents:
-    """No event log: the default."""
+    """An event log that drops all events."""
 
     is_enabled = False
 
@@ -49,10 +49,10 @@
 
 
 class FileEvents:
-    """Lines in a file, flushed before a turn of the loop ends, so that a killed process leaves what it did.
+    """An event log in a file of JSON lines.
 
-    A line is an :data:`EventRecord`; its time is that of the clock less ``offset_us``, which is the start of
-    the run.
+    The event loop calls :meth:`flush` at the end of each iteration, so that a killed process loses at most
+    the events of one iteration. Times are relative to ``offset_us``, the start of the run on the same clock.
     """
 
     is_enabled = True
@@ -79,14 +79,14 @@
             os.write(self._file, data)
 
     def close(self) -> None:
-        """Log an orderly end, flush and close."""
+        """Log the event ``closed``, then flush and close."""
         self("closed")
         self.flush()
         os.close(self._file)
 
 
 class ListEvents:
-    """Events in memory, for tests on virtual time."""
+    """An event log in a list, for tests on virtual time."""
 
     is_enabled = True
 
@@ -101,8 +101,8 @@
         self._into.append({"t": self._clock.now(), "who": self._who, "ev": event, **fields})
 
     def flush(self) -> None:
-        """Do nothing: each event is in the list at once."""
+        """Do nothing: events are not buffered."""
 
     def close(self) -> None:
-        """Log an orderly end."""
+        """Log the event ``closed``."""
         self("closed")
--- a/heathwell/observability/http_pages.py
+++ b/heathwell/observability/http_pages.py
@@ -1,4 +1,4 @@
-"""Pages of HTTP on a stream, for the admin ports of brokers and quota coordinators."""
+"""A minimal HTTP server for the admin ports of brokers and quota coordinators."""
 
 from __future__ import annotations
 
@@ -11,9 +11,11 @@
 
 
 def serve_pages(stream: Stream, answer: Callable[[Request], Response]) -> Coro[None]:
-    """One connection: each request has its page, until either side ends it."""
+    """Serve one connection: respond to each request by ``answer`` until either side closes."""
     side = ServerSide()
     while not side.closing and (data := (yield from stream.read())):
-        for whole in side.feed(data):
-            stream.write(side.respond(whole if isinstance(whole, Response) else answer(whole)))
+        for message in side.feed(data):
+            # The parser returns a response in place of a request that is invalid.
+            response = message if isinstance(message, Response) else answer(message)
+            stream.write(side.respond(response))
             yield from stream.drain()
--- a/heathwell/servers/__init__.py
+++ b/heathwell/servers/__init__.py
@@ -1,1 +1,4 @@
-"""Client protocols: a request to queries of the broker, replies back. No retry, time-out or cache here."""
+"""The servers of the client protocols, which translate requests into queries of the broker.
+
+They translate only: retries, timeouts of queries and caches are not theirs.
+"""
--- a/heathwell/servers/admin.py
+++ b/heathwell/servers/admin.py
@@ -1,6 +1,6 @@
-"""The admin server: ``/healthz``, ``/metrics``, ``/state``, ``/explain`` and ``/service``, over HTTP.
+"""The admin HTTP server: ``/healthz``, ``/metrics``, ``/state``, ``/explain`` and ``/service``.
 
-Texts and names of fields are read by operators and their tools, and stay as they are.
+The texts of the pages and the names of their fields are a stable interface for operators' tools.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from heathwell.service.shard_reachability import MINIMUM_REACHABLE_FRACTION
 
 JSON = "application/json"
-MAX_NAMED_QUERIES = 10  # in the error about a query that is not among the recent ones
+MAX_NAMED_QUERIES = 10  # recent query ids listed in the error for an unknown one
 
 
 class AdminServer:
-    """Serves the admin port."""
+    """Serves the pages of one broker; ``/service`` exists only where the broker keeps service statistics."""
 
     def __init__(self, broker: ServiceBroker, server: MemcachedServer) -> None:
         self._broker = broker
@@ -45,7 +45,7 @@
         yield from serve_pages(stream, self.answer)
 
     def answer(self, request: Request) -> Response:
-        """Return the page that a request is for."""
+        """Return the response to a request."""
         if request.path == "/healthz" and request.query:
             return self._class_health_page(request.query)
         if request.path == "/explain":
@@ -64,7 +64,7 @@
         return Response(503, f"{problem}\n".encode())
 
     def _health_problem(self) -> str | None:
-        """Return why the broker should get no clients; None if it is healthy."""
+        """Return why load balancers should send the broker no clients; None if it is healthy."""
         broker = self._broker
         if broker.stopping:
             return "stopping"
@@ -77,7 +77,7 @@
         return None
 
     def _class_health_page(self, query: str) -> Response:
-        """``/healthz?class=NAME``: whether most of that class's queries can be answered now."""
+        """Serve ``/healthz?class=NAME``: 200 if most queries of the class can be answered now, else 503."""
         name = dict(parse_qsl(query)).get("class", "")
         names = [spec.name for spec in self._broker.settings.classes]
         if name not in names:
--- a/heathwell/servers/admin_metrics.py
+++ b/heathwell/servers/admin_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a broker. The names of metrics, their help texts and labels are an interface."""
+"""The Prometheus metrics of a broker. Names, help texts and labels are a stable interface."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterSpec:
-    """A metric that shows the broker's counters of one kind."""
+    """A metric over the broker's counters of one kind; their keys are the kind, then the label values."""
 
     name: str
     help: str
@@ -72,7 +72,7 @@
 
 
 class MetricsCollector:
-    """Collects a broker's metrics; answers are observed as they are sent, all else is read on request."""
+    """Collects a broker's metrics: histograms as answers are sent, the rest from its state at each scrape."""
 
     def __init__(self, broker: ServiceBroker, server: MemcachedServer) -> None:
         self.registry = CollectorRegistry(auto_describe=False)
@@ -94,14 +94,14 @@
             registry=self.registry,
         )
         self.registry.register(self)
-        # Looked up once: finding a label's child costs more than counting.
+        # Cached, as looking up the child of a label costs more than the observation.
         classes = broker.settings.classes
         self._duration_by_class = {spec.name: duration.labels(spec.name) for spec in classes}
         self._weight_by_class = {spec.name: weight.labels(spec.name) for spec in classes}
         broker.on_final = self.on_reply
 
     def on_reply(self, _query: ServiceQuery, reply: Reply, duration_us: int) -> None:
-        """Observe a final answer."""
+        """Record a final answer in the histograms."""
         self._duration_by_class[reply.query_class].observe(duration_us / 1e6)
         if reply.coverage.requested_parts:
             self._weight_by_class[reply.query_class].observe(reply.coverage.weight)
@@ -113,7 +113,7 @@
             self._age.labels(reply.query_class).observe(reply.age.bound_us / 1e6)
 
     def collect(self) -> Iterator[Metric]:
-        """Yield the counters and gauges that are read on request."""
+        """Yield the counters and gauges, read from the broker's state."""
         yield from self._counters()
         yield from self._gauges()
         yield from self._region_metrics()
--- a/heathwell/servers/admin_state.py
+++ b/heathwell/servers/admin_state.py
@@ -1,4 +1,4 @@
-"""The page ``/state`` of a broker; the names of its fields are an interface."""
+"""The JSON of a broker's ``/state`` page. The names of its fields are a stable interface."""
 
 from __future__ import annotations
 
@@ -8,15 +8,23 @@
 
 
 class EjectionState(msgspec.Struct, frozen=True):
-    """An ejection of an endpoint, for all classes or one."""
+    """An ejection of an endpoint, for one query class or for all.
+
+    ``for_ms``: the remaining duration. ``trial``: whether it is half-open. ``dead``: why the endpoint
+    may have been unreachable, empty if it was not.
+    """
 
     for_ms: int
     trial: bool
-    dead: str  # why the endpoint may have been unreachable; empty where it was not
+    dead: str
 
 
 class EndpointState(msgspec.Struct, frozen=True):
-    """What the broker holds of an endpoint. ``out`` counts attempts in flight."""
+    """An endpoint.
+
+    ``cell``: its replica group. ``out``: attempts in flight. ``pace``: its relative latency. ``ejected``: its
+    ejections by query class, or under ``all``.
+    """
 
     node: str
     cell: int
@@ -30,7 +38,11 @@
 
 
 class LinkState(msgspec.Struct, frozen=True):
-    """What the broker holds of the link to a region."""
+    """The network link to another region.
+
+    ``for_ms``: time in this state, None if it never changed. ``why``: the evidence for the state. ``crossed``
+    and ``further_crossed``: attempts sent over the link, and those of them that are additional attempts.
+    """
 
     region: str
     state: str
@@ -41,7 +53,7 @@
 
 
 class BrokerState(msgspec.Struct, frozen=True):
-    """What the broker holds."""
+    """A broker. ``held``: queries and parts in progress. ``counts``: its counters, keys joined by slashes."""
 
     name: str
     links: list[LinkState]
@@ -53,7 +65,7 @@
 
 
 def broker_state(broker: ServiceBroker) -> BrokerState:
-    """Return the state of a broker."""
+    """Return a snapshot of a broker's state."""
     return BrokerState(
         name=broker.name,
         links=_link_states(broker),
@@ -95,7 +107,7 @@
 
 
 def _scope_name(broker: ServiceBroker, scope: int) -> str:
-    """Return the name of the class that an ejection is for, ``all`` for one of all classes."""
+    """Return the name of the query class that an ejection applies to, or ``all``."""
     return "all" if scope < 0 else broker.settings.classes[scope].name
 
 
--- a/heathwell/servers/answer_age.py
+++ b/heathwell/servers/answer_age.py
@@ -1,4 +1,4 @@
-"""The age of an answer's data, in the fields that clients of all protocols read (docs/freshness.md)."""
+"""The fields by which replies of all protocols state the age of their data (docs/freshness.md)."""
 
 from __future__ import annotations
 
@@ -11,9 +11,15 @@
 
 
 class AgeFields(msgspec.Struct, frozen=True):
-    """What a reply states about the age of its data; the names of the fields are an interface."""
+    """The age of an answer's data; the names of the fields are part of the client protocols.
 
-    age_ms: int | None  # the greatest age that the data can have; None: unknown
+    ``age_ms``: an upper bound, None if unknown. ``stale``: whether that exceeds the age that the query class
+    asks for. ``token``: the log positions that the answer has, for the client's later queries. Two fields are
+    sent only where there is something to report: ``consistent`` is false where item detail is older than the
+    totals it belongs to, ``behind`` lists shards whose data is older than the client's token.
+    """
+
+    age_ms: int | None
     stale: bool
     token: str
     consistent: bool | msgspec.UnsetType = msgspec.UNSET
@@ -21,7 +27,7 @@
 
 
 def age_fields(age: Age) -> dict[str, Any]:
-    """Return the fields of :class:`AgeFields`, to be merged into the object that a protocol sends."""
+    """Return :class:`AgeFields` as a dictionary, to be merged into the object that a protocol sends."""
     fields = AgeFields(
         age_ms=None if age.bound_us is None else milliseconds_rounded_up(age.bound_us),
         stale=age.stale,
--- a/heathwell/servers/client_connection.py
+++ b/heathwell/servers/client_connection.py
@@ -1,4 +1,4 @@
-"""What the servers of all client protocols have in common: their connections, and how many there may be."""
+"""Client connections and their limits, common to the servers of all client protocols."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 from heathwell.eventloop import Coro, Stream
 from heathwell.service.retry_storms import ConnectionLimiter
 
-EXTRA_CONNECTIONS = 64  # accepted over the limit, so that the server rejects them in its own protocol
+EXTRA_CONNECTIONS = 64  # accepted above the limit, so that they are rejected by a reply of the protocol
 DRAIN_CHECK_INTERVAL_US = 250_000
 
 
 class ClientConnection(ABC):
-    """A client's connection, read by one task through :meth:`read`.
+    """A client's connection, read by a single task through :meth:`read`.
 
-    :meth:`close_if_idle` is the only way in which the server closes a connection for being idle.
+    The server closes idle connections through :meth:`close_if_idle` only, which loses no request that has
+    arrived already.
     """
 
     def __init__(self, stream: Stream, number: int) -> None:
@@ -28,10 +29,10 @@
     @property
     @abstractmethod
     def is_idle(self) -> bool:
-        """Whether no request is in progress and none has begun, as far as bytes were read."""
+        """Whether no request is in progress or partly received, judged by the bytes read so far."""
 
     def read(self) -> Coro[bytes]:
-        """Return the next bytes, b"" at the end. Raise ``StreamBrokenError`` when the connection is lost."""
+        """Return the next bytes, b"" at the end; raise ``StreamBrokenError`` when the connection is lost."""
         data = yield from self.stream.read()
         self._has_unread_request = False
         return data
@@ -39,8 +40,8 @@
     def close_if_idle(self) -> bool:
         """Close the connection if it is idle and return whether it is closed.
 
-        Timers and new clients are served before the task that reads, so the next request may be in the
-        socket already: the socket is read once more, and a connection with bytes at hand stays open.
+        The event loop runs timers and accepts clients before it resumes the reading task, so a request may be
+        waiting in the socket: the socket is read once more, and a connection with unread bytes stays open.
         """
         if self._has_unread_request or not self.is_idle:
             return self.stream.closed
@@ -55,21 +56,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Registration(Generic[ConnectionT]):
-    """Whether a new connection may stay, and the idle one that was closed for it, if any."""
+    """Whether a new connection was accepted, and the idle connection that was evicted for it, if any."""
 
     accepted: bool
     evicted: ConnectionT | None = None
 
 
 class ClientRegistry(Generic[ConnectionT]):
-    """The open connections of one server by number, limited in all and by client address."""
+    """The open connections of one server by number, limited in total and per client address."""
 
     def __init__(self, max_clients: int, max_clients_per_address: int) -> None:
         self.connections: dict[int, ConnectionT] = {}
         self.limiter = ConnectionLimiter(max_clients, max_clients_per_address)
 
     def register(self, connection: ConnectionT) -> Registration[ConnectionT]:
-        """Take in a new connection. At the limit an idle one is closed for it, or it is rejected."""
+        """Add a new connection; at a limit, evict an idle one for it, or reject it if none is idle."""
         verdict = self.limiter.admit(
             connection.number,
             connection.address,
@@ -82,10 +83,10 @@
         return Registration(accepted=True, evicted=evicted)
 
     def on_request(self, connection: ConnectionT) -> None:
-        """Note that a connection is in use: the longest unused one is evicted first."""
+        """Record a use of a connection: the least recently used idle one is evicted first."""
         self.limiter.on_request(connection.number)
 
     def remove(self, connection: ConnectionT) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self.connections.pop(connection.number, None)
         self.limiter.on_closed(connection.number)
--- a/heathwell/servers/memcached.py
+++ b/heathwell/servers/memcached.py
@@ -1,6 +1,6 @@
-"""The memcached server: each key of a get is a query of its own, one reply goes back, in request order.
+"""The memcached server: each key of a get is a separate query; replies are sent in the order of commands.
 
-docs/clients-memcached.md describes what clients receive, ``memcached_replies`` writes it.
+docs/clients-memcached.md describes the replies, :mod:`heathwell.servers.memcached_replies` encodes them.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class MemcachedServer:
-    """Serves connections, within the limits on their number."""
+    """Serves the memcached connections of one broker, within the limits on their number."""
 
     def __init__(self, broker: ServiceBroker, log: Callable[..., None]) -> None:
         limits = broker.service_settings.limits
@@ -43,27 +43,31 @@
             stream.write(protocol.server_error("heathwell too many connections"))
             return
         if registration.evicted is not None:
-            self.log("info", "client closed for another", client=registration.evicted.stream.peer)
+            self.log(
+                "info",
+                "idle client connection evicted at the connection limit",
+                client=registration.evicted.stream.peer,
+            )
         try:
             yield from connection.run()
         except StreamOverrunError as error:
             self.statistics.slow_clients += 1
-            self.log("info", "client cut off", client=stream.peer, why=str(error))
+            self.log("info", "client connection closed: replies not read", client=stream.peer, why=str(error))
         finally:
             self.clients.remove(connection)
             connection.on_connection_lost()
 
     def hand_over(self) -> int:
-        """Close the idle connections and return how many others are left.
+        """Close the idle connections and return the number of those that are still open.
 
-        Another process takes over the address: it serves what those clients request next.
+        Called while another process takes over the address: it serves the clients that reconnect.
         """
         for connection in self.connections:
             connection.close_if_idle()
         return sum(not connection.stream.closed for connection in self.connections)
 
     def stats(self) -> StatsReply:
-        """Return the answer to the command ``stats``."""
+        """Return the reply to the command ``stats``."""
         broker = self.broker
         return StatsReply(
             pid=0,
@@ -83,7 +87,7 @@
         )
 
     def _drain_idle_clients(self) -> None:
-        """Close idle clients of a broker that is cut off or whose zone is evacuated, as they are due."""
+        """Close idle clients at their scheduled times while the broker is cut off or its zone evacuated."""
         if self.broker.dead:
             return
         now = self.broker.loop.now()
@@ -100,6 +104,7 @@
         for number in drain.take_due(now, idle):
             connection = self.clients.connections[number]
             if connection.close_if_idle():
-                self.log("debug", "client let go", client=connection.stream.peer)
+                self.log("debug", "idle client connection closed by drain", client=connection.stream.peer)
             else:
-                drain.closed_count -= 1  # its request is answered first; it gets a new time
+                # A request has arrived. It is answered, and the drain schedules the connection again.
+                drain.closed_count -= 1
--- a/heathwell/servers/memcached_connection.py
+++ b/heathwell/servers/memcached_connection.py
@@ -1,4 +1,4 @@
-"""One memcached connection: commands in, replies out in their order, a bounded number in progress."""
+"""One memcached connection: a bounded number of commands in progress, replies in the order of commands."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 @dataclass(slots=True)
 class MemcachedServerStatistics:
-    """What a server has served, and what it could not serve."""
+    """Counters of a memcached server."""
 
     connections: int = 0
     keys: int = 0
-    slow_clients: int = 0  # cut off as they did not read their replies
+    slow_clients: int = 0  # disconnected, as they did not read their replies
     bad_commands: int = 0
     rejected_writes: int = 0
 
 
 class StatsReply(msgspec.Struct, frozen=True):
-    """The answer to the command ``stats``; the names of the fields are an interface."""
+    """The reply to the command ``stats``; the names of the fields are part of the protocol."""
 
     pid: int
     uptime: int  # seconds
@@ -50,19 +50,19 @@
 
 
 class ConnectionServer(Protocol):
-    """What a connection uses of its server."""
+    """The part of the server that a connection uses."""
 
     broker: ServiceBroker
     clients: ClientRegistry[MemcachedConnection]
     statistics: MemcachedServerStatistics
 
     def stats(self) -> StatsReply:
-        """Return the answer to the command ``stats``."""
+        """Return the reply to the command ``stats``."""
 
 
 @dataclass(slots=True)
 class PendingReply:
-    """The reply to one command, which keeps its place in the order; ``data`` is None until it is complete."""
+    """The reply to one command, queued in the order of commands; ``data`` is None until it is complete."""
 
     command: protocol.Get | protocol.MetaGet | None = None
     data: bytes | None = None
@@ -71,13 +71,13 @@
     unanswered_count: int = 0
 
     def record_reply(self, index: int, reply: Reply) -> bool:
-        """Take in the reply to the key at an index; return whether it was the last one."""
+        """Record the reply to the key at an index; return whether all keys have replies now."""
         self.replies[index] = reply
         self.unanswered_count -= 1
         return self.unanswered_count == 0
 
     def disconnect(self) -> None:
-        """Disconnect from the queries that are not answered yet."""
+        """Disconnect from the queries without a reply: the client is gone."""
         for handle, reply in zip(self.handles, self.replies, strict=False):
             if handle is not None and reply is None:
                 handle.disconnect()
@@ -103,11 +103,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no command is in progress, none is partly received and no reply partly sent."""
+        """Whether no command is in progress or partly received, and no reply is unsent."""
         return not self.pending and not self.stream.unsent and not self._parser.midway
 
     def run(self) -> Coro[None]:
-        """Serve until the client ends its requests and every one is answered."""
+        """Serve until the client ends its requests and each has been answered."""
         self.stream.on_close = self.on_connection_lost
         while not self._is_quitting:
             data = yield from self.read()
@@ -123,7 +123,7 @@
         yield from self._drain_stream()
 
     def on_connection_lost(self) -> None:
-        """Disconnect from the queries in progress: nobody waits for their answers."""
+        """Disconnect from the queries in progress, as their answers cannot be delivered."""
         pending = self.pending
         self.pending = deque()
         for pending_reply in pending:
@@ -131,7 +131,7 @@
         self._progress.set()
 
     def _wait_for_capacity(self) -> Coro[None]:
-        """Backpressure: read on only while few commands are in progress and the client reads its replies."""
+        """Backpressure: wait while too many commands are in progress or the client does not read replies."""
         while len(self.pending) >= self._max_pending and not self.stream.closed:
             yield from self._wait_for_progress()
         yield from self._drain_stream()
@@ -210,7 +210,7 @@
         self._write_completed()
 
     def _write_completed(self) -> None:
-        """Write the complete replies at the head of the order."""
+        """Write the complete replies at the head of the queue."""
         try:
             while self.pending and (data := self.pending[0].data) is not None:
                 self.pending.popleft()
@@ -219,5 +219,5 @@
         except StreamOverrunError as error:
             self._overrun = error
         except StreamBrokenError:
-            pass  # the task that reads ends the connection
+            pass  # the reading task notices the loss and ends the connection
         self._progress.set()
--- a/heathwell/servers/memcached_replies.py
+++ b/heathwell/servers/memcached_replies.py
@@ -1,9 +1,9 @@
-"""The replies of the memcached server, as docs/clients-memcached.md describes them. Pure.
+"""Encoding of the memcached server's replies, which docs/clients-memcached.md describes. No I/O.
 
-In short: a miss is left out (or ``EN``); the flags of a value that is partial carry ``ValueFlag.PARTIAL``; a
-query that is rejected or failed is a value too, flagged ``REFUSED`` or ``LOST``, whose body holds no data.
-libmemcached returns any error line of a get as a miss, so an error is sent only if the settings choose it
-(``refusals error``). ``mg`` always gets a ``SERVER_ERROR``.
+A miss is left out of a get's reply (``EN`` for ``mg``). A partial answer has the client flag
+``ValueFlag.PARTIAL``. A rejected or failed query also yields a value, flagged ``REFUSED`` or ``LOST``, whose
+body has no data: libmemcached reports any error line of a get as a miss, so a get is answered by an error
+only if the settings choose it (``refusals error``). ``mg`` is answered by ``SERVER_ERROR`` in that case.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class ValueFlag(IntFlag):
-    """Client flags of a value, above the bits that pymemcache and libmemcached use themselves."""
+    """Client flags of a value, above the bits that pymemcache and libmemcached use."""
 
     PARTIAL = 1 << 16
     REFUSED = 1 << 17
@@ -36,20 +36,26 @@
 
 
 class CoverageFields(msgspec.Struct, frozen=True):
-    """How complete a value is; the names of the fields are an interface."""
+    """The completeness of a value; the names of the fields are part of the protocol.
 
-    parts: tuple[int, int]  # answered, requested
+    ``parts`` and ``items``: the numbers answered and requested, of the first and of the second step.
+    ``weight``: the fraction of the parts' weight that was answered. ``need`` and ``floor``: the fractions
+    that a complete and a partial answer require. ``missing``: shards without an answer. ``set``: the encoded
+    cover of the answer.
+    """
+
+    parts: tuple[int, int]
     weight: float
     need: float
     floor: float
     missing: list[int]
-    items: tuple[int, int]  # of the second step: answered, requested
+    items: tuple[int, int]
     set: str | msgspec.UnsetType = msgspec.UNSET
 
 
 @dataclass(frozen=True, slots=True)
 class MissingAnswers:
-    """The keys of a get without an answer, by their places in it (from 1)."""
+    """The keys of a get that have no answer, by their positions in the command (from 1)."""
 
     rejected: list[int]
     failed: list[int]
@@ -80,7 +86,7 @@
 
 
 def answer_body(reply: Reply) -> bytes:
-    """Return the value of an answer; its coverage goes first, so that it is read before the data."""
+    """Return the body of an answer's value; the coverage precedes the data, so that it is read first."""
     coverage = reply.coverage
     fields = CoverageFields(
         parts=(coverage.answered_parts, coverage.requested_parts),
@@ -98,7 +104,7 @@
 
 
 def missing_answer_body(reply: Reply) -> bytes:
-    """Return the value that stands for an answer that is missing."""
+    """Return the body of the value that replaces the answer of a rejected or failed query."""
     body: dict[str, Any] = {
         "whole": False,
         _kind_name(reply): True,
@@ -112,15 +118,16 @@
 def get_reply(command: protocol.Get, replies: list[Reply], *, as_error: bool) -> bytes:
     """Return the reply to a classic get: the values, then ``END``.
 
-    With ``as_error`` an error that names the keys without an answer takes their values' and ``END``'s place.
+    With ``as_error``, keys without an answer get no value, and an error line that lists them replaces
+    ``END``.
     """
     lines: list[bytes] = []
     unanswered: dict[int, Reply] = {}
-    for place, (key, reply) in enumerate(zip(command.keys, replies, strict=True), 1):
+    for position, (key, reply) in enumerate(zip(command.keys, replies, strict=True), 1):
         if reply.kind == ReplyKind.MISS:
             continue
         if reply.kind != ReplyKind.ANSWERED and as_error:
-            unanswered[place] = reply
+            unanswered[position] = reply
             continue
         body = answer_body(reply) if reply.kind == ReplyKind.ANSWERED else missing_answer_body(reply)
         cas = zlib.crc32(body) if command.cas else None
@@ -140,7 +147,7 @@
 
 
 def format_ranges(numbers: Iterable[int]) -> str:
-    """Return ascending numbers with consecutive ones as ranges: ``1,3-5``."""
+    """Format ascending numbers, consecutive ones as ranges: ``1,3-5``."""
     ranges: list[list[int]] = []
     for number in numbers:
         if ranges and number == ranges[-1][1] + 1:
@@ -152,8 +159,8 @@
 
 def _missing_answers(replies: dict[int, Reply]) -> MissingAnswers:
     return MissingAnswers(
-        rejected=[place for place, reply in replies.items() if reply.kind != ReplyKind.FAILED],
-        failed=[place for place, reply in replies.items() if reply.kind == ReplyKind.FAILED],
+        rejected=[position for position, reply in replies.items() if reply.kind != ReplyKind.FAILED],
+        failed=[position for position, reply in replies.items() if reply.kind == ReplyKind.FAILED],
         retry_after_us=max(reply.retry_after_us for reply in replies.values()),
     )
 
--- a/heathwell/servers/vector.py
+++ b/heathwell/servers/vector.py
@@ -1,8 +1,8 @@
-"""The vector search server: searches over HTTP by Qdrant's REST form, through the same broker path as any
-other query.
+"""The vector search server: Qdrant's REST API for searches, served by the broker like any other query.
 
-A batch is split by cost into queries of their own, each of which shares its parts' products; it is answered
-when all are in, and rejected with the first one that is rejected, as the API has no form for half a batch.
+A batch is split by cost into chunks. Each chunk is one query: its parts carry all searches of the chunk,
+which a host computes in one matrix product. The batch is answered when all chunks are, and rejected with the
+first one that is rejected, as the API has no form for a partly answered batch.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class VectorSearchServer:
-    """Serves connections, within the limits on their number."""
+    """Serves the HTTP connections of one broker's vector searches, within the limits on their number."""
 
     def __init__(self, broker: ServiceBroker, log: Callable[..., None]) -> None:
         limits = broker.service_settings.limits
@@ -43,7 +43,9 @@
         try:
             yield from connection.run()
         except StreamOverrunError as error:
-            self.log("info", "client cut off", client=stream.peer, why=str(error))
+            self.log(
+                "info", "client connection closed: response not read", client=stream.peer, why=str(error)
+            )
         finally:
             self.clients.remove(connection)
             connection.on_connection_lost()
@@ -58,7 +60,7 @@
         )
 
     def _check_drain(self) -> None:
-        """While the broker is cut off, answers close their connections: clients find another broker."""
+        """While the broker is cut off, close connections with their next answer, so that clients move."""
         if self.broker.dead:
             return
         self.broker.loop.call_at(self.broker.loop.now() + DRAIN_CHECK_INTERVAL_US, self._check_drain)
--- a/heathwell/servers/vector_answers.py
+++ b/heathwell/servers/vector_answers.py
@@ -1,4 +1,4 @@
-"""The responses of the vector search server, in the shape of Qdrant's REST API. Pure."""
+"""Encoding of the vector search server's responses, in the form of Qdrant's REST API. No I/O."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Point(msgspec.Struct, frozen=True):
-    """A row of a search in the API's form."""
+    """A point found by a search, in the API's form."""
 
     id: int | str
     version: int
@@ -34,20 +34,20 @@
 
 
 class QueryResult(msgspec.Struct, frozen=True):
-    """The result of a search by ``points/query``; by ``points/search`` it is the list alone."""
+    """The result of a search by ``points/query``; that of ``points/search`` is the bare list."""
 
     points: list[Point]
 
 
 def results(searches: Iterable[MergedRows], distance: str, form: str) -> Iterator[QueryResult | list[Point]]:
-    """Yield the results of a request's searches, in the form of the call."""
+    """Yield the result of each search, in the form of the request's route: ``query`` or ``search``."""
     for merged in searches:
         found = points(merged, distance)
         yield QueryResult(found) if form == "query" else found
 
 
 def points(merged: MergedRows, distance: str) -> list[Point]:
-    """Return the rows of a search in the API's form."""
+    """Return the merged rows of a search as points; euclidean distances were negated for the merge."""
     sign = -1.0 if distance == "euclid" else 1.0
     hits: list[Hit] = [row.data for row in merged.rows]
     return [
@@ -63,7 +63,7 @@
 
 
 class CoverageFields(msgspec.Struct, frozen=True):
-    """How complete an answer is, in the names that docs/clients-vector.md describes."""
+    """The completeness of an answer, with the names that docs/clients-vector.md describes."""
 
     whole: bool
     parts: tuple[int, int]
@@ -75,7 +75,7 @@
     recall: float
 
     def to_header(self) -> str:
-        """Return the same as a header, for clients that do not read the body."""
+        """Return the value of a header that summarizes the fields, for clients that do not read the body."""
         answered_parts, requested_parts = self.parts
         return (
             f"whole={'yes' if self.whole else 'no'}; parts={answered_parts}/{requested_parts}; "
@@ -85,13 +85,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerQuality:
-    """How complete an answer is and how old its data, where that is known."""
+    """The completeness of an answer, and the age of its data where ages are measured."""
 
     coverage: CoverageFields
     age: Age | None
 
     def to_fields(self) -> dict[str, Any]:
-        """Return the object that stands in an answer's field ``heathwell``."""
+        """Return the value of an answer's field ``heathwell``."""
         fields: dict[str, Any] = msgspec.to_builtins(self.coverage)
         if self.age is not None:
             fields |= age_fields(self.age)
@@ -99,7 +99,7 @@
 
 
 def quality_of(replies: Sequence[Reply]) -> AnswerQuality:
-    """Return the quality of an answer that rests on several replies: the least and oldest of theirs."""
+    """Return the quality of an answer made from several replies: their lowest coverage and greatest age."""
     covers = [reply.coverage for reply in replies]
     least = min(covers, key=lambda cover: cover.weight)
     recalls = [merged.recall for merged in merged_rows(replies)]
@@ -119,7 +119,7 @@
 
 
 def answered(result: object, duration_us: int, quality: AnswerQuality | None = None) -> Response:
-    """Return a successful response; clients of the plain API skip the field ``heathwell``."""
+    """Return a successful response; clients that do not know the field ``heathwell`` ignore it."""
     body: dict[str, object] = {"result": result, "status": "ok", "time": duration_us / 1e6}
     if quality is None:
         return Response(200, _encoder.encode(body), JSON)
@@ -129,7 +129,7 @@
 
 
 def failed(error: ApiError, duration_us: int) -> Response:
-    """Return an error in the API's shape; its headers hold when to retry, in seconds and milliseconds."""
+    """Return an error in the API's form, with headers for the retry delay in seconds and in milliseconds."""
     headers: tuple[tuple[str, str], ...] = ()
     if error.retry_after_us:
         headers = (
@@ -141,14 +141,14 @@
 
 
 class VectorParameters(msgspec.Struct, frozen=True):
-    """The vectors of a collection."""
+    """Dimension and distance function of a collection's vectors."""
 
     size: int
     distance: str
 
 
 class CollectionParameters(msgspec.Struct, frozen=True):
-    """The layout of a collection."""
+    """Vectors, shards and replicas of a collection."""
 
     vectors: VectorParameters
     shard_number: int
@@ -158,7 +158,7 @@
 
 
 class IndexConfiguration(msgspec.Struct, frozen=True):
-    """The API's usual values: the shards' own indexes are not set here."""
+    """Qdrant's default values; the indexes of the hosts are not configured here."""
 
     m: int = 16
     ef_construct: int = 100
@@ -166,7 +166,7 @@
 
 
 class OptimizerConfiguration(msgspec.Struct, frozen=True):
-    """The API's usual values: the shards' own stores are not set here."""
+    """Qdrant's default values; the storage of the hosts is not configured here."""
 
     deleted_threshold: float = 0.2
     vacuum_min_vector_number: int = 1000
@@ -183,7 +183,7 @@
 
 
 class CollectionInformation(msgspec.Struct, frozen=True):
-    """A collection as ``GET /collections/NAME`` describes it; ``points_count`` is None until known."""
+    """The result of ``GET /collections/NAME``; ``points_count`` is None until every shard has reported."""
 
     status: str
     optimizer_status: str
--- a/heathwell/servers/vector_api.py
+++ b/heathwell/servers/vector_api.py
@@ -1,8 +1,8 @@
-"""The requests of the vector search server: Qdrant's REST form of searches, parsed and checked. Pure.
+"""Parsing and validation of the vector search server's requests, in the form of Qdrant's REST API. No I/O.
 
-Served: ``points/query`` and ``points/search`` with their batch forms, of plain dense vectors. What a request
-names that is not served is an error that names it; nothing is skipped in silence. Errors have the API's own
-shape; their texts are read by clients and stay as they are.
+Supported are ``points/query``, ``points/search`` and their batch forms, for one unnamed dense vector. A
+request with an unsupported field is rejected by an error that names the field, except for members of
+``params``. The texts of errors are part of the protocol.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class ApiError(Exception):
-    """An error of the API's own shape; the client may retry after ``retry_after_us``, if not 0."""
+    """An error response of the API; the client may retry after ``retry_after_us``, unless it is 0."""
 
     def __init__(self, status: int, text: str, retry_after_us: int = 0) -> None:
         super().__init__(text)
@@ -39,6 +39,8 @@
 
 
 class _Body(msgspec.Struct, forbid_unknown_fields=True):
+    """The fields that both forms of a search have."""
+
     limit: int | None = None
     offset: int | None = None
     filter: Any = None
@@ -50,7 +52,7 @@
 
 
 class QueryBody(_Body, forbid_unknown_fields=True):
-    """``points/query``."""
+    """The body of ``points/query``."""
 
     query: Any = None
     using: str | None = None
@@ -59,26 +61,26 @@
 
 
 class SearchBody(_Body, forbid_unknown_fields=True):
-    """``points/search``, the older form."""
+    """The body of ``points/search``, the older form."""
 
     vector: Any = None
 
 
 class Batch(msgspec.Struct, forbid_unknown_fields=True):
-    """A batch, its searches still as they came: they are read one at a time."""
+    """The body of a batch. Its searches are left undecoded, for :func:`read_search` to decode one by one."""
 
     searches: list[msgspec.Raw]
 
 
 class Params(msgspec.Struct):
-    """Of a search's parameters, those that have a meaning here."""
+    """The supported members of ``params``; others are ignored."""
 
     exact: bool | None = None
     hnsw_ef: int | None = None
 
 
 class Selector(msgspec.Struct, forbid_unknown_fields=True):
-    """Payload fields."""
+    """Names of the payload fields to return, or of those to leave out."""
 
     include: list[str] | None = None
     exclude: list[str] | None = None
@@ -86,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Search:
-    """One search, checked."""
+    """One validated search; ``vector`` holds float32 values in native byte order."""
 
     vector: bytes
     want: SearchParameters
@@ -102,7 +104,7 @@
 
 
 def read_batch(body: bytes, limits: Vector) -> list[msgspec.Raw]:
-    """Return the searches of a batch, each not parsed yet; raise :class:`ApiError`."""
+    """Return the undecoded searches of a batch; raise :class:`ApiError`."""
     try:
         searches = _batches.decode(body).searches
     except msgspec.MsgspecError as error:
@@ -115,7 +117,10 @@
 def read_search(
     form: str, body: bytes | msgspec.Raw, spec: Collection, limits: Vector, path: str = ""
 ) -> Search:
-    """Parse one search of the form ``query`` or ``search``; raise :class:`ApiError` naming the field."""
+    """Parse one search of the form ``query`` or ``search``; raise :class:`ApiError`.
+
+    ``path`` is the prefix of the fields' paths in errors, as in ``searches[2].``.
+    """
     try:
         parsed = _bodies[form].decode(body)
     except msgspec.MsgspecError as error:
@@ -158,7 +163,7 @@
 
 
 def _read_vector(body: QueryBody | SearchBody, spec: Collection, path: str) -> bytes:
-    """Return the vector as float32 values; it stands in ``vector``, ``query`` or ``query.nearest``."""
+    """Return the vector of field ``vector``, ``query`` or ``query.nearest``, as float32 values."""
     if isinstance(body, SearchBody):
         return _to_float32(body.vector, spec, f"{path}vector")
     if not isinstance(body.query, dict):
@@ -223,7 +228,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PayloadSelection:
-    """Which payload fields are returned: all, none or those named, but for the excluded ones."""
+    """The payload fields to return: all, none or the included ones; with ``excluded``, all but those."""
 
     included: bool | list[str]
     excluded: list[str]
@@ -249,13 +254,16 @@
 
 
 def encode_searches(collection: str, searches: Sequence[Search]) -> bytes:
-    """Return the body of a part that carries these searches."""
+    """Encode the searches as the body of a part."""
     vectors = b"".join(search.vector for search in searches)
     return encode_search(SearchRequest(collection, vectors, [search.want for search in searches]))
 
 
 def client_timeout_us(request: Request) -> int:
-    """Return the time-out that the client set itself, 0 if none; raise :class:`ApiError`."""
+    """Return the timeout that the request sets, 0 if none; raise :class:`ApiError`.
+
+    It is the query parameter ``timeout`` in seconds, else the header of :data:`TIMEOUT_HEADER`.
+    """
     stated = parse_qs(request.query).get("timeout", [""])[0]
     header = request.headers.get(TIMEOUT_HEADER, "")
     for name, text, unit in (("timeout", stated, 1_000_000), (TIMEOUT_HEADER, header, 1_000)):
--- a/heathwell/servers/vector_connection.py
+++ b/heathwell/servers/vector_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection of the vector search server: requests in turn, read ahead within bounds, timeouts."""
+"""One HTTP connection of the vector search server: sequential requests, bounded read-ahead, timeouts."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class VectorServerStatistics:
-    """What a server has served, and what it could not serve."""
+    """Counters of a vector search server."""
 
     requests: int = 0
     searches: int = 0
@@ -30,7 +30,7 @@
 
 
 class VectorServer(Protocol):
-    """What a connection uses of its server."""
+    """The part of the server that a connection uses."""
 
     broker: ServiceBroker
     clients: ClientRegistry[VectorConnection]
@@ -39,7 +39,11 @@
 
 
 class VectorConnection(ClientConnection):
-    """One client: requests in turn; its end is noticed while one is in progress."""
+    """One client of a vector search server.
+
+    Requests are answered one at a time. A second task reads ahead, so that a disconnect is noticed while a
+    request is in progress and cancels its search.
+    """
 
     def __init__(self, server: VectorServer, stream: Stream, number: int) -> None:
         super().__init__(stream, number)
@@ -53,7 +57,8 @@
         self._unparsed: deque[bytes] = deque()
         self._unparsed_bytes = 0
         self._is_busy = False
-        self._quiet_since_us = self.loop.now()  # the last complete request, or the connection's begin
+        # Start of the running timeout: of a request that is being received, or of an idle connection.
+        self._quiet_since_us = self.loop.now()
         self._has_data = Event()
         self._has_capacity = Event()
         self._search: ChunkedSearch | None = None
@@ -61,7 +66,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is in progress and none has begun."""
+        """Whether no request is in progress or partly received."""
         return not self._is_busy and not self._is_receiving
 
     @property
@@ -69,7 +74,7 @@
         return bool(self._unparsed) or self._protocol.midway
 
     def run(self) -> Coro[None]:
-        """Serve until either side ends the connection."""
+        """Serve until either side closes the connection."""
         self.stream.on_close = self.on_connection_lost
         reader = self.loop.spawn(self._read_ahead(), f"reads {self.stream.peer}")
         self._check_timeouts()
@@ -79,12 +84,12 @@
             reader.cancel()
 
     def reject(self, error: api.ApiError, duration_us: int = 0) -> None:
-        """Write an error, after which the connection closes."""
+        """Write an error and mark the connection to be closed."""
         self._protocol.closing = True
         self.stream.write(self._protocol.respond(answers.failed(error, duration_us)))
 
     def run_search(self, search: ChunkedSearch) -> Coro[SearchResults]:
-        """Run a search, which is cancelled when the client disconnects."""
+        """Run a search, and cancel it if the client disconnects."""
         self._server.statistics.searches += search.search_count
         if self.has_ended:
             search.cancel()
@@ -95,12 +100,12 @@
             self._search = None
 
     def request_name(self, request: Request) -> str:
-        """Return the client's own id of its request, or a new one."""
+        """Return the request id that the client sent, or else a new one."""
         self._search_count += 1
         return request.headers.get("x-request-id", f"{self.stream.peer}#{self._search_count}")
 
     def on_connection_lost(self) -> None:
-        """Cancel the search in progress: nobody waits for its answer."""
+        """Cancel the search in progress, as its answer cannot be delivered."""
         if self._search is not None and self._search.cancel():
             self._server.statistics.disconnected_clients += 1
         self.has_ended = True
@@ -122,7 +127,7 @@
                 return
 
     def _serve_message(self, message: Request | Response) -> Coro[None]:
-        """Answer a request; a response is the protocol's error for what is none."""
+        """Answer a request; the parser returns a response in place of a request that is invalid."""
         if isinstance(message, Response):
             self._server.statistics.errors += 1
             response = answers.failed(api.ApiError(message.status, message.body.decode().strip()), 0)
@@ -148,7 +153,7 @@
         return response
 
     def _read_ahead(self) -> Coro[None]:
-        """Read within bounds, so that the client's end is noticed while its request is in progress."""
+        """Read ahead within bounds, so that a disconnect is noticed while a request is in progress."""
         try:
             while data := (yield from self._read_within_bounds()):
                 if self.is_idle:
@@ -161,7 +166,7 @@
         self.has_ended = True
         self._has_data.set()
         if self._is_busy:
-            # As other HTTP servers: a client that closes does not wait for the answer.
+            # As in other HTTP servers, a client that half-closes is taken to have disconnected.
             self.on_connection_lost()
 
     def _read_within_bounds(self) -> Coro[bytes]:
@@ -171,7 +176,7 @@
         return (yield from self.read())
 
     def _parse_more(self) -> Coro[bool]:
-        """Wait for bytes and pass them to the parser; return false at the client's end."""
+        """Wait for bytes and pass them to the parser; return false at the end of the stream."""
         while not self._unparsed:
             if self.has_ended:
                 return False
@@ -199,7 +204,7 @@
         self.loop.call_at(now + min(self._limits.slow, self._limits.idle) // 2, self._check_timeouts)
 
     def _fail_slow_request(self, timeout_us: int) -> None:
-        # Clients receive this text.
+        # The text is part of the protocol.
         text = f"the request was not whole within {timeout_us / 1e6:g} s"
         self.reject(api.ApiError(408, text), timeout_us)
         self.stream.close()
--- a/heathwell/servers/vector_routes.py
+++ b/heathwell/servers/vector_routes.py
@@ -1,4 +1,4 @@
-"""The paths of the vector search server and what answers them. Texts of errors are read by clients."""
+"""Routing of the vector search server's requests. The texts of errors are part of the protocol."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 from heathwell.service.service_broker import ServiceBroker
 from heathwell.settings.schema import Collection
 
-API_VERSION = "1.20.0"  # of the API's form, which clients compare with their own
+API_VERSION = "1.20.0"  # of the API that is served; client libraries compare it with their own version
 READ_ONLY = "This service only searches; write to the shards' own store"
-SEARCHES_PER_TURN = 16  # of a batch, parsed before other tasks of the loop get a turn
+SEARCHES_PER_TURN = 16  # searches of a batch that are parsed before the task yields to the event loop
 HEALTH_PATHS = ("/healthz", "/livez", "/readyz")
 WRITING_METHODS = ("PUT", "DELETE", "PATCH", "POST")
 
 
 class SearchClient(Protocol):
-    """What the routes use of the connection that a request came by."""
+    """The part of a connection that the routes use."""
 
     @property
     def address(self) -> str:
         """The client's address, without its port."""
 
     def request_name(self, request: Request) -> str:
-        """Return the client's own id of its request, or a new one."""
+        """Return the request id that the client sent, or else a new one."""
 
     def run_search(self, search: ChunkedSearch) -> Coro[SearchResults]:
-        """Run a search, which is cancelled when the client disconnects."""
+        """Run a search, and cancel it if the client disconnects."""
 
 
 @dataclass(frozen=True, slots=True)
 class SearchRoute:
-    """A path that searches: the collection, the form of the body and whether it holds a batch."""
+    """A search path, parsed: the collection, the form of the body, and whether it is a batch."""
 
     collection: str
     form: str
@@ -48,7 +48,7 @@
 
 
 class VectorRoutes:
-    """Answers the requests of all connections."""
+    """Dispatches the requests of all connections of a server."""
 
     def __init__(self, broker: ServiceBroker, planner: SearchPlanner) -> None:
         self._broker = broker
--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -1,4 +1,4 @@
-"""The searches of one request as queries of the broker: split by cost, a bounded number in flight."""
+"""Runs the searches of one request as queries of the broker: split by cost, a bounded number in flight."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from heathwell.service.vectors.search_messages import SEARCH_OPERATION
 from heathwell.settings.schema import Collection
 
-SLOW_START_CHUNKS = 4  # answered for each additional chunk in flight
-COST_FEATURES = 4  # of `search_features`
+SLOW_START_CHUNKS = 4  # the limit of chunks in flight rises by one per so many answered chunks
+COST_FEATURES = 4  # the length of what `search_features` returns
 
 
 @dataclass(frozen=True, slots=True)
 class SearchRequest:
-    """The searches of one request. ``timeout_us`` is the client's own time-out, 0 if it set none."""
+    """The searches of one request. ``timeout_us`` is the timeout that the client set, 0 if none."""
 
     spec: Collection
     searches: Sequence[api.Search]
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchResults:
-    """The replies to all chunks in order, and the merged rows of each search."""
+    """The replies to the chunks in order, and the merged rows of each search."""
 
     replies: Sequence[Reply]
     merged: Sequence[MergedRows]
 
 
 class SearchPlanner:
-    """Makes the broker's plans for searches; its costs are learned from earlier answers."""
+    """Plans searches as queries of the broker, with costs predicted from earlier answers."""
 
     def __init__(self, broker: ServiceBroker) -> None:
         settings = broker.service_settings
@@ -63,12 +63,12 @@
         return (self._batch_classes if is_batch else self._single_classes)[collection]
 
     def shards(self, spec: Collection) -> list[int]:
-        """Return the shards that hold a collection."""
+        """Return the shards of a collection."""
         fleet = self._broker.service_settings.fleet
         return consecutive_shards(place(spec.name, fleet.shards), spec.parts or fleet.shards, fleet.shards)
 
     def chunks(self, request: SearchRequest) -> list[list[api.Search]]:
-        """Split the searches of a request, in order, so that no chunk occupies an endpoint for long."""
+        """Split the searches of a request, in order, into chunks that do not occupy a host for long."""
         limits = self._broker.service_settings.vector
         model = self._cost_model(request.spec)
         costs = [model.predict(_cost_features([search])) for search in request.searches]
@@ -76,7 +76,7 @@
         return [[request.searches[index] for index in chunk] for chunk in indices]
 
     def plan(self, request: SearchRequest, searches: Sequence[api.Search]) -> Plan:
-        """Return the plan of one chunk."""
+        """Return the query plan of one chunk."""
         spec = request.spec
         shards = self.shards(spec)
         query_class = self.query_class(spec.name, is_batch=request.is_batch)
@@ -116,7 +116,7 @@
 
 
 class ChunkedSearch:
-    """The searches of one request in progress; :meth:`cancel` ends it early."""
+    """The searches of one request in progress."""
 
     def __init__(self, broker: ServiceBroker, planner: SearchPlanner, request: SearchRequest) -> None:
         self.search_count = len(request.searches)
@@ -132,10 +132,10 @@
         self._changed = Event()
 
     def run(self) -> Coro[SearchResults]:
-        """Return the results of all searches.
+        """Run all chunks and return their results.
 
-        Raise :class:`~heathwell.servers.vector_api.ApiError` with the first chunk that is rejected or fails,
-        ``StreamBrokenError`` once the search is cancelled.
+        Raise :class:`~heathwell.servers.vector_api.ApiError` for the first chunk that is rejected or fails,
+        and ``StreamBrokenError`` if the search is cancelled.
         """
         while self._is_in_progress():
             if self._may_start():
@@ -147,26 +147,26 @@
             self._disconnect()
             raise _error_of(self._first_failure)
         if self._is_cancelled:
-            raise StreamBrokenError("the client left")
+            raise StreamBrokenError("client disconnected")
         replies = [self._replies[index] for index in range(len(self._chunks))]
         return SearchResults(replies, merged_rows(replies))
 
     def cancel(self) -> bool:
-        """End the search as its client has disconnected; return whether any chunk had been started."""
+        """Cancel the search after the client has disconnected; return whether any chunk was started."""
         self._is_cancelled = True
         self._changed.set()
         return self._disconnect()
 
     def _is_in_progress(self) -> bool:
-        """Whether all chunks so far succeeded and some are left: with one that fails, all do."""
+        """Whether chunks are left to wait for; the first failure ends the whole request."""
         is_ended = self._is_cancelled or self._first_failure is not None
         return not is_ended and len(self._replies) < len(self._chunks)
 
     def _may_start(self) -> bool:
-        """Whether another chunk may be in flight.
+        """Whether another chunk may be started.
 
-        Their number starts low: the latency of endpoints is measured by answers alone, and a burst on few of
-        them looks like overload.
+        The limit of chunks in flight starts at one and rises with the answers: host latency is measured from
+        answers alone, so a burst to a few hosts would look like overload.
         """
         chunks_at_once = self._broker.service_settings.vector.chunks_at_once
         allowed = min(chunks_at_once, 1 + len(self._replies) // SLOW_START_CHUNKS)
@@ -196,7 +196,7 @@
         self._changed.set()
 
     def _disconnect(self) -> bool:
-        """Disconnect from the queries started; those that are answered already ignore it."""
+        """Disconnect from the started queries and return whether there were any; answered ones ignore it."""
         handles = self._handles
         self._handles = []
         for handle in handles:
@@ -205,7 +205,7 @@
 
 
 def _error_of(reply: Reply) -> api.ApiError:
-    """Return the API's error for a reply that holds no answer; clients read its text."""
+    """Return the API error for a rejected or failed reply. The text is part of the protocol."""
     if reply.kind == ReplyKind.REFUSED:
         reason = reply.reason or "overloaded"
         retry_after_ms = milliseconds_rounded_up(reply.retry_after_us)
