--- a/heathwell/settings/__init__.py
+++ b/heathwell/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: one S-expression file, checked into records; each error has its place in the file."""
+"""Settings: a file of S-expressions, validated into records; each error has its location in the file."""
 
 from heathwell.settings.check import load, loads
 from heathwell.settings.errors import Problem, SettingsError, Where
--- a/heathwell/settings/check.py
+++ b/heathwell/settings/check.py
@@ -1,6 +1,6 @@
-"""Nodes to records: types, units, limits, unknown and repeated keys.
+"""Conversion of parsed forms to records: checks types, units, bounds, and unknown, repeated or missing keys.
 
-All faults of a file are reported at once.
+All errors of a file are reported together.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 
 R = TypeVar("R", bound=msgspec.Struct)
 Position = tuple[int, int]  # line and column
-PathAndText = tuple[str, str]  # of a fault: the path of its key, and what is wrong
+PathAndText = tuple[str, str]  # an error: the path of its key, and the message
 RecordCheck = Callable[[R], Iterable[PathAndText]]
 Value = Union[Scalar, None, list["Value"], "RecordValues"]
 RecordValues = dict[str, Value]
-MIN_KEY_SIMILARITY = 0.5  # of a hint for an unknown key
+MIN_KEY_SIMILARITY = 0.5  # from which a known key is suggested for an unknown one
 
 
 def load(path: str | Path) -> ServiceSettings:
-    """Return the settings of a file; raise :class:`SettingsError`, :class:`OSError`."""
+    """Return the settings of a file; raise :class:`SettingsError` or :class:`OSError`."""
     return loads(Path(path).read_text(encoding="utf-8"), str(path))
 
 
@@ -43,9 +43,10 @@
 
 
 def loads_as(record_type: type[R], checks: Iterable[RecordCheck[R]], text: str, file: str) -> R:
-    """Return a text as a record of a type; raise :class:`SettingsError`.
+    """Parse a text into a record of ``record_type``; raise :class:`SettingsError`.
 
-    The checks yield path and text of each fault; they are run if the text has no other faults.
+    ``checks`` yield the path and message of each error of a complete record. They run only on a text without
+    other errors.
     """
     checker = Checker(file)
     root = Form((Atom("settings", START_OF_FILE), *read(text, file)), START_OF_FILE)
@@ -66,16 +67,16 @@
 
 @dataclass(slots=True)
 class _RecordFields:
-    """The fields of a record by the way they are written in a form."""
+    """The fields of a record, grouped by how they are written in a form."""
 
     by_name: dict[str, inspect.Field]
-    positional: list[str]  # without a key; those that are not given yet
-    repeated: dict[str, str]  # names by the key of their forms
+    positional: list[str]  # written without a key; those without a value yet, in order
+    repeated: dict[str, str]  # lists of records: field names by the key of one element
     keyed: set[str]
 
     @classmethod
     def of(cls, info: inspect.StructType) -> _RecordFields:
-        """Sort the fields of a record."""
+        """Group the fields of a record type."""
         by_name = {field.encode_name: field for field in info.fields}
         notes = {name: annotations_of(field.type) for name, field in by_name.items()}
         positional = [name for name in by_name if notes[name].get("positional")]
@@ -85,25 +86,25 @@
 
 
 class Checker:
-    """Walks the nodes beside the types of the records, and collects the faults."""
+    """Converts forms to the values of records by their types, and collects the errors."""
 
     def __init__(self, file: str) -> None:
         self.file = file
         self.problems: list[Problem] = []
-        self.places: dict[str, Where] = {}  # by the path of a key
+        self.places: dict[str, Where] = {}  # locations by the path of a key
 
     def add(self, where: Where, key: str, text: str) -> None:
-        """Add a fault."""
+        """Record an error."""
         self.problems.append(Problem(self.file, where, key or WHOLE_FILE, text))
 
     def place(self, path: str) -> Where:
-        """Return the place of a path, or of the nearest path above it that stands in the file."""
+        """Return the location of a path, or of its nearest ancestor that is in the file."""
         while path and path not in self.places:
             path = path.rpartition(".")[0]
         return self.places.get(path, START_OF_FILE)
 
     def record(self, form: Form, info: inspect.Type, path: str) -> RecordValues:
-        """Return the values of a record by the names of its fields."""
+        """Return the values of a record by the encoded names of its fields."""
         assert isinstance(info, inspect.StructType)
         self.places[path] = form.where
         fields = _RecordFields.of(info)
@@ -156,11 +157,11 @@
         if similar_keys:
             hint = f"did you mean '{similar_keys[0]}'?"
         else:
-            hint = f"known here: {', '.join(sorted(known_keys))}"
+            hint = f"known keys: {', '.join(sorted(known_keys))}"
         self.add(form.where, join(path, key), f"unknown key; {hint}")
 
     def field(self, form: Form, info: inspect.Type, path: str) -> Value:
-        """Return the value of one (key value ...) form."""
+        """Return the value of a field, given by a (key value ...) form."""
         self.places[path] = form.where
         inner = unwrap(info)
         if isinstance(inner, inspect.StructType):
@@ -174,7 +175,7 @@
         return self.value(items[0], info, path)
 
     def value(self, item: Atom | Form, info: inspect.Type, path: str) -> Scalar | None:
-        """Return the value of one atom in the record's unit."""
+        """Return the value of an atom, in the unit of the record; None after an error."""
         self.places.setdefault(path, item.where)
         if isinstance(item, Form):
             self.add(item.where, path, f"{describe(info)} expected, got a form")
@@ -202,5 +203,5 @@
 
 
 def join(path: str, key: str) -> str:
-    """Return a path with a further key."""
+    """Append a key to a path."""
     return f"{path}.{key}" if path else key
--- a/heathwell/settings/errors.py
+++ b/heathwell/settings/errors.py
@@ -1,15 +1,15 @@
-"""The errors of a settings file, with their places."""
+"""Errors of a settings file, with their locations."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-WHOLE_FILE = "file"  # in place of a key
+WHOLE_FILE = "file"  # stands for the key in errors that concern no single key
 
 
 @dataclass(frozen=True, slots=True)
 class Where:
-    """A place in a file, counted from 1."""
+    """A location in a file; line and column are counted from 1."""
 
     line: int
     column: int
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One fault: its place, its key, and what was expected there."""
+    """One error: its location, the path of its key, and the message."""
 
     file: str
     where: Where
@@ -29,7 +29,7 @@
 
 
 class SettingsError(Exception):
-    """A file that is not valid; ``problems`` holds all faults found, in the order of the file."""
+    """An invalid file; ``problems`` holds all errors found, in the order of the file."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("\n".join(map(str, problems)))
@@ -37,7 +37,7 @@
 
 
 class ReadError(SettingsError):
-    """A text that is not made of S-expressions; parsing stops at its first fault."""
+    """A text that does not parse as S-expressions; it holds the first error only."""
 
     def __init__(self, file: str, where: Where, text: str) -> None:
         super().__init__([Problem(file, where, WHOLE_FILE, text)])
--- a/heathwell/settings/field_types.py
+++ b/heathwell/settings/field_types.py
@@ -1,4 +1,4 @@
-"""The types of settings fields: their annotations, their description for users, and values from atoms."""
+"""The types of settings fields: annotations, descriptions for users, and conversion of atoms to values."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 TRUE_WORDS = ("yes", "true", "on")
 FALSE_WORDS = ("no", "false", "off")
 NUMBER = re.compile(r"([+-]?(?:\d+\.?\d*|\.\d+)(?:e[+-]?\d+)?)([a-z%]*)", re.IGNORECASE)
-UNITS = {"time": TIME_US, "size": SIZE_BYTES}  # by the annotation `unit`
+UNITS = {"time": TIME_US, "size": SIZE_BYTES}  # factors by the value of the annotation `unit`
 
 
 def unwrap(info: inspect.Type) -> inspect.Type:
-    """Return a type without its annotations, and an optional type without None."""
+    """Strip annotations from a type, and None from an optional type."""
     while isinstance(info, inspect.Metadata | inspect.UnionType):
         info = _inner_type(info)
     return info
 
 
 def annotations_of(info: inspect.Type) -> Mapping[str, str]:
-    """Return the annotations of a type: ``unit``, ``each`` or ``positional``."""
+    """Return the annotations of a type by name: ``unit``, ``each`` or ``positional``."""
     found: dict[str, str] = {}
     while isinstance(info, inspect.Metadata | inspect.UnionType):
         if isinstance(info, inspect.Metadata):
@@ -42,14 +42,14 @@
 
 
 def _choices(info: inspect.LiteralType | inspect.EnumType) -> tuple[object, ...]:
-    """Return the values of a type in alphabetical order."""
+    """Return the permitted values of a type; those of an enum are sorted."""
     if isinstance(info, inspect.EnumType):
         return tuple(sorted(member.value for member in info.cls))
     return info.values
 
 
 def convert(atom: Atom, info: inspect.Type) -> Scalar | None:
-    """Return the value of an atom in the record's unit; None if the atom is not of the type."""
+    """Convert an atom to a value in the unit of the record; return None if the atom is not of the type."""
     inner = unwrap(info)
     if isinstance(inner, inspect.StrType):
         return atom.text
@@ -90,7 +90,7 @@
 
 
 def _convert_quantity(number: float, unit: str, units: Mapping[str, int]) -> int | None:
-    """Return a time or size in its smallest unit; only 0 may stand without a unit."""
+    """Convert a time or size to its smallest unit; only 0 may be written without a unit."""
     if unit in units:
         return round(number * units[unit])
     return 0 if number == 0 and not unit else None
@@ -103,7 +103,7 @@
 
 
 def describe(info: inspect.Type) -> str:
-    """Return what values a type accepts, for users."""
+    """Describe the values that a type accepts, for errors and the page of settings."""
     inner = unwrap(info)
     unit = annotations_of(info).get("unit")
     if isinstance(inner, inspect.LiteralType | inspect.EnumType):
@@ -124,7 +124,7 @@
 
 
 def format_number(value: float, info: inspect.Type) -> str:
-    """Return a number as a user would write it, a time in its largest exact unit up to seconds."""
+    """Format a number as in a settings file; a time is in its largest exact unit up to seconds."""
     if annotations_of(info).get("unit") == "time":
         for unit in ("s", "ms", "us"):
             if value % TIME_US[unit] == 0:
--- a/heathwell/settings/page.py
+++ b/heathwell/settings/page.py
@@ -1,4 +1,4 @@
-"""The page of all settings, generated from the records."""
+"""The reference page of all settings, generated from the records."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class _Section(NamedTuple):
-    """A record of the page."""
+    """A section of the page: the table of one record type."""
 
     info: inspect.StructType
     title: str
@@ -26,7 +26,7 @@
 
 
 def schema_page() -> str:
-    """Return the page as Markdown: a table for each record."""
+    """Return the page as Markdown, with a table for each record type."""
     info = inspect.type_info(ServiceSettings)
     assert isinstance(info, inspect.StructType)
     lines = [HEAD]
@@ -35,7 +35,7 @@
 
 
 def _append_section(section: _Section, lines: list[str]) -> None:
-    """Append the table of a record, then those of the records in its fields."""
+    """Append the section of a record type, then those of the record types of its fields."""
     lines.append(f"\n## {section.title}\n")
     if section.meaning:
         lines.append(section.meaning + "\n")
@@ -68,7 +68,7 @@
 
 
 def _record_type(field: inspect.Field) -> inspect.StructType | None:
-    """Return the type of a field that is a record or a list of records."""
+    """Return the record type of a field that holds a record or a list of records, else None."""
     inner = unwrap(field.type)
     if isinstance(inner, inspect.ListType):
         inner = unwrap(inner.item_type)
@@ -89,7 +89,7 @@
 
 
 def _meaning(info: inspect.Type) -> str:
-    """Return the first description among a type's annotations."""
+    """Return the first description among a type's annotations, or the empty string."""
     while isinstance(info, inspect.Metadata):
         text = (info.extra_json_schema or {}).get("description")
         if text:
--- a/heathwell/settings/reader.py
+++ b/heathwell/settings/reader.py
@@ -1,4 +1,4 @@
-"""S-expressions to nodes that hold their line and column; lark parses the grammar."""
+"""Parser of S-expressions, by a lark grammar; its nodes hold their line and column."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 ESCAPES = {"n": "\n", "t": "\t", '"': '"', "\\": "\\"}
 MAX_DEPTH = 20
 START_OF_FILE = Where(1, 1)
-END_TOKEN = "$END"  # lark's name of the end of the text
+END_TOKEN = "$END"  # the token type by which lark represents the end of the text
 UNCLOSED_BRACKET = "this bracket is never closed"
 
 _parser = Lark(GRAMMAR, parser="lalr", propagate_positions=True)
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Form:
-    """A list in brackets."""
+    """A parenthesized list."""
 
     items: tuple[Atom | Form, ...]
     where: Where
@@ -49,7 +49,7 @@
 
 
 def read(text: str, file: str) -> Forms:
-    """Return the forms of a text; raise :class:`ReadError` at the first place that does not parse."""
+    """Parse a text into forms; raise :class:`ReadError` for the first syntax error."""
     try:
         tree = _parser.parse(text)
     except UnexpectedInput as error:
@@ -68,7 +68,7 @@
         return ReadError(file, where, f"{str(error.token)!r} outside brackets")
     if isinstance(error, UnexpectedCharacters):
         return ReadError(file, where, "a string that does not end on its line")
-    return ReadError(file, where, "not readable")
+    return ReadError(file, where, "not an S-expression")
 
 
 def _form(tree: Tree[Token], depth: int, file: str) -> Form:
@@ -99,7 +99,7 @@
 
 
 def _find_open_bracket(text: str) -> Where:
-    """Return the place of the innermost bracket that is never closed."""
+    """Return the location of the innermost bracket that is not closed."""
     open_brackets: list[Where] = []
     for token in _parser.lex(text):
         if token == "(":
--- a/heathwell/settings/records/__init__.py
+++ b/heathwell/settings/records/__init__.py
@@ -1,1 +1,1 @@
-"""The records of a settings file, by subject."""
+"""The record types of a settings file, one module per subject."""
--- a/heathwell/settings/records/base.py
+++ b/heathwell/settings/records/base.py
@@ -1,7 +1,7 @@
-"""The base class of settings records, and the annotations of their fields.
+"""The base class of settings records, and functions that make the annotations of their fields.
 
-The text of an annotation is the field's meaning on the page that `heathwell schema` prints, which is compared
-with the page of earlier versions.
+The text of an annotation is the meaning of the field on the page that `heathwell schema` prints. Tests
+compare that page with the one of an earlier version, so a changed text is a change of the interface.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class Record(Struct, rename="kebab", forbid_unknown_fields=True):
-    """A record of settings: keys are written with dashes."""
+    """A settings record; keys in a file are the field names with dashes, unless a field sets its own."""
 
 
 def described(text: str) -> Meta:
-    """Annotate a field with its meaning."""
+    """Annotate a field of any type."""
     return Meta(description=text)
 
 
@@ -41,5 +41,5 @@
 
 
 def repeated(key: str, text: str) -> Meta:
-    """Annotate a list of records: each is a form with the key."""
+    """Annotate a list of records, each written as a form with this key."""
     return Meta(description=text, extra={"each": key})
--- a/heathwell/settings/records/fleet.py
+++ b/heathwell/settings/records/fleet.py
@@ -1,4 +1,4 @@
-"""Settings of the fleet: placement, fleet control, discovery and simulated hosts."""
+"""Settings of the fleet: placement of shards, fleet control, discovery and stand-in hosts."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 class FleetBudget(Record):
-    """A quota of the whole fleet, divided among the live brokers.
+    """A budget of the whole fleet, divided among the live brokers.
 
-    `further`: additional attempts per second. `cold`: parts per second to a host in slow start, at its start
-    capacity, rising with it. `connections`: connections to one host at once, beside each broker's first one.
+    `further`: additional attempts per second. `cold`: parts per second to a host in slow start; the value
+    holds at the host's start capacity and rises with its capacity. `connections`: concurrent connections to
+    one host; these include one for each broker that may exist, which needs no grant.
     """
 
     name: Annotated[
@@ -37,9 +38,9 @@
 
 
 class Fleet(Record):
-    """The placement of shards, and, with coordinators in `keepers`, fleet control.
+    """The placement of shards, and fleet control, which is on where `keepers` lists quota coordinators.
 
-    Shard s has replicas in `width` cells: s, s+1 ... (mod cells).
+    Shard s has its replicas in `width` consecutive cells (replica groups) from cell s on, modulo `cells`.
     """
 
     shards: Annotated[int, count("shards", 1)]
@@ -87,7 +88,7 @@
 
 
 class Leaf(Record):
-    """The simulated hosts."""
+    """The stand-in hosts of demo fleets and tests."""
 
     slots: Annotated[int, count("parts at work at once", 1)] = 4
     queue: Annotated[int, count("parts that wait; more are turned away")] = 24
--- a/heathwell/settings/records/freshness.py
+++ b/heathwell/settings/records/freshness.py
@@ -1,4 +1,4 @@
-"""Settings of the age of answers."""
+"""Settings of the measurement of data ages."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Freshness(Record):
-    """The age of answers, measured by the source's clock: no host's clock needs to be correct."""
+    """Ages of the data in answers, measured by the clock of the data source, so host clocks may be wrong."""
 
     enabled: Annotated[bool, described("state ages, and rule on stale data")] = field(
         default=False, name="on"
--- a/heathwell/settings/records/limits.py
+++ b/heathwell/settings/records/limits.py
@@ -1,4 +1,4 @@
-"""Settings of the rules, of a broker's limits and of retry storms."""
+"""Settings of the audited rules, of a broker's limits and of retry storms."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Rules(Record):
-    """The parameters of the rules that the auditor checks."""
+    """Parameters of the rules that brokers keep and the auditor checks."""
 
     drain_grace: Annotated[int, duration("nothing new to a host this long after word of its drain")] = (
         1_000_000
@@ -58,7 +58,7 @@
 
 
 class Storms(Record):
-    """Retry and reconnect storms."""
+    """Detection and damping of retry and reconnect storms."""
 
     enabled: Annotated[
         bool, described("recognise and damp them, and advise from a calendar of what hosts can take")
--- a/heathwell/settings/records/logs.py
+++ b/heathwell/settings/records/logs.py
@@ -10,14 +10,14 @@
 
 
 class ModuleLevel(Record):
-    """A level for the logs of one package."""
+    """The log level of one package."""
 
     name: Annotated[str, NAME]
     level: Annotated[Literal["debug", "info", "warning", "error"], Meta(extra={"positional": True})] = "info"
 
 
 class Log(Record):
-    """Logs."""
+    """Level and format of the logs."""
 
     level: Annotated[Literal["debug", "info", "warning", "error"], described("least level written")] = "info"
     format: Annotated[Literal["json", "console"], described("form of a line")] = "console"
--- a/heathwell/settings/records/queries.py
+++ b/heathwell/settings/records/queries.py
@@ -10,7 +10,7 @@
 
 
 class QueryClass(Record):
-    """One class of query."""
+    """A query class: times, idempotency, priority, required fractions and data age."""
 
     name: Annotated[str, NAME]
     latency_objective_us: Annotated[int, duration("wanted time", 1)] = field(name="aim")
@@ -56,7 +56,7 @@
 
 
 class KeySpace(Record):
-    """Keys of one form; the get of each key is a query."""
+    """A key space of the memcached server; the get of a key is one query."""
 
     prefix: Annotated[str, NAME]
     query_class: Annotated[str, described("class of its queries")] = field(name="class")
@@ -72,7 +72,7 @@
 
 
 class Collection(Record):
-    """Vectors searched through the vector server; a search is a query over all shards of its collection."""
+    """A collection of vectors; a search is a query over all shards of the collection."""
 
     name: Annotated[str, NAME]
     query_class: Annotated[str, described("class of its searches")] = field(name="class")
--- a/heathwell/settings/records/regions.py
+++ b/heathwell/settings/records/regions.py
@@ -1,4 +1,4 @@
-"""Settings of several regions."""
+"""Settings of fleets that span several regions."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Across(Record):
-    """Routing across regions; without regions it is off."""
+    """Routing across regions; it is off where no regions are listed."""
 
     decide: Annotated[
         bool, described("judge the links between regions, and shut or avoid what lies behind them")
--- a/heathwell/settings/records/servers.py
+++ b/heathwell/settings/records/servers.py
@@ -1,4 +1,4 @@
-"""Settings of the client protocols."""
+"""Settings of the servers of client protocols."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Vector(Record):
-    """The server of vector searches, with Qdrant's REST interface."""
+    """The vector search server, which has Qdrant's REST API."""
 
     listen: Annotated[str, described("HTTP address; port 0 lets the kernel choose; empty: no such front")] = (
         ""
@@ -29,7 +29,7 @@
 
 
 class Fronts(Record):
-    """The servers' weights in fair queueing, by the cost of their work; without a queue target it is off."""
+    """Fair queueing between the servers, by the cost of their work; it is off where `queue_target` is 0."""
 
     queue_target: Annotated[int, duration("queueing at hosts up to which work is sent out; 0: no bound")] = 0
     patience: Annotated[float, fraction("share of a query's aim that it may wait for its turn")] = 0.25
@@ -38,7 +38,7 @@
 
 
 class BrokerSettings(Record):
-    """The addresses that a broker listens on, and its shutdown."""
+    """Addresses that a broker listens on, replies to rejected queries, and the shutdown timeout."""
 
     listen: Annotated[str, described("memcached address; port 0 lets the kernel choose")] = "127.0.0.1:0"
     admin: Annotated[str, described("admin HTTP address")] = "127.0.0.1:0"
--- a/heathwell/settings/schema.py
+++ b/heathwell/settings/schema.py
@@ -1,6 +1,6 @@
-"""The schema of a settings file: its records and the checks across them.
+"""The schema of a settings file: the record types and the checks that span several fields.
 
-The page for operators (`heathwell schema`) is generated from the records.
+`heathwell schema` prints the reference page that is generated from the records.
 """
 
 from heathwell.settings.consistency import CROSS_CHECKS
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,7 +13,7 @@
 
 
 def problems(text: str) -> list[str]:
-    """Return the error messages of a settings file, one for each error."""
+    """Return the error messages of a settings text, one per line."""
     with pytest.raises(SettingsError) as caught:
         loads(text, "f.sx")
     return str(caught.value).splitlines()
@@ -44,14 +44,17 @@
         (("(need 75%)", "(need 175%)"), "must be at most 1"),
         (("(repeat keyed)", "(repeat keyd)"), "one of keyed, safe, unsafe expected, got 'keyd'"),
         (("(aim 1s)", "(aim 1s) (aim 2s)"), "given twice"),
-        (("(aim 1s) (limit 2s)", "(aim 3s) (limit 2s)"), "lies before the aim"),
+        (("(aim 1s) (limit 2s)", "(aim 3s) (limit 2s)"), "class[0].limit: must be at least aim (3s), got 2s"),
         (("(fleet", "(flet"), "fleet: is missing"),
-        (("(cells 12)", "(cells 2)"), "more holders than the 2 cells"),
+        (("(cells 12)", "(cells 2)"), "fleet.width: must be at most fleet.cells (2), got 3"),
         (("(class sale-record)", "(class sales)"), "no class 'sales'"),
         (("(slots 4)", "(slots 4.5)"), "a whole number expected"),
         (("(second-copies no)", "(second-copies maybe)"), "yes or no expected"),
         (("(log", "(log stray"), "is out of place"),
-        (("(must-ask 10s)", "(must-ask 1s)"), "at least twice discovery's timeout"),
+        (
+            ("(must-ask 10s)", "(must-ask 1s)"),
+            "rules.must-ask: must be at least twice discovery.timeout (2s), got 1s",
+        ),
     ],
 )
 def test_an_error_names_file_place_key_and_what_was_expected(edit, message):
