--- a/heathwell/cli/__init__.py
+++ b/heathwell/cli/__init__.py
@@ -25,12 +25,12 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
 @click.version_option(__version__, prog_name="heathwell")
 def main() -> None:
-    """An aggregator of queries over replicated shards that degrades honestly.
+    """A query aggregator over replicated shards that reports the completeness of each answer.
 
     Start with `heathwell check examples/market.sx`, then `heathwell fleet up --config examples/market.sx`.
 
-    Exit codes: 0 done; 1 a rule was broken or a run failed; 2 wrong use or settings; 3 an address or a file
-    could not be had.
+    Exit codes: 0 success; 1 a rule was broken or a run failed; 2 invalid usage or settings; 3 an address
+    could not be bound or reached, or a file could not be read.
     """
 
 
--- a/heathwell/cli/agent.py
+++ b/heathwell/cli/agent.py
@@ -19,16 +19,16 @@
 from heathwell.fleet.control.state_file import base_version
 
 POLL_INTERVAL_US: Final = 50_000
-STOP_MARGIN_US: Final = 2_000_000  # beyond the brokers' drain timeout
+STOP_MARGIN_US: Final = 2_000_000  # added to the brokers' drain timeout before the agent exits without them
 
 
 class AgentOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """The options of the command."""
+    """The options of `heathwell agent`."""
 
     state: str
     listen: str
-    brokers: tuple[str, ...]  # NAME:ZONE:HOST:PORT
-    broker_arguments: str  # JSON
+    brokers: tuple[str, ...]  # each NAME:ZONE:HOST:PORT
+    broker_arguments: str  # a JSON object: lists of arguments by broker name
     version: str
     program: str
     settings: str
@@ -38,29 +38,38 @@
 @click.command()
 @serving("agent")
 @click.option(
-    "--state", required=True, type=click.Path(file_okay=False), help="Folder for its notes and logs."
+    "--state",
+    required=True,
+    type=click.Path(file_okay=False),
+    help="Directory for the agent's state and the brokers' logs.",
 )
-@click.option("--listen", default="127.0.0.1:0", show_default=True, help="Address for controllers.")
+@click.option("--listen", default="127.0.0.1:0", show_default=True, help="Address for rollout controllers.")
 @click.option(
-    "--broker", "brokers", multiple=True, required=True, help="NAME:ZONE:HOST:PORT, ZONE a number; repeat."
+    "--broker",
+    "brokers",
+    multiple=True,
+    required=True,
+    help="A broker to run, as NAME:ZONE:HOST:PORT with the index of its zone. Repeatable.",
 )
 @click.option(
     "--args",
     "broker_arguments",
     default="{}",
-    help="JSON: by broker's name, more arguments of `heathwell broker`.",
+    help="JSON object: lists of additional arguments of `heathwell broker`, by broker name.",
 )
+@click.option("--version", required=True, help="Name of the version that brokers without recorded state run.")
 @click.option(
-    "--version", required=True, help="Name of the version that runs first, where no notes say otherwise."
+    "--program", required=True, type=click.Path(file_okay=False), help="Program tree of that version."
 )
-@click.option("--program", required=True, type=click.Path(file_okay=False), help="Its program tree.")
-@click.option("--settings", required=True, type=click.Path(dir_okay=False), help="Its settings.")
-@click.option("--broker-events", default="", help="Folder for brokers' event logs (off without).")
+@click.option(
+    "--settings", required=True, type=click.Path(dir_okay=False), help="Settings file of that version."
+)
+@click.option("--broker-events", default="", help="Directory for the brokers' event logs (default: none).")
 def agent(process: Process, **values: object) -> None:
-    """Run a machine's agent: starts, replaces and restarts its brokers.
+    """Run the node agent of a machine, which starts, replaces and restarts its broker processes.
 
-    SIGTERM ends the brokers in order and then the agent. Killed, it leaves them running; the next one adopts
-    them.
+    On SIGTERM it shuts the brokers down gracefully, then exits. When it is killed, the brokers keep running,
+    and the next agent adopts them.
     """
     options = msgspec.convert(values, AgentOptions)
     try:
@@ -78,13 +87,13 @@
     for text in options.brokers:
         name, zone, address = text.split(":", 2)
         if not 0 <= int(zone) < zone_count:
-            raise ValueError(f"{text}: there are {zone_count} zones")
+            raise ValueError(f"{text}: zone must be at least 0 and less than {zone_count}, got {zone}")
         brokers.append(supervise_broker(name, int(zone), address, arguments_by_broker.get(name, [])))
     return brokers
 
 
 class AgentServer:
-    """A node agent from start to shutdown: first versions, ready line, end of its brokers."""
+    """Runs a node agent: sets initial versions, writes the ready line, and stops the brokers at the end."""
 
     def __init__(self, process: Process, options: AgentOptions, brokers: list[SupervisedBroker]) -> None:
         self._process = process
@@ -92,7 +101,7 @@
         self._brokers = brokers
 
     def run(self) -> Coro[None]:
-        """Serve until the process is stopped, then wait for the brokers to end."""
+        """Serve until the process is stopped, then stop the brokers."""
         process = self._process
         node_agent = NodeAgent(
             process.loop,
@@ -113,12 +122,12 @@
         yield from self._stop_brokers(node_agent)
 
     def _set_initial_version(self, node_agent: NodeAgent, broker: SupervisedBroker) -> None:
-        """Request the version of the state file, else that of the options.
+        """Set the desired version to that of the state file, else to that of the options.
 
-        Exit with code 2 where the latter is rejected.
+        Exit with code 2 if the latter is rejected.
         """
         if broker.supervisor.desired_version:
-            # A rejected version changes nothing: the process that serves is adopted and continues.
+            # A rejected version changes nothing: the agent has adopted the running process, which continues.
             with contextlib.suppress(DesiredVersionRejectedError):
                 node_agent.set_desired_version(_restored_decision(node_agent, broker))
             return
@@ -146,7 +155,7 @@
             yield from sleep(self._process.loop, POLL_INTERVAL_US)
 
     def _stop_brokers(self, node_agent: NodeAgent) -> Coro[None]:
-        """Stop the brokers and wait for their end, for a bounded time."""
+        """Stop the brokers and wait until their processes have ended, for a bounded time."""
         loop = self._process.loop
         node_agent.stop()
         drain_timeout_us = self._process.service_settings.broker.drain_for
@@ -156,7 +165,7 @@
 
 
 def _restored_decision(node_agent: NodeAgent, broker: SupervisedBroker) -> frames.DesiredVersion:
-    """Return the last decision on a broker, from the state file."""
+    """Return the last desired version of a broker, from the state file."""
     supervisor = broker.supervisor
     files = node_agent.versions[base_version(supervisor.desired_version)]
     return frames.DesiredVersion(
--- a/heathwell/cli/badday.py
+++ b/heathwell/cli/badday.py
@@ -1,4 +1,4 @@
-"""`heathwell badday` and `heathwell replay`: a fault scenario under load, judged by the auditor."""
+"""`heathwell badday` and `heathwell replay`: run a fault scenario under load and audit it."""
 
 from __future__ import annotations
 
@@ -25,13 +25,16 @@
 @click.command()
 @click.argument("script", type=click.Path(dir_okay=False))
 @click.option(
-    "--out", type=click.Path(file_okay=False), help="Folder for logs and figures (a temporary one without)."
+    "--out",
+    type=click.Path(file_okay=False),
+    help="Directory for event logs and the summary (default: a temporary one).",
 )
-@click.option("--seconds", type=float, help="Cut the script to so long.")
+@click.option("--seconds", type=float, help="Run only this much of the script, in seconds.")
 def badday(script: str, out: str | None, seconds: float | None) -> None:
-    """Play SCRIPT against a fleet of processes under load; exit 1 when a rule was broken.
+    """Run the fault script SCRIPT against a fleet of processes under load.
 
-    Prints what went wrong and when, per-class service every five seconds, and the auditor's verdict.
+    Prints each fault as it is injected, the service by query class every five seconds, and the auditor's
+    verdict. Exits with 1 if a rule was broken.
     """
     with exit_codes():
         loaded_script, service_settings, config = load_script(script)
@@ -46,23 +49,28 @@
 @click.command()
 @click.argument("day", type=click.Path(dir_okay=False))
 @click.option(
-    "--config", default="examples/market-badday.sx", show_default=True, help="Settings of the fleet."
+    "--config", default="examples/market-badday.sx", show_default=True, help="Settings file of the fleet."
 )
-@click.option("--seconds", default=30.0, show_default=True, help="Squeeze the day to so long.")
-@click.option("--rate", default=25.0, show_default=True, help="Requests a second.")
-@click.option("--out", type=click.Path(file_okay=False), help="Folder for logs and figures.")
+@click.option(
+    "--seconds", default=30.0, show_default=True, help="Duration that the day is scaled to, in seconds."
+)
+@click.option("--rate", default=25.0, show_default=True, help="Requests per second.")
+@click.option("--out", type=click.Path(file_okay=False), help="Directory for event logs and the summary.")
 def replay(day: str, config: str, seconds: float, rate: float, out: str | None) -> None:
-    """Play the kinds of trouble of DAY (a day file as the bench's `draw` prints it) through real brokers."""
+    """Replay the faults of DAY, a day file printed by the bench's `draw`, against a fleet of processes.
+
+    Kinds of faults without a counterpart are listed and skipped.
+    """
     service_settings = settings_of(config)
     with exit_codes(BenchDayError):
         script, skipped = fault_script_from_bench_day(day, service_settings, config, seconds, rate)
     for line in skipped:
-        click.echo(f"left out: {line}")
+        click.echo(f"skipped: {line}")
     sys.exit(_play(script, service_settings, config, out))
 
 
 def _play(script: Script, service_settings: ServiceSettings, config: str, out: str | None) -> int:
-    """Play the script, print its results, write the summary, and return the exit code."""
+    """Run the script, print its results, write the summary, and return the exit code."""
     folder = out or tempfile.mkdtemp(prefix="heathwell-")
     day = FaultScenario(script, service_settings, config, folder, click.echo)
     try:
@@ -76,17 +84,17 @@
     )
     (Path(folder) / "summary.json").write_text(day.summarize(verdict).to_json())
     for fault in day.injection_errors:
-        click.echo(f"could not be made: {fault}", err=True)
+        click.echo(f"fault not injected: {fault}", err=True)
     return 0 if verdict.kept and not (day.injection_errors and script.has_process_links) else 1
 
 
 def _print_results(day: FaultScenario, verdict: Verdict) -> None:
-    """Print service by query class, the auditor's counts and the first breaches."""
+    """Print the service by query class, the auditor's counts and the first breaches."""
     for line in day.service_table():
         click.echo(line)
     click.echo(", ".join(f"{count} {name}" for name, count in verdict.counts.items()))
     click.echo(
-        f"nearest to pushing a cold host over: {verdict.coldest:.2f} of what it bears; "
+        f"highest load of a host in slow start: {verdict.coldest:.2f} of its overload threshold; "
         f"{day.clients.late_start_count} of {day.clients.request_count} requests started off their schedule"
     )
     for line in judge_optional_rules(verdict, day.logged):
--- a/heathwell/cli/coordinator.py
+++ b/heathwell/cli/coordinator.py
@@ -1,4 +1,4 @@
-"""`heathwell keeper`: one quota coordinator of the fleet's quorum, as a process."""
+"""`heathwell keeper`: one quota coordinator of the fleet's quorum."""
 
 from __future__ import annotations
 
@@ -28,23 +28,34 @@
 
 @click.command("keeper")
 @serving("keeper")
-@click.option("--number", required=True, type=int, help="Which of the keepers it is, from 0.")
+@click.option(
+    "--number", required=True, type=int, help="Index of this coordinator among the addresses, from 0."
+)
 @click.option(
     "--keepers",
     "coordinators",
     default="",
-    help="All keepers' addresses with commas between (settings' without).",
+    help="Comma-separated addresses of all quota coordinators (default: those of the settings).",
+)
+@click.option("--listen", help="Address to listen on (default: the one at its index).")
+@click.option(
+    "--admin",
+    default="127.0.0.1:0",
+    show_default=True,
+    help="Address of the HTTP server for /healthz and /metrics.",
 )
-@click.option("--listen", help="Address (that of its number in the settings without).")
-@click.option("--admin", default="127.0.0.1:0", show_default=True, help="Address of /healthz and /metrics.")
 def coordinator(process: Process, *, number: int, coordinators: str, listen: str | None, admin: str) -> None:
-    """Run a keeper: the roll of brokers, and a part of the fleet's budgets to lend.
+    """Run a quota coordinator, which tracks the fleet's members and grants quotas of the fleet's budgets.
 
-    SIGHUP reads the settings anew: the wholes of budgets may change while all run. It keeps nothing on disk.
+    SIGHUP reloads the settings: the totals of budgets may change while the fleet runs. Nothing is stored on
+    disk.
     """
     addresses = coordinator_addresses(process.service_settings, coordinators)
     if not 0 <= number < len(addresses):
-        click.echo(f"--number {number}: settings name {len(addresses)} keepers", err=True)
+        click.echo(
+            f"--number: must be at least 0 and less than the {len(addresses)} addresses, got {number}",
+            err=True,
+        )
         sys.exit(2)
     run = f"k{number}.{time.time_ns() // 1000:x}.{random.SystemRandom().randrange(1 << 32):x}"
 
@@ -65,7 +76,7 @@
 def _coordinator_server(
     process: Process, number: int, run: str, addresses: list[str]
 ) -> QuotaCoordinatorServer:
-    """Return the server of coordinator ``number`` of ``addresses``; ``run`` names this incarnation."""
+    """Return the server of the coordinator at index ``number``; ``run`` identifies this incarnation."""
     fleet = process.service_settings.fleet
     quota_coordinator = QuotaCoordinator(
         number,
@@ -91,11 +102,11 @@
 
 
 def _reload_budgets(process: Process, server: QuotaCoordinatorServer) -> None:
-    """Read the settings file again and resize the budgets; errors are logged and change nothing."""
+    """Reload the settings file and resize the budgets; errors are logged and change nothing."""
     try:
         budgets = budgets_from_settings(load(process.config).fleet)
     except (SettingsError, OSError) as error:
-        process.log("error", "settings not taken, the old ones stay", why=str(error))
+        process.log("error", "settings reload failed, keeping the current settings", why=str(error))
         return
     for resize_error in server.resize(budgets):
-        process.log("error", "budget not taken", why=str(resize_error))
+        process.log("error", "budget not resized", why=str(resize_error))
--- a/heathwell/cli/fleet.py
+++ b/heathwell/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`heathwell fleet up`: discovery, hosts and brokers as processes on loopback, for demos and tests."""
+"""`heathwell fleet up`: run discovery, hosts and brokers as processes on loopback, for demos and tests."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @click.group()
 def fleet() -> None:
-    """A whole fleet of processes on loopback."""
+    """Run a fleet of processes on loopback, or show the members and budgets of a fleet."""
 
 
 @fleet.command()
@@ -34,16 +34,20 @@
 @click.option(
     "--ready-file",
     type=click.Path(dir_okay=False),
-    help="Write names, roles and addresses here, as JSON, once all serve.",
+    help="File for the names, roles and addresses of the processes, written as JSON once all are ready.",
+)
+@click.option("--events", type=click.Path(file_okay=False), help="Directory for event logs (default: none).")
+@click.option("--seconds", type=float, help="Stop after this many seconds.")
+@click.option(
+    "--demo",
+    is_flag=True,
+    help="Send a multi-get with a key of each query class, and print commands to try next.",
 )
-@click.option("--events", type=click.Path(file_okay=False), help="Folder for event logs (off without).")
-@click.option("--seconds", type=float, help="Stop by itself after so long.")
-@click.option("--demo", is_flag=True, help="Ask a multi-get of every class and say what to try next.")
 def up(*, config: str, ready_file: str | None, events: str | None, seconds: float | None, demo: bool) -> None:
-    """Start discovery, hosts and brokers; stop them all on SIGTERM, SIGINT or after --seconds."""
+    """Start discovery, hosts and brokers, and stop them on SIGTERM, on SIGINT or after --seconds."""
     service_settings = settings_of(config)
     if not service_settings.fleet.leaves or not service_settings.fleet.brokers:
-        click.echo(f"{config}: fleet.leaves and fleet.brokers say how many to start", err=True)
+        click.echo(f"{config}: fleet.leaves and fleet.brokers must be more than 0 to start a fleet", err=True)
         sys.exit(2)
     running = ProcessFleet(config, service_settings, events)
     stop_signals: list[int] = []
@@ -63,7 +67,7 @@
 
 
 def _announce(running: ProcessFleet, ready_file: str | None) -> None:
-    """Write the table of processes to the ready file, or print it."""
+    """Write the table of processes to the ready file, or else print it."""
     table = msgspec.to_builtins(running.ready_table())
     if not ready_file:
         click.echo(json.dumps(table))
@@ -74,15 +78,15 @@
 
 
 def _watch(running: ProcessFleet, stop_signals: list[int], deadline_seconds: float) -> None:
-    """Restart processes that ended, until a signal or the deadline."""
+    """Restart processes that end, until a signal arrives or the deadline passes."""
     while not stop_signals and time.monotonic() < deadline_seconds:
         time.sleep(POLL_INTERVAL_SECONDS)
         for name in running.restart_ended_members():
-            click.echo(f"{name} ended; it is back, cold, in {running.restart_delay_seconds:g} s", err=True)
+            click.echo(f"{name} ended; it restarts cold in {running.restart_delay_seconds:g} s", err=True)
 
 
 def _get_values(client: Client, keys: list[str]) -> dict[str, bytes]:
-    """Return the answers to a multi-get; it is repeated while the broker has no endpoint list yet."""
+    """Return the answers to a multi-get, which is retried until the broker has its first endpoint list."""
     from pymemcache.exceptions import MemcacheError  # noqa: PLC0415  # a client library, for the demo alone
 
     deadline_seconds = time.monotonic() + DEMO_TIMEOUT_SECONDS
--- a/heathwell/cli/fleet_status.py
+++ b/heathwell/cli/fleet_status.py
@@ -1,4 +1,4 @@
-"""`heathwell fleet members` and `budgets`: the fleet's state as its coordinators report it."""
+"""`heathwell fleet members` and `budgets`: the state of a fleet, as its coordinators report it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 class MemberSummary(
     msgspec.Struct, rename={"state_age_seconds": "since_s", "last_contact_age_seconds": "heard_s"}
 ):
-    """One member in the output of the command; the JSON names are those of its output."""
+    """One member, as `heathwell fleet members` prints it; the JSON names are part of its interface."""
 
     name: str
     state: str
@@ -39,7 +39,7 @@
 
 
 class HolderSummary(msgspec.Struct, rename={"remaining_seconds": "until_s"}):
-    """What one member holds of a budget; the JSON names are those of the command's output."""
+    """The grants of a budget to one member; the JSON names are part of the command's interface."""
 
     member: str
     amount: float
@@ -48,9 +48,9 @@
 
 
 class BudgetSummary(msgspec.Struct, rename={"total": "whole", "set_aside": "aside", "granted": "given"}):
-    """One budget and scope; the JSON names are those of the command's output.
+    """One budget, or one scope of it; the JSON names are part of the command's interface.
 
-    Amounts of a rate are in units per second.
+    Amounts of a budget of kind ``rate`` are in units per second.
     """
 
     budget: str
@@ -61,7 +61,7 @@
     holders: list[HolderSummary]
 
     def lines(self) -> list[str]:
-        """Return the printed lines: the budget, then each holder."""
+        """Return the lines to print: the budget, then each holder."""
         return [
             f"{self.budget} ({self.kind}): whole {self.total:g}, set aside {self.set_aside:g}, "
             f"given {self.granted:g}",
@@ -112,21 +112,21 @@
 
 @dataclass(slots=True)
 class _Holding:
-    """What one member holds of a budget, summed over the fractions of all coordinators."""
+    """The grants of a budget to one member, summed over the fractions of all coordinators."""
 
     amount: int = 0
     left_us: int = 0
     demand: int = 0
 
     def add(self, share: frames.MemberShare) -> None:
-        """Add the member's share of one fraction."""
+        """Add the member's grant of one fraction."""
         self.amount += share.amount
         self.left_us = max(self.left_us, share.left_us)
         self.demand = max(self.demand, share.demand)
 
 
 def summarize_budgets(views: list[frames.FleetView]) -> list[BudgetSummary]:
-    """Return a summary of each budget and scope: total, set aside, granted, and the members with grants."""
+    """Return a summary of each budget and scope, with the members that hold or request some of it."""
     summaries = []
     for budget in views[0].wholes if views else []:
         holdings = _holdings_by_scope(budget.name, views)
@@ -136,7 +136,7 @@
 
 
 def _holdings_by_scope(budget: str, views: list[frames.FleetView]) -> dict[str, dict[str, _Holding]]:
-    """Return holdings by scope (the text after "@" in a share's budget, or empty) and member."""
+    """Return holdings by scope (what follows "@" in the name of a budget, or empty) and member."""
     holdings: dict[str, dict[str, _Holding]] = defaultdict(lambda: defaultdict(_Holding))
     for view in views:
         for share in view.shares:
@@ -169,7 +169,7 @@
 @click.command()
 @operator_options
 def members(*, config: str, coordinators: str, as_json: bool) -> None:
-    """Who is a member of the fleet, by what the keepers have heard."""
+    """List the members of the fleet, as its quota coordinators see them."""
     result = request_views(required_coordinator_addresses(config, coordinators))
     summaries = msgspec.to_builtins(summarize_members(result.views))
     print_and_exit(result, {"members": summaries}, format_table(summaries), as_json=as_json)
@@ -178,7 +178,7 @@
 @click.command()
 @operator_options
 def budgets(*, config: str, coordinators: str, as_json: bool) -> None:
-    """What of each budget is given out, to whom, until when."""
+    """List the fleet's budgets: totals, the grants of each member, and how long they last."""
     result = request_views(required_coordinator_addresses(config, coordinators))
     summaries = summarize_budgets(result.views)
     owned_by_coordinator = {view.coordinator: view.owned for view in result.views}
@@ -189,7 +189,7 @@
 
 
 def _owner_line(coordinator: str, owned: dict[int, int]) -> str:
-    """Return the printed line of the fractions that a coordinator leases, with the remaining times (us)."""
+    """Return the line to print of the fractions that a coordinator owns, with the remaining lease times."""
     fractions = ", ".join(
         f"fraction {number} for {remaining_us / MICROSECONDS_PER_SECOND:.1f} s"
         for number, remaining_us in owned.items()
--- a/heathwell/cli/inspect.py
+++ b/heathwell/cli/inspect.py
@@ -1,4 +1,4 @@
-"""`heathwell check`, `schema` and `audit`: check settings, print their page, judge event logs."""
+"""`heathwell check`, `schema` and `audit`: validate settings, print their reference, audit event logs."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from heathwell.testing.audit import Breach, Event, Verdict, judge, judge_ages, judge_budgets, read_logs
 from heathwell.testing.audit.reader import LogError
 
-LOGGED_WITHIN_US: Final = 200  # between the two clock readings that place an answer's age in its log line
+LOGGED_WITHIN_US: Final = 200  # maximum time from computing an answer's age to timestamping its log line
 
 
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def check(file: str) -> None:
-    """Check a settings FILE; every error is printed with its line and column."""
+    """Validate a settings FILE, and print every error with its line and column."""
     service_settings = settings_of(file)
     click.echo(
         f"{file}: good: {len(service_settings.classes)} classes, {len(service_settings.keys)} key spaces, "
@@ -28,14 +28,14 @@
 
 @click.command()
 def schema() -> None:
-    """Print the page of all settings (docs/settings.md)."""
+    """Print the reference of all settings (docs/settings.md)."""
     click.echo(schema_page(), nl=False)
 
 
 def judge_optional_rules(verdict: Verdict, events: list[Event]) -> list[str]:
-    """Add the breaches of budgets and of stated ages to ``verdict`` where the run has any.
+    """Judge budgets and ages of answers where the run has them, and add the breaches to ``verdict``.
 
-    Return the lines that summarize what was judged.
+    Return a summary line for each of the two.
     """
     run_parameters = next(event for event in events if event.ev == "run").fields["figures"]
     lines = []
@@ -50,8 +50,8 @@
     result = judge_budgets(events)
     verdict.breaches += [Breach(0, "budget", text, ()) for text in result.breaches]
     return (
-        f"budgets: {result.lines} changes of shares and {result.uses} uses judged, "
-        f"{len(result.breaches)} overshoots; most held of what may be: "
+        f"budgets: {result.lines} quota changes and {result.uses} uses judged, "
+        f"{len(result.breaches)} overshoots; largest fraction held: "
         + ", ".join(f"{name} {share:.2f}" for name, share in sorted(result.nearest.items()))
     )
 
@@ -67,9 +67,11 @@
 
 @click.command()
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True))
-@click.option("--most", "printed_breaches", default=20, show_default=True, help="Breaches to print.")
+@click.option(
+    "--most", "printed_breaches", default=20, show_default=True, help="Maximum number of breaches to print."
+)
 def audit(logs: tuple[str, ...], printed_breaches: int) -> None:
-    """Judge the six rules from event LOGS: files, or folders of .jsonl files."""
+    """Audit the event LOGS of a run, which are files or directories of .jsonl files, by the six rules."""
     try:
         events = read_logs(logs)
         verdict = judge(events)
@@ -77,7 +79,7 @@
         click.echo(str(error), err=True)
         sys.exit(2)
     click.echo(", ".join(f"{count} {name}" for name, count in verdict.counts.items()))
-    click.echo(f"nearest to pushing a cold host over: {verdict.coldest:.2f} of what it bears")
+    click.echo(f"highest load of a host in slow start: {verdict.coldest:.2f} of its overload threshold")
     for line in judge_optional_rules(verdict, events):
         click.echo(line)
     for breach in verdict.breaches[:printed_breaches]:
--- a/heathwell/cli/logs.py
+++ b/heathwell/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs by structlog: JSON or console on standard error, with a level per package."""
+"""Configuration of structlog: JSON or console lines on standard error, with a level per package."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     "warning": logging.WARNING,
     "error": logging.ERROR,
 }
-# Settings may name a package by its former name.
+# Present names by former names, which settings may still use.
 FORMER_PACKAGES: Final = {"heathwell.kernel": "heathwell.eventloop"}
 Logger = Callable[..., None]
 LoggerFactory = Callable[..., Logger]
@@ -27,7 +27,7 @@
 def set_up(log: Log) -> LoggerFactory:
     """Configure structlog and return a factory of loggers, each called as ``log(level, text, **fields)``.
 
-    The factory takes the logger's package, whose level comes from ``log``, and the fields of every line.
+    The factory takes the name of a package, whose level comes from ``log``, and fields to add to every line.
     """
     _configure_structlog(log.format)
     package_levels = {
--- a/heathwell/cli/operator_requests.py
+++ b/heathwell/cli/operator_requests.py
@@ -1,4 +1,4 @@
-"""What operators' commands share: requests to coordinators, their options, and tables of results."""
+"""Helpers of operators' commands: requests to coordinators, common options, and formatted results."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 REPLY_TIMEOUT_SECONDS: Final = 3.0
 REQUEST_ERRORS: Final = (OSError, ValueError, frames.FrameError)
-"""What :func:`request_reply` raises: no connection, no reply of the type, or bytes that are no frames."""
+"""What :func:`request_reply` raises: no connection, an unexpected reply, or bytes that are not a frame."""
 Reply = TypeVar("Reply")
 
 
 @dataclass(slots=True)
 class CoordinatorViews:
-    """The views of the coordinators that replied, and by address the error of those that did not."""
+    """The views of the coordinators that replied, and the errors of the others by address."""
 
     views: list[frames.FleetView] = field(default_factory=list)
     errors: dict[str, str] = field(default_factory=dict)
@@ -53,7 +53,7 @@
     """Return the addresses of ``--keepers`` or of the settings; exit with code 2 where there are none."""
     addresses = coordinator_addresses(settings_of(config), coordinators)
     if not addresses:
-        click.echo(f"{config}: fleet.keepers: none are named, so there is no roll and no budget", err=True)
+        click.echo(f"{config}: fleet.keepers: an address is required, here or by --keepers", err=True)
         sys.exit(2)
     return addresses
 
@@ -66,16 +66,16 @@
             "--keepers",
             "coordinators",
             default="",
-            help="Their addresses, commas between (settings' without).",
+            help="Comma-separated addresses of the quota coordinators (default: those of the settings).",
         ),
-        click.option("--json", "as_json", is_flag=True, help="As JSON."),
+        click.option("--json", "as_json", is_flag=True, help="Print JSON."),
     ):
         command = option(command)
     return command
 
 
 def format_table(rows: Sequence[Mapping[str, object]]) -> str:
-    """Return rows with the same keys as left-aligned columns under a line of the keys."""
+    """Format rows with the same keys as left-aligned columns under a header line."""
     if not rows:
         return "none"
     keys = list(rows[0])
@@ -88,7 +88,7 @@
 
 
 def print_and_exit(result: CoordinatorViews, body: Mapping[str, object], text: str, *, as_json: bool) -> None:
-    """Print ``body`` as JSON or ``text``, with the errors, and exit: 3 where no coordinator replied."""
+    """Print ``body`` as JSON, or ``text``, with the errors; exit with 3 if no coordinator replied, else 0."""
     if as_json:
         click.echo(json.dumps({**body, "silent": result.errors}, indent=1))
     else:
--- a/heathwell/cli/platform.py
+++ b/heathwell/cli/platform.py
@@ -1,4 +1,4 @@
-"""`heathwell platform`: the platform's entry on loopback, against the stand-ins."""
+"""`heathwell platform`: run the platform's broker on loopback against stand-ins."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 @click.command()
-@click.option("--seconds", type=float, help="Stop by itself after so long (Ctrl-C without).")
+@click.option("--seconds", type=float, help="Stop after this many seconds (default: on Ctrl-C).")
 def platform(seconds: float | None) -> None:
-    """Start stand-in nodes, discovery and one broker of the platform, and ask a query of each class.
+    """Start stand-in nodes, discovery and one broker of the platform, and send a query of each class.
 
-    The broker is its own process, started as the platform does; SIGTERM ends it in order.
+    The broker runs in a process of its own, started as on the platform. SIGTERM shuts it down gracefully.
     """
     with tempfile.TemporaryDirectory() as folder:
         try:
--- a/heathwell/cli/process.py
+++ b/heathwell/cli/process.py
@@ -1,4 +1,4 @@
-"""What every serving command shares: options, loop, logs, event log, signals and exit codes."""
+"""Common code of the commands that run a server: options, event loop, logs, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -51,12 +51,12 @@
 
 
 def coordinator_addresses(service_settings: ServiceSettings, addresses: str) -> list[str]:
-    """Return the addresses of ``addresses``, with commas between, or those of the settings if it is empty."""
+    """Return the comma-separated ``addresses``, or those of the settings if there are none."""
     return addresses.split(",") if addresses else list(service_settings.fleet.coordinators)
 
 
 class Process:
-    """One serving process: event loop, logs, event log, signals and ready line.
+    """The process of a server: event loop, logs, event log, signals and ready line.
 
     The first SIGTERM or SIGINT sets ``stop``; the second one exits at once with code 1.
     """
@@ -90,7 +90,8 @@
 
     def _open_event_log(self, folder: str, role: str, clock_rate: float) -> FileEvents:
         Path(folder).mkdir(parents=True, exist_ok=True)
-        # By the machine's clock, even where the process runs on a skewed one: auditors compare processes.
+        # Events have the time of the machine's clock, even if the process runs on a skewed one: the auditor
+        # compares the times of different processes.
         event_log = FileEvents(f"{folder}/{self.name}.jsonl", self.name, role, MonotonicClock())
         event_log("clock", rate=clock_rate)
         self.loop.at_turn_end(event_log.flush)
@@ -131,29 +132,29 @@
 # Applied in this order; `--help` lists them from the last to the first.
 SERVING_OPTIONS: Final = (
     click.option("--config", required=True, type=click.Path(dir_okay=False), help="Settings file."),
-    click.option("--name", required=True, help="Name in logs; one of a kind among all runs."),
+    click.option("--name", required=True, help="Name of the process in logs, unique across all runs."),
     click.option(
-        "--events", type=click.Path(file_okay=False), help="Folder for the event log (off without)."
+        "--events", type=click.Path(file_okay=False), help="Directory for the event log (default: none)."
     ),
     click.option(
         "--clock-rate",
         type=click.FloatRange(0.5, 2.0),
         default=1.0,
         hidden=True,
-        help="For tests: how fast its clock runs against the machine's.",
+        help="For tests: rate of the process's clock, relative to the machine's.",
     ),
     click.option(
         "--ready-file",
         type=click.Path(dir_okay=False),
-        help="Write {name, pid, address ...} here, as JSON, once it serves (standard output without).",
+        help="File for the ready line, JSON with name, pid and addresses (default: standard output).",
     ),
 )
 
 
 def serving(role: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
-    """Add :data:`SERVING_OPTIONS` to a command, and pass it the :class:`Process` made of them.
+    """Add :data:`SERVING_OPTIONS` to a command, and pass it a :class:`Process` made from them.
 
-    ``role`` names the process in its logs and event log.
+    ``role`` is the role of the process in its logs and event log.
     """
 
     def _add_options(command: Callable[..., None]) -> Callable[..., None]:
--- a/heathwell/cli/rollout.py
+++ b/heathwell/cli/rollout.py
@@ -1,4 +1,4 @@
-"""`heathwell rollout`: a new program or new settings in stages, rolled back where they do worse."""
+"""`heathwell rollout`: roll out a program or settings in stages, and roll back if the canaries do worse."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 from heathwell.settings.check import TIME_US
 
 LOCK_FILE_NAME: Final = "lock"
-FINAL_STATUS_DURATION_US: Final = 200_000  # for the replies to operators' last requests to be sent
+FINAL_STATUS_DURATION_US: Final = 200_000  # after the end, to reply to operators' last requests
 
 
 @click.group()
 def rollout() -> None:
-    """A new program or new settings in stages, judged, and undone where it does worse."""
+    """Roll out a new program or new settings in stages, with canary analysis and automatic rollback."""
 
 
 for operator_command in OPERATOR_COMMANDS:
@@ -47,7 +47,7 @@
     """The options of `heathwell rollout start`."""
 
     state: str
-    machines: str  # addresses with commas between
+    machines: str  # comma-separated addresses
     old_version: str
     old_program: str
     old_settings: str
@@ -63,7 +63,7 @@
     max_zone_fraction: float
     max_concurrent: int
     override_flags: tuple[str, ...]
-    coordinators: str  # addresses with commas between, or empty
+    coordinators: str  # comma-separated addresses, or empty
     listen: str
     crash_point: str
 
@@ -81,7 +81,7 @@
         return Plan(stages, self.max_zone_fraction, self.max_concurrent)
 
     def controller(self) -> RolloutController:
-        """Return the controller of a new rollout; raise as :meth:`plan`."""
+        """Return the controller of a new rollout; raise the errors of :meth:`plan`."""
         return RolloutController(
             f"{self.old_version}-{self.new_version}",
             self.old_version,
@@ -93,7 +93,7 @@
         )
 
     def version_files(self) -> dict[str, VersionFiles]:
-        """Return the files of both versions by name; those of the old one where no new ones are given."""
+        """Return the files of both versions by name; the new version defaults to files of the old one."""
         return {
             self.old_version: _version_files(self.old_program, self.old_settings),
             self.new_version: _version_files(
@@ -103,14 +103,14 @@
 
 
 def _duration_us(text: str) -> int:
-    """Return the duration of a number with a unit, as `2s`."""
+    """Parse a number with a unit, such as `2s`."""
     number = text.rstrip("usmhd")
     unit = text[len(number) :]
     return int(float(number) * TIME_US[unit])
 
 
 def _stage_fraction(text: str) -> float:
-    """Return the fraction of brokers: a percentage, `1` for a single broker (0.0), or a number."""
+    """Parse the fraction of brokers in a stage: a percentage, a number, or `1` for a single broker (0.0)."""
     if text.endswith("%"):
         return float(text[:-1]) / 100
     return 0.0 if text == "1" else float(text)
@@ -123,73 +123,113 @@
 @rollout.command()
 @serving("rollout")
 @click.option(
-    "--state", required=True, type=click.Path(file_okay=False), help="Folder for the course's record."
+    "--state", required=True, type=click.Path(file_okay=False), help="Directory for the rollout's state."
 )
-@click.option("--machines", required=True, help="Agents' addresses with commas between.")
+@click.option("--machines", required=True, help="Comma-separated addresses of the node agents.")
 @click.option(
     "--from",
     "old_version",
     required=True,
-    help="Version that runs now, with --from-program and --from-settings.",
+    help="Name of the old version, which runs now.",
+)
+@click.option(
+    "--from-program",
+    "old_program",
+    required=True,
+    type=click.Path(file_okay=False, exists=True),
+    help="Program tree of the old version.",
+)
+@click.option(
+    "--from-settings",
+    "old_settings",
+    required=True,
+    type=click.Path(dir_okay=False, exists=True),
+    help="Settings file of the old version.",
 )
-@click.option("--from-program", "old_program", required=True, type=click.Path(file_okay=False, exists=True))
-@click.option("--from-settings", "old_settings", required=True, type=click.Path(dir_okay=False, exists=True))
 @click.option("--to", "new_version", required=True, help="Name of the new version.")
 @click.option(
     "--program",
     "new_program",
     type=click.Path(file_okay=False, exists=True),
-    help="Its program tree (the old).",
+    help="Program tree of the new version (default: the old one).",
 )
 @click.option(
-    "--settings", "new_settings", type=click.Path(dir_okay=False, exists=True), help="Its settings."
+    "--settings",
+    "new_settings",
+    type=click.Path(dir_okay=False, exists=True),
+    help="Settings file of the new version (default: the old one).",
 )
-@click.option("--stages", default="1,5%,25%,100%", show_default=True, help="Shares of brokers; 1: one.")
-@click.option("--bake", "min_stage_duration", default="30s", show_default=True, help="Least time of a stage.")
 @click.option(
-    "--most", "max_stage_duration", default="120s", show_default=True, help="Longest time of a stage."
+    "--stages",
+    default="1,5%,25%,100%",
+    show_default=True,
+    help="Fraction of brokers in each stage; 1: one broker.",
+)
+@click.option(
+    "--bake", "min_stage_duration", default="30s", show_default=True, help="Minimum duration of a stage."
+)
+@click.option(
+    "--most", "max_stage_duration", default="120s", show_default=True, help="Maximum duration of a stage."
 )
 @click.option(
     "--prove",
     "proof_stage",
     default="25%",
     show_default=True,
-    help="Stage that must be shown to be no worse.",
+    help="Stage that passes only on proof that the new version is no worse.",
 )
 @click.option(
     "--window",
     "observation_window",
     default="2s",
     show_default=True,
-    help="Span over which brokers are compared.",
+    help="Time window over which brokers are compared.",
 )
 @click.option(
-    "--tolerance", default=0.02, show_default=True, help="Loss of worth that is shown not to be there."
+    "--tolerance",
+    default=0.02,
+    show_default=True,
+    help="Loss of goodput, as a fraction, that the proof must exclude.",
 )
 @click.option(
     "--zone-share",
     "max_zone_fraction",
     default=0.34,
     show_default=True,
-    help="Of a zone, changed before the last stage.",
+    help="Maximum fraction of a zone's brokers to change before the last stage.",
+)
+@click.option(
+    "--at-once",
+    "max_concurrent",
+    default=4,
+    show_default=True,
+    help="Maximum number of brokers to replace concurrently.",
 )
-@click.option("--at-once", "max_concurrent", default=4, show_default=True, help="Brokers replaced at a time.")
 @click.option(
     "--allow",
     "override_flags",
     multiple=True,
-    help="A flag that a refusal named, such as --drop-classes; repeat.",
+    help="Override named by a failed preflight check, such as --drop-classes. Repeatable.",
 )
 @click.option(
     "--keepers",
     "coordinators",
     default="",
-    help="Keepers' addresses with commas between (settings' without).",
+    help="Comma-separated addresses of the quota coordinators (default: those of the old settings).",
+)
+@click.option("--listen", default="127.0.0.1:0", show_default=True, help="Address for operators' commands.")
+@click.option(
+    "--crash-at",
+    "crash_point",
+    default="",
+    hidden=True,
+    help="For tests: point at which the process kills itself.",
 )
-@click.option("--listen", default="127.0.0.1:0", show_default=True, help="Address for operators.")
-@click.option("--crash-at", "crash_point", default="", hidden=True, help="For tests: SIGKILL oneself there.")
 def start(process: Process, **values: object) -> None:
-    """Carry a change out, or go on with the one that is noted in --state. Exit code 0 done, 1 undone."""
+    """Run a rollout, or resume the one recorded in --state.
+
+    Exits with 0 when the rollout is completed, 1 when it is rolled back or interrupted.
+    """
     options = msgspec.convert(values, RolloutOptions)
     with _locked_folder(options.state):
         try:
@@ -204,7 +244,7 @@
 
 @contextmanager
 def _locked_folder(state: str) -> Iterator[None]:
-    """Create the controller's folder and hold its lock; exit with code 2 where another process has it."""
+    """Create the controller's directory and hold its lock; exit with code 2 if another process holds it."""
     folder = Path(state)
     folder.mkdir(parents=True, exist_ok=True)
     with (folder / LOCK_FILE_NAME).open("w") as lock:
@@ -217,7 +257,7 @@
 
 
 class ControllerServer:
-    """The process of a rollout controller, from start to the end of the rollout."""
+    """Runs a rollout controller until the rollout ends."""
 
     def __init__(self, process: Process, options: RolloutOptions, controller: RolloutController) -> None:
         self._process = process
@@ -260,7 +300,7 @@
         runner.done.set()
 
     def _preflight(self) -> list[str]:
-        """Return what speaks against the new settings, except for what the operator's flags allow."""
+        """Return the problems of the new settings, without those that the operator's flags override."""
         try:
             new_settings = load(self._files[self._controller.new_version].settings)
         except (SettingsError, OSError) as error:
@@ -279,7 +319,7 @@
 def _warning_line(warning: PreflightWarning) -> str:
     if not warning.override_flag:
         return warning.text
-    return f"{warning.text} (--allow {warning.override_flag} takes it)"
+    return f"{warning.text} (--allow {warning.override_flag} overrides this check)"
 
 
 def _leader_check(
@@ -287,7 +327,7 @@
 ) -> Callable[[], bool]:
     """Return the function that renews the fleet's rollout lease and returns whether it is held.
 
-    Without coordinators there is no lease, and the lock on the controller's folder is the only exclusion.
+    Without coordinators there is no lease: only the lock on the directory prevents concurrent controllers.
     """
     fleet = service_settings.fleet
     if not fleet.coordinators:
@@ -318,7 +358,7 @@
 
 
 def _holds_lease(fleet_agent: FleetAgent, budget_name: str) -> bool:
-    """Acquire the lease where it is free, release it where it has run out, and return whether it is held."""
+    """Acquire the lease if it is free, release it if it has expired, and return whether it is held."""
     now_us = fleet_agent.check_incarnation()
     holder = fleet_agent.holder(budget_name)
     if holder is None:
--- a/heathwell/cli/rollout_operator.py
+++ b/heathwell/cli/rollout_operator.py
@@ -22,17 +22,17 @@
 class BrokerRow(
     msgspec.Struct, rename={"version": "runs", "desired_version": "wanted", "is_recent": "fresh"}
 ):
-    """One broker in the status of a rollout; the JSON names are those of the controller's record."""
+    """One broker in the status of a rollout; the JSON names are those of the controller's state."""
 
     zone: str
     version: str
     state: str
     desired_version: str
-    failed: str  # why the desired version could not be started there, or empty
+    failed: str  # why the desired version did not start, or empty
     is_recent: bool
 
     def line(self, name: str) -> str:
-        """Return the printed line of the broker."""
+        """Return the line to print of the broker."""
         text = f"  {name} ({self.zone}): {self.version or 'nothing'}, {self.state}"
         if self.desired_version not in ("", self.version):
             text += f", to run {self.desired_version}"
@@ -44,7 +44,7 @@
 
 
 class RolloutStatusRow(msgspec.Struct, rename={"reason": "why", "holds_lease": "holds"}):
-    """The printed part of a rollout's status; the JSON names are those of the controller's record."""
+    """The part of a rollout's status that is printed; the JSON names are those of the controller's state."""
 
     id: str
     state: str
@@ -54,7 +54,7 @@
     brokers: dict[str, BrokerRow]
 
     def lines(self) -> list[str]:
-        """Return the printed lines: the rollout, then each broker."""
+        """Return the lines to print: the rollout, then each broker."""
         head = f"{self.id}: {self.state}, stage {self.stage}: {self.reason}"
         if not self.holds_lease:
             head += " (this controller has not the fleet's lease)"
@@ -62,11 +62,11 @@
 
 
 def _controller_address(state: str, address: str) -> str:
-    """Return ``address``, or the one in the controller's folder; exit where neither can be had."""
+    """Return ``address``, or else the one in the controller's directory; exit if there is neither."""
     if address:
         return address
     if not state:
-        click.echo("--state or --address is needed", err=True)
+        click.echo("--state or --address is required", err=True)
         sys.exit(2)
     with exit_codes(ValueError):
         stored_address: str = json.loads((Path(state) / ADDRESS_FILE_NAME).read_text())["address"]
@@ -74,7 +74,7 @@
 
 
 def _request_status(address: str, command_name: str, reason: str) -> frames.RolloutStatus:
-    """Send a command and return the rollout's status; exit with code 3 where there is no reply."""
+    """Send a command and return the rollout's status; exit with code 3 if there is no reply."""
     command = frames.OperatorCommand(command_name, getpass.getuser(), reason)
     try:
         return request_reply(address, command, frames.RolloutStatus)
@@ -84,7 +84,7 @@
 
 
 def _run_operator_command(name: str, *, state: str, address: str, why: str, as_json: bool) -> None:
-    """Send a command and print the rollout's status; exit with code 1 where the command is rejected."""
+    """Send a command and print the rollout's status; exit with code 1 if the command is rejected."""
     status = _request_status(_controller_address(state, address), name, why)
     if as_json:
         click.echo(json.dumps(status.record, indent=1))
@@ -102,18 +102,20 @@
         name,
         callback=partial(_run_operator_command, name),
         params=[
-            click.Option(["--json", "as_json"], is_flag=True, help="As JSON."),
-            click.Option(["--why"], default="", help="For the log."),
-            click.Option(["--address"], default="", help="Its address (that in its folder without)."),
-            click.Option(["--state"], default="", help="Folder of the controller."),
+            click.Option(["--json", "as_json"], is_flag=True, help="Print JSON."),
+            click.Option(["--why"], default="", help="Reason, for the log."),
+            click.Option(
+                ["--address"], default="", help="Address of the controller (default: the one in --state)."
+            ),
+            click.Option(["--state"], default="", help="Directory of the controller's state."),
         ],
         help=help_text,
     )
 
 
 OPERATOR_COMMANDS: Final = (
-    _operator_command("status", "How a change stands."),
-    _operator_command("hold", "Begin nothing more for now."),
-    _operator_command("resume", "Go on with a change that is held."),
-    _operator_command("undo", "Bring the old version back everywhere."),
+    _operator_command("status", "Show the status of a rollout."),
+    _operator_command("hold", "Hold a rollout: start no further replacements."),
+    _operator_command("resume", "Resume a rollout that is held."),
+    _operator_command("undo", "Roll back to the old version on all brokers."),
 )
--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -35,30 +35,36 @@
 
 PACKAGE: Final = Path(__file__).resolve().parent.parent
 ADMIN_CONNECTIONS: Final = 100
-HAND_OVER_TIMEOUT_US: Final = 2_000_000  # for clients to reach a moment without a request in flight
-LEAVE_DURATION_US: Final = 50_000  # for the last frame to the coordinators to be sent
+HAND_OVER_TIMEOUT_US: Final = 2_000_000  # for each client connection to become idle
+LEAVE_DURATION_US: Final = 50_000  # to send the last frame to the coordinators
 POLL_INTERVAL_US: Final = 10_000
 FLUSH_ATTEMPTS: Final = 20
 
 
 @click.command()
 @serving("broker")
-@click.option("--discovery", required=True, help="host:port of the host list.")
-@click.option("--zone", default=0, show_default=True, help="Number of the zone it stands in.")
-@click.option("--seed", default=1, show_default=True, help="Seed of its decisions' draws.")
+@click.option("--discovery", required=True, help="host:port of the discovery service.")
+@click.option("--zone", default=0, show_default=True, help="Index of the broker's zone in the settings.")
+@click.option("--seed", default=1, show_default=True, help="Seed of random decisions.")
 @click.option(
-    "--routes", default="{}", help="JSON: hosts' addresses to the doors of a relay that leads to them."
+    "--routes",
+    default="{}",
+    help="JSON object: addresses of a relay by the host addresses that it forwards to.",
 )
-@click.option("--source", default="", help="host:port of the source's clock (settings' without).")
-@click.option("--listen", help="memcached address (settings' without).")
+@click.option(
+    "--source", default="", help="host:port of the data source's clock (default: that of the settings)."
+)
+@click.option("--listen", help="memcached address (default: that of the settings).")
 @click.option(
     "--keepers",
     "coordinators",
     default="",
-    help="Keepers' addresses with commas between (settings' without).",
+    help="Comma-separated addresses of the quota coordinators (default: those of the settings).",
 )
 @click.option(
-    "--report", is_flag=True, help="Keep sums of service for the machine's agent, and say what it runs."
+    "--report",
+    is_flag=True,
+    help="Keep service statistics for the node agent, and state digests of program and settings when ready.",
 )
 def broker(
     process: Process,
@@ -72,9 +78,10 @@
     coordinators: str,
     report: bool,
 ) -> None:
-    """Run a broker: memcached in, answers from the hosts out.
+    """Run a service broker, which answers memcached and vector queries from the hosts.
 
-    SIGTERM takes nothing new, finishes what is held, and exits 0; a second one exits at once.
+    SIGHUP reloads the settings. On SIGTERM it accepts no new queries, finishes those in progress and exits
+    with 0; a second SIGTERM exits at once.
     """
     service_settings = process.service_settings
     net = _routed_net(process.net, routes)
@@ -98,10 +105,10 @@
 
 
 class BrokerServer:
-    """A service broker, the listeners of its client protocols and the order of its shutdown.
+    """Runs a service broker: opens the listeners of its client protocols, and shuts down gracefully.
 
-    A broker with ``options.statistics`` is supervised by a node agent: its ready line has the digests of its
-    program and settings, and on shutdown it hands its clients over to the process that replaces it.
+    A broker with ``options.statistics`` is supervised by a node agent. Its ready line then has the digests of
+    its program and settings, and on shutdown it hands its clients over to the process that replaces it.
     """
 
     def __init__(
@@ -159,7 +166,7 @@
         return self._settings.limits.clients + EXTRA_CONNECTIONS
 
     def _start_vector_search(self) -> dict[str, str]:
-        """Listen for vector searches where the settings have an address; return it as a ready-line field."""
+        """Start the vector search server if the settings have an address; return its ready-line field."""
         if not self._settings.vector.listen:
             return {}
         listener = self._net.listen(
@@ -173,29 +180,31 @@
         return {"vector": listener.address}
 
     def _digests(self) -> dict[str, str]:
-        """Return the ready-line fields by which a node agent checks what it started."""
+        """Return the ready-line fields by which a node agent verifies the version that it started."""
         if not self._is_supervised:
             return {}
         return {"program": program_digest(PACKAGE), "settings": self._process.digest}
 
     def _reload_settings(self) -> None:
-        """Read the settings file again and apply it; errors are logged and change nothing."""
+        """Reload the settings file; errors are logged and change nothing."""
         process = self._process
         try:
             digest = settings_digest(process.config)
             changed_settings = load(process.config)
         except (SettingsError, OSError) as error:
-            process.log("error", "settings not taken, the old ones stay", why=str(error))
+            process.log("error", "settings reload failed, keeping the current settings", why=str(error))
             return
         if digest == self._broker.current_version.version:
             return
         try:
             self._broker.apply_settings(changed_settings, digest)
         except SettingsChangeError as error:
-            process.log("error", "settings need a restart, the old ones stay", why=str(error))
+            process.log(
+                "error", "settings change requires a restart, keeping the current settings", why=str(error)
+            )
 
     def _shut_down(self) -> Coro[None]:
-        """Stop accepting, hand clients over, finish open queries, flush replies, leave the fleet."""
+        """Stop accepting clients, hand them over, finish open queries, flush replies, and leave the fleet."""
         process = self._process
         process.log("info", "stopping", held=self._broker.open_count)
         for listener in self._listeners:
@@ -212,9 +221,9 @@
             self._agent.close()
 
     def _hand_over_clients(self) -> Coro[None]:
-        """Serve open connections until each can be closed without a request in flight.
+        """Close client connections as they become idle, for a bounded time; only for a supervised broker.
 
-        Another process may have the address by now, so that clients which reconnect reach it.
+        The replacing process may listen on the address by now, so clients that reconnect reach it.
         """
         loop = self._process.loop
         until_us = loop.now() + (HAND_OVER_TIMEOUT_US if self._is_supervised else 0)
@@ -222,7 +231,7 @@
             yield from sleep(loop, POLL_INTERVAL_US)
 
     def _flush_replies(self) -> Coro[None]:
-        """Wait until the replies are sent, for a bounded time."""
+        """Wait until all replies are sent, for a bounded time."""
         for _ in range(FLUSH_ATTEMPTS):
             yield from sleep(self._process.loop, POLL_INTERVAL_US)
             if not any(connection.stream.unsent for connection in self._memcached.connections):
@@ -230,7 +239,7 @@
 
 
 def _routed_net(net: Net, routes: str) -> Net:
-    """Return a network that connects by the relay addresses of ``--routes``; exit with code 2 if invalid."""
+    """Return a network that connects through the relay of ``--routes``; exit with code 2 if it is invalid."""
     try:
         return RoutedNet(net, json.loads(routes))
     except ValueError as error:
@@ -239,9 +248,9 @@
 
 
 def _fleet_agent(process: Process, zone: int, seed: int, coordinators: str) -> FleetAgent | None:
-    """Return the fleet agent of a broker, or None where the settings name no coordinators.
+    """Return the fleet agent of a broker, or None if the settings name no quota coordinators.
 
-    Without coordinators nothing of the fleet's control is imported.
+    Modules of fleet control are imported only where they are used.
     """
     fleet = process.service_settings.fleet
     if not fleet.coordinators:
@@ -282,7 +291,7 @@
 def _zone_observer_factory(
     service_settings: ServiceSettings, agent: FleetAgent | None, zone: int, seed: int
 ) -> Callable[[ZoneBroker], ZoneObserver] | None:
-    """Return the factory of the zone observer; without evacuation nothing of it is imported."""
+    """Return the factory of the zone observer, which is imported only if evacuation is on; else None."""
     if agent is None or not service_settings.fleet.evacuate:
         return None
     from heathwell.service.zone_observer import observe_zones  # noqa: PLC0415
--- a/heathwell/cli/standins.py
+++ b/heathwell/cli/standins.py
@@ -1,4 +1,4 @@
-"""`heathwell leaf`, `relay`, `source` and `discovery`: one stand-in process each, until SIGTERM."""
+"""`heathwell leaf`, `relay`, `source` and `discovery`: run one stand-in process until SIGTERM."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @click.command()
 @serving("leaf")
-@click.option("--discovery", required=True, help="host:port of the host list.")
-@click.option("--cell", default=0, show_default=True, help="Its cell: which shards it holds.")
-@click.option("--zone", default=0, show_default=True, help="Number of the zone it stands in.")
-@click.option("--seed", default=1, show_default=True, help="Seed of its draws.")
-@click.option("--listen", default="127.0.0.1:0", show_default=True, help="Address.")
+@click.option("--discovery", required=True, help="host:port of the discovery service.")
+@click.option("--cell", default=0, show_default=True, help="Index of its cell, which determines its shards.")
+@click.option("--zone", default=0, show_default=True, help="Index of its zone in the settings.")
+@click.option("--seed", default=1, show_default=True, help="Seed of random numbers.")
+@click.option("--listen", default="127.0.0.1:0", show_default=True, help="Address to listen on.")
+@click.option("--warm/--cold", default=True, show_default=True, help="Whether it starts at full capacity.")
 @click.option(
-    "--warm/--cold", default=True, show_default=True, help="Whether it starts at its full capacity."
+    "--speed", type=float, help="Seconds of work that a slot does per second (default: that of the settings)."
 )
-@click.option("--speed", type=float, help="Work done in a second, in seconds, a slot (settings' without).")
 def leaf(
     process: Process,
     *,
@@ -59,9 +59,9 @@
 
 @click.command()
 @serving("relay")
-@click.option("--targets", required=True, help="Hosts behind the link, host:port, with commas between.")
-@click.option("--seed", default=1, show_default=True, help="Seed of its draws.")
-@click.option("--listen", default="127.0.0.1:0", show_default=True, help="Address that takes orders.")
+@click.option("--targets", required=True, help="Comma-separated host:port of the hosts to forward to.")
+@click.option("--seed", default=1, show_default=True, help="Seed of random numbers.")
+@click.option("--listen", default="127.0.0.1:0", show_default=True, help="Address for fault commands.")
 def relay(process: Process, *, targets: str, seed: int, listen: str) -> None:
     """Run a stand-in for the link between two regions."""
 
@@ -75,9 +75,9 @@
 
 @click.command()
 @serving("source")
-@click.option("--listen", help="Address (settings' without).")
+@click.option("--listen", help="Address to listen on (default: that of the settings).")
 def source(process: Process, *, listen: str | None) -> None:
-    """Run the stand-in source of all data: its clock."""
+    """Run a stand-in for the clock of the data source."""
 
     def _run_source() -> Coro[None]:
         process.ready(address=Source(process.loop, process.net, process.service_settings, listen).start())
@@ -88,9 +88,9 @@
 
 @click.command()
 @serving("discovery")
-@click.option("--listen", help="Address (settings' without).")
+@click.option("--listen", help="Address to listen on (default: that of the settings).")
 def discovery(process: Process, *, listen: str | None) -> None:
-    """Run the stand-in host list."""
+    """Run a stand-in discovery service."""
 
     def _run_discovery() -> Coro[None]:
         service = Discovery(
--- a/heathwell/cli/zone.py
+++ b/heathwell/cli/zone.py
@@ -1,4 +1,4 @@
-"""`heathwell zone`: evacuation state of zones, operators' actions on them, and evacuation drills."""
+"""`heathwell zone`: the evacuation state of zones, operators' actions on them, and evacuation drills."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
 from heathwell.fleet.control.messages import attempt_counts_from_frames
 from heathwell.fleet.evacuation import Drill, DrillStage, DrillStageReport, OperatorAction, ZoneState
 
-DRILL_TICK_SECONDS: Final = 2.0  # the interval over which brokers report their attempts
-NO_DECIDER: Final = "no keeper decides at this moment: the last decision stands"
-STATUS: Final = "status"  # the operator command that changes nothing
+DRILL_TICK_SECONDS: Final = 2.0  # the interval over which brokers report their attempts to coordinators
+NO_DECIDER: Final = "no quota coordinator can decide at the moment: the last decision remains in force"
+STATUS: Final = "status"  # the operator command that only reads
 TERMINATED_EXIT_CODE: Final = 128 + signal.SIGTERM
 
 
 @click.group()
 def zone() -> None:
-    """Zones that the fleet has left or leaves, and an operator's word on them."""
+    """Show and control the evacuation of zones."""
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneReplies:
-    """By coordinator address the reply to an operator command, or the text of the error."""
+    """The coordinators' replies to an operator command, or error texts, by coordinator address."""
 
     by_address: dict[str, frames.ZonesStatus | str]
 
     def from_deciders(self) -> list[frames.ZonesStatus]:
-        """Return the replies of coordinators that decide about zones."""
+        """Return the replies of coordinators that decide on zones at the moment."""
         return [
             reply
             for reply in self.by_address.values()
@@ -69,7 +69,7 @@
 ) -> None:
     """Send an operator action and print the replies.
 
-    Exit with code 1 where it is rejected, 3 where no coordinator decides.
+    Exit with code 1 if it is rejected, 3 if no coordinator decides.
     """
     addresses = required_coordinator_addresses(config, coordinators)
     replies = _send_command(addresses, action, why, zone)
@@ -93,7 +93,7 @@
     callback: Callable[..., None] = partial(_run_action, action)
     callback = operator_options(callback)
     if action != STATUS:
-        callback = click.option("--why", default="", help="For the log.")(callback)
+        callback = click.option("--why", default="", help="Reason, for the log.")(callback)
         callback = click.argument("zone")(callback)
     return click.command(action, help=help_text)(callback)
 
@@ -110,11 +110,11 @@
 
 
 for _action, _help_text in (
-    (STATUS, "How zones stand."),
-    (OperatorAction.EVACUATE.value, "Leave ZONE until return is said."),
-    (OperatorAction.RESTORE.value, "Come back to ZONE, in steps."),
-    (OperatorAction.PIN.value, "Leave ZONE as it is until unpin."),
-    (OperatorAction.UNPIN.value, "Let ZONE be decided again."),
+    (STATUS, "Show the state of each zone."),
+    (OperatorAction.EVACUATE.value, "Evacuate ZONE until `return` is ordered."),
+    (OperatorAction.RESTORE.value, "Restore ZONE in steps."),
+    (OperatorAction.PIN.value, "Keep the state of ZONE until `unpin` is ordered."),
+    (OperatorAction.UNPIN.value, "Resume automatic decisions on ZONE."),
 ):
     zone.add_command(_action_command(_action, _help_text))
 
@@ -130,7 +130,7 @@
         "elsewhere_loss_by_class": "lost_by_class",
     },
 ):
-    """A stage of a drill, rounded; the JSON names are those of the command's output."""
+    """A stage of a drill, with rounded values; the JSON names are part of the command's interface."""
 
     stage: str
     duration_seconds: float
@@ -157,15 +157,21 @@
 
 @zone.command()
 @click.argument("zone")
-@click.option("--seconds", "duration_seconds", default=20.0, show_default=True, help="How long to stay away.")
+@click.option(
+    "--seconds",
+    "duration_seconds",
+    default=20.0,
+    show_default=True,
+    help="Seconds for which the zone stays evacuated.",
+)
 @click.option(
     "--most",
     "loss_limit",
     default=0.05,
     show_default=True,
-    help="Share lost elsewhere beyond the usual, from which the drill is called off.",
+    help="Fraction of attempts lost in other zones, beyond the usual, from which the drill is cancelled.",
 )
-@click.option("--why", default="a drill", show_default=True, help="For the log.")
+@click.option("--why", default="a drill", show_default=True, help="Reason, for the log.")
 @operator_options
 def drill(
     *,
@@ -177,9 +183,9 @@
     loss_limit: float,
     why: str,
 ) -> None:
-    """Leave a healthy ZONE and come back to it, and report what that cost. Exit 1 where it was called off.
+    """Evacuate a healthy ZONE, restore it, and report what that cost.
 
-    Ended half way by a signal, it says return before it goes.
+    Exits with 1 if the drill is cancelled. On SIGTERM or SIGINT it restores the zone before it exits.
     """
     addresses = required_coordinator_addresses(config, coordinators)
     runner = _DrillRunner(addresses, zone, why, prints_stages=not as_json)
@@ -187,12 +193,12 @@
     result = runner.run(int(duration_seconds * MICROSECONDS_PER_SECOND), loss_limit)
     _print_drill(result, as_json=as_json)
     if result.cancel_reason is not None:
-        click.echo(f"called off: {result.cancel_reason}", err=True)
+        click.echo(f"drill cancelled: {result.cancel_reason}", err=True)
         sys.exit(1)
 
 
 def _print_drill(result: Drill, *, as_json: bool) -> None:
-    """Print the stages as JSON, or as a table without the losses of each query class."""
+    """Print the stages as JSON, or as a table without the losses by query class."""
     stages = msgspec.to_builtins([_summarize_stage(report) for report in result.report()])
     if as_json:
         body = {"zone": result.zone, "called_off": result.cancel_reason or "", "stages": stages}
@@ -208,7 +214,7 @@
 
 
 class _DrillRunner:
-    """Runs one drill against the coordinators; the zone is restored however the drill ends."""
+    """Runs one drill by commands to the coordinators; the zone is restored however the drill ends."""
 
     def __init__(self, addresses: list[str], zone_name: str, reason: str, *, prints_stages: bool) -> None:
         self._addresses = addresses
@@ -217,9 +223,9 @@
         self._prints_stages = prints_stages
 
     def run(self, duration_us: int, loss_limit: float) -> Drill:
-        """Run the drill and return it; raise `click.ClickException` where it cannot run.
+        """Run the drill and return it; raise `click.ClickException` if it cannot run.
 
-        ``loss_limit`` is the loss elsewhere, beyond the usual, from which it is cancelled.
+        ``loss_limit`` is the loss in other zones, beyond the usual, from which the drill is cancelled.
         """
         view = self._command(STATUS)
         self._check_serving(view)
@@ -260,4 +266,6 @@
         if state is None:
             raise click.ClickException(f"no zone '{self._zone}'; there are {', '.join(sorted(view.states))}")
         if state != ZoneState.SERVING:
-            raise click.ClickException(f"{self._zone} is {state}: a drill leaves a zone that is served")
+            raise click.ClickException(
+                f"zone {self._zone}: must be {ZoneState.SERVING.value} for a drill, is {state}"
+            )
