--- a/heathwell/broker/query_registry.py
+++ b/heathwell/broker/query_registry.py
@@ -12,7 +12,7 @@
 from heathwell.broker.query_state import ExtensionT, Handle, HintedPart, PartT, QueryT, SettingsVersion
 from heathwell.broker.replies import OnReply, Reply
 from heathwell.eventloop import Event, Loop
-from heathwell.observability.event_log import EventLog, NoEvents
+from heathwell.observability.event_log import EventLog, NullEventLog
 from heathwell.policy.aggregator import Aggregator
 
 
@@ -38,7 +38,7 @@
     ) -> None:
         self.loop = loop
         self.name = name
-        self.events: EventLog = events or NoEvents()
+        self.events: EventLog = events or NullEventLog()
         self.log = log or (lambda *_args, **_fields: None)
         self.current_version = SettingsVersion(settings, Aggregator(settings, seed), extension)
         self.versions = [self.current_version]
--- a/heathwell/cli/process.py
+++ b/heathwell/cli/process.py
@@ -24,7 +24,7 @@
     socket_loop,
 )
 from heathwell.observability.digests import settings_digest
-from heathwell.observability.event_log import EventLog, FileEvents, NoEvents
+from heathwell.observability.event_log import EventLog, FileEvents, NullEventLog
 from heathwell.settings import ServiceSettings, SettingsError, load
 
 MICROSECONDS_PER_SECOND: Final = 1e6
@@ -82,7 +82,7 @@
             clock=None if clock_rate == 1.0 else SkewedClock(clock_rate)
         )
         self.loop.on_error = self._log_task_error
-        self.events: EventLog = self._open_event_log(events, role, clock_rate) if events else NoEvents()
+        self.events: EventLog = self._open_event_log(events, role, clock_rate) if events else NullEventLog()
         self.stop = Event()
         self._signals = 0
         for signal_number in (signal.SIGTERM, signal.SIGINT):
--- a/heathwell/fleet/control/fleet_agent.py
+++ b/heathwell/fleet/control/fleet_agent.py
@@ -27,7 +27,7 @@
     QuotaTimings,
     statistics_by_budget,
 )
-from heathwell.observability.event_log import EventLog, NoEvents
+from heathwell.observability.event_log import EventLog, NullEventLog
 
 SILENT_SUSPECT_TIMEOUTS = 2  # a coordinator that is silent for so many counts as lost
 SEEDS_PER_MEMBER = 64  # its links draw from seeds of their own
@@ -69,7 +69,7 @@
         self.loop = loop
         self.log = log
         self.renewal_interval_us = renewal_interval_us
-        self.events: EventLog = events or NoEvents()
+        self.events: EventLog = events or NullEventLog()
         self.quotas = BrokerQuotas(member, budgets, coordinators, loop.now(), timings, seed)
         self.counts: Counter[tuple[str, ...]] = Counter()
         self.is_leaving = False
--- a/heathwell/fleet/control/quota_coordinator.py
+++ b/heathwell/fleet/control/quota_coordinator.py
@@ -24,7 +24,7 @@
     QuotaError,
     QuotaRenewalReply,
 )
-from heathwell.observability.event_log import EventLog, NoEvents
+from heathwell.observability.event_log import EventLog, NullEventLog
 
 TICKS_PER_LEASE = 12  # how often a fraction's lease is requested anew, so that some requests may be lost
 SILENT_LEASE_FRACTION = 2  # a peer that is silent for half a lease counts as lost
@@ -58,7 +58,7 @@
         self.net = net
         self.coordinator = coordinator
         self.log = log
-        self.events: EventLog = events or NoEvents()
+        self.events: EventLog = events or NullEventLog()
         self.evacuation = evacuation
         self.fleet = fleet
         self.name = f"k{coordinator.number}"
--- a/heathwell/observability/event_log.py
+++ b/heathwell/observability/event_log.py
@@ -33,7 +33,7 @@
         """Log the event ``closed``, which marks a graceful shutdown, then flush and close."""
 
 
-class NoEvents:
+class NullEventLog:
     """An event log that drops all events."""
 
     is_enabled = False
--- a/heathwell/testing/simulation/local_surroundings.py
+++ b/heathwell/testing/simulation/local_surroundings.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from heathwell.eventloop import Loop, Net
-from heathwell.observability.event_log import EventLog, EventRecord, ListEvents, NoEvents
+from heathwell.observability.event_log import EventLog, EventRecord, ListEvents, NullEventLog
 from heathwell.settings import ServiceSettings
 
 
@@ -36,5 +36,5 @@
     def event_log(self, name: str, role: str) -> EventLog:
         """Return the event log of a process."""
         if self.event_records is None:
-            return NoEvents()
+            return NullEventLog()
         return ListEvents(self.event_records, name, role, self.loop.clock)
--- a/heathwell/testing/standins/discovery.py
+++ b/heathwell/testing/standins/discovery.py
@@ -10,7 +10,7 @@
 
 from heathwell.codec import frames, inner_protocol
 from heathwell.eventloop import Coro, Listener, Loop, Net, Stream, StreamBrokenError
-from heathwell.observability.event_log import EventLog, NoEvents
+from heathwell.observability.event_log import EventLog, NullEventLog
 from heathwell.settings import ServiceSettings
 from heathwell.testing.standins.endpoint_states import EndpointState, ListKind
 from heathwell.testing.standins.fault_commands import parse_fault_kind, reply_to_fault_command
@@ -46,7 +46,7 @@
         self._net = net
         self._settings = service_settings.discovery
         self.address = address or service_settings.discovery.address
-        self._events: EventLog = events or NoEvents()
+        self._events: EventLog = events or NullEventLog()
         self._log = log or (lambda *_args, **_fields: None)
         self._published: dict[str, frames.EndpointListEntry] = {}
         self._index = 0
--- a/heathwell/testing/standins/leaf.py
+++ b/heathwell/testing/standins/leaf.py
@@ -8,7 +8,7 @@
 
 from heathwell.codec import frames, inner_protocol
 from heathwell.eventloop import Coro, Listener, Loop, Net, Stream
-from heathwell.observability.event_log import EventLog, NoEvents
+from heathwell.observability.event_log import EventLog, NullEventLog
 from heathwell.settings import ServiceSettings
 from heathwell.testing.standins.endpoint_states import EndpointState
 from heathwell.testing.standins.fault_commands import parse_fault_kind, reply_to_fault_command
@@ -54,7 +54,7 @@
         self.name = name
         self.replica_group = replica_group
         self.zone = zone
-        self.events: EventLog = events or NoEvents()
+        self.events: EventLog = events or NullEventLog()
         self.on_terminated = on_terminated
         self.listener: Listener | None = None
         """None while the leaf does not run."""
--- a/heathwell/testing/standins/platform_node.py
+++ b/heathwell/testing/standins/platform_node.py
@@ -9,7 +9,7 @@
 
 from heathwell.codec import nodeframes as nf
 from heathwell.eventloop import Coro, Listener, Loop, Net, Stream
-from heathwell.observability.event_log import EventLog, NoEvents
+from heathwell.observability.event_log import EventLog, NullEventLog
 from heathwell.testing.standins.part_outcomes import PartOutcome
 from heathwell.testing.standins.platform_frames import (
     ReceivedFrame,
@@ -65,7 +65,7 @@
         self.uid = uid
         self.replica_group = replica_group
         self.work_us = work_us
-        self.events: EventLog = events or NoEvents()
+        self.events: EventLog = events or NullEventLog()
         self.responder: Callable[[PlatformNode, Stream, ReceivedPart], None] | None = None
         self.parts: list[ReceivedPart] = []
         """All that were received."""
