--- a/heathwell/cli/process.py
+++ b/heathwell/cli/process.py
@@ -24,7 +24,7 @@
     socket_loop,
 )
 from heathwell.observability.digests import settings_digest
-from heathwell.observability.event_log import EventLog, FileEvents, NullEventLog
+from heathwell.observability.event_log import EventLog, FileEventLog, NullEventLog
 from heathwell.settings import ServiceSettings, SettingsError, load
 
 MICROSECONDS_PER_SECOND: Final = 1e6
@@ -88,11 +88,11 @@
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             self.poller.on_signal(signal_number, self._on_stop_signal)
 
-    def _open_event_log(self, folder: str, role: str, clock_rate: float) -> FileEvents:
+    def _open_event_log(self, folder: str, role: str, clock_rate: float) -> FileEventLog:
         Path(folder).mkdir(parents=True, exist_ok=True)
         # Events have the time of the machine's clock, even if the process runs on a skewed one: the auditor
         # compares the times of different processes.
-        event_log = FileEvents(f"{folder}/{self.name}.jsonl", self.name, role, MonotonicClock())
+        event_log = FileEventLog(f"{folder}/{self.name}.jsonl", self.name, role, MonotonicClock())
         event_log("clock", rate=clock_rate)
         self.loop.at_turn_end(event_log.flush)
         return event_log
@@ -125,7 +125,7 @@
             click.echo(f"{self.name}: {error}", err=True)
             sys.exit(3)
         self.loop.shutdown()
-        if isinstance(self.events, FileEvents):
+        if isinstance(self.events, FileEventLog):
             self.events.close()
 
 
--- a/heathwell/observability/event_log.py
+++ b/heathwell/observability/event_log.py
@@ -48,7 +48,7 @@
         """Do nothing."""
 
 
-class FileEvents:
+class FileEventLog:
     """An event log in a file of JSON lines.
 
     The event loop calls :meth:`flush` at the end of each iteration, so that a killed process loses at most
