--- a/heathwell/observability/event_log.py
+++ b/heathwell/observability/event_log.py
@@ -85,7 +85,7 @@
         os.close(self._file)
 
 
-class ListEvents:
+class InMemoryEventLog:
     """An event log in a list, for tests on virtual time."""
 
     is_enabled = True
--- a/heathwell/testing/simulation/local_surroundings.py
+++ b/heathwell/testing/simulation/local_surroundings.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from heathwell.eventloop import Loop, Net
-from heathwell.observability.event_log import EventLog, EventRecord, ListEvents, NullEventLog
+from heathwell.observability.event_log import EventLog, EventRecord, InMemoryEventLog, NullEventLog
 from heathwell.settings import ServiceSettings
 
 
@@ -37,4 +37,4 @@
         """Return the event log of a process."""
         if self.event_records is None:
             return NullEventLog()
-        return ListEvents(self.event_records, name, role, self.loop.clock)
+        return InMemoryEventLog(self.event_records, name, role, self.loop.clock)
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -13,7 +13,7 @@
 from heathwell.gateway.config import read
 from heathwell.gateway.front import Front
 from heathwell.gateway.node_attempts import NodeRequest
-from heathwell.observability.event_log import ListEvents
+from heathwell.observability.event_log import InMemoryEventLog
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
 from heathwell.testing.simulation.platform_config import REPLICA_GROUPS, encode_config, platform_settings
@@ -65,7 +65,7 @@
             self.net.at("broker"),
             self.config,
             log=self.log,
-            events=ListEvents(self.events, "n1", "broker", self.loop.clock),
+            events=InMemoryEventLog(self.events, "n1", "broker", self.loop.clock),
             unix_us=lambda: UNIX_US,
         )
         self.front = Front(self.broker, self.config.client_sockets, self.config.kept_clients, self.log)
@@ -80,7 +80,7 @@
             f"{uid}:7070",
             uid,
             number if replica_group is None else replica_group,
-            events=ListEvents(self.events, uid, "host", self.loop.clock),
+            events=InMemoryEventLog(self.events, uid, "host", self.loop.clock),
         )
 
     def log(self, level: str, event: str, **fields: object) -> None:
--- a/tests/test_fleet_agent.py
+++ b/tests/test_fleet_agent.py
@@ -6,7 +6,7 @@
 from heathwell.fleet.control.fleet_agent import FleetAgent
 from heathwell.fleet.membership import LocalMember
 from heathwell.fleet.quotas import Budget, BudgetKind, QuotaTimings
-from heathwell.observability.event_log import ListEvents
+from heathwell.observability.event_log import InMemoryEventLog
 
 SECOND_US = 1_000_000
 NO_RENEWAL_US = 3_600 * SECOND_US
@@ -26,7 +26,7 @@
         timings=QuotaTimings(),
         seed=1,
         log=lambda *_arguments, **_fields: None,
-        events=ListEvents(events, "b0", "broker", loop),
+        events=InMemoryEventLog(events, "b0", "broker", loop),
     )
     loop.run(loop.spawn(sleep(loop, SECOND_US), "start"))
     assert agent.acquire("connections")
