--- a/heathwell/settings/check.py
+++ b/heathwell/settings/check.py
@@ -15,13 +15,13 @@
 from msgspec import inspect
 
 from heathwell.settings.consistency import CROSS_CHECKS
-from heathwell.settings.errors import WHOLE_FILE, Problem, SettingsError, Where
+from heathwell.settings.errors import WHOLE_FILE, Problem, SettingsError, SourceLocation
 from heathwell.settings.field_types import Scalar, annotations_of, convert, describe, format_number, unwrap
 from heathwell.settings.reader import START_OF_FILE, Atom, Form, read
 from heathwell.settings.records.service import ServiceSettings
 from heathwell.settings.units import TIME_US
 
-__all__ = ["TIME_US", "Problem", "SettingsError", "Where", "load", "loads", "loads_as"]
+__all__ = ["TIME_US", "Problem", "SettingsError", "SourceLocation", "load", "loads", "loads_as"]
 
 R = TypeVar("R", bound=msgspec.Struct)
 Position = tuple[int, int]  # line and column
@@ -55,14 +55,14 @@
         record = msgspec.convert(values, record_type)
         for check in checks:
             for path, reason in check(record):
-                checker.add(checker.place(path), path, reason)
+                checker.add(checker.locate(path), path, reason)
         if not checker.problems:
             return record
     raise SettingsError(sorted(checker.problems, key=_position))
 
 
 def _position(problem: Problem) -> Position:
-    return problem.where.line, problem.where.column
+    return problem.location.line, problem.location.column
 
 
 @dataclass(slots=True)
@@ -91,39 +91,39 @@
     def __init__(self, file: str) -> None:
         self.file = file
         self.problems: list[Problem] = []
-        self.places: dict[str, Where] = {}  # locations by the path of a key
+        self.locations: dict[str, SourceLocation] = {}  # by the path of a key
 
-    def add(self, where: Where, key: str, text: str) -> None:
+    def add(self, location: SourceLocation, key: str, text: str) -> None:
         """Record an error."""
-        self.problems.append(Problem(self.file, where, key or WHOLE_FILE, text))
+        self.problems.append(Problem(self.file, location, key or WHOLE_FILE, text))
 
-    def place(self, path: str) -> Where:
+    def locate(self, path: str) -> SourceLocation:
         """Return the location of a path, or of its nearest ancestor that is in the file."""
-        while path and path not in self.places:
+        while path and path not in self.locations:
             path = path.rpartition(".")[0]
-        return self.places.get(path, START_OF_FILE)
+        return self.locations.get(path, START_OF_FILE)
 
     def record(self, form: Form, info: inspect.Type, path: str) -> RecordValues:
         """Return the values of a record by the encoded names of its fields."""
         assert isinstance(info, inspect.StructType)
-        self.places[path] = form.where
+        self.locations[path] = form.location
         fields = _RecordFields.of(info)
         values: RecordValues = {}
         for item in form.items[1:]:
             if isinstance(item, Atom):
                 self._add_positional(item, fields, values, path)
             elif not item.items or not isinstance(item.items[0], Atom):
-                self.add(item.where, path, "a form must begin with its key")
+                self.add(item.location, path, "a form must begin with its key")
             else:
                 self._add_keyed(item, item.items[0].text, fields, values, path)
         for name, field in fields.by_name.items():
             if field.required and name not in values:
-                self.add(form.where, join(path, name), "is missing")
+                self.add(form.location, join(path, name), "is missing")
         return values
 
     def _add_positional(self, atom: Atom, fields: _RecordFields, values: RecordValues, path: str) -> None:
         if not fields.positional:
-            self.add(atom.where, path, f"'{atom.text}' is out of place: a (key value) form was expected")
+            self.add(atom.location, path, f"'{atom.text}' is out of place: a (key value) form was expected")
             return
         name = fields.positional.pop(0)
         values[name] = self.value(atom, fields.by_name[name].type, join(path, name))
@@ -136,7 +136,7 @@
         elif key not in fields.keyed:
             self._add_unknown_key(form, key, fields, path)
         elif key in values:
-            self.add(form.where, join(path, key), "given twice")
+            self.add(form.location, join(path, key), "given twice")
         else:
             values[key] = self.field(form, fields.by_name[key].type, join(path, key))
 
@@ -158,11 +158,11 @@
             hint = f"did you mean '{similar_keys[0]}'?"
         else:
             hint = f"known keys: {', '.join(sorted(known_keys))}"
-        self.add(form.where, join(path, key), f"unknown key; {hint}")
+        self.add(form.location, join(path, key), f"unknown key; {hint}")
 
     def field(self, form: Form, info: inspect.Type, path: str) -> Value:
         """Return the value of a field, given by a (key value ...) form."""
-        self.places[path] = form.where
+        self.locations[path] = form.location
         inner = unwrap(info)
         if isinstance(inner, inspect.StructType):
             return self.record(form, inner, path)
@@ -170,19 +170,19 @@
         if isinstance(inner, inspect.ListType | inspect.VarTupleType):
             return [self.value(item, inner.item_type, path) for item in items]
         if len(items) != 1:
-            self.add(form.where, path, f"one value expected ({describe(info)}), got {len(items)}")
+            self.add(form.location, path, f"one value expected ({describe(info)}), got {len(items)}")
             return None
         return self.value(items[0], info, path)
 
     def value(self, item: Atom | Form, info: inspect.Type, path: str) -> Scalar | None:
         """Return the value of an atom, in the unit of the record; None after an error."""
-        self.places.setdefault(path, item.where)
+        self.locations.setdefault(path, item.location)
         if isinstance(item, Form):
-            self.add(item.where, path, f"{describe(info)} expected, got a form")
+            self.add(item.location, path, f"{describe(info)} expected, got a form")
             return None
         value = convert(item, info)
         if value is None:
-            self.add(item.where, path, f"{describe(info)} expected, got '{item.text}'")
+            self.add(item.location, path, f"{describe(info)} expected, got '{item.text}'")
         elif isinstance(value, int | float):
             self._check_bounds(value, item, info, path)
         return value
@@ -199,7 +199,7 @@
             self._add_out_of_bounds(f"more than {format_number(inner.gt, info)}", atom, path)
 
     def _add_out_of_bounds(self, bound: str, atom: Atom, path: str) -> None:
-        self.add(atom.where, path, f"must be {bound}, got '{atom.text}'")
+        self.add(atom.location, path, f"must be {bound}, got '{atom.text}'")
 
 
 def join(path: str, key: str) -> str:
--- a/heathwell/settings/errors.py
+++ b/heathwell/settings/errors.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Where:
+class SourceLocation:
     """A location in a file; line and column are counted from 1."""
 
     line: int
@@ -20,12 +20,12 @@
     """One error: its location, the path of its key, and the message."""
 
     file: str
-    where: Where
+    location: SourceLocation
     key: str
     text: str
 
     def __str__(self) -> str:
-        return f"{self.file}:{self.where.line}:{self.where.column}: {self.key}: {self.text}"
+        return f"{self.file}:{self.location.line}:{self.location.column}: {self.key}: {self.text}"
 
 
 class SettingsError(Exception):
@@ -39,5 +39,5 @@
 class ReadError(SettingsError):
     """A text that does not parse as S-expressions; it holds the first error only."""
 
-    def __init__(self, file: str, where: Where, text: str) -> None:
-        super().__init__([Problem(file, where, WHOLE_FILE, text)])
+    def __init__(self, file: str, location: SourceLocation, text: str) -> None:
+        super().__init__([Problem(file, location, WHOLE_FILE, text)])
