--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -227,7 +227,7 @@
         """
         loop = self._process.loop
         until_us = loop.now() + (HAND_OVER_TIMEOUT_US if self._is_supervised else 0)
-        while loop.now() < until_us and self._memcached.hand_over():
+        while loop.now() < until_us and self._memcached.close_idle_connections():
             yield from sleep(loop, POLL_INTERVAL_US)
 
     def _flush_replies(self) -> Coro[None]:
--- a/heathwell/servers/memcached.py
+++ b/heathwell/servers/memcached.py
@@ -57,7 +57,7 @@
             self.clients.remove(connection)
             connection.on_connection_lost()
 
-    def hand_over(self) -> int:
+    def close_idle_connections(self) -> int:
         """Close the idle connections and return the number of those that are still open.
 
         Called while another process takes over the address: it serves the clients that reconnect.
--- a/tests/test_event_orderings_servers.py
+++ b/tests/test_event_orderings_servers.py
@@ -118,7 +118,7 @@
     def close(self, cause: str) -> None:
         """Close idle connections for a cause other than a new client."""
         if cause == "the end":
-            self.server.hand_over()
+            self.server.close_idle_connections()
             return
         now = self.servers.loop.now()
         drain = self.server.broker.client_drain
