--- a/heathwell/servers/vector_answers.py
+++ b/heathwell/servers/vector_answers.py
@@ -19,7 +19,7 @@
 from heathwell.service.vectors.search_messages import Hit
 from heathwell.settings.schema import Collection
 
-JSON = "application/json"
+JSON_CONTENT_TYPE = "application/json"
 _encoder = msgspec.json.Encoder()
 
 
@@ -39,7 +39,9 @@
     points: list[Point]
 
 
-def results(searches: Iterable[MergedRows], distance: str, form: str) -> Iterator[QueryResult | list[Point]]:
+def search_results(
+    searches: Iterable[MergedRows], distance: str, form: str
+) -> Iterator[QueryResult | list[Point]]:
     """Yield the result of each search, in the form of the request's route: ``query`` or ``search``."""
     for merged in searches:
         found = points(merged, distance)
@@ -98,7 +100,7 @@
         return fields
 
 
-def quality_of(replies: Sequence[Reply]) -> AnswerQuality:
+def answer_quality(replies: Sequence[Reply]) -> AnswerQuality:
     """Return the quality of an answer made from several replies: their lowest coverage and greatest age."""
     covers = [reply.coverage for reply in replies]
     least = min(covers, key=lambda cover: cover.weight)
@@ -118,17 +120,17 @@
     return AnswerQuality(coverage, oldest)
 
 
-def answered(result: object, duration_us: int, quality: AnswerQuality | None = None) -> Response:
+def success_response(result: object, duration_us: int, quality: AnswerQuality | None = None) -> Response:
     """Return a successful response; clients that do not know the field ``heathwell`` ignore it."""
     body: dict[str, object] = {"result": result, "status": "ok", "time": duration_us / 1e6}
     if quality is None:
-        return Response(200, _encoder.encode(body), JSON)
+        return Response(200, _encoder.encode(body), JSON_CONTENT_TYPE)
     body["heathwell"] = quality.to_fields()
     headers = (("x-heathwell-coverage", quality.coverage.to_header()),)
-    return Response(200, _encoder.encode(body), JSON, headers)
+    return Response(200, _encoder.encode(body), JSON_CONTENT_TYPE, headers)
 
 
-def failed(error: ApiError, duration_us: int) -> Response:
+def error_response(error: ApiError, duration_us: int) -> Response:
     """Return an error in the API's form, with headers for the retry delay in seconds and in milliseconds."""
     headers: tuple[tuple[str, str], ...] = ()
     if error.retry_after_us:
@@ -137,7 +139,7 @@
             ("x-heathwell-retry-after-ms", str(milliseconds_rounded_up(error.retry_after_us))),
         )
     body = {"status": {"error": error.text}, "time": duration_us / 1e6}
-    return Response(error.status, _encoder.encode(body), JSON, headers)
+    return Response(error.status, _encoder.encode(body), JSON_CONTENT_TYPE, headers)
 
 
 class VectorParameters(msgspec.Struct, frozen=True):
--- a/heathwell/servers/vector_connection.py
+++ b/heathwell/servers/vector_connection.py
@@ -86,7 +86,7 @@
     def reject(self, error: api.ApiError, duration_us: int = 0) -> None:
         """Write an error and mark the connection to be closed."""
         self._protocol.closing = True
-        self.stream.write(self._protocol.respond(answers.failed(error, duration_us)))
+        self.stream.write(self._protocol.respond(answers.error_response(error, duration_us)))
 
     def run_search(self, search: ChunkedSearch) -> Coro[SearchResults]:
         """Run a search, and cancel it if the client disconnects."""
@@ -130,7 +130,7 @@
         """Answer a request; the parser returns a response in place of a request that is invalid."""
         if isinstance(message, Response):
             self._server.statistics.errors += 1
-            response = answers.failed(api.ApiError(message.status, message.body.decode().strip()), 0)
+            response = answers.error_response(api.ApiError(message.status, message.body.decode().strip()), 0)
         else:
             response = yield from self._answer(message)
         if self.closes_with_answer or self._server.broker.stopping:
@@ -148,7 +148,7 @@
             response = yield from self._server.routes.answer(request, self)
         except api.ApiError as error:
             self._server.statistics.errors += 1
-            response = answers.failed(error, self.loop.now() - started_at_us)
+            response = answers.error_response(error, self.loop.now() - started_at_us)
         self._is_busy = False
         return response
 
--- a/heathwell/servers/vector_routes.py
+++ b/heathwell/servers/vector_routes.py
@@ -72,7 +72,9 @@
                 return _service_information()
             if path == "/collections":
                 names = [{"name": name} for name in self._collections]
-                return answers.answered({"collections": names}, self._broker.loop.now() - started_at_us)
+                return answers.success_response(
+                    {"collections": names}, self._broker.loop.now() - started_at_us
+                )
             if path in HEALTH_PATHS:
                 return self._health(path)
         match = api.INFO.fullmatch(path)
@@ -80,7 +82,7 @@
             name = unquote(match[1])
             exists = {"exists": name in self._collections}
             answer = exists if match[2] else self._collection_information(self._collection(name))
-            return answers.answered(answer, self._broker.loop.now() - started_at_us)
+            return answers.success_response(answer, self._broker.loop.now() - started_at_us)
         if request.method in WRITING_METHODS and path.startswith("/collections"):
             raise api.ApiError(403, f"Forbidden: {READ_ONLY}")
         raise api.ApiError(404, f"Not found: {request.method} {request.path}")
@@ -111,16 +113,16 @@
         timeout_us = api.client_timeout_us(request)
         searches = yield from self._parse_searches(request, route, spec)
         if not searches:
-            return answers.answered([], self._broker.loop.now() - started_at_us)
+            return answers.success_response([], self._broker.loop.now() - started_at_us)
         search_request = SearchRequest(
             spec, searches, timeout_us, route.is_batch, client.request_name(request), client.address
         )
         found = yield from client.run_search(ChunkedSearch(self._broker, self._planner, search_request))
-        results = list(answers.results(found.merged, spec.distance, route.form))
-        return answers.answered(
+        results = list(answers.search_results(found.merged, spec.distance, route.form))
+        return answers.success_response(
             results if route.is_batch else results[0],
             self._broker.loop.now() - started_at_us,
-            answers.quality_of(found.replies),
+            answers.answer_quality(found.replies),
         )
 
     def _parse_searches(
@@ -143,4 +145,4 @@
         "version": API_VERSION,
         "commit": __version__,
     }
-    return Response(200, msgspec.json.encode(information), answers.JSON)
+    return Response(200, msgspec.json.encode(information), answers.JSON_CONTENT_TYPE)
