--- a/heathwell/fleet/control/coordinator_metrics.py
+++ b/heathwell/fleet/control/coordinator_metrics.py
@@ -15,7 +15,7 @@
 from heathwell.eventloop import Coro, Stream
 from heathwell.fleet.control.quota_coordinator import QuotaCoordinatorServer
 from heathwell.fleet.membership import MemberState
-from heathwell.observability.http_pages import PROMETHEUS, serve_pages
+from heathwell.observability.http_pages import PROMETHEUS_CONTENT_TYPE, serve_pages
 
 
 class CoordinatorAdminPages:
@@ -33,7 +33,7 @@
     def answer(self, request: Request) -> Response:
         """The page of a request; 503 for ``/healthz`` while no fraction's lease is held."""
         if request.path == "/metrics":
-            return Response(200, generate_latest(self.registry), PROMETHEUS)
+            return Response(200, generate_latest(self.registry), PROMETHEUS_CONTENT_TYPE)
         if request.path == "/healthz":
             held = self.server.coordinator.held_fractions(self.server.loop.now())
             return Response(200 if held else 503, f"owns {len(held)} fractions\n".encode())
--- a/heathwell/observability/http_pages.py
+++ b/heathwell/observability/http_pages.py
@@ -7,7 +7,7 @@
 from heathwell.codec.http import Request, Response, ServerSide
 from heathwell.eventloop import Coro, Stream
 
-PROMETHEUS = "text/plain; version=0.0.4; charset=utf-8"
+PROMETHEUS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 
 def serve_pages(stream: Stream, answer: Callable[[Request], Response]) -> Coro[None]:
--- a/heathwell/servers/admin.py
+++ b/heathwell/servers/admin.py
@@ -14,7 +14,7 @@
 
 from heathwell.codec.http import Request, Response
 from heathwell.eventloop import Coro, Stream
-from heathwell.observability.http_pages import PROMETHEUS, serve_pages
+from heathwell.observability.http_pages import PROMETHEUS_CONTENT_TYPE, serve_pages
 from heathwell.servers.admin_metrics import MetricsCollector
 from heathwell.servers.admin_state import broker_state
 from heathwell.servers.memcached import MemcachedServer
@@ -22,7 +22,7 @@
 from heathwell.service.service_statistics import ServiceStatistics
 from heathwell.service.shard_reachability import MINIMUM_REACHABLE_FRACTION
 
-JSON = "application/json"
+JSON_CONTENT_TYPE = "application/json"
 MAX_NAMED_QUERIES = 10  # recent query ids listed in the error for an unknown one
 
 
@@ -94,10 +94,10 @@
             "held": self._broker.open_count,
             "settings": self._broker.current_version.version,
         }
-        return Response(200, msgspec.json.encode(page), JSON)
+        return Response(200, msgspec.json.encode(page), JSON_CONTENT_TYPE)
 
     def _metrics_page(self) -> Response:
-        return Response(200, generate_latest(self._metrics.registry), PROMETHEUS)
+        return Response(200, generate_latest(self._metrics.registry), PROMETHEUS_CONTENT_TYPE)
 
     def _explain_page(self, query: str) -> Response:
         query_id = dict(parse_qsl(query)).get("id", "")
@@ -112,4 +112,4 @@
 
 
 def _formatted_json(value: object) -> Response:
-    return Response(200, msgspec.json.format(msgspec.json.encode(value)) + b"\n", JSON)
+    return Response(200, msgspec.json.format(msgspec.json.encode(value)) + b"\n", JSON_CONTENT_TYPE)
