--- a/heathwell/servers/vector_api.py
+++ b/heathwell/servers/vector_api.py
@@ -24,8 +24,8 @@
 MAX_FLOAT32 = 3.4e38
 DEFAULT_LIMIT = 10
 TIMEOUT_HEADER = "x-heathwell-timeout-ms"
-ROUTE = re.compile(r"/collections/([^/]+)/points/(query|search)(/batch)?")
-INFO = re.compile(r"/collections/([^/]+)(/exists)?")
+SEARCH_PATH = re.compile(r"/collections/([^/]+)/points/(query|search)(/batch)?")
+COLLECTION_PATH = re.compile(r"/collections/([^/]+)(/exists)?")
 
 
 class ApiError(Exception):
@@ -72,7 +72,7 @@
     searches: list[msgspec.Raw]
 
 
-class Params(msgspec.Struct):
+class SearchOptions(msgspec.Struct):
     """The supported members of ``params``; others are ignored."""
 
     exact: bool | None = None
@@ -91,7 +91,7 @@
     """One validated search; ``vector`` holds float32 values in native byte order."""
 
     vector: bytes
-    want: SearchParameters
+    parameters: SearchParameters
     limit: int
     offset: int
 
@@ -131,24 +131,24 @@
     offset = parsed.offset or 0
     _check_range(limit, offset, limits, path)
     _check_filter(parsed, path)
-    params = Params()
+    options = SearchOptions()
     if parsed.params is not None:
-        params = _convert(parsed.params, Params, f"{path}params")
+        options = _convert(parsed.params, SearchOptions, f"{path}params")
     threshold = parsed.score_threshold
     if threshold is not None and spec.distance == "euclid":
         threshold = -threshold
     payload = _read_payload_selection(parsed.with_payload, path)
-    want = SearchParameters(
+    parameters = SearchParameters(
         offset + limit,
         parsed.filter or None,
         threshold,
-        bool(params.exact),
-        params.hnsw_ef or 0,
+        bool(options.exact),
+        options.hnsw_ef or 0,
         payload.included,
         payload.excluded,
         _read_vector_selection(parsed.with_vector, path),
     )
-    return Search(vector, want, limit, offset)
+    return Search(vector, parameters, limit, offset)
 
 
 def _check_unsupported_fields(body: QueryBody | SearchBody, path: str) -> None:
@@ -256,7 +256,7 @@
 def encode_searches(collection: str, searches: Sequence[Search]) -> bytes:
     """Encode the searches as the body of a part."""
     vectors = b"".join(search.vector for search in searches)
-    return encode_search(SearchRequest(collection, vectors, [search.want for search in searches]))
+    return encode_search(SearchRequest(collection, vectors, [search.parameters for search in searches]))
 
 
 def client_timeout_us(request: Request) -> int:
--- a/heathwell/servers/vector_routes.py
+++ b/heathwell/servers/vector_routes.py
@@ -58,7 +58,7 @@
     def answer(self, request: Request, client: SearchClient) -> Coro[Response]:
         """Return the response to a request; raise :class:`~heathwell.servers.vector_api.ApiError`."""
         path = request.path.rstrip("/")
-        match = api.ROUTE.fullmatch(path)
+        match = api.SEARCH_PATH.fullmatch(path)
         if match is None:
             return self._answer_information(request, path, self._broker.loop.now())
         if request.method != "POST":
@@ -77,7 +77,7 @@
                 )
             if path in HEALTH_PATHS:
                 return self._health(path)
-        match = api.INFO.fullmatch(path)
+        match = api.COLLECTION_PATH.fullmatch(path)
         if match is not None and request.method == "GET":
             name = unquote(match[1])
             exists = {"exists": name in self._collections}
--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -98,7 +98,7 @@
         top = TopKMerge(
             [search.limit for search in searches],
             [search.offset for search in searches],
-            [search.want.threshold for search in searches],
+            [search.parameters.threshold for search in searches],
         )
         class_timeout_us = self._broker.settings.classes[query_class].timeout_us
         return SearchPlan(
@@ -221,6 +221,6 @@
 def _cost_features(searches: Sequence[api.Search]) -> tuple[float, ...]:
     return search_features(
         len(searches),
-        sum(search.want.limit for search in searches),
-        sum(search.want.filter is not None for search in searches),
+        sum(search.parameters.limit for search in searches),
+        sum(search.parameters.filter is not None for search in searches),
     )
