--- a/heathwell/servers/vector_connection.py
+++ b/heathwell/servers/vector_connection.py
@@ -58,7 +58,7 @@
         self._unparsed_bytes = 0
         self._is_busy = False
         # Start of the running timeout: of a request that is being received, or of an idle connection.
-        self._quiet_since_us = self.loop.now()
+        self._timeout_started_at_us = self.loop.now()
         self._has_data = Event()
         self._has_capacity = Event()
         self._search: ChunkedSearch | None = None
@@ -99,7 +99,7 @@
         finally:
             self._search = None
 
-    def request_name(self, request: Request) -> str:
+    def request_id(self, request: Request) -> str:
         """Return the request id that the client sent, or else a new one."""
         self._search_count += 1
         return request.headers.get("x-request-id", f"{self.stream.peer}#{self._search_count}")
@@ -135,7 +135,7 @@
             response = yield from self._answer(message)
         if self.closes_with_answer or self._server.broker.stopping:
             self._protocol.closing = True
-        self._quiet_since_us = self.loop.now()
+        self._timeout_started_at_us = self.loop.now()
         self.stream.write(self._protocol.respond(response))
         yield from self.stream.drain()
 
@@ -157,7 +157,7 @@
         try:
             while data := (yield from self._read_within_bounds()):
                 if self.is_idle:
-                    self._quiet_since_us = self.loop.now()
+                    self._timeout_started_at_us = self.loop.now()
                 self._unparsed.append(data)
                 self._unparsed_bytes += len(data)
                 self._has_data.set()
@@ -194,7 +194,7 @@
             return
         now = self.loop.now()
         timeout_us = self._limits.slow if self._is_receiving else self._limits.idle
-        if not self._is_busy and now - self._quiet_since_us >= timeout_us:
+        if not self._is_busy and now - self._timeout_started_at_us >= timeout_us:
             if self._is_receiving:
                 self._server.statistics.slow_requests += 1
                 self._fail_slow_request(timeout_us)
--- a/heathwell/servers/vector_routes.py
+++ b/heathwell/servers/vector_routes.py
@@ -31,7 +31,7 @@
     def address(self) -> str:
         """The client's address, without its port."""
 
-    def request_name(self, request: Request) -> str:
+    def request_id(self, request: Request) -> str:
         """Return the request id that the client sent, or else a new one."""
 
     def run_search(self, search: ChunkedSearch) -> Coro[SearchResults]:
@@ -115,7 +115,7 @@
         if not searches:
             return answers.success_response([], self._broker.loop.now() - started_at_us)
         search_request = SearchRequest(
-            spec, searches, timeout_us, route.is_batch, client.request_name(request), client.address
+            spec, searches, timeout_us, route.is_batch, client.request_id(request), client.address
         )
         found = yield from client.run_search(ChunkedSearch(self._broker, self._planner, search_request))
         results = list(answers.search_results(found.merged, spec.distance, route.form))
--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -33,7 +33,7 @@
     searches: Sequence[api.Search]
     timeout_us: int
     is_batch: bool
-    name: str
+    request_id: str
     client_address: str
 
 
@@ -180,7 +180,7 @@
         handle = self._broker.begin(
             self._planner.plan(request, self._chunks[index]),
             self._on_reply(index),
-            request.name if len(self._chunks) == 1 else f"{request.name}/{index}",
+            request.request_id if len(self._chunks) == 1 else f"{request.request_id}/{index}",
             request.client_address,
         )
         if handle is not None:
