--- a/heathwell/cli/badday.py
+++ b/heathwell/cli/badday.py
@@ -10,7 +10,7 @@
 import click
 
 from heathwell.cli.inspect import judge_optional_rules
-from heathwell.cli.process import MICROSECONDS_PER_SECOND, exit_codes, settings_of
+from heathwell.cli.process import MICROSECONDS_PER_SECOND, exit_codes, load_settings_or_exit
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Verdict
 from heathwell.testing.simulation.bench_day import BenchDayError
@@ -61,7 +61,7 @@
 
     Kinds of faults without a counterpart are listed and skipped.
     """
-    service_settings = settings_of(config)
+    service_settings = load_settings_or_exit(config)
     with exit_codes(BenchDayError):
         script, skipped = fault_script_from_bench_day(day, service_settings, config, seconds, rate)
     for line in skipped:
--- a/heathwell/cli/fleet.py
+++ b/heathwell/cli/fleet.py
@@ -12,7 +12,7 @@
 import click
 import msgspec
 
-from heathwell.cli.process import settings_of
+from heathwell.cli.process import load_settings_or_exit
 from heathwell.testing.simulation.errors import FleetError
 from heathwell.testing.simulation.process_fleet import ProcessFleet
 
@@ -45,7 +45,7 @@
 )
 def up(*, config: str, ready_file: str | None, events: str | None, seconds: float | None, demo: bool) -> None:
     """Start discovery, hosts and brokers, and stop them on SIGTERM, on SIGINT or after --seconds."""
-    service_settings = settings_of(config)
+    service_settings = load_settings_or_exit(config)
     if not service_settings.fleet.leaves or not service_settings.fleet.brokers:
         click.echo(f"{config}: fleet.leaves and fleet.brokers must be more than 0 to start a fleet", err=True)
         sys.exit(2)
--- a/heathwell/cli/inspect.py
+++ b/heathwell/cli/inspect.py
@@ -7,7 +7,7 @@
 
 import click
 
-from heathwell.cli.process import settings_of
+from heathwell.cli.process import load_settings_or_exit
 from heathwell.settings import schema_page
 from heathwell.testing.audit import Breach, Event, Verdict, judge, judge_ages, judge_budgets, read_logs
 from heathwell.testing.audit.reader import LogError
@@ -19,7 +19,7 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def check(file: str) -> None:
     """Validate a settings FILE, and print every error with its line and column."""
-    service_settings = settings_of(file)
+    service_settings = load_settings_or_exit(file)
     click.echo(
         f"{file}: good: {len(service_settings.classes)} classes, {len(service_settings.keys)} key spaces, "
         f"{service_settings.fleet.shards} shards on {service_settings.fleet.cells} cells"
--- a/heathwell/cli/operator_requests.py
+++ b/heathwell/cli/operator_requests.py
@@ -11,7 +11,7 @@
 
 import click
 
-from heathwell.cli.process import coordinator_addresses, settings_of
+from heathwell.cli.process import coordinator_addresses, load_settings_or_exit
 from heathwell.codec import frames, inner_protocol
 
 REPLY_TIMEOUT_SECONDS: Final = 3.0
@@ -51,7 +51,7 @@
 
 def required_coordinator_addresses(config: str, coordinators: str) -> list[str]:
     """Return the addresses of ``--keepers`` or of the settings; exit with code 2 where there are none."""
-    addresses = coordinator_addresses(settings_of(config), coordinators)
+    addresses = coordinator_addresses(load_settings_or_exit(config), coordinators)
     if not addresses:
         click.echo(f"{config}: fleet.keepers: an address is required, here or by --keepers", err=True)
         sys.exit(2)
--- a/heathwell/cli/process.py
+++ b/heathwell/cli/process.py
@@ -44,7 +44,7 @@
         sys.exit(3)
 
 
-def settings_of(path: str) -> ServiceSettings:
+def load_settings_or_exit(path: str) -> ServiceSettings:
     """Return the settings of a file, or print all its errors and exit (see :func:`exit_codes`)."""
     with exit_codes():
         return load(path)
@@ -72,7 +72,7 @@
         clock_rate: float = 1.0,
     ) -> None:
         self.config = config
-        self.service_settings = settings_of(config)
+        self.service_settings = load_settings_or_exit(config)
         self.digest = settings_digest(config)
         self.name = name
         self.ready_file = ready_file
--- a/heathwell/cli/rollout.py
+++ b/heathwell/cli/rollout.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from heathwell import __version__
-from heathwell.cli.process import Process, coordinator_addresses, serving, settings_of
+from heathwell.cli.process import Process, coordinator_addresses, load_settings_or_exit, serving
 from heathwell.cli.rollout_operator import ADDRESS_FILE_NAME, OPERATOR_COMMANDS
 from heathwell.eventloop import Coro, sleep
 from heathwell.fleet.control.fleet_agent import FleetAgent
@@ -264,7 +264,7 @@
         self._options = options
         self._controller = controller
         self._files = options.version_files()
-        self._old_settings = settings_of(options.old_settings)
+        self._old_settings = load_settings_or_exit(options.old_settings)
 
     def run(self) -> Coro[None]:
         """Run the rollout to its end, or until the process is stopped."""
