--- a/heathwell/cli/badday.py
+++ b/heathwell/cli/badday.py
@@ -10,7 +10,7 @@
 import click
 
 from heathwell.cli.inspect import judge_optional_rules
-from heathwell.cli.process import MICROSECONDS_PER_SECOND, exit_codes, load_settings_or_exit
+from heathwell.cli.process import MICROSECONDS_PER_SECOND, exit_on_input_errors, load_settings_or_exit
 from heathwell.settings import ServiceSettings
 from heathwell.testing.audit import Verdict
 from heathwell.testing.simulation.bench_day import BenchDayError
@@ -36,7 +36,7 @@
     Prints each fault as it is injected, the service by query class every five seconds, and the auditor's
     verdict. Exits with 1 if a rule was broken.
     """
-    with exit_codes():
+    with exit_on_input_errors():
         loaded_script, service_settings, config = load_script(script)
     if seconds is not None:
         loaded_script.steps = [
@@ -62,7 +62,7 @@
     Kinds of faults without a counterpart are listed and skipped.
     """
     service_settings = load_settings_or_exit(config)
-    with exit_codes(BenchDayError):
+    with exit_on_input_errors(BenchDayError):
         script, skipped = fault_script_from_bench_day(day, service_settings, config, seconds, rate)
     for line in skipped:
         click.echo(f"skipped: {line}")
--- a/heathwell/cli/process.py
+++ b/heathwell/cli/process.py
@@ -31,7 +31,7 @@
 
 
 @contextmanager
-def exit_codes(*invalid_input: type[Exception]) -> Iterator[None]:
+def exit_on_input_errors(*invalid_input: type[Exception]) -> Iterator[None]:
     """Print an error and exit: 2 for settings errors and ``invalid_input``, 3 for an unreadable file."""
     input_errors: tuple[type[Exception], ...] = (SettingsError, *invalid_input)
     try:
@@ -45,8 +45,8 @@
 
 
 def load_settings_or_exit(path: str) -> ServiceSettings:
-    """Return the settings of a file, or print all its errors and exit (see :func:`exit_codes`)."""
-    with exit_codes():
+    """Return the settings of a file, or print all its errors and exit (see :func:`exit_on_input_errors`)."""
+    with exit_on_input_errors():
         return load(path)
 
 
--- a/heathwell/cli/rollout_operator.py
+++ b/heathwell/cli/rollout_operator.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from heathwell.cli.operator_requests import REQUEST_ERRORS, request_reply
-from heathwell.cli.process import exit_codes
+from heathwell.cli.process import exit_on_input_errors
 from heathwell.codec import frames
 
 ADDRESS_FILE_NAME: Final = "controller.json"  # in the controller's folder
@@ -68,7 +68,7 @@
     if not state:
         click.echo("--state or --address is required", err=True)
         sys.exit(2)
-    with exit_codes(ValueError):
+    with exit_on_input_errors(ValueError):
         stored_address: str = json.loads((Path(state) / ADDRESS_FILE_NAME).read_text())["address"]
     return stored_address
 
