--- a/heathwell/cli/agent.py
+++ b/heathwell/cli/agent.py
@@ -11,7 +11,7 @@
 import click
 import msgspec
 
-from heathwell.cli.process import Process, serving
+from heathwell.cli.process import Process, server_command
 from heathwell.codec import frames
 from heathwell.eventloop import Coro, sleep
 from heathwell.fleet.control.broker_process import SupervisedBroker, supervise_broker
@@ -36,7 +36,7 @@
 
 
 @click.command()
-@serving("agent")
+@server_command("agent")
 @click.option(
     "--state",
     required=True,
--- a/heathwell/cli/coordinator.py
+++ b/heathwell/cli/coordinator.py
@@ -10,7 +10,7 @@
 
 import click
 
-from heathwell.cli.process import Process, coordinator_addresses, serving
+from heathwell.cli.process import Process, coordinator_addresses, server_command
 from heathwell.eventloop import Coro
 from heathwell.fleet.control.coordinator_metrics import CoordinatorAdminPages
 from heathwell.fleet.control.evacuation_coordinator import evacuation_coordinator_from_settings
@@ -27,7 +27,7 @@
 
 
 @click.command("keeper")
-@serving("keeper")
+@server_command("keeper")
 @click.option(
     "--number", required=True, type=int, help="Index of this coordinator among the addresses, from 0."
 )
--- a/heathwell/cli/process.py
+++ b/heathwell/cli/process.py
@@ -151,7 +151,7 @@
 )
 
 
-def serving(role: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
+def server_command(role: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
     """Add :data:`SERVING_OPTIONS` to a command, and pass it a :class:`Process` made from them.
 
     ``role`` is the role of the process in its logs and event log.
--- a/heathwell/cli/rollout.py
+++ b/heathwell/cli/rollout.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from heathwell import __version__
-from heathwell.cli.process import Process, coordinator_addresses, load_settings_or_exit, serving
+from heathwell.cli.process import Process, coordinator_addresses, load_settings_or_exit, server_command
 from heathwell.cli.rollout_operator import ADDRESS_FILE_NAME, OPERATOR_COMMANDS
 from heathwell.eventloop import Coro, sleep
 from heathwell.fleet.control.fleet_agent import FleetAgent
@@ -121,7 +121,7 @@
 
 
 @rollout.command()
-@serving("rollout")
+@server_command("rollout")
 @click.option(
     "--state", required=True, type=click.Path(file_okay=False), help="Directory for the rollout's state."
 )
--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -14,7 +14,7 @@
 import click
 
 from heathwell import __version__
-from heathwell.cli.process import Process, coordinator_addresses, serving
+from heathwell.cli.process import Process, coordinator_addresses, server_command
 from heathwell.eventloop import Coro, Listener, Net, sleep
 from heathwell.observability.digests import program_digest, settings_digest
 from heathwell.servers.admin import AdminServer
@@ -42,7 +42,7 @@
 
 
 @click.command()
-@serving("broker")
+@server_command("broker")
 @click.option("--discovery", required=True, help="host:port of the discovery service.")
 @click.option("--zone", default=0, show_default=True, help="Index of the broker's zone in the settings.")
 @click.option("--seed", default=1, show_default=True, help="Seed of random decisions.")
--- a/heathwell/cli/standins.py
+++ b/heathwell/cli/standins.py
@@ -4,7 +4,7 @@
 
 import click
 
-from heathwell.cli.process import Process, serving
+from heathwell.cli.process import Process, server_command
 from heathwell.eventloop import Coro
 from heathwell.testing.standins.discovery import Discovery
 from heathwell.testing.standins.leaf import Leaf
@@ -13,7 +13,7 @@
 
 
 @click.command()
-@serving("leaf")
+@server_command("leaf")
 @click.option("--discovery", required=True, help="host:port of the discovery service.")
 @click.option("--cell", default=0, show_default=True, help="Index of its cell, which determines its shards.")
 @click.option("--zone", default=0, show_default=True, help="Index of its zone in the settings.")
@@ -58,7 +58,7 @@
 
 
 @click.command()
-@serving("relay")
+@server_command("relay")
 @click.option("--targets", required=True, help="Comma-separated host:port of the hosts to forward to.")
 @click.option("--seed", default=1, show_default=True, help="Seed of random numbers.")
 @click.option("--listen", default="127.0.0.1:0", show_default=True, help="Address for fault commands.")
@@ -74,7 +74,7 @@
 
 
 @click.command()
-@serving("source")
+@server_command("source")
 @click.option("--listen", help="Address to listen on (default: that of the settings).")
 def source(process: Process, *, listen: str | None) -> None:
     """Run a stand-in for the clock of the data source."""
@@ -87,7 +87,7 @@
 
 
 @click.command()
-@serving("discovery")
+@server_command("discovery")
 @click.option("--listen", help="Address to listen on (default: that of the settings).")
 def discovery(process: Process, *, listen: str | None) -> None:
     """Run a stand-in discovery service."""
