--- a/heathwell/cli/logs.py
+++ b/heathwell/cli/logs.py
@@ -24,7 +24,7 @@
 LoggerFactory = Callable[..., Logger]
 
 
-def set_up(log: Log) -> LoggerFactory:
+def configure_logging(log: Log) -> LoggerFactory:
     """Configure structlog and return a factory of loggers, each called as ``log(level, text, **fields)``.
 
     The factory takes the name of a package, whose level comes from ``log``, and fields to add to every line.
--- a/heathwell/cli/process.py
+++ b/heathwell/cli/process.py
@@ -76,7 +76,7 @@
         self.digest = settings_digest(config)
         self.name = name
         self.ready_file = ready_file
-        self.make_log = logs.set_up(self.service_settings.log)
+        self.make_log = logs.configure_logging(self.service_settings.log)
         self.log = self.make_log(f"heathwell.{role}", name=name)
         self.loop, self.net, self.poller = socket_loop(
             clock=None if clock_rate == 1.0 else SkewedClock(clock_rate)
--- a/tests/test_deprecated_imports.py
+++ b/tests/test_deprecated_imports.py
@@ -23,7 +23,7 @@
 
 
 def test_settings_that_name_the_former_package_of_the_event_loop_still_set_its_level(capsys):
-    make_log = logs.set_up(Log(modules=[ModuleLevel("heathwell.kernel", "error")]))
+    make_log = logs.configure_logging(Log(modules=[ModuleLevel("heathwell.kernel", "error")]))
     log = make_log("heathwell.eventloop")
     log("warning", "below the level")
     log("error", "at the level")
