--- a/heathwell/settings/records/regions.py
+++ b/heathwell/settings/records/regions.py
@@ -24,7 +24,7 @@
     cost: Annotated[float, Meta(ge=0, description="what a part that crosses takes from cross-budget")] = 1.0
 
 
-class Across(Record):
+class RegionRouting(Record):
     """Routing across regions; it is off where no regions are listed."""
 
     decide: Annotated[
--- a/heathwell/settings/records/service.py
+++ b/heathwell/settings/records/service.py
@@ -12,7 +12,7 @@
 from heathwell.settings.records.limits import Limits, Rules, Storms
 from heathwell.settings.records.logs import Log
 from heathwell.settings.records.queries import Collection, KeySpace, QueryClass
-from heathwell.settings.records.regions import Across
+from heathwell.settings.records.regions import RegionRouting
 from heathwell.settings.records.servers import BrokerSettings, Fronts, Vector
 
 
@@ -33,6 +33,6 @@
     discovery: Annotated[Discovery, described("the host list")] = field(default_factory=Discovery)
     leaf: Annotated[Leaf, described("stand-in hosts")] = field(default_factory=Leaf)
     freshness: Annotated[Freshness, described("ages of answers")] = field(default_factory=Freshness)
-    across: Annotated[Across, described("several regions")] = field(default_factory=Across)
+    across: Annotated[RegionRouting, described("several regions")] = field(default_factory=RegionRouting)
     broker: Annotated[BrokerSettings, described("a broker's doors")] = field(default_factory=BrokerSettings)
     log: Annotated[Log, described("logs")] = field(default_factory=Log)
--- a/heathwell/settings/schema.py
+++ b/heathwell/settings/schema.py
@@ -10,12 +10,12 @@
 from heathwell.settings.records.limits import Limits, Rules, Storms
 from heathwell.settings.records.logs import Log, ModuleLevel
 from heathwell.settings.records.queries import Collection, KeySpace, QueryClass
-from heathwell.settings.records.regions import Across, Region, RegionLink
+from heathwell.settings.records.regions import Region, RegionLink, RegionRouting
 from heathwell.settings.records.servers import BrokerSettings, Fronts, Vector
 from heathwell.settings.records.service import ServiceSettings
 
 __all__ = [
-    "Across",
+    "RegionRouting",
     "BrokerSettings",
     "CROSS_CHECKS",
     "Collection",
