--- a/heathwell/settings/records/servers.py
+++ b/heathwell/settings/records/servers.py
@@ -28,7 +28,7 @@
     chunk_searches: Annotated[int, count("searches that share a part at the most", 1)] = 64
 
 
-class Fronts(Record):
+class FairQueueing(Record):
     """Fair queueing between the servers, by the cost of their work; it is off where `queue_target` is 0."""
 
     queue_target: Annotated[int, duration("queueing at hosts up to which work is sent out; 0: no bound")] = 0
--- a/heathwell/settings/records/service.py
+++ b/heathwell/settings/records/service.py
@@ -13,7 +13,7 @@
 from heathwell.settings.records.logs import Log
 from heathwell.settings.records.queries import Collection, KeySpace, QueryClass
 from heathwell.settings.records.regions import RegionRouting
-from heathwell.settings.records.servers import BrokerSettings, Fronts, Vector
+from heathwell.settings.records.servers import BrokerSettings, FairQueueing, Vector
 
 
 class ServiceSettings(Record):
@@ -26,7 +26,7 @@
         list[Collection], repeated("collection", "the collections of the vector front")
     ] = []
     vector: Annotated[Vector, described("the vector front")] = field(default_factory=Vector)
-    fronts: Annotated[Fronts, described("sharing between fronts")] = field(default_factory=Fronts)
+    fronts: Annotated[FairQueueing, described("sharing between fronts")] = field(default_factory=FairQueueing)
     storms: Annotated[Storms, described("storms of retries and connects")] = field(default_factory=Storms)
     rules: Annotated[Rules, described("figures of the rules")] = field(default_factory=Rules)
     limits: Annotated[Limits, described("what a broker may do and hold")] = field(default_factory=Limits)
