--- a/heathwell/settings/records/limits.py
+++ b/heathwell/settings/records/limits.py
@@ -57,7 +57,7 @@
     unread: Annotated[int, size("bytes a client may leave unread before it is cut off")] = 1 << 22
 
 
-class Storms(Record):
+class RetryStorms(Record):
     """Detection and damping of retry and reconnect storms."""
 
     enabled: Annotated[
--- a/heathwell/settings/records/service.py
+++ b/heathwell/settings/records/service.py
@@ -9,7 +9,7 @@
 from heathwell.settings.records.base import Record, described, repeated
 from heathwell.settings.records.fleet import Discovery, Fleet, Leaf
 from heathwell.settings.records.freshness import Freshness
-from heathwell.settings.records.limits import Limits, Rules, Storms
+from heathwell.settings.records.limits import Limits, RetryStorms, Rules
 from heathwell.settings.records.logs import Log
 from heathwell.settings.records.queries import Collection, KeySpace, QueryClass
 from heathwell.settings.records.regions import RegionRouting
@@ -27,7 +27,9 @@
     ] = []
     vector: Annotated[Vector, described("the vector front")] = field(default_factory=Vector)
     fronts: Annotated[FairQueueing, described("sharing between fronts")] = field(default_factory=FairQueueing)
-    storms: Annotated[Storms, described("storms of retries and connects")] = field(default_factory=Storms)
+    storms: Annotated[RetryStorms, described("storms of retries and connects")] = field(
+        default_factory=RetryStorms
+    )
     rules: Annotated[Rules, described("figures of the rules")] = field(default_factory=Rules)
     limits: Annotated[Limits, described("what a broker may do and hold")] = field(default_factory=Limits)
     discovery: Annotated[Discovery, described("the host list")] = field(default_factory=Discovery)
--- a/heathwell/settings/schema.py
+++ b/heathwell/settings/schema.py
@@ -7,7 +7,7 @@
 from heathwell.settings.records.base import NAME, Record, count, described, duration, fraction, repeated, size
 from heathwell.settings.records.fleet import Discovery, Fleet, FleetBudget, Leaf
 from heathwell.settings.records.freshness import Freshness
-from heathwell.settings.records.limits import Limits, Rules, Storms
+from heathwell.settings.records.limits import Limits, RetryStorms, Rules
 from heathwell.settings.records.logs import Log, ModuleLevel
 from heathwell.settings.records.queries import Collection, KeySpace, QueryClass
 from heathwell.settings.records.regions import Region, RegionLink, RegionRouting
@@ -36,7 +36,7 @@
     "RegionLink",
     "Rules",
     "ServiceSettings",
-    "Storms",
+    "RetryStorms",
     "Vector",
     "count",
     "described",
