--- a/heathwell/servers/vector_api.py
+++ b/heathwell/servers/vector_api.py
@@ -19,7 +19,7 @@
 from heathwell.codec.http import Request
 from heathwell.service.vectors.filter_checks import FilterError, check_filter
 from heathwell.service.vectors.search_messages import SearchParameters, SearchRequest, encode_search
-from heathwell.settings.schema import Collection, Vector
+from heathwell.settings.schema import Collection, VectorSettings
 
 MAX_FLOAT32 = 3.4e38
 DEFAULT_LIMIT = 10
@@ -103,7 +103,7 @@
 }
 
 
-def read_batch(body: bytes, limits: Vector) -> list[msgspec.Raw]:
+def read_batch(body: bytes, limits: VectorSettings) -> list[msgspec.Raw]:
     """Return the undecoded searches of a batch; raise :class:`ApiError`."""
     try:
         searches = _batches.decode(body).searches
@@ -115,7 +115,7 @@
 
 
 def read_search(
-    form: str, body: bytes | msgspec.Raw, spec: Collection, limits: Vector, path: str = ""
+    form: str, body: bytes | msgspec.Raw, spec: Collection, limits: VectorSettings, path: str = ""
 ) -> Search:
     """Parse one search of the form ``query`` or ``search``; raise :class:`ApiError`.
 
@@ -174,7 +174,7 @@
     return _to_float32(body.query["nearest"], spec, f"{path}query.nearest")
 
 
-def _check_range(limit: int, offset: int, limits: Vector, path: str) -> None:
+def _check_range(limit: int, offset: int, limits: VectorSettings, path: str) -> None:
     for field, value, minimum in (("limit", limit, 1), ("offset", offset, 0)):
         if value < minimum:
             raise ApiError(
--- a/heathwell/settings/records/servers.py
+++ b/heathwell/settings/records/servers.py
@@ -9,7 +9,7 @@
 from heathwell.settings.records.base import Record, count, described, duration, fraction, size
 
 
-class Vector(Record):
+class VectorSettings(Record):
     """The vector search server, which has Qdrant's REST API."""
 
     listen: Annotated[str, described("HTTP address; port 0 lets the kernel choose; empty: no such front")] = (
--- a/heathwell/settings/records/service.py
+++ b/heathwell/settings/records/service.py
@@ -13,7 +13,7 @@
 from heathwell.settings.records.logs import Log
 from heathwell.settings.records.queries import Collection, KeySpace, QueryClass
 from heathwell.settings.records.regions import RegionRouting
-from heathwell.settings.records.servers import BrokerSettings, FairQueueing, Vector
+from heathwell.settings.records.servers import BrokerSettings, FairQueueing, VectorSettings
 
 
 class ServiceSettings(Record):
@@ -25,7 +25,7 @@
     collections: Annotated[
         list[Collection], repeated("collection", "the collections of the vector front")
     ] = []
-    vector: Annotated[Vector, described("the vector front")] = field(default_factory=Vector)
+    vector: Annotated[VectorSettings, described("the vector front")] = field(default_factory=VectorSettings)
     fronts: Annotated[FairQueueing, described("sharing between fronts")] = field(default_factory=FairQueueing)
     storms: Annotated[RetryStorms, described("storms of retries and connects")] = field(
         default_factory=RetryStorms
--- a/heathwell/settings/schema.py
+++ b/heathwell/settings/schema.py
@@ -11,7 +11,7 @@
 from heathwell.settings.records.logs import Log, ModuleLevel
 from heathwell.settings.records.queries import Collection, KeySpace, QueryClass
 from heathwell.settings.records.regions import Region, RegionLink, RegionRouting
-from heathwell.settings.records.servers import BrokerSettings, FairQueueing, Vector
+from heathwell.settings.records.servers import BrokerSettings, FairQueueing, VectorSettings
 from heathwell.settings.records.service import ServiceSettings
 
 __all__ = [
@@ -37,7 +37,7 @@
     "Rules",
     "ServiceSettings",
     "RetryStorms",
-    "Vector",
+    "VectorSettings",
     "count",
     "described",
     "duration",
