--- a/heathwell/servers/memcached_connection.py
+++ b/heathwell/servers/memcached_connection.py
@@ -92,14 +92,14 @@
         self.opened_at_us = server.broker.loop.now()
         self.pending: deque[PendingReply] = deque()
         self._server = server
-        self._parser = protocol.Requests(limits.line, limits.keys_a_get)
-        self._max_pending = limits.pipelined
+        self._parser = protocol.Requests(limits.max_line_bytes, limits.max_keys_per_get)
+        self._max_pending = limits.max_pipelined_requests
         self._command_count = 0
         self._is_quitting = False
         self._progress = Event()
         self._overrun: StreamOverrunError | None = None
-        stream.hard_limit = limits.unread
-        stream.high_water = min(stream.high_water, limits.unread // 2)
+        stream.hard_limit = limits.max_unread_bytes
+        stream.high_water = min(stream.high_water, limits.max_unread_bytes // 2)
 
     @property
     def is_idle(self) -> bool:
--- a/heathwell/service/query_admission.py
+++ b/heathwell/service/query_admission.py
@@ -137,7 +137,7 @@
         if timeout_us >= self._broker.settings.classes[query_class].timeout_us:
             return False
         least_us = MINIMUM_LATENCY_FRACTION * self._broker.mean_part_latency_us(query_class)
-        return timeout_us - self._broker.service_settings.limits.transit < least_us
+        return timeout_us - self._broker.service_settings.limits.reply_transit_us < least_us
 
     def _is_answerable_without(self, parts: Sequence[PartPlan], query_class: int) -> bool:
         """Whether the other parts can make an answer; if not, waiting for the deadline is pointless."""
--- a/heathwell/service/query_intake.py
+++ b/heathwell/service/query_intake.py
@@ -88,7 +88,7 @@
         now = self._broker.loop.now()
         job = self._broker.next_job()
         limits = self._broker.service_settings.limits
-        time_left_us = max(admission.timeout_us - limits.transit, limits.tick)
+        time_left_us = max(admission.timeout_us - limits.reply_transit_us, limits.tick)
         return ServiceQuery(
             f"{self._broker.name}.{job}",
             job,
--- a/heathwell/settings/consistency.py
+++ b/heathwell/settings/consistency.py
@@ -51,7 +51,7 @@
 
 
 def _check_class_times(settings: ServiceSettings, query_class: QueryClass, path: str) -> Inconsistencies:
-    reserved_us = settings.limits.transit + 2 * settings.limits.tick
+    reserved_us = settings.limits.reply_transit_us + 2 * settings.limits.tick
     if query_class.timeout_us < query_class.latency_objective_us:
         yield Inconsistency(
             f"{path}.limit",
--- a/heathwell/settings/records/limits.py
+++ b/heathwell/settings/records/limits.py
@@ -31,18 +31,34 @@
     """Limits of a broker's resources and attempts."""
 
     attempts: Annotated[int, count("attempts a part", 1)] = 3
-    open_cap: Annotated[int, count("queries and parts held at once; 0: no limit")] = 0
+    max_in_flight: Annotated[int, count("queries and parts held at once; 0: no limit")] = field(
+        default=0, name="open-cap"
+    )
     second_copies: Annotated[bool, described("two attempts of a part may be out at once")] = False
     cancelling: Annotated[bool, described("attempts may be called off")] = True
     probing: Annotated[bool, described("hosts may be probed")] = True
-    advise: Annotated[bool, described("refusals say when to come back")] = True
-    max_advice: Annotated[int, duration("longest advice that clients heed")] = 500_000
-    parts_a_call: Annotated[int, count("parts of one turn that share a call", 1)] = 1
-    warm_keys: Annotated[bool, described("hosts do less work for keys met lately")] = False
-    by_work: Annotated[bool, described("worth is counted in proportion to a query's work")] = False
-    marks_retry: Annotated[bool, described("clients mark repeats")] = False
+    sends_retry_after: Annotated[bool, described("refusals say when to come back")] = field(
+        default=True, name="advise"
+    )
+    max_retry_after_us: Annotated[int, duration("longest advice that clients heed")] = field(
+        default=500_000, name="max-advice"
+    )
+    max_parts_per_call: Annotated[int, count("parts of one turn that share a call", 1)] = field(
+        default=1, name="parts-a-call"
+    )
+    hosts_cache_keys: Annotated[bool, described("hosts do less work for keys met lately")] = field(
+        default=False, name="warm-keys"
+    )
+    weight_by_work: Annotated[bool, described("worth is counted in proportion to a query's work")] = field(
+        default=False, name="by-work"
+    )
+    clients_mark_retries: Annotated[bool, described("clients mark repeats")] = field(
+        default=False, name="marks-retry"
+    )
     tick: Annotated[int, duration("how much before a deadline the final answer is given", 1000)] = 5_000
-    transit: Annotated[int, duration("of the client's time, kept for the reply's way back")] = 20_000
+    reply_transit_us: Annotated[int, duration("of the client's time, kept for the reply's way back")] = field(
+        default=20_000, name="transit"
+    )
     connect_timeout: Annotated[int, duration("how long a connect may take", 1000)] = 250_000
     probe_timeout: Annotated[int, duration("how long a probe may take", 1000)] = 250_000
     idle_close: Annotated[int, duration("idle connections to hosts close after this", 1000)] = 30_000_000
@@ -50,11 +66,15 @@
     busy_connection: Annotated[int, count("parts out on each from which another is opened", 1)] = 4
     clients: Annotated[int, count("client connections at once", 1)] = 12_000
     clients_an_address: Annotated[int, count("client connections of one address at once; 0: no limit")] = 0
-    pipelined: Annotated[int, count("requests of one connection at work at once", 1)] = 64
-    keys_a_get: Annotated[int, count("keys in one get", 1)] = 200
-    line: Annotated[int, size("longest request line")] = 65_536
+    max_pipelined_requests: Annotated[int, count("requests of one connection at work at once", 1)] = field(
+        default=64, name="pipelined"
+    )
+    max_keys_per_get: Annotated[int, count("keys in one get", 1)] = field(default=200, name="keys-a-get")
+    max_line_bytes: Annotated[int, size("longest request line")] = field(default=65_536, name="line")
     value: Annotated[int, size("longest data block that a refused storage command may carry")] = 1 << 20
-    unread: Annotated[int, size("bytes a client may leave unread before it is cut off")] = 1 << 22
+    max_unread_bytes: Annotated[int, size("bytes a client may leave unread before it is cut off")] = field(
+        default=1 << 22, name="unread"
+    )
 
 
 class RetryStorms(Record):
