--- a/heathwell/servers/vector_api.py
+++ b/heathwell/servers/vector_api.py
@@ -109,8 +109,8 @@
         searches = _batches.decode(body).searches
     except msgspec.MsgspecError as error:
         raise ApiError(400, f"Format error in JSON body: {error}") from None
-    if len(searches) > limits.batch:
-        raise ApiError(400, f"searches: {len(searches)} in one batch, {limits.batch} are served")
+    if len(searches) > limits.max_batch_searches:
+        raise ApiError(400, f"searches: {len(searches)} in one batch, {limits.max_batch_searches} are served")
     return searches
 
 
@@ -182,8 +182,10 @@
                 f"Validation error in JSON body: [{path}{field}: value {value} invalid, must be "
                 f"{minimum} or larger]",
             )
-    if offset + limit > limits.rows:
-        raise ApiError(400, f"{path}limit: {offset + limit} rows with the offset, {limits.rows} are served")
+    if offset + limit > limits.max_rows:
+        raise ApiError(
+            400, f"{path}limit: {offset + limit} rows with the offset, {limits.max_rows} are served"
+        )
 
 
 def _check_filter(body: QueryBody | SearchBody, path: str) -> None:
--- a/heathwell/servers/vector_connection.py
+++ b/heathwell/servers/vector_connection.py
@@ -53,7 +53,7 @@
         self.has_ended = False
         self._server = server
         self._limits = server.broker.service_settings.vector
-        self._protocol = ServerSide(self._limits.body, self._limits.head)
+        self._protocol = ServerSide(self._limits.max_body_bytes, self._limits.max_head_bytes)
         self._unparsed: deque[bytes] = deque()
         self._unparsed_bytes = 0
         self._is_busy = False
@@ -193,7 +193,7 @@
         if self.stream.closed:
             return
         now = self.loop.now()
-        timeout_us = self._limits.slow if self._is_receiving else self._limits.idle
+        timeout_us = self._limits.request_timeout_us if self._is_receiving else self._limits.idle_timeout_us
         if not self._is_busy and now - self._timeout_started_at_us >= timeout_us:
             if self._is_receiving:
                 self._server.statistics.slow_requests += 1
@@ -201,7 +201,10 @@
                 return
             if self.close_if_idle():
                 return
-        self.loop.call_at(now + min(self._limits.slow, self._limits.idle) // 2, self._check_timeouts)
+        self.loop.call_at(
+            now + min(self._limits.request_timeout_us, self._limits.idle_timeout_us) // 2,
+            self._check_timeouts,
+        )
 
     def _fail_slow_request(self, timeout_us: int) -> None:
         # The text is part of the protocol.
--- a/heathwell/servers/vector_search.py
+++ b/heathwell/servers/vector_search.py
@@ -72,7 +72,7 @@
         limits = self._broker.service_settings.vector
         model = self._cost_model(request.spec)
         costs = [model.predict(_cost_features([search])) for search in request.searches]
-        indices = split_batch(costs, limits.chunk, limits.chunk_searches)
+        indices = split_batch(costs, limits.max_chunk_cost_us, limits.max_chunk_searches)
         return [[request.searches[index] for index in chunk] for chunk in indices]
 
     def plan(self, request: SearchRequest, searches: Sequence[api.Search]) -> Plan:
@@ -168,8 +168,8 @@
         The limit of chunks in flight starts at one and rises with the answers: host latency is measured from
         answers alone, so a burst to a few hosts would look like overload.
         """
-        chunks_at_once = self._broker.service_settings.vector.chunks_at_once
-        allowed = min(chunks_at_once, 1 + len(self._replies) // SLOW_START_CHUNKS)
+        max_in_flight = self._broker.service_settings.vector.max_chunks_in_flight
+        allowed = min(max_in_flight, 1 + len(self._replies) // SLOW_START_CHUNKS)
         in_flight = self._started_count - len(self._replies)
         return self._started_count < len(self._chunks) and in_flight < allowed
 
--- a/heathwell/settings/records/servers.py
+++ b/heathwell/settings/records/servers.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated, Literal
 
-from msgspec import Meta
+from msgspec import Meta, field
 
 from heathwell.settings.records.base import Record, count, described, duration, fraction, size
 
@@ -15,17 +15,29 @@
     listen: Annotated[str, described("HTTP address; port 0 lets the kernel choose; empty: no such front")] = (
         ""
     )
-    body: Annotated[int, size("longest request body")] = 32 << 20
-    head: Annotated[int, size("longest request line and headers")] = 65_536
-    slow: Annotated[int, duration("a request that has begun must be whole within this", 1000)] = 10_000_000
-    idle: Annotated[int, duration("idle connections close after this", 1000)] = 60_000_000
-    batch: Annotated[int, count("searches in one batch", 1)] = 10_000
-    rows: Annotated[int, count("offset and limit together", 1)] = 10_000
-    chunk: Annotated[int, duration("a batch is cut into parts that cost a host so much at the most", 1)] = (
-        30_000
+    max_body_bytes: Annotated[int, size("longest request body")] = field(default=32 << 20, name="body")
+    max_head_bytes: Annotated[int, size("longest request line and headers")] = field(
+        default=65_536, name="head"
+    )
+    request_timeout_us: Annotated[
+        int, duration("a request that has begun must be whole within this", 1000)
+    ] = field(default=10_000_000, name="slow")
+    idle_timeout_us: Annotated[int, duration("idle connections close after this", 1000)] = field(
+        default=60_000_000, name="idle"
+    )
+    max_batch_searches: Annotated[int, count("searches in one batch", 1)] = field(
+        default=10_000, name="batch"
+    )
+    max_rows: Annotated[int, count("offset and limit together", 1)] = field(default=10_000, name="rows")
+    max_chunk_cost_us: Annotated[
+        int, duration("a batch is cut into parts that cost a host so much at the most", 1)
+    ] = field(default=30_000, name="chunk")
+    max_chunks_in_flight: Annotated[int, count("parts of one batch that are out at once", 1)] = field(
+        default=4, name="chunks-at-once"
+    )
+    max_chunk_searches: Annotated[int, count("searches that share a part at the most", 1)] = field(
+        default=64, name="chunk-searches"
     )
-    chunks_at_once: Annotated[int, count("parts of one batch that are out at once", 1)] = 4
-    chunk_searches: Annotated[int, count("searches that share a part at the most", 1)] = 64
 
 
 class FairQueueing(Record):
