--- a/heathwell/cli/coordinator.py
+++ b/heathwell/cli/coordinator.py
@@ -97,7 +97,7 @@
         evacuation=(
             evacuation_coordinator_from_settings(process.service_settings) if fleet.evacuate else None
         ),
-        fleet=fleet.called,
+        fleet=fleet.fleet_name,
     )
 
 
--- a/heathwell/cli/rollout.py
+++ b/heathwell/cli/rollout.py
@@ -352,7 +352,7 @@
         seed=os.getpid(),
         log=process.log,
         events=process.events,
-        fleet=fleet.called,
+        fleet=fleet.fleet_name,
     )
     return lambda: _holds_lease(fleet_agent, budget.name)
 
--- a/heathwell/cli/serve.py
+++ b/heathwell/cli/serve.py
@@ -280,7 +280,7 @@
         seed=seed,
         log=process.log,
         events=process.events,
-        fleet=fleet.called,
+        fleet=fleet.fleet_name,
     )
 
 
--- a/heathwell/fleet/control/evacuation_coordinator.py
+++ b/heathwell/fleet/control/evacuation_coordinator.py
@@ -58,7 +58,7 @@
     """The coordinator that the settings define."""
     return EvacuationCoordinator(
         service_settings.fleet.zones,
-        zone_capacity=service_settings.fleet.zone_bears,
+        zone_capacity=service_settings.fleet.zone_capacity,
         priority_weights={spec.name: spec.priority_weight for spec in service_settings.classes},
     )
 
--- a/heathwell/fleet/control/parameters.py
+++ b/heathwell/fleet/control/parameters.py
@@ -22,7 +22,7 @@
 
 def max_brokers(fleet: Fleet) -> int:
     """For how many brokers minimum quotas are reserved."""
-    return fleet.most or fleet.brokers
+    return fleet.max_brokers or fleet.brokers
 
 
 def budgets_from_settings(fleet: Fleet) -> Sequence[Budget]:
--- a/heathwell/fleet/rollout/preflight.py
+++ b/heathwell/fleet/rollout/preflight.py
@@ -23,7 +23,7 @@
     "cells": "cells",
     "width": "width",
     "shards": "shards",
-    "most": "most",
+    "max_brokers": "most",
     "coordinators": "keepers",
 }
 
--- a/heathwell/settings/consistency.py
+++ b/heathwell/settings/consistency.py
@@ -155,7 +155,7 @@
         yield Inconsistency("fleet.keepers", f"1, 3 or 5 addresses expected, got {len(fleet.coordinators)}")
     if len(set(fleet.coordinators)) != len(fleet.coordinators):
         yield Inconsistency("fleet.keepers", "an address is given twice")
-    if not (fleet.most or fleet.brokers):
+    if not (fleet.max_brokers or fleet.brokers):
         yield Inconsistency("fleet.most", "with keepers, fleet.most or fleet.brokers must be more than 0")
 
 
@@ -184,7 +184,7 @@
 
 
 def _check_connections_budget(fleet: Fleet, budget: FleetBudget, path: str) -> Inconsistencies:
-    max_brokers = fleet.most or fleet.brokers
+    max_brokers = fleet.max_brokers or fleet.brokers
     if budget.whole != int(budget.whole) or (max_brokers and budget.whole <= max_brokers):
         yield Inconsistency(
             f"{path}.whole",
@@ -195,7 +195,7 @@
 
 
 def _check_rate_budget(fleet: Fleet, budget: FleetBudget, path: str) -> Inconsistencies:
-    max_brokers = fleet.most or fleet.brokers
+    max_brokers = fleet.max_brokers or fleet.brokers
     if not max_brokers:
         return
     own_milliunits = int(budget.whole * budget.aside * MILLIUNITS) // max_brokers
--- a/heathwell/settings/records/fleet.py
+++ b/heathwell/settings/records/fleet.py
@@ -49,7 +49,9 @@
     zones: Annotated[list[str], described("zones, by which hosts and brokers stand")]
     leaves: Annotated[int, count("stand-in hosts of a demo fleet, one a cell in turn")] = 0
     brokers: Annotated[int, count("brokers of a demo fleet, zones in turn")] = 0
-    called: Annotated[str, described("name of the fleet: keepers refuse who says another")] = ""
+    fleet_name: Annotated[str, described("name of the fleet: keepers refuse who says another")] = field(
+        default="", name="called"
+    )
     coordinators: Annotated[
         list[str],
         described(
@@ -57,9 +59,9 @@
             "none: brokers share nothing"
         ),
     ] = field(default_factory=list, name="keepers")
-    most: Annotated[
+    max_brokers: Annotated[
         int, count("brokers that there may ever be at once, dying ones included; 0: as brokers")
-    ] = 0
+    ] = field(default=0, name="most")
     lease: Annotated[int, duration("how long a share may be used after it was asked for", 100_000)] = (
         3_000_000
     )
@@ -68,9 +70,9 @@
     dead: Annotated[int, duration("silence after which it is taken for dead", 200_000)] = 5_000_000
     drift: Annotated[float, fraction("how much faster or slower a clock may run")] = 0.03
     evacuate: Annotated[bool, described("leave a zone that fails, and come back to it, as a fleet")] = False
-    zone_bears: Annotated[
+    zone_capacity: Annotated[
         int, count("parts a second that the hosts of one zone bear; 0: what their answers tell")
-    ] = 0
+    ] = field(default=0, name="zone-bears")
     zone_client_drain_duration_us: Annotated[
         int, duration("brokers of a zone that is left close idle clients over so long; 0: keep them")
     ] = field(default=10_000_000, name="zone-let-go")
--- a/tests/test_evacuation_processes.py
+++ b/tests/test_evacuation_processes.py
@@ -483,7 +483,7 @@
                 timings=quota_timings_from_settings(spec),
                 seed=number,
                 log=lambda *_args, **_fields: None,
-                fleet=spec.called,
+                fleet=spec.fleet_name,
             )
         )
         agents[-1].attach_zone_observer(FalseZoneObserver(name, zone, ZONE))
