--- a/heathwell/fleet/control/parameters.py
+++ b/heathwell/fleet/control/parameters.py
@@ -43,11 +43,11 @@
     return Budget(
         settings.name,
         BudgetKind.COUNT,
-        int(settings.whole) - brokers,
+        int(settings.total) - brokers,
         0,
         brokers,
         len(fleet.coordinators),
-        linger_timeout_us=settings.linger,
+        linger_timeout_us=settings.linger_timeout_us,
         scope_kind=ENDPOINT_SCOPE,
         uncounted=brokers,
     )
@@ -58,11 +58,11 @@
     return Budget(
         settings.name,
         BudgetKind.RATE,
-        int(settings.whole * MILLIUNITS),
-        int(settings.whole * settings.aside * MILLIUNITS),
+        int(settings.total * MILLIUNITS),
+        int(settings.total * settings.reserved_fraction * MILLIUNITS),
         max_brokers(fleet),
         len(fleet.coordinators),
-        burst_window_us=settings.burst,
+        burst_window_us=settings.burst_window_us,
         scope_kind=ENDPOINT_SCOPE if settings.name == SLOW_START_BUDGET else "",
     )
 
--- a/heathwell/fleet/rollout/preflight.py
+++ b/heathwell/fleet/rollout/preflight.py
@@ -97,8 +97,8 @@
 
 def _check_capacity(new: PreflightSettings) -> Iterator[PreflightWarning]:
     for budget in new.fleet.budgets:
-        if budget.name != "connections" and budget.whole < 1:
-            yield PreflightWarning(f"budget {budget.name}: {budget.whole:g} a second is less than one use")
+        if budget.name != "connections" and budget.total < 1:
+            yield PreflightWarning(f"budget {budget.name}: {budget.total:g} a second is less than one use")
     max_in_flight = new.limits.max_in_flight
     widest_query = max((space.parts for space in new.keys), default=1)
     if max_in_flight and max_in_flight < widest_query + 1:
--- a/heathwell/fleet/rollout/preflight_settings.py
+++ b/heathwell/fleet/rollout/preflight_settings.py
@@ -42,9 +42,9 @@
 
 
 class BudgetSettings(Protocol):
-    """A budget that the brokers of the fleet divide; ``whole`` (the settings' key) is its total."""
+    """A budget that the brokers of the fleet divide; ``total`` is the settings' key ``whole``."""
 
-    whole: float
+    total: float
 
     @property
     def name(self) -> str:
--- a/heathwell/settings/consistency.py
+++ b/heathwell/settings/consistency.py
@@ -185,12 +185,12 @@
 
 def _check_connections_budget(fleet: Fleet, budget: FleetBudget, path: str) -> Inconsistencies:
     max_brokers = fleet.max_brokers or fleet.brokers
-    if budget.whole != int(budget.whole) or (max_brokers and budget.whole <= max_brokers):
+    if budget.total != int(budget.total) or (max_brokers and budget.total <= max_brokers):
         yield Inconsistency(
             f"{path}.whole",
-            f"must be a whole number above the number of brokers ({max_brokers}), got {budget.whole:g}",
+            f"must be a whole number above the number of brokers ({max_brokers}), got {budget.total:g}",
         )
-    if budget.linger >= fleet.lease:
+    if budget.linger_timeout_us >= fleet.lease:
         yield Inconsistency(f"{path}.linger", "must be shorter than fleet.lease, which includes this time")
 
 
@@ -198,8 +198,8 @@
     max_brokers = fleet.max_brokers or fleet.brokers
     if not max_brokers:
         return
-    own_milliunits = int(budget.whole * budget.aside * MILLIUNITS) // max_brokers
-    if own_milliunits and own_milliunits * budget.burst < MILLIUNITS_TIMES_SECOND_US:
+    own_milliunits = int(budget.total * budget.reserved_fraction * MILLIUNITS) // max_brokers
+    if own_milliunits and own_milliunits * budget.burst_window_us < MILLIUNITS_TIMES_SECOND_US:
         yield Inconsistency(
             f"{path}.burst",
             f"too short for a broker's minimum, {own_milliunits / MILLIUNITS:.3g} per second, to reach one "
--- a/heathwell/settings/records/fleet.py
+++ b/heathwell/settings/records/fleet.py
@@ -21,20 +21,22 @@
         Literal["further", "cold", "connections"],
         Meta(description="what is divided", extra={"positional": True}),
     ]
-    whole: Annotated[
+    total: Annotated[
         float, Meta(gt=0, description="for the whole fleet; of cold and connections at each host")
-    ]
-    aside: Annotated[
+    ] = field(name="whole")
+    reserved_fraction: Annotated[
         float,
         fraction(
             "share of it that is set aside for brokers' own minima, in equal parts; of "
             "connections one each, whatever this says"
         ),
-    ] = 0.2
-    burst: Annotated[int, duration("of a rate, for how long it may be saved up", 10_000)] = 1_000_000
-    linger: Annotated[
+    ] = field(default=0.2, name="aside")
+    burst_window_us: Annotated[int, duration("of a rate, for how long it may be saved up", 10_000)] = field(
+        default=1_000_000, name="burst"
+    )
+    linger_timeout_us: Annotated[
         int, duration("hosts close a broker's connection from which nothing came for so long", 100_000)
-    ] = 1_500_000
+    ] = field(default=1_500_000, name="linger")
 
 
 class Fleet(Record):
