--- a/heathwell/service/storm_control.py
+++ b/heathwell/service/storm_control.py
@@ -45,7 +45,11 @@
         self._largest_live_count = 1
         self.decider = StormController(
             StormLimits(
-                limits.useful, limits.repeat, limits.accepts, limits.first_accepts, float(limits.first_rate)
+                limits.longest_retry_after_us,
+                limits.repeat_interval_us,
+                limits.accept_rate,
+                limits.initial_accept_rate,
+                float(limits.initial_work_rate_us),
             ),
             broker.loop.now(),
             seed ^ STORM_SEED_MASK,
--- a/heathwell/settings/records/limits.py
+++ b/heathwell/settings/records/limits.py
@@ -83,14 +83,18 @@
     enabled: Annotated[
         bool, described("recognise and damp them, and advise from a calendar of what hosts can take")
     ] = field(default=False, name="on")
-    useful: Annotated[int, duration("advice later than this is no use to a client", 200_000)] = 8_000_000
-    repeat: Annotated[int, duration("the same question of the same client within this is a repeat", 1000)] = (
-        3_000_000
+    longest_retry_after_us: Annotated[
+        int, duration("advice later than this is no use to a client", 200_000)
+    ] = field(default=8_000_000, name="useful")
+    repeat_interval_us: Annotated[
+        int, duration("the same question of the same client within this is a repeat", 1000)
+    ] = field(default=3_000_000, name="repeat")
+    accept_rate: Annotated[float, Meta(ge=0, description="connects taken in a second; 0: no bound")] = field(
+        default=0.0, name="accepts"
     )
-    accepts: Annotated[float, Meta(ge=0, description="connects taken in a second; 0: no bound")] = 0.0
-    first_accepts: Annotated[
+    initial_accept_rate: Annotated[
         float, Meta(ge=0, description="the same just after the start, growing; 0: no bound")
-    ] = 0.0
-    first_rate: Annotated[
+    ] = field(default=0.0, name="first-accepts")
+    initial_work_rate_us: Annotated[
         int, duration("work let in a second just after the start, growing; 0: no bound")
-    ] = 0
+    ] = field(default=0, name="first-rate")
