--- a/heathwell/service/broker_components.py
+++ b/heathwell/service/broker_components.py
@@ -171,7 +171,7 @@
 
 
 def _build_fair_admission(broker: ComponentsBroker, options: BrokerOptions) -> FairAdmission | None:
-    if not broker.service_settings.fronts.queue_target:
+    if not broker.service_settings.fronts.queue_target_us:
         return None
     return FairAdmission(broker, broker.service_settings, options.aggregator_count, options.seed)
 
--- a/heathwell/service/fair_admission.py
+++ b/heathwell/service/fair_admission.py
@@ -39,12 +39,12 @@
     ) -> None:
         fronts = service_settings.fronts
         groups = service_settings.fleet.cells
-        initial_window = INITIAL_WINDOW_FACTOR * fronts.queue_target * groups / broker_count
+        initial_window = INITIAL_WINDOW_FACTOR * fronts.queue_target_us * groups / broker_count
         self._broker = broker
         self._timer: Timer | None = None
         self.queue = FairQueue(
             {"memcached": fronts.memcached, "vector": fronts.vector},
-            ConcurrencyLimiter(fronts.queue_target, initial_window),
+            ConcurrencyLimiter(fronts.queue_target_us, initial_window),
             seed ^ GATE_SEED_MASK,
         )
 
@@ -82,7 +82,7 @@
         if search is not None and search.patience_us:
             return min(search.patience_us, left_us // 2)
         objective_us = self._broker.query_class_of(query).latency_objective_us
-        return int(self._broker.service_settings.fronts.patience * min(objective_us, left_us))
+        return int(self._broker.service_settings.fronts.max_wait_fraction * min(objective_us, left_us))
 
     def _reject(self, query: ServiceQuery) -> None:
         query_class = self._broker.query_class_of(query)
--- a/heathwell/settings/records/servers.py
+++ b/heathwell/settings/records/servers.py
@@ -41,10 +41,14 @@
 
 
 class FairQueueing(Record):
-    """Fair queueing between the servers, by the cost of their work; it is off where `queue_target` is 0."""
+    """Fair queueing between the servers, by the cost of their work; off where `queue_target_us` is 0."""
 
-    queue_target: Annotated[int, duration("queueing at hosts up to which work is sent out; 0: no bound")] = 0
-    patience: Annotated[float, fraction("share of a query's aim that it may wait for its turn")] = 0.25
+    queue_target_us: Annotated[
+        int, duration("queueing at hosts up to which work is sent out; 0: no bound")
+    ] = field(default=0, name="queue-target")
+    max_wait_fraction: Annotated[float, fraction("share of a query's aim that it may wait for its turn")] = (
+        field(default=0.25, name="patience")
+    )
     memcached: Annotated[float, Meta(gt=0, description="weight of the memcached front")] = 1.0
     vector: Annotated[float, Meta(gt=0, description="weight of the vector front")] = 1.0
 
