--- a/heathwell/fleet/rollout/preflight.py
+++ b/heathwell/fleet/rollout/preflight.py
@@ -99,10 +99,10 @@
     for budget in new.fleet.budgets:
         if budget.name != "connections" and budget.total < 1:
             yield PreflightWarning(f"budget {budget.name}: {budget.total:g} a second is less than one use")
-    max_in_flight = new.limits.max_in_flight
+    open_cap = new.limits.open_cap
     widest_query = max((space.parts for space in new.keys), default=1)
-    if max_in_flight and max_in_flight < widest_query + 1:
-        yield PreflightWarning(f"limits.open-cap {max_in_flight}: the widest query would never be taken")
+    if open_cap and open_cap < widest_query + 1:
+        yield PreflightWarning(f"limits.open-cap {open_cap}: the widest query would never be taken")
 
 
 def _check_immutable_settings(old: FleetSettings, new: FleetSettings) -> Iterator[PreflightWarning]:
--- a/heathwell/fleet/rollout/preflight_settings.py
+++ b/heathwell/fleet/rollout/preflight_settings.py
@@ -82,9 +82,9 @@
 
 
 class BrokerLimits(Protocol):
-    """Limits of a broker; ``max_in_flight`` is on queries and parts in flight, 0 for none."""
+    """Limits of a broker; ``open_cap`` is on queries and parts in flight, 0 for none."""
 
-    max_in_flight: int
+    open_cap: int
 
 
 class PreflightSettings(Protocol):
--- a/heathwell/service/module_settings.py
+++ b/heathwell/service/module_settings.py
@@ -21,7 +21,7 @@
         zone=zone,
         tick_us=limits.tick,
         max_attempts=limits.attempts,
-        max_open=limits.max_in_flight,
+        max_open=limits.open_cap,
         hedging_allowed=limits.second_copies,
         cancellation_allowed=limits.cancelling,
         probing_allowed=limits.probing,
@@ -29,7 +29,7 @@
         max_retry_after_us=limits.max_retry_after_us,
         poll_mode=service_settings.discovery.ask,
         poll_within_us=rules.must_ask,
-        parts_per_call=limits.max_parts_per_call,
+        parts_per_call=limits.parts_a_call,
         # The service broker marks the queries that may be retries, by `ServiceBroker.enter_query`.
         clients_mark_retries=True,
         drain_grace_us=rules.drain_grace,
@@ -40,7 +40,7 @@
         free_additional_attempts=rules.free_resends,
         additional_attempt_ratio=rules.additional_attempt_ratio,
         attempt_budget_window_us=rules.counted_over,
-        endpoints_cache_keys=limits.hosts_cache_keys,
+        endpoints_cache_keys=limits.warm_keys,
         weight_by_work=limits.weight_by_work,
     )
 
--- a/heathwell/service/service_broker.py
+++ b/heathwell/service/service_broker.py
@@ -161,7 +161,7 @@
         Not if its client chose the timeout itself: its latency objective counts from now on.
         """
         has_own_timeout = plan.search is not None and plan.search.timeout_us > 0
-        return not self.service_settings.limits.clients_mark_retries and not has_own_timeout
+        return not self.service_settings.limits.marks_retry and not has_own_timeout
 
     def reject_crowded_query(self, query: ServiceQuery, retry_after_us: int) -> None:
         """Reject a query that would be queued for too long."""
--- a/heathwell/settings/records/limits.py
+++ b/heathwell/settings/records/limits.py
@@ -31,9 +31,7 @@
     """Limits of a broker's resources and attempts."""
 
     attempts: Annotated[int, count("attempts a part", 1)] = 3
-    max_in_flight: Annotated[int, count("queries and parts held at once; 0: no limit")] = field(
-        default=0, name="open-cap"
-    )
+    open_cap: Annotated[int, count("queries and parts held at once; 0: no limit")] = 0
     second_copies: Annotated[bool, described("two attempts of a part may be out at once")] = False
     cancelling: Annotated[bool, described("attempts may be called off")] = True
     probing: Annotated[bool, described("hosts may be probed")] = True
@@ -43,18 +41,12 @@
     max_retry_after_us: Annotated[int, duration("longest advice that clients heed")] = field(
         default=500_000, name="max-advice"
     )
-    max_parts_per_call: Annotated[int, count("parts of one turn that share a call", 1)] = field(
-        default=1, name="parts-a-call"
-    )
-    hosts_cache_keys: Annotated[bool, described("hosts do less work for keys met lately")] = field(
-        default=False, name="warm-keys"
-    )
+    parts_a_call: Annotated[int, count("parts of one turn that share a call", 1)] = 1
+    warm_keys: Annotated[bool, described("hosts do less work for keys met lately")] = False
     weight_by_work: Annotated[bool, described("worth is counted in proportion to a query's work")] = field(
         default=False, name="by-work"
     )
-    clients_mark_retries: Annotated[bool, described("clients mark repeats")] = field(
-        default=False, name="marks-retry"
-    )
+    marks_retry: Annotated[bool, described("clients mark repeats")] = False
     tick: Annotated[int, duration("how much before a deadline the final answer is given", 1000)] = 5_000
     reply_transit_us: Annotated[int, duration("of the client's time, kept for the reply's way back")] = field(
         default=20_000, name="transit"
--- a/heathwell/testing/simulation/run_parameters.py
+++ b/heathwell/testing/simulation/run_parameters.py
@@ -147,7 +147,7 @@
         budgets=_budget_parameters(service_settings),
         start_capacity=rules.start_capacity,
         clock_drift=service_settings.fleet.drift,
-        max_in_flight=limits.max_in_flight,
+        max_in_flight=limits.open_cap,
         source_offset_us=SOURCE_CLOCK_OFFSET_US if service_settings.freshness.enabled else None,
     )
 
--- a/tests/test_scenario_parts.py
+++ b/tests/test_scenario_parts.py
@@ -59,7 +59,7 @@
     fleet = settings.fleet
     assert (fleet.shards, fleet.cells, fleet.width, fleet.leaves, fleet.brokers) == (8, 4, 2, 4, 2)
     assert tuple(fleet.zones) == ZONE_NAMES
-    assert settings.limits.max_in_flight == 100
+    assert settings.limits.open_cap == 100
     assert settings.discovery.silent_notice == 3_000_000
 
 
