--- a/heathwell/cli/process.py
+++ b/heathwell/cli/process.py
@@ -1,4 +1,4 @@
-"""What every serving command shares: options, loop, logs, event log, signals and exit codes."""
+"""Common code of the commands that run a server: options, event loop, logs, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
     socket_loop,
 )
 from heathwell.observability.digests import settings_digest
-from heathwell.observability.event_log import EventLog, FileEvents, NoEvents
+from heathwell.observability.event_log import EventLog, FileEventLog, NullEventLog
 from heathwell.settings import ServiceSettings, SettingsError, load
 
 MICROSECONDS_PER_SECOND: Final = 1e6
 
 
 @contextmanager
-def exit_codes(*invalid_input: type[Exception]) -> Iterator[None]:
+def exit_on_input_errors(*invalid_input: type[Exception]) -> Iterator[None]:
     """Print an error and exit: 2 for settings errors and ``invalid_input``, 3 for an unreadable file."""
     input_errors: tuple[type[Exception], ...] = (SettingsError, *invalid_input)
     try:
@@ -44,19 +44,19 @@
         sys.exit(3)
 
 
-def settings_of(path: str) -> ServiceSettings:
-    """Return the settings of a file, or print all its errors and exit (see :func:`exit_codes`)."""
-    with exit_codes():
+def load_settings_or_exit(path: str) -> ServiceSettings:
+    """Return the settings of a file, or print all its errors and exit (see :func:`exit_on_input_errors`)."""
+    with exit_on_input_errors():
         return load(path)
 
 
 def coordinator_addresses(service_settings: ServiceSettings, addresses: str) -> list[str]:
-    """Return the addresses of ``addresses``, with commas between, or those of the settings if it is empty."""
+    """Return the comma-separated ``addresses``, or those of the settings if there are none."""
     return addresses.split(",") if addresses else list(service_settings.fleet.coordinators)
 
 
 class Process:
-    """One serving process: event loop, logs, event log, signals and ready line.
+    """The process of a server: event loop, logs, event log, signals and ready line.
 
     The first SIGTERM or SIGINT sets ``stop``; the second one exits at once with code 1.
     """
@@ -72,26 +72,27 @@
         clock_rate: float = 1.0,
     ) -> None:
         self.config = config
-        self.service_settings = settings_of(config)
+        self.service_settings = load_settings_or_exit(config)
         self.digest = settings_digest(config)
         self.name = name
         self.ready_file = ready_file
-        self.make_log = logs.set_up(self.service_settings.log)
+        self.make_log = logs.configure_logging(self.service_settings.log)
         self.log = self.make_log(f"heathwell.{role}", name=name)
         self.loop, self.net, self.poller = socket_loop(
             clock=None if clock_rate == 1.0 else SkewedClock(clock_rate)
         )
         self.loop.on_error = self._log_task_error
-        self.events: EventLog = self._open_event_log(events, role, clock_rate) if events else NoEvents()
+        self.events: EventLog = self._open_event_log(events, role, clock_rate) if events else NullEventLog()
         self.stop = Event()
         self._signals = 0
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             self.poller.on_signal(signal_number, self._on_stop_signal)
 
-    def _open_event_log(self, folder: str, role: str, clock_rate: float) -> FileEvents:
+    def _open_event_log(self, folder: str, role: str, clock_rate: float) -> FileEventLog:
         Path(folder).mkdir(parents=True, exist_ok=True)
-        # By the machine's clock, even where the process runs on a skewed one: auditors compare processes.
-        event_log = FileEvents(f"{folder}/{self.name}.jsonl", self.name, role, MonotonicClock())
+        # Events have the time of the machine's clock, even if the process runs on a skewed one: the auditor
+        # compares the times of different processes.
+        event_log = FileEventLog(f"{folder}/{self.name}.jsonl", self.name, role, MonotonicClock())
         event_log("clock", rate=clock_rate)
         self.loop.at_turn_end(event_log.flush)
         return event_log
@@ -124,36 +125,36 @@
             click.echo(f"{self.name}: {error}", err=True)
             sys.exit(3)
         self.loop.shutdown()
-        if isinstance(self.events, FileEvents):
+        if isinstance(self.events, FileEventLog):
             self.events.close()
 
 
 # Applied in this order; `--help` lists them from the last to the first.
 SERVING_OPTIONS: Final = (
     click.option("--config", required=True, type=click.Path(dir_okay=False), help="Settings file."),
-    click.option("--name", required=True, help="Name in logs; one of a kind among all runs."),
+    click.option("--name", required=True, help="Name of the process in logs, unique across all runs."),
     click.option(
-        "--events", type=click.Path(file_okay=False), help="Folder for the event log (off without)."
+        "--events", type=click.Path(file_okay=False), help="Directory for the event log (default: none)."
     ),
     click.option(
         "--clock-rate",
         type=click.FloatRange(0.5, 2.0),
         default=1.0,
         hidden=True,
-        help="For tests: how fast its clock runs against the machine's.",
+        help="For tests: rate of the process's clock, relative to the machine's.",
     ),
     click.option(
         "--ready-file",
         type=click.Path(dir_okay=False),
-        help="Write {name, pid, address ...} here, as JSON, once it serves (standard output without).",
+        help="File for the ready line, JSON with name, pid and addresses (default: standard output).",
     ),
 )
 
 
-def serving(role: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
-    """Add :data:`SERVING_OPTIONS` to a command, and pass it the :class:`Process` made of them.
+def server_command(role: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
+    """Add :data:`SERVING_OPTIONS` to a command, and pass it a :class:`Process` made from them.
 
-    ``role`` names the process in its logs and event log.
+    ``role`` is the role of the process in its logs and event log.
     """
 
     def _add_options(command: Callable[..., None]) -> Callable[..., None]:
--- a/heathwell/fleet/control/parameters.py
+++ b/heathwell/fleet/control/parameters.py
@@ -22,7 +22,7 @@
 
 def max_brokers(fleet: Fleet) -> int:
     """Return the number of brokers for which a minimum quota is reserved."""
-    return fleet.most or fleet.brokers
+    return fleet.max_brokers or fleet.brokers
 
 
 def budgets_from_settings(fleet: Fleet) -> Sequence[Budget]:
@@ -44,11 +44,11 @@
     return Budget(
         settings.name,
         BudgetKind.COUNT,
-        int(settings.whole) - brokers,
+        int(settings.total) - brokers,
         0,
         brokers,
         len(fleet.coordinators),
-        linger_timeout_us=settings.linger,
+        linger_timeout_us=settings.linger_timeout_us,
         scope_kind=ENDPOINT_SCOPE,
         uncounted=brokers,
     )
@@ -59,11 +59,11 @@
     return Budget(
         settings.name,
         BudgetKind.RATE,
-        int(settings.whole * MILLIUNITS_PER_UNIT),
-        int(settings.whole * settings.aside * MILLIUNITS_PER_UNIT),
+        int(settings.total * MILLIUNITS_PER_UNIT),
+        int(settings.total * settings.reserved_fraction * MILLIUNITS_PER_UNIT),
         max_brokers(fleet),
         len(fleet.coordinators),
-        burst_window_us=settings.burst,
+        burst_window_us=settings.burst_window_us,
         scope_kind=ENDPOINT_SCOPE if settings.name == SLOW_START_BUDGET else "",
     )
 
--- a/heathwell/fleet/rollout/preflight.py
+++ b/heathwell/fleet/rollout/preflight.py
@@ -23,7 +23,7 @@
     "cells": "cells",
     "width": "width",
     "shards": "shards",
-    "most": "most",
+    "max_brokers": "most",
     "coordinators": "keepers",
 }
 
@@ -98,8 +98,8 @@
 
 def _check_capacity(new: PreflightSettings) -> Iterator[PreflightWarning]:
     for budget in new.fleet.budgets:
-        if budget.name != "connections" and budget.whole < 1:
-            yield PreflightWarning(f"budget {budget.name}: {budget.whole:g} a second is less than one use")
+        if budget.name != "connections" and budget.total < 1:
+            yield PreflightWarning(f"budget {budget.name}: {budget.total:g} a second is less than one use")
     open_cap = new.limits.open_cap
     widest_query = max((space.parts for space in new.keys), default=1)
     if open_cap and open_cap < widest_query + 1:
--- a/heathwell/fleet/rollout/preflight_settings.py
+++ b/heathwell/fleet/rollout/preflight_settings.py
@@ -44,7 +44,7 @@
 class BudgetSettings(Protocol):
     """A fleet-wide budget; ``whole`` (the key in the settings) is its total."""
 
-    whole: float
+    total: float
 
     @property
     def name(self) -> str:
--- a/heathwell/servers/vector_api.py
+++ b/heathwell/servers/vector_api.py
@@ -1,8 +1,8 @@
-"""The requests of the vector search server: Qdrant's REST form of searches, parsed and checked. Pure.
+"""Parsing and validation of the vector search server's requests, in the form of Qdrant's REST API. No I/O.
 
-Served: ``points/query`` and ``points/search`` with their batch forms, of plain dense vectors. What a request
-names that is not served is an error that names it; nothing is skipped in silence. Errors have the API's own
-shape; their texts are read by clients and stay as they are.
+Supported are ``points/query``, ``points/search`` and their batch forms, for one unnamed dense vector. A
+request with an unsupported field is rejected by an error that names the field, except for members of
+``params``. The texts of errors are part of the protocol.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 from heathwell.codec.http import Request
 from heathwell.service.vectors.filter_checks import FilterError, check_filter
 from heathwell.service.vectors.search_messages import SearchParameters, SearchRequest, encode_search
-from heathwell.settings.schema import Collection, Vector
+from heathwell.settings.schema import Collection, VectorSettings
 
 MAX_FLOAT32 = 3.4e38
 DEFAULT_LIMIT = 10
 TIMEOUT_HEADER = "x-heathwell-timeout-ms"
-ROUTE = re.compile(r"/collections/([^/]+)/points/(query|search)(/batch)?")
-INFO = re.compile(r"/collections/([^/]+)(/exists)?")
+SEARCH_PATH = re.compile(r"/collections/([^/]+)/points/(query|search)(/batch)?")
+COLLECTION_PATH = re.compile(r"/collections/([^/]+)(/exists)?")
 
 
 class ApiError(Exception):
-    """An error of the API's own shape; the client may retry after ``retry_after_us``, if not 0."""
+    """An error response of the API; the client may retry after ``retry_after_us``, unless it is 0."""
 
     def __init__(self, status: int, text: str, retry_after_us: int = 0) -> None:
         super().__init__(text)
@@ -39,6 +39,8 @@
 
 
 class _Body(msgspec.Struct, forbid_unknown_fields=True):
+    """The fields that both forms of a search have."""
+
     limit: int | None = None
     offset: int | None = None
     filter: Any = None
@@ -50,7 +52,7 @@
 
 
 class QueryBody(_Body, forbid_unknown_fields=True):
-    """``points/query``."""
+    """The body of ``points/query``."""
 
     query: Any = None
     using: str | None = None
@@ -59,26 +61,26 @@
 
 
 class SearchBody(_Body, forbid_unknown_fields=True):
-    """``points/search``, the older form."""
+    """The body of ``points/search``, the older form."""
 
     vector: Any = None
 
 
 class Batch(msgspec.Struct, forbid_unknown_fields=True):
-    """A batch, its searches still as they came: they are read one at a time."""
+    """The body of a batch. Its searches are left undecoded, for :func:`read_search` to decode one by one."""
 
     searches: list[msgspec.Raw]
 
 
-class Params(msgspec.Struct):
-    """Of a search's parameters, those that have a meaning here."""
+class SearchOptions(msgspec.Struct):
+    """The supported members of ``params``; others are ignored."""
 
     exact: bool | None = None
     hnsw_ef: int | None = None
 
 
 class Selector(msgspec.Struct, forbid_unknown_fields=True):
-    """Payload fields."""
+    """Names of the payload fields to return, or of those to leave out."""
 
     include: list[str] | None = None
     exclude: list[str] | None = None
@@ -86,10 +88,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Search:
-    """One search, checked."""
+    """One validated search; ``vector`` holds float32 values in native byte order."""
 
     vector: bytes
-    want: SearchParameters
+    parameters: SearchParameters
     limit: int
     offset: int
 
@@ -101,21 +103,24 @@
 }
 
 
-def read_batch(body: bytes, limits: Vector) -> list[msgspec.Raw]:
-    """Return the searches of a batch, each not parsed yet; raise :class:`ApiError`."""
+def read_batch(body: bytes, limits: VectorSettings) -> list[msgspec.Raw]:
+    """Return the undecoded searches of a batch; raise :class:`ApiError`."""
     try:
         searches = _batches.decode(body).searches
     except msgspec.MsgspecError as error:
         raise ApiError(400, f"Format error in JSON body: {error}") from None
-    if len(searches) > limits.batch:
-        raise ApiError(400, f"searches: {len(searches)} in one batch, {limits.batch} are served")
+    if len(searches) > limits.max_batch_searches:
+        raise ApiError(400, f"searches: {len(searches)} in one batch, {limits.max_batch_searches} are served")
     return searches
 
 
 def read_search(
-    form: str, body: bytes | msgspec.Raw, spec: Collection, limits: Vector, path: str = ""
+    form: str, body: bytes | msgspec.Raw, spec: Collection, limits: VectorSettings, path: str = ""
 ) -> Search:
-    """Parse one search of the form ``query`` or ``search``; raise :class:`ApiError` naming the field."""
+    """Parse one search of the form ``query`` or ``search``; raise :class:`ApiError`.
+
+    ``path`` is the prefix of the fields' paths in errors, as in ``searches[2].``.
+    """
     try:
         parsed = _bodies[form].decode(body)
     except msgspec.MsgspecError as error:
@@ -126,24 +131,24 @@
     offset = parsed.offset or 0
     _check_range(limit, offset, limits, path)
     _check_filter(parsed, path)
-    params = Params()
+    options = SearchOptions()
     if parsed.params is not None:
-        params = _convert(parsed.params, Params, f"{path}params")
+        options = _convert(parsed.params, SearchOptions, f"{path}params")
     threshold = parsed.score_threshold
     if threshold is not None and spec.distance == "euclid":
         threshold = -threshold
     payload = _read_payload_selection(parsed.with_payload, path)
-    want = SearchParameters(
+    parameters = SearchParameters(
         offset + limit,
         parsed.filter or None,
         threshold,
-        bool(params.exact),
-        params.hnsw_ef or 0,
+        bool(options.exact),
+        options.hnsw_ef or 0,
         payload.included,
         payload.excluded,
         _read_vector_selection(parsed.with_vector, path),
     )
-    return Search(vector, want, limit, offset)
+    return Search(vector, parameters, limit, offset)
 
 
 def _check_unsupported_fields(body: QueryBody | SearchBody, path: str) -> None:
@@ -158,7 +163,7 @@
 
 
 def _read_vector(body: QueryBody | SearchBody, spec: Collection, path: str) -> bytes:
-    """Return the vector as float32 values; it stands in ``vector``, ``query`` or ``query.nearest``."""
+    """Return the vector of field ``vector``, ``query`` or ``query.nearest``, as float32 values."""
     if isinstance(body, SearchBody):
         return _to_float32(body.vector, spec, f"{path}vector")
     if not isinstance(body.query, dict):
@@ -169,7 +174,7 @@
     return _to_float32(body.query["nearest"], spec, f"{path}query.nearest")
 
 
-def _check_range(limit: int, offset: int, limits: Vector, path: str) -> None:
+def _check_range(limit: int, offset: int, limits: VectorSettings, path: str) -> None:
     for field, value, minimum in (("limit", limit, 1), ("offset", offset, 0)):
         if value < minimum:
             raise ApiError(
@@ -177,8 +182,10 @@
                 f"Validation error in JSON body: [{path}{field}: value {value} invalid, must be "
                 f"{minimum} or larger]",
             )
-    if offset + limit > limits.rows:
-        raise ApiError(400, f"{path}limit: {offset + limit} rows with the offset, {limits.rows} are served")
+    if offset + limit > limits.max_rows:
+        raise ApiError(
+            400, f"{path}limit: {offset + limit} rows with the offset, {limits.max_rows} are served"
+        )
 
 
 def _check_filter(body: QueryBody | SearchBody, path: str) -> None:
@@ -223,7 +230,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PayloadSelection:
-    """Which payload fields are returned: all, none or those named, but for the excluded ones."""
+    """The payload fields to return: all, none or the included ones; with ``excluded``, all but those."""
 
     included: bool | list[str]
     excluded: list[str]
@@ -249,13 +256,16 @@
 
 
 def encode_searches(collection: str, searches: Sequence[Search]) -> bytes:
-    """Return the body of a part that carries these searches."""
+    """Encode the searches as the body of a part."""
     vectors = b"".join(search.vector for search in searches)
-    return encode_search(SearchRequest(collection, vectors, [search.want for search in searches]))
+    return encode_search(SearchRequest(collection, vectors, [search.parameters for search in searches]))
 
 
 def client_timeout_us(request: Request) -> int:
-    """Return the time-out that the client set itself, 0 if none; raise :class:`ApiError`."""
+    """Return the timeout that the request sets, 0 if none; raise :class:`ApiError`.
+
+    It is the query parameter ``timeout`` in seconds, else the header of :data:`TIMEOUT_HEADER`.
+    """
     stated = parse_qs(request.query).get("timeout", [""])[0]
     header = request.headers.get(TIMEOUT_HEADER, "")
     for name, text, unit in (("timeout", stated, 1_000_000), (TIMEOUT_HEADER, header, 1_000)):
--- a/heathwell/servers/vector_routes.py
+++ b/heathwell/servers/vector_routes.py
@@ -1,4 +1,4 @@
-"""The paths of the vector search server and what answers them. Texts of errors are read by clients."""
+"""Routing of the vector search server's requests. The texts of errors are part of the protocol."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 from heathwell.service.service_broker import ServiceBroker
 from heathwell.settings.schema import Collection
 
-API_VERSION = "1.20.0"  # of the API's form, which clients compare with their own
+API_VERSION = "1.20.0"  # of the API that is served; client libraries compare it with their own version
 READ_ONLY = "This service only searches; write to the shards' own store"
-SEARCHES_PER_TURN = 16  # of a batch, parsed before other tasks of the loop get a turn
+SEARCHES_PER_TURN = 16  # searches of a batch that are parsed before the task yields to the event loop
 HEALTH_PATHS = ("/healthz", "/livez", "/readyz")
 WRITING_METHODS = ("PUT", "DELETE", "PATCH", "POST")
 
 
 class SearchClient(Protocol):
-    """What the routes use of the connection that a request came by."""
+    """The part of a connection that the routes use."""
 
     @property
     def address(self) -> str:
         """The client's address, without its port."""
 
-    def request_name(self, request: Request) -> str:
-        """Return the client's own id of its request, or a new one."""
+    def request_id(self, request: Request) -> str:
+        """Return the request id that the client sent, or else a new one."""
 
     def run_search(self, search: ChunkedSearch) -> Coro[SearchResults]:
-        """Run a search, which is cancelled when the client disconnects."""
+        """Run a search, and cancel it if the client disconnects."""
 
 
 @dataclass(frozen=True, slots=True)
 class SearchRoute:
-    """A path that searches: the collection, the form of the body and whether it holds a batch."""
+    """A search path, parsed: the collection, the form of the body, and whether it is a batch."""
 
     collection: str
     form: str
@@ -48,7 +48,7 @@
 
 
 class VectorRoutes:
-    """Answers the requests of all connections."""
+    """Dispatches the requests of all connections of a server."""
 
     def __init__(self, broker: ServiceBroker, planner: SearchPlanner) -> None:
         self._broker = broker
@@ -58,7 +58,7 @@
     def answer(self, request: Request, client: SearchClient) -> Coro[Response]:
         """Return the response to a request; raise :class:`~heathwell.servers.vector_api.ApiError`."""
         path = request.path.rstrip("/")
-        match = api.ROUTE.fullmatch(path)
+        match = api.SEARCH_PATH.fullmatch(path)
         if match is None:
             return self._answer_information(request, path, self._broker.loop.now())
         if request.method != "POST":
@@ -72,15 +72,17 @@
                 return _service_information()
             if path == "/collections":
                 names = [{"name": name} for name in self._collections]
-                return answers.answered({"collections": names}, self._broker.loop.now() - started_at_us)
+                return answers.success_response(
+                    {"collections": names}, self._broker.loop.now() - started_at_us
+                )
             if path in HEALTH_PATHS:
                 return self._health(path)
-        match = api.INFO.fullmatch(path)
+        match = api.COLLECTION_PATH.fullmatch(path)
         if match is not None and request.method == "GET":
             name = unquote(match[1])
             exists = {"exists": name in self._collections}
             answer = exists if match[2] else self._collection_information(self._collection(name))
-            return answers.answered(answer, self._broker.loop.now() - started_at_us)
+            return answers.success_response(answer, self._broker.loop.now() - started_at_us)
         if request.method in WRITING_METHODS and path.startswith("/collections"):
             raise api.ApiError(403, f"Forbidden: {READ_ONLY}")
         raise api.ApiError(404, f"Not found: {request.method} {request.path}")
@@ -111,16 +113,16 @@
         timeout_us = api.client_timeout_us(request)
         searches = yield from self._parse_searches(request, route, spec)
         if not searches:
-            return answers.answered([], self._broker.loop.now() - started_at_us)
+            return answers.success_response([], self._broker.loop.now() - started_at_us)
         search_request = SearchRequest(
-            spec, searches, timeout_us, route.is_batch, client.request_name(request), client.address
+            spec, searches, timeout_us, route.is_batch, client.request_id(request), client.address
         )
         found = yield from client.run_search(ChunkedSearch(self._broker, self._planner, search_request))
-        results = list(answers.results(found.merged, spec.distance, route.form))
-        return answers.answered(
+        results = list(answers.search_results(found.merged, spec.distance, route.form))
+        return answers.success_response(
             results if route.is_batch else results[0],
             self._broker.loop.now() - started_at_us,
-            answers.quality_of(found.replies),
+            answers.answer_quality(found.replies),
         )
 
     def _parse_searches(
@@ -143,4 +145,4 @@
         "version": API_VERSION,
         "commit": __version__,
     }
-    return Response(200, msgspec.json.encode(information), answers.JSON)
+    return Response(200, msgspec.json.encode(information), answers.JSON_CONTENT_TYPE)
--- a/heathwell/service/fair_admission.py
+++ b/heathwell/service/fair_admission.py
@@ -40,12 +40,12 @@
     ) -> None:
         fronts = service_settings.fronts
         groups = service_settings.fleet.cells
-        initial_limit_us = INITIAL_LIMIT_FACTOR * fronts.queue_target * groups / broker_count
+        initial_limit_us = INITIAL_LIMIT_FACTOR * fronts.queue_target_us * groups / broker_count
         self._broker = broker
         self._timer: Timer | None = None
         self.queue = FairQueue(
             {"memcached": fronts.memcached, "vector": fronts.vector},
-            ConcurrencyLimiter(fronts.queue_target, initial_limit_us),
+            ConcurrencyLimiter(fronts.queue_target_us, initial_limit_us),
             seed ^ FAIR_QUEUE_SEED_MASK,
         )
 
@@ -83,7 +83,7 @@
         if search is not None and search.queue_timeout_us:
             return min(search.queue_timeout_us, left_us // 2)
         objective_us = self._broker.query_class_of(query).latency_objective_us
-        return int(self._broker.service_settings.fronts.patience * min(objective_us, left_us))
+        return int(self._broker.service_settings.fronts.max_wait_fraction * min(objective_us, left_us))
 
     def _reject(self, query: ServiceQuery) -> None:
         query_class = self._broker.query_class_of(query)
--- a/heathwell/service/module_settings.py
+++ b/heathwell/service/module_settings.py
@@ -25,8 +25,8 @@
         hedging_allowed=limits.second_copies,
         cancellation_allowed=limits.cancelling,
         probing_allowed=limits.probing,
-        retry_advice_allowed=limits.advise,
-        max_retry_after_us=limits.max_advice,
+        retry_advice_allowed=limits.sends_retry_after,
+        max_retry_after_us=limits.max_retry_after_us,
         poll_mode=service_settings.discovery.ask,
         max_poll_interval_us=rules.must_ask,
         parts_per_call=limits.parts_a_call,
@@ -41,7 +41,7 @@
         additional_attempt_ratio=rules.additional_attempt_ratio,
         attempt_budget_window_us=rules.counted_over,
         endpoints_cache_keys=limits.warm_keys,
-        priority_scales_with_work=limits.by_work,
+        priority_scales_with_work=limits.weight_by_work,
     )
 
 
--- a/heathwell/settings/check.py
+++ b/heathwell/settings/check.py
@@ -1,6 +1,6 @@
-"""Nodes to records: types, units, limits, unknown and repeated keys.
+"""Conversion of parsed forms to records: checks types, units, bounds, and unknown, repeated or missing keys.
 
-All faults of a file are reported at once.
+All errors of a file are reported together.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 from msgspec import inspect
 
 from heathwell.settings.consistency import CROSS_CHECKS
-from heathwell.settings.errors import WHOLE_FILE, Problem, SettingsError, Where
+from heathwell.settings.errors import WHOLE_FILE, Problem, SettingsError, SourceLocation
 from heathwell.settings.field_types import Scalar, annotations_of, convert, describe, format_number, unwrap
 from heathwell.settings.reader import START_OF_FILE, Atom, Form, read
 from heathwell.settings.records.service import ServiceSettings
 from heathwell.settings.units import TIME_US
 
-__all__ = ["TIME_US", "Problem", "SettingsError", "Where", "load", "loads", "loads_as"]
+__all__ = ["TIME_US", "Problem", "SettingsError", "SourceLocation", "load", "loads", "loads_as"]
 
 R = TypeVar("R", bound=msgspec.Struct)
 Position = tuple[int, int]  # line and column
-PathAndText = tuple[str, str]  # of a fault: the path of its key, and what is wrong
+PathAndText = tuple[str, str]  # an error: the path of its key, and the message
 RecordCheck = Callable[[R], Iterable[PathAndText]]
 Value = Union[Scalar, None, list["Value"], "RecordValues"]
 RecordValues = dict[str, Value]
-MIN_KEY_SIMILARITY = 0.5  # of a hint for an unknown key
+MIN_KEY_SIMILARITY = 0.5  # from which a known key is suggested for an unknown one
 
 
 def load(path: str | Path) -> ServiceSettings:
-    """Return the settings of a file; raise :class:`SettingsError`, :class:`OSError`."""
+    """Return the settings of a file; raise :class:`SettingsError` or :class:`OSError`."""
     return loads(Path(path).read_text(encoding="utf-8"), str(path))
 
 
@@ -43,9 +43,10 @@
 
 
 def loads_as(record_type: type[R], checks: Iterable[RecordCheck[R]], text: str, file: str) -> R:
-    """Return a text as a record of a type; raise :class:`SettingsError`.
+    """Parse a text into a record of ``record_type``; raise :class:`SettingsError`.
 
-    The checks yield path and text of each fault; they are run if the text has no other faults.
+    ``checks`` yield the path and message of each error of a complete record. They run only on a text without
+    other errors.
     """
     checker = Checker(file)
     root = Form((Atom("settings", START_OF_FILE), *read(text, file)), START_OF_FILE)
@@ -54,28 +55,28 @@
         record = msgspec.convert(values, record_type)
         for check in checks:
             for path, reason in check(record):
-                checker.add(checker.place(path), path, reason)
+                checker.add(checker.locate(path), path, reason)
         if not checker.problems:
             return record
     raise SettingsError(sorted(checker.problems, key=_position))
 
 
 def _position(problem: Problem) -> Position:
-    return problem.where.line, problem.where.column
+    return problem.location.line, problem.location.column
 
 
 @dataclass(slots=True)
 class _RecordFields:
-    """The fields of a record by the way they are written in a form."""
+    """The fields of a record, grouped by how they are written in a form."""
 
     by_name: dict[str, inspect.Field]
-    positional: list[str]  # without a key; those that are not given yet
-    repeated: dict[str, str]  # names by the key of their forms
+    positional: list[str]  # written without a key; those without a value yet, in order
+    repeated: dict[str, str]  # lists of records: field names by the key of one element
     keyed: set[str]
 
     @classmethod
     def of(cls, info: inspect.StructType) -> _RecordFields:
-        """Sort the fields of a record."""
+        """Group the fields of a record type."""
         by_name = {field.encode_name: field for field in info.fields}
         notes = {name: annotations_of(field.type) for name, field in by_name.items()}
         positional = [name for name in by_name if notes[name].get("positional")]
@@ -85,44 +86,44 @@
 
 
 class Checker:
-    """Walks the nodes beside the types of the records, and collects the faults."""
+    """Converts forms to the values of records by their types, and collects the errors."""
 
     def __init__(self, file: str) -> None:
         self.file = file
         self.problems: list[Problem] = []
-        self.places: dict[str, Where] = {}  # by the path of a key
+        self.locations: dict[str, SourceLocation] = {}  # by the path of a key
 
-    def add(self, where: Where, key: str, text: str) -> None:
-        """Add a fault."""
-        self.problems.append(Problem(self.file, where, key or WHOLE_FILE, text))
+    def add(self, location: SourceLocation, key: str, text: str) -> None:
+        """Record an error."""
+        self.problems.append(Problem(self.file, location, key or WHOLE_FILE, text))
 
-    def place(self, path: str) -> Where:
-        """Return the place of a path, or of the nearest path above it that stands in the file."""
-        while path and path not in self.places:
+    def locate(self, path: str) -> SourceLocation:
+        """Return the location of a path, or of its nearest ancestor that is in the file."""
+        while path and path not in self.locations:
             path = path.rpartition(".")[0]
-        return self.places.get(path, START_OF_FILE)
+        return self.locations.get(path, START_OF_FILE)
 
     def record(self, form: Form, info: inspect.Type, path: str) -> RecordValues:
-        """Return the values of a record by the names of its fields."""
+        """Return the values of a record by the encoded names of its fields."""
         assert isinstance(info, inspect.StructType)
-        self.places[path] = form.where
+        self.locations[path] = form.location
         fields = _RecordFields.of(info)
         values: RecordValues = {}
         for item in form.items[1:]:
             if isinstance(item, Atom):
                 self._add_positional(item, fields, values, path)
             elif not item.items or not isinstance(item.items[0], Atom):
-                self.add(item.where, path, "a form must begin with its key")
+                self.add(item.location, path, "a form must begin with its key")
             else:
                 self._add_keyed(item, item.items[0].text, fields, values, path)
         for name, field in fields.by_name.items():
             if field.required and name not in values:
-                self.add(form.where, join(path, name), "is missing")
+                self.add(form.location, join(path, name), "is missing")
         return values
 
     def _add_positional(self, atom: Atom, fields: _RecordFields, values: RecordValues, path: str) -> None:
         if not fields.positional:
-            self.add(atom.where, path, f"'{atom.text}' is out of place: a (key value) form was expected")
+            self.add(atom.location, path, f"'{atom.text}' is out of place: a (key value) form was expected")
             return
         name = fields.positional.pop(0)
         values[name] = self.value(atom, fields.by_name[name].type, join(path, name))
@@ -135,7 +136,7 @@
         elif key not in fields.keyed:
             self._add_unknown_key(form, key, fields, path)
         elif key in values:
-            self.add(form.where, join(path, key), "given twice")
+            self.add(form.location, join(path, key), "given twice")
         else:
             values[key] = self.field(form, fields.by_name[key].type, join(path, key))
 
@@ -156,12 +157,12 @@
         if similar_keys:
             hint = f"did you mean '{similar_keys[0]}'?"
         else:
-            hint = f"known here: {', '.join(sorted(known_keys))}"
-        self.add(form.where, join(path, key), f"unknown key; {hint}")
+            hint = f"known keys: {', '.join(sorted(known_keys))}"
+        self.add(form.location, join(path, key), f"unknown key; {hint}")
 
     def field(self, form: Form, info: inspect.Type, path: str) -> Value:
-        """Return the value of one (key value ...) form."""
-        self.places[path] = form.where
+        """Return the value of a field, given by a (key value ...) form."""
+        self.locations[path] = form.location
         inner = unwrap(info)
         if isinstance(inner, inspect.StructType):
             return self.record(form, inner, path)
@@ -169,19 +170,19 @@
         if isinstance(inner, inspect.ListType | inspect.VarTupleType):
             return [self.value(item, inner.item_type, path) for item in items]
         if len(items) != 1:
-            self.add(form.where, path, f"one value expected ({describe(info)}), got {len(items)}")
+            self.add(form.location, path, f"one value expected ({describe(info)}), got {len(items)}")
             return None
         return self.value(items[0], info, path)
 
     def value(self, item: Atom | Form, info: inspect.Type, path: str) -> Scalar | None:
-        """Return the value of one atom in the record's unit."""
-        self.places.setdefault(path, item.where)
+        """Return the value of an atom, in the unit of the record; None after an error."""
+        self.locations.setdefault(path, item.location)
         if isinstance(item, Form):
-            self.add(item.where, path, f"{describe(info)} expected, got a form")
+            self.add(item.location, path, f"{describe(info)} expected, got a form")
             return None
         value = convert(item, info)
         if value is None:
-            self.add(item.where, path, f"{describe(info)} expected, got '{item.text}'")
+            self.add(item.location, path, f"{describe(info)} expected, got '{item.text}'")
         elif isinstance(value, int | float):
             self._check_bounds(value, item, info, path)
         return value
@@ -198,9 +199,9 @@
             self._add_out_of_bounds(f"more than {format_number(inner.gt, info)}", atom, path)
 
     def _add_out_of_bounds(self, bound: str, atom: Atom, path: str) -> None:
-        self.add(atom.where, path, f"must be {bound}, got '{atom.text}'")
+        self.add(atom.location, path, f"must be {bound}, got '{atom.text}'")
 
 
 def join(path: str, key: str) -> str:
-    """Return a path with a further key."""
+    """Append a key to a path."""
     return f"{path}.{key}" if path else key
--- a/heathwell/settings/records/fleet.py
+++ b/heathwell/settings/records/fleet.py
@@ -1,4 +1,4 @@
-"""Settings of the fleet: placement, fleet control, discovery and simulated hosts."""
+"""Settings of the fleet: placement of shards, fleet control, discovery and stand-in hosts."""
 
 from __future__ import annotations
 
@@ -10,36 +10,39 @@
 
 
 class FleetBudget(Record):
-    """A quota of the whole fleet, divided among the live brokers.
+    """A budget of the whole fleet, divided among the live brokers.
 
-    `further`: additional attempts per second. `cold`: parts per second to a host in slow start, at its start
-    capacity, rising with it. `connections`: connections to one host at once, beside each broker's first one.
+    `further`: additional attempts per second. `cold`: parts per second to a host in slow start; the value
+    holds at the host's start capacity and rises with its capacity. `connections`: concurrent connections to
+    one host; these include one for each broker that may exist, which needs no grant.
     """
 
     name: Annotated[
         Literal["further", "cold", "connections"],
         Meta(description="what is divided", extra={"positional": True}),
     ]
-    whole: Annotated[
+    total: Annotated[
         float, Meta(gt=0, description="for the whole fleet; of cold and connections at each host")
-    ]
-    aside: Annotated[
+    ] = field(name="whole")
+    reserved_fraction: Annotated[
         float,
         fraction(
             "share of it that is set aside for brokers' own minima, in equal parts; of "
             "connections one each, whatever this says"
         ),
-    ] = 0.2
-    burst: Annotated[int, duration("of a rate, for how long it may be saved up", 10_000)] = 1_000_000
-    linger: Annotated[
+    ] = field(default=0.2, name="aside")
+    burst_window_us: Annotated[int, duration("of a rate, for how long it may be saved up", 10_000)] = field(
+        default=1_000_000, name="burst"
+    )
+    linger_timeout_us: Annotated[
         int, duration("hosts close a broker's connection from which nothing came for so long", 100_000)
-    ] = 1_500_000
+    ] = field(default=1_500_000, name="linger")
 
 
 class Fleet(Record):
-    """The placement of shards, and, with coordinators in `keepers`, fleet control.
+    """The placement of shards, and fleet control, which is on where `keepers` lists quota coordinators.
 
-    Shard s has replicas in `width` cells: s, s+1 ... (mod cells).
+    Shard s has its replicas in `width` consecutive cells (replica groups) from cell s on, modulo `cells`.
     """
 
     shards: Annotated[int, count("shards", 1)]
@@ -48,7 +51,9 @@
     zones: Annotated[list[str], described("zones, by which hosts and brokers stand")]
     leaves: Annotated[int, count("stand-in hosts of a demo fleet, one a cell in turn")] = 0
     brokers: Annotated[int, count("brokers of a demo fleet, zones in turn")] = 0
-    called: Annotated[str, described("name of the fleet: keepers refuse who says another")] = ""
+    fleet_name: Annotated[str, described("name of the fleet: keepers refuse who says another")] = field(
+        default="", name="called"
+    )
     coordinators: Annotated[
         list[str],
         described(
@@ -56,9 +61,9 @@
             "none: brokers share nothing"
         ),
     ] = field(default_factory=list, name="keepers")
-    most: Annotated[
+    max_brokers: Annotated[
         int, count("brokers that there may ever be at once, dying ones included; 0: as brokers")
-    ] = 0
+    ] = field(default=0, name="most")
     lease: Annotated[int, duration("how long a share may be used after it was asked for", 100_000)] = (
         3_000_000
     )
@@ -67,9 +72,9 @@
     dead: Annotated[int, duration("silence after which it is taken for dead", 200_000)] = 5_000_000
     drift: Annotated[float, fraction("how much faster or slower a clock may run")] = 0.03
     evacuate: Annotated[bool, described("leave a zone that fails, and come back to it, as a fleet")] = False
-    zone_bears: Annotated[
+    zone_capacity: Annotated[
         int, count("parts a second that the hosts of one zone bear; 0: what their answers tell")
-    ] = 0
+    ] = field(default=0, name="zone-bears")
     zone_client_drain_duration_us: Annotated[
         int, duration("brokers of a zone that is left close idle clients over so long; 0: keep them")
     ] = field(default=10_000_000, name="zone-let-go")
@@ -87,7 +92,7 @@
 
 
 class Leaf(Record):
-    """The simulated hosts."""
+    """The stand-in hosts of demo fleets and tests."""
 
     slots: Annotated[int, count("parts at work at once", 1)] = 4
     queue: Annotated[int, count("parts that wait; more are turned away")] = 24
--- a/heathwell/settings/records/limits.py
+++ b/heathwell/settings/records/limits.py
@@ -1,4 +1,4 @@
-"""Settings of the rules, of a broker's limits and of retry storms."""
+"""Settings of the audited rules, of a broker's limits and of retry storms."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Rules(Record):
-    """The parameters of the rules that the auditor checks."""
+    """Parameters of the rules that brokers keep and the auditor checks."""
 
     drain_grace: Annotated[int, duration("nothing new to a host this long after word of its drain")] = (
         1_000_000
@@ -35,14 +35,22 @@
     second_copies: Annotated[bool, described("two attempts of a part may be out at once")] = False
     cancelling: Annotated[bool, described("attempts may be called off")] = True
     probing: Annotated[bool, described("hosts may be probed")] = True
-    advise: Annotated[bool, described("refusals say when to come back")] = True
-    max_advice: Annotated[int, duration("longest advice that clients heed")] = 500_000
+    sends_retry_after: Annotated[bool, described("refusals say when to come back")] = field(
+        default=True, name="advise"
+    )
+    max_retry_after_us: Annotated[int, duration("longest advice that clients heed")] = field(
+        default=500_000, name="max-advice"
+    )
     parts_a_call: Annotated[int, count("parts of one turn that share a call", 1)] = 1
     warm_keys: Annotated[bool, described("hosts do less work for keys met lately")] = False
-    by_work: Annotated[bool, described("worth is counted in proportion to a query's work")] = False
+    weight_by_work: Annotated[bool, described("worth is counted in proportion to a query's work")] = field(
+        default=False, name="by-work"
+    )
     marks_retry: Annotated[bool, described("clients mark repeats")] = False
     tick: Annotated[int, duration("how much before a deadline the final answer is given", 1000)] = 5_000
-    transit: Annotated[int, duration("of the client's time, kept for the reply's way back")] = 20_000
+    reply_transit_us: Annotated[int, duration("of the client's time, kept for the reply's way back")] = field(
+        default=20_000, name="transit"
+    )
     connect_timeout: Annotated[int, duration("how long a connect may take", 1000)] = 250_000
     probe_timeout: Annotated[int, duration("how long a probe may take", 1000)] = 250_000
     idle_close: Annotated[int, duration("idle connections to hosts close after this", 1000)] = 30_000_000
@@ -50,27 +58,35 @@
     busy_connection: Annotated[int, count("parts out on each from which another is opened", 1)] = 4
     clients: Annotated[int, count("client connections at once", 1)] = 12_000
     clients_an_address: Annotated[int, count("client connections of one address at once; 0: no limit")] = 0
-    pipelined: Annotated[int, count("requests of one connection at work at once", 1)] = 64
-    keys_a_get: Annotated[int, count("keys in one get", 1)] = 200
-    line: Annotated[int, size("longest request line")] = 65_536
+    max_pipelined_requests: Annotated[int, count("requests of one connection at work at once", 1)] = field(
+        default=64, name="pipelined"
+    )
+    max_keys_per_get: Annotated[int, count("keys in one get", 1)] = field(default=200, name="keys-a-get")
+    max_line_bytes: Annotated[int, size("longest request line")] = field(default=65_536, name="line")
     value: Annotated[int, size("longest data block that a refused storage command may carry")] = 1 << 20
-    unread: Annotated[int, size("bytes a client may leave unread before it is cut off")] = 1 << 22
+    max_unread_bytes: Annotated[int, size("bytes a client may leave unread before it is cut off")] = field(
+        default=1 << 22, name="unread"
+    )
 
 
-class Storms(Record):
-    """Retry and reconnect storms."""
+class RetryStorms(Record):
+    """Detection and damping of retry and reconnect storms."""
 
     enabled: Annotated[
         bool, described("recognise and damp them, and advise from a calendar of what hosts can take")
     ] = field(default=False, name="on")
-    useful: Annotated[int, duration("advice later than this is no use to a client", 200_000)] = 8_000_000
-    repeat: Annotated[int, duration("the same question of the same client within this is a repeat", 1000)] = (
-        3_000_000
+    longest_retry_after_us: Annotated[
+        int, duration("advice later than this is no use to a client", 200_000)
+    ] = field(default=8_000_000, name="useful")
+    repeat_interval_us: Annotated[
+        int, duration("the same question of the same client within this is a repeat", 1000)
+    ] = field(default=3_000_000, name="repeat")
+    accept_rate: Annotated[float, Meta(ge=0, description="connects taken in a second; 0: no bound")] = field(
+        default=0.0, name="accepts"
     )
-    accepts: Annotated[float, Meta(ge=0, description="connects taken in a second; 0: no bound")] = 0.0
-    first_accepts: Annotated[
+    initial_accept_rate: Annotated[
         float, Meta(ge=0, description="the same just after the start, growing; 0: no bound")
-    ] = 0.0
-    first_rate: Annotated[
+    ] = field(default=0.0, name="first-accepts")
+    initial_work_rate_us: Annotated[
         int, duration("work let in a second just after the start, growing; 0: no bound")
-    ] = 0
+    ] = field(default=0, name="first-rate")
--- a/heathwell/settings/records/regions.py
+++ b/heathwell/settings/records/regions.py
@@ -1,4 +1,4 @@
-"""Settings of several regions."""
+"""Settings of fleets that span several regions."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     cost: Annotated[float, Meta(ge=0, description="what a part that crosses takes from cross-budget")] = 1.0
 
 
-class Across(Record):
-    """Routing across regions; without regions it is off."""
+class RegionRouting(Record):
+    """Routing across regions; it is off where no regions are listed."""
 
     decide: Annotated[
         bool, described("judge the links between regions, and shut or avoid what lies behind them")
--- a/heathwell/settings/records/servers.py
+++ b/heathwell/settings/records/servers.py
@@ -1,44 +1,60 @@
-"""Settings of the client protocols."""
+"""Settings of the servers of client protocols."""
 
 from __future__ import annotations
 
 from typing import Annotated, Literal
 
-from msgspec import Meta
+from msgspec import Meta, field
 
 from heathwell.settings.records.base import Record, count, described, duration, fraction, size
 
 
-class Vector(Record):
-    """The server of vector searches, with Qdrant's REST interface."""
+class VectorSettings(Record):
+    """The vector search server, which has Qdrant's REST API."""
 
     listen: Annotated[str, described("HTTP address; port 0 lets the kernel choose; empty: no such front")] = (
         ""
     )
-    body: Annotated[int, size("longest request body")] = 32 << 20
-    head: Annotated[int, size("longest request line and headers")] = 65_536
-    slow: Annotated[int, duration("a request that has begun must be whole within this", 1000)] = 10_000_000
-    idle: Annotated[int, duration("idle connections close after this", 1000)] = 60_000_000
-    batch: Annotated[int, count("searches in one batch", 1)] = 10_000
-    rows: Annotated[int, count("offset and limit together", 1)] = 10_000
-    chunk: Annotated[int, duration("a batch is cut into parts that cost a host so much at the most", 1)] = (
-        30_000
+    max_body_bytes: Annotated[int, size("longest request body")] = field(default=32 << 20, name="body")
+    max_head_bytes: Annotated[int, size("longest request line and headers")] = field(
+        default=65_536, name="head"
+    )
+    request_timeout_us: Annotated[
+        int, duration("a request that has begun must be whole within this", 1000)
+    ] = field(default=10_000_000, name="slow")
+    idle_timeout_us: Annotated[int, duration("idle connections close after this", 1000)] = field(
+        default=60_000_000, name="idle"
+    )
+    max_batch_searches: Annotated[int, count("searches in one batch", 1)] = field(
+        default=10_000, name="batch"
+    )
+    max_rows: Annotated[int, count("offset and limit together", 1)] = field(default=10_000, name="rows")
+    max_chunk_cost_us: Annotated[
+        int, duration("a batch is cut into parts that cost a host so much at the most", 1)
+    ] = field(default=30_000, name="chunk")
+    max_chunks_in_flight: Annotated[int, count("parts of one batch that are out at once", 1)] = field(
+        default=4, name="chunks-at-once"
+    )
+    max_chunk_searches: Annotated[int, count("searches that share a part at the most", 1)] = field(
+        default=64, name="chunk-searches"
     )
-    chunks_at_once: Annotated[int, count("parts of one batch that are out at once", 1)] = 4
-    chunk_searches: Annotated[int, count("searches that share a part at the most", 1)] = 64
 
 
-class Fronts(Record):
-    """The servers' weights in fair queueing, by the cost of their work; without a queue target it is off."""
+class FairQueueing(Record):
+    """Fair queueing between the servers, by the cost of their work; off where `queue_target_us` is 0."""
 
-    queue_target: Annotated[int, duration("queueing at hosts up to which work is sent out; 0: no bound")] = 0
-    patience: Annotated[float, fraction("share of a query's aim that it may wait for its turn")] = 0.25
+    queue_target_us: Annotated[
+        int, duration("queueing at hosts up to which work is sent out; 0: no bound")
+    ] = field(default=0, name="queue-target")
+    max_wait_fraction: Annotated[float, fraction("share of a query's aim that it may wait for its turn")] = (
+        field(default=0.25, name="patience")
+    )
     memcached: Annotated[float, Meta(gt=0, description="weight of the memcached front")] = 1.0
     vector: Annotated[float, Meta(gt=0, description="weight of the vector front")] = 1.0
 
 
 class BrokerSettings(Record):
-    """The addresses that a broker listens on, and its shutdown."""
+    """Addresses that a broker listens on, replies to rejected queries, and the shutdown timeout."""
 
     listen: Annotated[str, described("memcached address; port 0 lets the kernel choose")] = "127.0.0.1:0"
     admin: Annotated[str, described("admin HTTP address")] = "127.0.0.1:0"
--- a/heathwell/settings/schema.py
+++ b/heathwell/settings/schema.py
@@ -1,21 +1,21 @@
-"""The schema of a settings file: its records and the checks across them.
+"""The schema of a settings file: the record types and the checks that span several fields.
 
-The page for operators (`heathwell schema`) is generated from the records.
+`heathwell schema` prints the reference page that is generated from the records.
 """
 
 from heathwell.settings.consistency import CROSS_CHECKS
 from heathwell.settings.records.base import NAME, Record, count, described, duration, fraction, repeated, size
 from heathwell.settings.records.fleet import Discovery, Fleet, FleetBudget, Leaf
 from heathwell.settings.records.freshness import Freshness
-from heathwell.settings.records.limits import Limits, Rules, Storms
+from heathwell.settings.records.limits import Limits, RetryStorms, Rules
 from heathwell.settings.records.logs import Log, ModuleLevel
 from heathwell.settings.records.queries import Collection, KeySpace, QueryClass
-from heathwell.settings.records.regions import Across, Region, RegionLink
-from heathwell.settings.records.servers import BrokerSettings, Fronts, Vector
+from heathwell.settings.records.regions import Region, RegionLink, RegionRouting
+from heathwell.settings.records.servers import BrokerSettings, FairQueueing, VectorSettings
 from heathwell.settings.records.service import ServiceSettings
 
 __all__ = [
-    "Across",
+    "RegionRouting",
     "BrokerSettings",
     "CROSS_CHECKS",
     "Collection",
@@ -23,7 +23,7 @@
     "Fleet",
     "FleetBudget",
     "Freshness",
-    "Fronts",
+    "FairQueueing",
     "KeySpace",
     "Leaf",
     "Limits",
@@ -36,8 +36,8 @@
     "RegionLink",
     "Rules",
     "ServiceSettings",
-    "Storms",
-    "Vector",
+    "RetryStorms",
+    "VectorSettings",
     "count",
     "described",
     "duration",
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -14,7 +14,7 @@
 from heathwell.gateway.config import read
 from heathwell.gateway.front import Front
 from heathwell.gateway.node_attempts import NodeRequest
-from heathwell.observability.event_log import ListEvents
+from heathwell.observability.event_log import InMemoryEventLog
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
 from heathwell.testing.simulation.platform_config import REPLICA_GROUPS, encode_config, platform_settings
@@ -66,7 +66,7 @@
             self.net.at("broker"),
             self.config,
             log=self.log,
-            events=ListEvents(self.events, "n1", "broker", self.loop.clock),
+            events=InMemoryEventLog(self.events, "n1", "broker", self.loop.clock),
             unix_us=lambda: UNIX_US,
         )
         self.front = Front(
@@ -83,7 +83,7 @@
             f"{uid}:7070",
             uid,
             number if replica_group is None else replica_group,
-            events=ListEvents(self.events, uid, "host", self.loop.clock),
+            events=InMemoryEventLog(self.events, uid, "host", self.loop.clock),
         )
 
     def log(self, level: str, event: str, **fields: object) -> None:
