--- a/heathwell/testing/audit/__init__.py
+++ b/heathwell/testing/audit/__init__.py
@@ -1,4 +1,4 @@
-"""Judges the six rules from the event logs of clients, brokers and hosts; it uses none of their code."""
+"""Checks the six rules of a run by the event logs of clients, brokers and hosts, without using their code."""
 
 from heathwell.testing.audit.budgets import BudgetVerdict, judge_budgets
 from heathwell.testing.audit.freshness import AgeVerdict, judge_ages
--- a/heathwell/testing/audit/attempt_budget.py
+++ b/heathwell/testing/audit/attempt_budget.py
@@ -1,4 +1,4 @@
-"""Rule 6: the budget of additional attempts of each broker."""
+"""Rule 6: no broker sends more additional attempts than its attempt budget permits."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def check_attempt_budget(records: RunRecords) -> Iterator[Breach]:
-    """Yield the breaches of the rule."""
+    """Yield the additional attempts by which a broker exceeded its budget within the window."""
     window_us = records.parameters["counted_over"]
     if not window_us:
         return
@@ -36,7 +36,7 @@
 
 
 def _taken_at_us(records: RunRecords) -> dict[str, list[int]]:
-    """Return when each broker took queries and their parts."""
+    """Return, by broker, one instant for each query and each part that the broker accepted."""
     taken_at_us: dict[str, list[int]] = defaultdict(list)
     for query in records.queries.values():
         parts = query.take["parts"] + len(query.firsts) * records.class_of(query)["fetch"]
@@ -45,7 +45,7 @@
 
 
 def _additional_attempts(records: RunRecords) -> dict[str, list[_AdditionalAttempt]]:
-    """Return the additional attempts of each broker with their instants, in order of these."""
+    """Return the additional attempts of each broker, ordered by when they were sent."""
     by_broker: dict[str, list[_AdditionalAttempt]] = defaultdict(list)
     for attempt in records.attempts.values():
         if attempt.seq and attempt.arrive is not None:
--- a/heathwell/testing/audit/budgets.py
+++ b/heathwell/testing/audit/budgets.py
@@ -1,8 +1,8 @@
-"""Judges the budgets of a fleet from logs alone: what was held, and what was used, at every instant.
+"""Checks the budgets of a fleet by event logs alone: the amounts held and used at every instant.
 
-Holders log each change of what they hold (with its remaining time by their own clocks), each use of a rate,
-and the rate of their clocks; coordinators log their grants; hosts log connections and arrivals. What a killed
-process held counts until it would have expired.
+Holders log each change of their grants (with the remaining time by their own clocks), each use of a rate, and
+the rate of their clocks. Coordinators log the grants that they make, hosts their connections and arrivals.
+The grants of a killed process count until they expire.
 """
 
 from __future__ import annotations
@@ -15,17 +15,21 @@
 
 from heathwell.testing.audit.reader import Event, JsonObject
 
-SLACK_US = 2_000  # between an action and its record
-ROUNDING_MILLIUNITS = 1_000  # units are not divisible
+SLACK_US = 2_000  # the most between an action and its record in the log
+ROUNDING_MILLIUNITS = 1_000  # one unit, as only whole units are used
 BUCKET_TOLERANCE = ROUNDING_MILLIUNITS * 1e-6
-RESIZE_GRACE_US = 1_000_000
+RESIZE_GRACE_US = 1_000_000  # for every coordinator to read a changed limit
 CONNECTIONS = "connections"
 AT_HOSTS = "at hosts"
 
 
 @dataclass(slots=True)
 class BudgetVerdict:
-    """``breaches`` in words; ``nearest`` is the greatest held fraction of each budget's limit."""
+    """The result of a run.
+
+    ``nearest`` is the greatest fraction of each budget's limit that was held. ``lines`` counts the checked
+    changes of holdings, ``uses`` the checked uses and connections.
+    """
 
     breaches: list[str] = field(default_factory=list)
     nearest: dict[str, float] = field(default_factory=dict)
@@ -34,11 +38,11 @@
 
     @property
     def kept(self) -> bool:
-        """Whether no budget was exceeded; a run in which nothing was held has kept none."""
+        """Whether no budget was exceeded; false for a run without any record of a holding."""
         return not self.breaches and self.lines > 0
 
     def record_use(self, name: str, fraction: float) -> None:
-        """Record how much of a budget was held."""
+        """Record the fraction of a budget's limit that was held."""
         self.nearest[name] = max(self.nearest.get(name, 0.0), fraction)
 
 
@@ -48,7 +52,7 @@
 
 
 class _GrantId(NamedTuple):
-    """What connects a holder's record of a grant with the coordinator's."""
+    """The values that identify a grant in both the holder's log and the coordinator's."""
 
     member: str | None
     incarnation: int | None
@@ -60,43 +64,48 @@
 
 
 class _ShrunkLimit(NamedTuple):
-    """The larger limit before, and until when it may be held."""
+    """A limit before its reduction, and until when grants may still add up to it."""
 
     former: int
     until_us: int
 
 
 class _Bucket(NamedTuple):
+    """A token bucket of a rate budget."""
+
     level: float
     updated_at_us: int
 
 
 @dataclass(slots=True)
 class _Holding:
-    """What one holder holds of one budget; ``saved`` is the unused part of its rate."""
+    """One holder's share of one budget.
+
+    ``reserved`` is the amount that it has without a grant, ``accrued`` the unused amount of its rate.
+    """
 
-    own: int
+    reserved: int
     updated_at_us: int
     grants: list[_Grant] = field(default_factory=list)
-    saved: float = 0.0
-    had_no_grant: bool = False
+    accrued: float = 0.0
+    never_had_grant: bool = False
 
     def granted(self, now_us: int) -> int:
-        """Return the grants that have not expired."""
+        """Return the sum of the grants that have not expired."""
         return sum(grant.amount for grant in self.grants if grant.expires_at_us > now_us)
 
-    def save(self, now_us: int, window_us: int) -> None:
-        """Add the rate since the last update, up to that of one window."""
+    def accrue(self, now_us: int, window_us: int) -> None:
+        """Add what the rate has yielded since the last update, up to the yield of one window."""
         if now_us <= self.updated_at_us:
             return
-        rate = self.own + sum(grant.amount for grant in self.grants)
-        saved = self.saved + rate * (now_us - self.updated_at_us) / 1e6
-        self.saved = min(saved, rate * window_us / 1e6)
+        rate = self.reserved + sum(grant.amount for grant in self.grants)
+        accrued = self.accrued + rate * (now_us - self.updated_at_us) / 1e6
+        self.accrued = min(accrued, rate * window_us / 1e6)
         self.updated_at_us = now_us
 
 
 class BudgetAudit:
-    """Judges events in their order; ``verdict`` is up to the last one."""
+    """Checks the events of a run in their order; ``verdict`` covers those that were fed so far."""
 
     def __init__(self, parameters: JsonObject) -> None:
         self.verdict = BudgetVerdict()
@@ -105,12 +114,12 @@
         self._limits: dict[str, int] = {name: spec["whole"] for name, spec in self._budgets.items()}
         self._shrunk: dict[str, _ShrunkLimit] = {}
         self._clock_rates: dict[str, float] = {}
-        self._members: dict[str, str] = {}  # by writer of a log, its name as a member
+        self._members: dict[str, str] = {}  # member names by log writer
         self._incarnations: dict[str, int] = {}
-        self._holdings: dict[tuple[str, str], _Holding] = {}  # by budget and writer
+        self._holdings: dict[tuple[str, str], _Holding] = {}  # by budget and log writer
         self._grants: set[_GrantId] = set()
         self._granted: defaultdict[str, int] = defaultdict(int)
-        self._expiries: list[tuple[int, str, str]] = []  # a heap, with budget and writer
+        self._expiries: list[tuple[int, str, str]] = []  # a heap of (expiry time, budget, log writer)
         self._buckets: dict[str, _Bucket] = {}
         self._open_connections: defaultdict[str, int] = defaultdict(int)
         self._longest_grant_us = 0
@@ -128,7 +137,7 @@
         }
 
     def feed(self, events: Iterable[Event]) -> None:
-        """Judge events, oldest first."""
+        """Check events, oldest first."""
         for event in events:
             self._expire_grants(event.t)
             handler = self._handlers.get(event.ev)
@@ -176,7 +185,8 @@
         base = event["budget"]
         former = self._limits[base]
         if event["whole"] < former:
-            # Until each coordinator has read the new one, and its grants by then have expired.
+            # The former limit applies until each coordinator has read the new one, and the grants that
+            # it made by then have expired.
             longest_us = int(self._longest_grant_us * (1 + 2 * self._drift))
             until_us = event.t + longest_us + self._budgets[base]["linger"] + RESIZE_GRACE_US
             shrunk = self._shrunk.get(base)
@@ -189,17 +199,17 @@
         name = event["budget"]
         self.verdict.lines += 1
         key = (name, event.who)
-        had_no_grant = key not in self._holdings or self._holdings[key].had_no_grant
-        holding = self._holdings.setdefault(key, _Holding(own=event["own"], updated_at_us=event.t))
-        self._save(name, holding, event.t)
+        never_had_grant = key not in self._holdings or self._holdings[key].never_had_grant
+        holding = self._holdings.setdefault(key, _Holding(reserved=event["own"], updated_at_us=event.t))
+        self._accrue(name, holding, event.t)
         self._granted[name] -= holding.granted(event.t)
         self._replace_grants(event, holding)
         self._granted[name] += holding.granted(event.t)
         spec = self._spec(name)
-        holding.had_no_grant = had_no_grant and not holding.grants
-        if had_no_grant and holding.grants and spec["kind"] == "rate":
-            # It may begin with a window of its first share: so much is within the burst.
-            holding.saved = (holding.own + holding.granted(event.t)) * spec["window"] / 1e6
+        holding.never_had_grant = never_had_grant and not holding.grants
+        if never_had_grant and holding.grants and spec["kind"] == "rate":
+            # A new holder may begin with the yield of one window, which is within the permitted burst.
+            holding.accrued = (holding.reserved + holding.granted(event.t)) * spec["window"] / 1e6
         self._check_granted(event, name, spec)
 
     def _replace_grants(self, event: Event, holding: _Holding) -> None:
@@ -240,33 +250,33 @@
             holding = self._holdings[name, who]
             expired = sum(grant.amount for grant in holding.grants if grant.expires_at_us == expired_at_us)
             if expired:
-                self._save(name, holding, expired_at_us)
+                self._accrue(name, holding, expired_at_us)
                 holding.grants = [grant for grant in holding.grants if grant.expires_at_us != expired_at_us]
                 self._granted[name] -= expired
 
-    # Uses of a rate: of the budget, and of each holder's own share.
+    # Uses of a rate, checked against the budget and against the holder's share.
 
-    def _save(self, name: str, holding: _Holding, now_us: int) -> None:
+    def _accrue(self, name: str, holding: _Holding, now_us: int) -> None:
         spec = self._spec(name)
         if spec["kind"] == "rate":
-            holding.save(now_us, spec["window"])
+            holding.accrue(now_us, spec["window"])
 
     def _on_used(self, event: Event) -> None:
         name = event["budget"]
         amount = event["amount"]
         self.verdict.uses += 1
-        self._use_of_budget(event, name, amount)
+        self._check_use(event, name, amount)
         holding = self._holdings.get((name, event.who))
         if holding is None:
             self._report(event, f"{event.who} used {name} and has logged no share of it")
             return
-        self._save(name, holding, event.t)
-        holding.saved -= amount
-        if holding.saved < -ROUNDING_MILLIUNITS:
+        self._accrue(name, holding, event.t)
+        holding.accrued -= amount
+        if holding.accrued < -ROUNDING_MILLIUNITS:
             self._report(event, f"{event.who} used more of {name} than its own share saved up")
-            holding.saved = 0.0
+            holding.accrued = 0.0
 
-    def _use_of_budget(self, event: Event, name: str, amount: int) -> None:
+    def _check_use(self, event: Event, name: str, amount: int) -> None:
         limit = self._limit(name, event.t)
         full = limit * self._spec(name)["window"] / 1e6
         bucket = self._buckets.get(name, _Bucket(full, event.t))
@@ -297,7 +307,7 @@
         self._open_connections[event["node"]] = 0
 
     def _change_connections(self, event: Event, change: int) -> float:
-        """Count a host's connections, and return them as a fraction of their limit."""
+        """Change the count of a host's open connections; return it as a fraction of the limit."""
         self._open_connections[event["node"]] += change
         fraction = self._open_connections[event["node"]] / self._connection_limit(event.t)
         self.verdict.record_use(AT_HOSTS, fraction)
@@ -309,15 +319,15 @@
 
 
 def _base_name(name: str) -> str:
-    """Return the name of a budget without the zone or tenant that a part of it is for."""
+    """Return a budget's name without the zone, tenant or host after its ``@``."""
     return name.partition("@")[0]
 
 
 def judge_budgets(events: list[Event]) -> BudgetVerdict:
-    """Judge a run; raise :class:`ValueError` where it has no budgets."""
+    """Return the verdict on a run's budgets. Raise :class:`ValueError` where the run has none."""
     for event in events:
         if event.ev == "run" and event["figures"].get("budgets"):
             audit = BudgetAudit(event["figures"])
             audit.feed(events)
             return audit.verdict
-    raise ValueError("no 'run' event with budgets: there is nothing to judge by")
+    raise ValueError("no 'run' event with 'budgets' in its 'figures': budgets can't be audited")
--- a/heathwell/testing/audit/client_values.py
+++ b/heathwell/testing/audit/client_values.py
@@ -1,4 +1,4 @@
-"""Rules 1 and 5 at the clients: the values that they received against the answers of the brokers."""
+"""Rules 1 and 5 at the clients: received values agree with the final answers of the brokers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def check_client_values(records: RunRecords) -> Iterator[Breach]:
-    """Yield the breaches of both rules."""
+    """Yield the received values that no final answer of a broker accounts for."""
     asks = {request_id(ask): ask for ask in records.by_kind["ask"]}
     for reply in records.by_kind["reply"]:
         ask = asks.get(request_id(reply))
@@ -41,7 +41,7 @@
 
 
 def _find_problem(value: JsonObject, query: QueryRecord, final: Event) -> str | None:
-    """Return in what a value differs from its query's final answer."""
+    """Return how a value overstates its query's final answer, or None."""
     if value["whole"] and not final["whole"]:
         return "the client was told whole, the answer was not"
     if value["got"] > len(first_step_parts(query, final)):
--- a/heathwell/testing/audit/completeness.py
+++ b/heathwell/testing/audit/completeness.py
@@ -1,4 +1,4 @@
-"""Rule 5: no answer under its minimum fraction, and none marked complete that is not."""
+"""Rule 5: no answer is below its class's minimum fraction, and none is wrongly marked complete."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 RULE = 5
 ANSWERS = ("answered", "miss")
-WEIGHT_TOLERANCE = 1e-4  # sums of weights may fall this short
+WEIGHT_TOLERANCE = 1e-4  # for rounding in sums of weights
 
 
 def check_completeness(records: RunRecords) -> Iterator[Breach]:
-    """Yield the breaches of the rule, by the records of brokers and hosts."""
+    """Yield the breaches of the rule in the records of brokers and hosts."""
     for query in records.queries.values():
         for attempt in query.attempts():
             yield from _check_answered(records, attempt)
@@ -82,7 +82,7 @@
 
 
 def _wrongly_superseded(records: RunRecords, query: QueryRecord, final: Event) -> list[str]:
-    """Return parts left out without reason, by the hosts' score bounds against the merged rows."""
+    """Return the superseded parts that could have changed the rows, by the hosts' score bounds."""
     superseded = _superseded_parts(final)
     if not superseded:
         return []
@@ -101,7 +101,7 @@
 
 
 def _required_score(records: RunRecords, query: QueryRecord, final: Event, search: int) -> float:
-    """Return the score that a row must exceed to be among the rows of a search."""
+    """Return the score that a further row must reach to be among the rows of a search."""
     best_scores: dict[int | str, float] = {}
     for part, seq in final["used"].items():
         done = records.attempts[part, seq].done
@@ -126,7 +126,7 @@
         done = attempt.done
         if done is not None and done["outcome"] == "ok" and done.t <= final.t:
             return True
-        # A host that is killed as it answers logs no line, but its broker has the answer.
+        # A host that is killed right after it answered may not have logged it; its broker has the answer.
         is_ok = attempt.ended is not None and attempt.ended["outcome"] == "ok"
         if is_ok and attempt.arrive is not None:
             if records.was_killed_before(attempt.arrive.who, final.t):
--- a/heathwell/testing/audit/drains.py
+++ b/heathwell/testing/audit/drains.py
@@ -1,4 +1,4 @@
-"""Rule 3: nothing new to a host later than the drain grace."""
+"""Rule 3: no attempt is sent to a draining or removed host after the drain grace period."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _StateChange:
-    """What a broker was notified of a host's state."""
+    """A change of a host's state, as a broker was notified of it by ``update``."""
 
     is_ending: bool
     update: Event
 
 
-StateHistory = dict[tuple[str, str], list[_StateChange]]  # by broker and host
+StateHistory = dict[tuple[str, str], list[_StateChange]]  # by broker and host, in order of time
 
 
 def check_drains(records: RunRecords) -> Iterator[Breach]:
-    """Yield the breaches of the rule."""
+    """Yield the attempts that were sent after the grace period."""
     grace_us = records.parameters["drain_grace"]
     history = _state_history(records)
     for attempt in records.attempts.values():
--- a/heathwell/testing/audit/effects.py
+++ b/heathwell/testing/audit/effects.py
@@ -1,4 +1,4 @@
-"""Rule 2: no effect twice, and no attempt that the class's idempotency forbids."""
+"""Rule 2: no effect occurs twice, and no attempt is sent that the class's idempotency forbids."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def check_effects(records: RunRecords) -> Iterator[Breach]:
-    """Yield the breaches of the rule."""
+    """Yield the breaches of the rule in the records of brokers and hosts."""
     for found in records.duplicates:
         text = f"attempt {found.attempt.seq} has two '{found.name}' events"
         yield breach_from(RULE, found.attempt.part, text, found.first, found.second)
@@ -46,7 +46,7 @@
 
 
 def _check_not_started(attempt: AttemptRecord) -> Iterator[Breach]:
-    """Check an outcome by which the host has not started an attempt against the host's record."""
+    """Check that an attempt which its broker recorded as never started was not begun by the host."""
     if attempt.ended is None or attempt.begin is None:
         return
     outcome = attempt.ended["outcome"]
@@ -99,7 +99,7 @@
 
 
 def _check_unlogged(records: RunRecords) -> Iterator[Breach]:
-    """Check for attempts that a host recorded and its broker did not: only a killed broker may miss them."""
+    """Check that brokers logged all attempts that hosts received; only a killed broker may miss some."""
     for attempt in records.attempts.values():
         if attempt.arrive is None or attempt.send is not None:
             continue
@@ -111,7 +111,7 @@
 
 
 def _check_repeated_effects(records: RunRecords) -> Iterator[Breach]:
-    """Check for effects at two hosts, or again at one with the second attempt outside the window."""
+    """Check that no unsafe part, and no part outside its idempotency window, had its effect twice."""
     first_effects: dict[str, Event] = {}
     for event in records.by_kind["effect"]:
         part = event["p"]
--- a/heathwell/testing/audit/final_answers.py
+++ b/heathwell/testing/audit/final_answers.py
@@ -1,4 +1,4 @@
-"""Rule 1: one final answer to each query, in time, and nothing sent for the query after it."""
+"""Rule 1: each query has one final answer by its deadline, and no attempt is sent after it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def check_final_answers(records: RunRecords) -> Iterator[Breach]:
-    """Yield the breaches of the rule, by the records of brokers and clients."""
+    """Yield the breaches of the rule in the records of brokers and clients."""
     for query in records.queries.values():
         yield from _check_finals(records, query)
         yield from _check_nothing_after(records, query)
@@ -26,7 +26,7 @@
 
 def _check_finals(records: RunRecords, query: QueryRecord) -> Iterator[Breach]:
     take = query.take
-    # The client's time; the broker's own deadline is earlier by what the reply's way may take.
+    # The client's deadline; the broker's own is earlier, to leave time for the reply's transit.
     due_us = take.t + int(records.class_of(query)["limit"] / records.clock_rate(take.who))
     due_us += records.paused_us(broker_name(take.who), take.t, due_us)
     if len(query.finals) > 1:
@@ -85,7 +85,7 @@
 
 
 def _is_broker_lost(records: RunRecords, ask: Event) -> bool:
-    """Return whether the requested broker was killed or stopped before the client's time."""
+    """Return whether the requested broker was killed or stopped before the client's deadline."""
     until_us = ask.t + ask["limit"] + records.slack_us
     return any(
         ask.t - records.slack_us <= last_us <= until_us
@@ -95,7 +95,11 @@
 
 
 def _was_taken(records: RunRecords, ask: Event, reply: Event) -> bool:
-    """Return whether a running broker took the request: not one that was killed before, unnoticed."""
+    """Return whether the request reached a broker that was running.
+
+    A connection may also break on its next use because the broker was killed before the request, which the
+    client had not noticed.
+    """
     if any(records.queries_of(ask, key, reply.t) for key in ask["keys"]):
         return True
     for event in records.by_kind["door"]:
--- a/heathwell/testing/audit/freshness.py
+++ b/heathwell/testing/audit/freshness.py
@@ -1,7 +1,8 @@
-"""Judges the ages that answers state against the source time that each host had applied.
+"""Checks the data ages that answers state against the true ages.
 
-That time is in the hosts' logs (``true``: the source time up to which a host's data was applied when it
-answered, never sent over the wire); the source's clock against the machine's is a parameter of the run.
+The field ``true`` in the hosts' logs, which is never sent over the wire, is the source time up to which a
+host's data was applied when the host answered. The offset of the source's clock from the machine's is a
+parameter of the run.
 """
 
 from __future__ import annotations
@@ -21,8 +22,11 @@
 
 @dataclass(slots=True)
 class AgeVerdict:
-    """Breaches, and of the judged answers: those of unknown age, how much older than in truth the others are
-    stated (us), and the true ages (us).
+    """The result of a run.
+
+    ``judged`` counts the checked answers, ``unknown`` those of them that state no age. ``excess`` has,
+    for each of the others that is no breach, the stated age less the true one (us); ``true_ages`` has all
+    true ages (us).
     """
 
     breaches: list[Breach] = field(default_factory=list)
@@ -34,7 +38,7 @@
 
     @property
     def kept(self) -> bool:
-        """Whether no stated age was too young, and some were judged."""
+        """Whether no stated age was below the true one; false for a run without any checked answer."""
         return self.judged > 0 and not self.breaches
 
     def excess_at(self, fraction: float) -> float:
@@ -52,23 +56,23 @@
 
 
 def judge_ages(events: list[Event], slack: int = 0) -> AgeVerdict:
-    """Judge every answer of a run.
+    """Return the verdict on the ages of all answers of a run.
 
-    ``slack`` (us) is the time between an answer and its record. Raise :class:`ValueError` where the run has
-    no clock of the source.
+    ``slack`` (us) is the most time between an answer and its record in the log. Raise :class:`ValueError`
+    where the run does not state the offset of the source's clock.
     """
     runs = [event for event in events if event.ev == "run"]
     offset_us = runs[0].fields["figures"].get("source_offset") if runs else None
     if offset_us is None:
-        raise ValueError("no 'run' event with a source_offset: ages can't be judged")
-    marks = {
+        raise ValueError("no 'run' event with 'source_offset' in its 'figures': ages can't be audited")
+    done_events = {
         (event["p"], event["seq"]): event for event in events if event.ev == "done" and "true" in event.fields
     }
     verdict = AgeVerdict()
     answers: dict[str, _JudgedAnswer] = {}
     for final in events:
         if final.ev == "final" and final["kind"] in ANSWERS:
-            answer = _judge_answer(final, marks, offset_us, slack, verdict)
+            answer = _judge_answer(final, done_events, offset_us, slack, verdict)
             if answer is not None:
                 answers[final["q"]] = answer
     verdict.breaches += _check_client_ages(events, answers, slack)
@@ -76,18 +80,18 @@
 
 
 def _judge_answer(
-    final: Event, marks: Marks, offset_us: int, slack_us: int, verdict: AgeVerdict
+    final: Event, done_events: Marks, offset_us: int, slack_us: int, verdict: AgeVerdict
 ) -> _JudgedAnswer | None:
     used = final["used"].items()
     if not used:
         return None
-    unmarked = [part for part, seq in used if (part, seq) not in marks]
-    if unmarked:
-        text = f"rests on {unmarked[0]}, which no host answered"
+    unanswered = [part for part, seq in used if (part, seq) not in done_events]
+    if unanswered:
+        text = f"rests on {unanswered[0]}, which no host answered"
         verdict.breaches.append(breach_from(RULE, final["q"], text, final))
         return None
-    oldest = min((marks[part, seq] for part, seq in used), key=lambda mark: int(mark["true"]))
-    # The record is written a little after the answer was merged.
+    oldest = min((done_events[part, seq] for part, seq in used), key=lambda done: int(done["true"]))
+    # The event is logged some time after the answer was merged; ``age_at`` is the merge relative to it.
     age_us = final.t + (final["age_at"] or 0) + offset_us - oldest["true"]
     verdict.judged += 1
     verdict.true_ages.append(age_us)
--- a/heathwell/testing/audit/judgement.py
+++ b/heathwell/testing/audit/judgement.py
@@ -1,10 +1,10 @@
-"""The judgement of a run by the six rules, per request.
+"""Checks a run against the six rules, request by request.
 
-The hosts' records decide on resends, drains and slow starts, the clients' on final answers and honesty. A
-broker's records connect a thing with its query and give the instants of decisions; they are checked against
-the others.
+Resends, drains and slow starts are checked by the records of the hosts, final answers and their completeness
+by those of the clients. The brokers' records assign attempts to queries and have the times of decisions; they
+are checked against the records of the others.
 
-Times of different processes are one machine's monotonic clock, or carry the run's offset.
+All processes log times of one machine's monotonic clock, or times to which the run's offset was applied.
 """
 
 from __future__ import annotations
@@ -22,9 +22,10 @@
 
 
 def judge(events: list[Event], slack: int = 100_000) -> Verdict:
-    """Judge a run; raise :class:`ValueError` without its ``run`` event, which holds the parameters.
+    """Return the verdict on a run.
 
-    ``slack`` (us) allows for the delay between a decision and its arrival on a busy machine.
+    ``slack`` (us) allows for the delay between a decision and its arrival on a busy machine. Raise
+    :class:`ValueError` without a ``run`` event, which has the parameters.
     """
     records = RunRecords(events, slack)
     verdict = Verdict()
--- a/heathwell/testing/audit/reader.py
+++ b/heathwell/testing/audit/reader.py
@@ -1,4 +1,4 @@
-"""Reads event logs to events that carry their file and line."""
+"""Reads event logs into events, each with its file and line."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 import msgspec
 
-FieldValue = Any  # as the record's writer logged it
+FieldValue = Any  # not validated: each kind of event has fields of its own
 JsonObject = dict[str, FieldValue]
 REQUIRED_FIELDS = (("t", int), ("who", str), ("ev", str))
 
 
 class LogError(Exception):
-    """A log that can't be read: ``problem`` at ``location`` (file and line)."""
+    """A log has an invalid record; ``location`` is its file and line."""
 
     def __init__(self, location: str, problem: str) -> None:
         self.location = location
@@ -25,7 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One record. ``t`` (us), ``who`` and ``ev`` are the record's own names for time, writer and kind."""
+    """One record of an event log.
+
+    ``t`` is its time (us), ``who`` its writer and ``ev`` its kind, as the fields are named in the log.
+    """
 
     t: int
     who: str
@@ -38,7 +41,7 @@
 
 
 def event_from(record: JsonObject, location: str) -> Event:
-    """Return the event of a record; raise :class:`LogError` naming the field that is missing."""
+    """Return the event of a record. Raise :class:`LogError` for a missing field or one of another type."""
     for name, kind in REQUIRED_FIELDS:
         if not isinstance(record.get(name), kind):
             raise LogError(location, f"field '{name}' is missing or not {kind.__name__}")
@@ -46,14 +49,15 @@
 
 
 def from_lines(records: Iterable[JsonObject]) -> list[Event]:
-    """Return the events of a run in memory."""
+    """Return the events of records in memory, in their order."""
     return [event_from(record, f"#{number}") for number, record in enumerate(records)]
 
 
 def read_logs(paths: Iterable[str | Path]) -> list[Event]:
-    """Return the events of files and of directories of ``.jsonl`` files, by time.
+    """Return the events of files and of directories of ``.jsonl`` files, ordered by time.
 
-    A torn last line, whose writer was killed, is skipped; any other bad line raises :class:`LogError`.
+    An incomplete last line, whose writer was killed, is skipped; any other invalid line raises
+    :class:`LogError`.
     """
     events: list[Event] = []
     for path in map(Path, paths):
@@ -77,6 +81,6 @@
                 continue
             raise LogError(location, f"not JSON: {error}") from None
         if not isinstance(record, dict):
-            raise LogError(location, "an object is expected")
+            raise LogError(location, f"expected a JSON object, got {type(record).__name__}")
         events.append(event_from(record, location))
     return events
--- a/heathwell/testing/audit/run_records.py
+++ b/heathwell/testing/audit/run_records.py
@@ -1,6 +1,6 @@
-"""The records of a run by query, part and attempt, as the rules need them.
+"""Indexes the events of a run by query, part and attempt, for the checks of the rules.
 
-Keys and values of records are those of the event log; their names stay as they are.
+Fields of events have their names and values in the event log.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """The events of one attempt; their names are those of the event log."""
+    """The events of one attempt, under the names of their kinds in the event log."""
 
     part: str
     seq: int
@@ -31,11 +31,11 @@
 
     @property
     def started(self) -> Event | None:
-        """Its first event, at the broker or else at the host."""
+        """The attempt's first event: at the broker, or at the host where the broker logged none."""
         return self.send or self.arrive
 
     def may_have_run(self) -> bool:
-        """Return whether the host may have run it: it began, or nothing shows that it did not begin."""
+        """Return whether the host may have run the attempt: no event shows that it never began."""
         if self.begin is not None:
             return True
         if self.arrive is None:
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DuplicateEvent:
-    """An event that an attempt may have once only, and its repetition."""
+    """Two events of a kind that an attempt may have only one of."""
 
     attempt: AttemptRecord
     name: str
@@ -65,21 +65,21 @@
     parts: dict[str, list[AttemptRecord]] = field(default_factory=dict)
 
     def attempts(self) -> Iterator[AttemptRecord]:
-        """Yield its attempts, part by part."""
+        """Yield the query's attempts, part by part."""
         for attempts in self.parts.values():
             yield from attempts
 
 
 class RunRecords:
-    """The records of one run. ``slack_us`` allows for the delay between a decision and its arrival.
+    """The indexed events of one run. Raise :class:`ValueError` without a ``run`` event.
 
-    Raise :class:`ValueError` without a ``run`` event.
+    ``slack_us`` allows for the delay between a decision and its arrival on a busy machine.
     """
 
     def __init__(self, events: list[Event], slack_us: int) -> None:
         runs = [event for event in events if event.ev == "run"]
         if not runs:
-            raise ValueError("no 'run' event: the figures to judge by are missing")
+            raise ValueError("no 'run' event: the log lacks the parameters of the run")
         self.events = events
         self.slack_us = slack_us
         self.parameters: JsonObject = runs[0].fields["figures"]
@@ -160,7 +160,7 @@
         return next((float(event["rate"]) for event in self.by_kind["clock"] if event.who == who), 1.0)
 
     def paused_us(self, name: str, begin_us: int, end_us: int) -> int:
-        """Return how long the harness paused a process that had to answer between two instants."""
+        """Return for how long the test harness paused a process that had to answer between two instants."""
         return sum(
             pause["span"] + self.slack_us
             for pause in self.by_kind["paused"]
@@ -170,9 +170,9 @@
         )
 
     def queries_of(self, ask: Event, key: str, until_us: int) -> list[QueryRecord]:
-        """Return the queries of a requested key: several where the get names it more than once.
+        """Return the queries for a key of a client's request: several where the request repeats the key.
 
-        Ports are reused, so that broker and time distinguish requests.
+        Request names contain a port, which may be reused; broker and time tell such requests apart.
         """
         return [
             query
@@ -183,10 +183,10 @@
 
 
 def broker_name(who: str) -> str:
-    """Return the name of a broker without the number of its run."""
+    """Return a broker's name without the number of its run: ``b0`` for the writer ``b0r1``."""
     return who.rpartition("r")[0]
 
 
 def request_id(event: Event) -> str:
-    """Return what connects a client's reply with its request: its own count, or the request's name."""
+    """Return the id that a client logged for a request and its reply: its own count, else the name."""
     return str(event.fields.get("no") or event["req"])
--- a/heathwell/testing/audit/slow_starts.py
+++ b/heathwell/testing/audit/slow_starts.py
@@ -1,4 +1,4 @@
-"""Rule 4: endpoints in slow start are not overloaded by all brokers together."""
+"""Rule 4: the brokers together do not overload endpoints in slow start."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 RULE = 4
 FULL_CAPACITY = 1.0
-PARTS_IN_HAND = 1.0  # when the window opens: arrivals are not divisible
+PARTS_IN_HAND = 1.0  # a window may open with one part due, as work arrives in whole parts
 
 
 def check_slow_starts(records: RunRecords, verdict: Verdict) -> Iterator[Breach]:
-    """Yield the breaches of the rule, and record the greatest load in the verdict."""
+    """Yield the overloads of endpoints in slow start, and record the greatest load in the verdict."""
     for fell in records.by_kind["fell"]:
         yield breach_from(RULE, fell["node"], "a cold host was pushed over", fell)
     window_us = records.parameters["fall_after"]
@@ -46,7 +46,7 @@
 
 
 def _capacity_us(records: RunRecords, start: Event, arrive: Event) -> float:
-    """Return the work within the window that an endpoint in slow start bears."""
+    """Return the most work (us) within the window that does not overload an endpoint in slow start."""
     multiple: float = records.parameters["fall_multiple"]
     window_us: int = records.parameters["fall_after"]
     return float(multiple * start["rate"] * arrive["warmth"] * window_us)
--- a/heathwell/testing/audit/verdict.py
+++ b/heathwell/testing/audit/verdict.py
@@ -1,6 +1,7 @@
-"""Breaches of the six rules, and the verdict on a run.
+"""The verdict on a run, and the breaches of rules that it consists of.
 
-The words of breaches are compared between versions, so that they stay as they are.
+The texts of breaches and the fields of verdicts are compared with those of former versions, so that they must
+not change.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """One broken rule: which, at which request, the evidence, and its places in the logs."""
+    """A breach of a rule at one request (or host): the evidence, and its lines in the logs."""
 
     rule: int
     request: str
@@ -24,14 +25,15 @@
 
 
 def breach_from(rule: int, request: str, text: str, *events: Event | None) -> Breach:
-    """Return a breach with the places of those events that were logged."""
+    """Return a breach with the locations of its events; an event that was not logged is None."""
     return Breach(rule, request, text, tuple(event.location for event in events if event is not None))
 
 
 @dataclass(slots=True)
 class Verdict:
-    """The result of a run. ``coldest`` is the most work that an endpoint in slow start got, as a fraction of
-    what it bears.
+    """The result of a run.
+
+    ``coldest`` is the greatest load of an endpoint in slow start, as a fraction of the load that it bears.
     """
 
     breaches: list[Breach] = field(default_factory=list)
@@ -40,5 +42,5 @@
 
     @property
     def kept(self) -> bool:
-        """Whether every rule was kept; a run without any query has kept none."""
+        """Whether every rule was kept; false for a run without any query."""
         return not self.breaches and self.counts.get("queries", 0) > 0
