--- a/heathwell/testing/audit/attempt_budget.py
+++ b/heathwell/testing/audit/attempt_budget.py
@@ -10,7 +10,7 @@
 from heathwell.testing.audit.verdict import Breach, breach_from
 
 RULE = 6
-ROUNDING = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 
 
 class _AdditionalAttempt(NamedTuple):
@@ -30,7 +30,7 @@
             sent_count = sum(now_us - window_us <= sent_us <= now_us for sent_us in sent_at_us[:number])
             taken_count = sum(now_us - window_us < taken_us <= now_us for taken_us in taken_at_us[broker])
             budget = records.parameters["free_resends"] + records.parameters["further_ratio"] * taken_count
-            if sent_count > budget + ROUNDING:
+            if sent_count > budget + ROUNDING_TOLERANCE:
                 text = f"{sent_count} further attempts within the window, of {taken_count} taken"
                 yield breach_from(RULE, attempt.part, text, attempt.send, attempt.arrive)
 
