--- a/heathwell/testing/audit/budgets.py
+++ b/heathwell/testing/audit/budgets.py
@@ -15,7 +15,7 @@
 
 from heathwell.testing.audit.reader import Event, JsonObject
 
-SLACK_US = 2_000  # the most between an action and its record in the log
+LOGGING_DELAY_US = 2_000  # the most between an action and its record in the log
 ROUNDING_MILLIUNITS = 1_000  # one unit, as only whole units are used
 BUCKET_TOLERANCE = ROUNDING_MILLIUNITS * 1e-6
 RESIZE_GRACE_US = 1_000_000  # for every coordinator to read a changed limit
@@ -217,7 +217,7 @@
         name = event["budget"]
         holding.grants = []
         for fraction, amount, remaining_us, owner, number in event["held"]:
-            expires_at_us = event.t + int(remaining_us / clock_rate) - SLACK_US
+            expires_at_us = event.t + int(remaining_us / clock_rate) - LOGGING_DELAY_US
             holding.grants.append(_Grant(expires_at_us, amount))
             heapq.heappush(self._expiries, (expires_at_us, name, event.who))
             grant = _GrantId(
