--- a/heathwell/testing/audit/freshness.py
+++ b/heathwell/testing/audit/freshness.py
@@ -17,7 +17,7 @@
 
 RULE = 5
 QUANTILES = 1000
-Marks = dict[tuple[str, int], Event]  # by part and number of the attempt
+DoneEvents = dict[tuple[str, int], Event]  # by part and number of the attempt
 
 
 @dataclass(slots=True)
@@ -80,7 +80,7 @@
 
 
 def _judge_answer(
-    final: Event, done_events: Marks, offset_us: int, slack_us: int, verdict: AgeVerdict
+    final: Event, done_events: DoneEvents, offset_us: int, slack_us: int, verdict: AgeVerdict
 ) -> _JudgedAnswer | None:
     used = final["used"].items()
     if not used:
