--- a/heathwell/testing/audit/attempt_budget.py
+++ b/heathwell/testing/audit/attempt_budget.py
@@ -39,7 +39,7 @@
     """Return, by broker, one instant for each query and each part that the broker accepted."""
     taken_at_us: dict[str, list[int]] = defaultdict(list)
     for query in records.queries.values():
-        parts = query.take["parts"] + len(query.firsts) * records.class_of(query)["fetch"]
+        parts = query.take["parts"] + len(query.first_step_answers) * records.class_of(query)["fetch"]
         taken_at_us[query.take.who] += [query.take.t] * (1 + parts)
     return taken_at_us
 
--- a/heathwell/testing/audit/completeness.py
+++ b/heathwell/testing/audit/completeness.py
@@ -66,9 +66,9 @@
     if spec["fetch"] and second_step_count < min(spec["fetch"], len(first_step)):
         text = f"marked whole with {second_step_count} parts of its second step"
         yield breach_from(RULE, query.id, text, final)
-    if any(not event["whole"] for event in query.firsts):
+    if any(not event["whole"] for event in query.first_step_answers):
         text = "marked whole though its first step was not"
-        yield breach_from(RULE, query.id, text, *query.firsts, final)
+        yield breach_from(RULE, query.id, text, *query.first_step_answers, final)
 
 
 def first_step_parts(query: QueryRecord, final: Event) -> list[str]:
--- a/heathwell/testing/audit/run_records.py
+++ b/heathwell/testing/audit/run_records.py
@@ -60,7 +60,7 @@
     id: str
     take: Event
     finals: list[Event] = field(default_factory=list)
-    firsts: list[Event] = field(default_factory=list)
+    first_step_answers: list[Event] = field(default_factory=list)
     left: Event | None = None
     parts: dict[str, list[AttemptRecord]] = field(default_factory=dict)
 
@@ -112,7 +112,7 @@
                 self.queries[event["q"]].finals.append(event)
         for event in self.by_kind["first"]:
             if event["q"] in self.queries:
-                self.queries[event["q"]].firsts.append(event)
+                self.queries[event["q"]].first_step_answers.append(event)
         for event in self.by_kind["left"]:
             if event["q"] in self.queries:
                 self.queries[event["q"]].left = event
