--- a/heathwell/testing/audit/slow_starts.py
+++ b/heathwell/testing/audit/slow_starts.py
@@ -11,7 +11,7 @@
 
 RULE = 4
 FULL_CAPACITY = 1.0
-PARTS_IN_HAND = 1.0  # a window may open with one part due, as work arrives in whole parts
+TOLERATED_PARTS = 1.0  # a window may open with one part due, as work arrives in whole parts
 
 
 def check_slow_starts(records: RunRecords, verdict: Verdict) -> Iterator[Breach]:
@@ -32,7 +32,7 @@
             window.append((event.t, _work_us(records, event)))
             while window[0][0] <= event.t - window_us:
                 window.popleft()
-            work_us = sum(entry[1] for entry in window) - PARTS_IN_HAND * window[0][1]
+            work_us = sum(entry[1] for entry in window) - TOLERATED_PARTS * window[0][1]
             ratio = work_us / _capacity_us(records, starts[event["node"]], event)
             verdict.coldest = max(verdict.coldest, ratio)
             if ratio > 1.0:
