--- a/heathwell/testing/standins/__init__.py
+++ b/heathwell/testing/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems: leaves, discovery, links and the platform, with faults to inject."""
+"""Stand-ins for external systems (leaves, discovery, links, the platform), with fault injection."""
--- a/heathwell/testing/standins/data.py
+++ b/heathwell/testing/standins/data.py
@@ -1,4 +1,4 @@
-"""Generated sale and price data: leaves, auditors and tests derive the same records from the same names."""
+"""Generated sale and price data, the same in every process for the same shard, key and batch."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Operation(StrEnum):
-    """What a part requests, as the inner protocol names it."""
+    """The operation that a part requests, as the inner protocol names it."""
 
     RECORD = "record"
     SEARCH = "search"
@@ -25,7 +25,7 @@
 
 
 class UnknownOperationError(StandInError):
-    """A part requests an operation that no leaf has."""
+    """A part requests an operation that leaves do not support."""
 
     def __init__(self, operation: str) -> None:
         super().__init__(f"unknown operation {operation!r}")
@@ -33,7 +33,7 @@
 
 
 class SaleRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A sale."""
+    """The result for the id of a sale."""
 
     found: bool = True
     trader: str
@@ -43,7 +43,7 @@
 
 
 class MissingRecord(msgspec.Struct, frozen=True):
-    """The result for the id of no sale."""
+    """The result for an id that no sale has."""
 
     found: bool = False
 
@@ -62,7 +62,7 @@
 
 
 class DayTotals(msgspec.Struct, frozen=True):
-    """A day's number of sales and their sum."""
+    """The number of a day's sales and the sum of their amounts."""
 
     count: int
     cents: int
@@ -86,12 +86,12 @@
 
 
 def hash_names(*names: object) -> int:
-    """Return a number that depends on nothing but the names."""
+    """Return a checksum of the names, which unlike ``hash`` is the same in every process."""
     return zlib.crc32("\x1f".join(map(str, names)).encode())
 
 
 def generate_record(trader: str, sale_id: str) -> SaleRecord | MissingRecord:
-    """Return a sale; ids run from 0 to ``RECORDS_PER_TRADER`` less 1."""
+    """Return a sale; valid ids are 0 to ``RECORDS_PER_TRADER - 1``."""
     if not sale_id.isdigit() or int(sale_id) >= RECORDS_PER_TRADER:
         return MissingRecord()
     code = hash_names("sale", trader, sale_id)
@@ -99,7 +99,7 @@
 
 
 def generate_search(shard: int, term: str, count: int) -> SearchResult:
-    """Return the products of a shard for a term."""
+    """Return ``count`` products of a shard for a search term."""
     products = [
         Product(f"{term}-{shard}-{number}", 50 + hash_names("price", shard, term, number) % 5000)
         for number in range(count)
@@ -132,7 +132,7 @@
 def generate_result(operation: str, shard: int, key: str, batch: int, max_products: int) -> Result:
     """Return the result of a part. Raise :class:`UnknownOperationError`.
 
-    A record's key is ``trader:id``, a search's its term, a report's ``trader,...:day``.
+    The key is ``trader:id`` for a record, the term for a search, and ``trader,...:day`` for a report.
     """
     if operation == Operation.RECORD:
         trader, _, sale_id = key.partition(":")
--- a/heathwell/testing/standins/discovery.py
+++ b/heathwell/testing/standins/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery: hosts register, brokers watch the list, which follows the hosts with a delay."""
+"""A stand-in for discovery: hosts register, brokers watch the endpoint list, which changes with a delay."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from heathwell.testing.standins.units import US_PER_SECOND
 
 UNKNOWN_AGE_US: Final = -1
-"""As on the wire: the host started at full capacity."""
+"""The age, on the wire, of a host that started at full capacity."""
 BROKER_ROLES: Final = frozenset({"", "broker"})
 
 
@@ -30,7 +30,7 @@
 
 
 class Discovery:
-    """The service: a host is listed as long as its connection stands."""
+    """The discovery service, which lists a host for as long as the host's connection is open."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._published: dict[str, frames.EndpointListEntry] = {}
         self._index = 0
         self._started_at_us: dict[str, int] = {}
-        """Start of each host's process where it reported its age."""
+        """When the process of each host started, for the hosts that reported their age."""
         self._connections: dict[str, Stream] = {}
         self._registered_nodes: dict[Stream, str] = {}
         self._watchers: dict[Stream, None] = {}
@@ -91,7 +91,7 @@
                 stream, "discovery", "discovery", lambda message: self._on_message(stream, message)
             )
         except (frames.FrameError, StreamBrokenError) as error:
-            self._log("debug", "peer lost", peer=stream.peer, why=str(error))
+            self._log("debug", "peer connection ended", peer=stream.peer, why=str(error))
         finally:
             self._watchers.pop(stream, None)
             self._on_host_disconnected(stream)
@@ -112,7 +112,7 @@
         match message:
             case frames.Hello(role=role):
                 if role in BROKER_ROLES and self._loop.now() < self._outage_until_us:
-                    raise StreamBrokenError("an outage is injected")
+                    raise StreamBrokenError("broker rejected: the injected outage has not ended")
             case frames.Registration(entry=entry):
                 self._on_registration(stream, entry)
             case frames.DrainNotice():
@@ -122,7 +122,7 @@
             case frames.FaultCommand():
                 stream.write(frames.encode(reply_to_fault_command(self.order, message)))
 
-    # The list
+    # Endpoint list
 
     def _on_registration(self, stream: Stream, entry: frames.EndpointListEntry) -> None:
         self._registered_nodes[stream] = entry.node
@@ -162,7 +162,7 @@
         self._send(stream, ListKind.FULL, entries)
 
     def _with_age(self, entry: frames.EndpointListEntry) -> frames.EndpointListEntry:
-        """Return the entry with the present age of the host's process."""
+        """Return the entry with the current age of the host's process."""
         started_at_us = self._started_at_us.get(entry.node)
         age_us = UNKNOWN_AGE_US if started_at_us is None else self._loop.now() - started_at_us
         return msgspec.structs.replace(entry, age_us=age_us)
--- a/heathwell/testing/standins/endpoint_states.py
+++ b/heathwell/testing/standins/endpoint_states.py
@@ -1,4 +1,4 @@
-"""States and kinds of the endpoint list, as the inner protocol names them."""
+"""States of endpoints and kinds of endpoint lists, as the inner protocol names them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ListKind(StrEnum):
-    """Whether a message holds the full list or changed entries."""
+    """Whether a message contains the full list or only changed entries."""
 
     FULL = "full"
     INCREMENTAL = "update"
--- a/heathwell/testing/standins/errors.py
+++ b/heathwell/testing/standins/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the stand-ins."""
+"""Errors raised by the stand-ins."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FaultInjectionError(StandInError):
-    """A fault command can't be carried out; its text is the reply on the wire."""
+    """A fault command can't be executed; the error's text is the reply on the wire."""
 
 
 class UnknownFaultError(FaultInjectionError):
--- a/heathwell/testing/standins/fault_commands.py
+++ b/heathwell/testing/standins/fault_commands.py
@@ -1,4 +1,4 @@
-"""Fault commands: the kind of a command as an enum, and the reply to a command on the wire."""
+"""Parses the kinds of fault commands and replies to the commands on the wire."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def reply_to_fault_command(
     inject: Callable[[frames.FaultCommand], None], command: frames.FaultCommand
 ) -> frames.FaultCommandReply:
-    """Inject a fault and return the reply, whose text is the error or empty."""
+    """Inject a fault and return the reply, whose text is that of the error, or empty on success."""
     try:
         inject(command)
     except FaultInjectionError as error:
--- a/heathwell/testing/standins/leaf.py
+++ b/heathwell/testing/standins/leaf.py
@@ -1,4 +1,4 @@
-"""A stand-in for a leaf: a host with slots, a queue, cold starts, overload and injected faults."""
+"""A stand-in for a leaf: a host with execution slots, a queue, cold starts, overload and injected faults."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Leaf:
-    """One host, started by :meth:`start`; each part of it that has state of its own is a component."""
+    """One host, which :meth:`start` starts. Its state is divided among components."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self.events: EventLog = events or NoEvents()
         self.on_terminated = on_terminated
         self.listener: Listener | None = None
-        """None while the leaf does not run."""
+        """The listening socket; None while the leaf is not running."""
         self._loop = loop
         self._net = net
         self._birth = 0
@@ -75,13 +75,13 @@
 
     @property
     def address(self) -> str:
-        """The address that the leaf listens at, once it was started."""
+        """The address at which the leaf listens, once it has started."""
         return self._context.address
 
     # Lifecycle
 
     def start(self, *, warm: bool = False) -> str:
-        """Listen and register; return the address. ``warm`` starts at full capacity."""
+        """Listen and register; return the address. ``warm``: start at full capacity."""
         context = self._context
         self.listener = self._net.listen(context.address, self._serve, f"leaf {self.name}")
         context.address = self.listener.address
@@ -113,7 +113,7 @@
         self._connections.clear()
 
     def drain(self) -> None:
-        """Notify all peers, finish running attempts, then terminate after the drain time."""
+        """Notify all peers, go on with accepted attempts, and terminate after the configured drain time."""
         context = self._context
         if context.draining:
             return
--- a/heathwell/testing/standins/leaf_capacity.py
+++ b/heathwell/testing/standins/leaf_capacity.py
@@ -1,4 +1,4 @@
-"""A leaf's capacity: the ramp after a cold start, and the overload that makes a cold leaf unresponsive."""
+"""A leaf's capacity: its increase after a cold start, and overload, which makes a cold leaf unresponsive."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class LeafCapacity:
-    """Computes the capacity at present and detects overload while the leaf warms up."""
+    """Computes the current capacity and detects overload while the leaf warms up."""
 
     def __init__(self, loop: Loop, service_settings: ServiceSettings, speed: float) -> None:
         self._loop = loop
@@ -23,14 +23,14 @@
         self._recent_work_us = 0.0
 
     def start(self, *, warm: bool) -> None:
-        """Begin at full capacity where ``warm``, else at the bottom of the ramp."""
+        """Begin at full capacity where ``warm``, else at the capacity of a cold start."""
         self.cold_since_us = 0 if warm else self._loop.now()
         self.is_overloaded = False
         self._recent_work.clear()
         self._recent_work_us = 0.0
 
     def age_us(self) -> int:
-        """Return the time since the cold start; -1, as on the wire, for a leaf that started warm."""
+        """Return the time since the cold start; -1, the value on the wire, for a leaf that started warm."""
         return self._loop.now() - self.cold_since_us if self.cold_since_us else -1
 
     def fraction(self) -> float:
@@ -42,9 +42,9 @@
         return min(1.0, rules.start_capacity + (1 - rules.start_capacity) * age)
 
     def record_arrival(self, work_us: float) -> float | None:
-        """Count arriving work against the budget of a leaf that warms up.
+        """Count arriving work against the most that a leaf bears while it warms up.
 
-        Return the ratio of recent work to the budget when the leaf becomes overloaded by it, else None.
+        Return the ratio of recent work to that limit where this arrival overloads the leaf, else None.
         """
         rules = self._rules
         if not rules.fall_after or self.fraction() >= 1.0:
@@ -54,8 +54,8 @@
         self._recent_work_us += work_us
         while self._recent_work and self._recent_work[0][0] <= now_us - rules.fall_after:
             self._recent_work_us -= self._recent_work.popleft()[1]
-        budget_us = rules.fall_multiple * self.full_rate * self.fraction() * rules.fall_after
-        if self._recent_work_us <= budget_us or self.is_overloaded:
+        limit_us = rules.fall_multiple * self.full_rate * self.fraction() * rules.fall_after
+        if self._recent_work_us <= limit_us or self.is_overloaded:
             return None
         self.is_overloaded = True
-        return self._recent_work_us / budget_us
+        return self._recent_work_us / limit_us
--- a/heathwell/testing/standins/leaf_connections.py
+++ b/heathwell/testing/standins/leaf_connections.py
@@ -1,4 +1,4 @@
-"""A leaf's connections: the hello of each peer, and closing those that are idle."""
+"""A leaf's connections by the hello of each peer; idle ones are closed."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self._is_listening = is_listening
         self._hellos: dict[Stream, frames.Hello] = {}
         self._last_received_at_us: dict[Stream, int] = {}
-        """Of the connections that are closed when idle."""
+        """When data was last received, for the connections that are closed when idle."""
         self._is_checking_idle = False
 
     @property
@@ -30,7 +30,7 @@
         return list(self._hellos)
 
     def add(self, stream: Stream, hello: frames.Hello) -> None:
-        """Add a connection by its hello."""
+        """Add a connection when its hello is received."""
         context = self._context
         self._hellos[stream] = hello
         context.events("met", node=context.address, peer=hello.name, role=hello.role, open=len(self._hellos))
@@ -51,7 +51,7 @@
             )
 
     def clear(self) -> None:
-        """Remove all connections without logging it."""
+        """Forget all connections without logging their ends."""
         self._hellos.clear()
         self._last_received_at_us.clear()
 
@@ -71,16 +71,16 @@
         return hello is not None and hello.role in BROKER_ROLES
 
     def peer_name(self, stream: Stream) -> str:
-        """Return the peer's name. Raise :class:`KeyError` before its hello."""
+        """Return the peer's name. Raise :class:`KeyError` if its hello was not received yet."""
         return self._hellos[stream].name
 
     def record_received(self, stream: Stream) -> None:
-        """Record that the connection is not idle."""
+        """Record that data was received now, which restarts the idle timeout."""
         if stream in self._last_received_at_us:
             self._last_received_at_us[stream] = self._context.loop.now()
 
     def _close_idle_connections(self) -> None:
-        """Close connections that were idle for the timeout in their hello, and check again later."""
+        """Close connections that were idle for the timeout in their hello, and schedule the next check."""
         context = self._context
         now_us = context.loop.now()
         for stream, received_at_us in list(self._last_received_at_us.items()):
--- a/heathwell/testing/standins/leaf_context.py
+++ b/heathwell/testing/standins/leaf_context.py
@@ -1,4 +1,4 @@
-"""What the components of one leaf share."""
+"""State and services that the components of one leaf share."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 @dataclass(slots=True)
 class LeafContext:
-    """The loop, settings, event log, draws and state of one leaf; ``address`` is set when it listens."""
+    """The loop, settings, event log, random numbers and state of one leaf.
+
+    ``address`` is replaced by the actual one when the leaf listens.
+    """
 
     loop: Loop
     settings: ServiceSettings
@@ -35,11 +38,14 @@
         speed: float | None,
         address: str,
     ) -> LeafContext:
-        """Return the context of a leaf that listens at ``address``; the speed is the settings' where None."""
+        """Return the context of a leaf that listens at ``address``.
+
+        Where ``speed`` is None, the settings' speed applies.
+        """
         capacity = LeafCapacity(loop, settings, speed or settings.leaf.speed)
         return cls(loop, settings, events, random.Random(seed), ActiveFaults(loop), capacity, address)
 
     @property
     def is_responsive(self) -> bool:
-        """Whether the leaf sends anything now."""
+        """Whether the leaf sends results and pongs now: neither overloaded nor silent by a fault."""
         return not self.capacity.is_overloaded and not self.faults.is_active(LeafFault.SILENT)
--- a/heathwell/testing/standins/leaf_data.py
+++ b/heathwell/testing/standins/leaf_data.py
@@ -1,4 +1,4 @@
-"""The data of a leaf: which shards it holds, what a search costs, and the results of attempts."""
+"""The data of a leaf: the shards that it holds, the work of a search, and the results of attempts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LoggedHit(NamedTuple):
-    """A hit of a search, logged as a list."""
+    """A hit of a search; the event log has it as a list of both values."""
 
     id: PointId
     score: float
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptKey:
-    """The part's id and the attempt's number."""
+    """Identifies an attempt by the part's id and the attempt's number."""
 
     part_id: str
     number: int
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class ReceivedAttempt:
-    """An attempt that has arrived at the leaf."""
+    """An attempt that the leaf received."""
 
     request: frames.PartRequest
     stream: Stream
@@ -51,7 +51,7 @@
 
 
 class LeafData:
-    """Generated records, and the vector shards that the leaf's replica group holds."""
+    """Generated records, and the vector shards of the leaf's replica group."""
 
     def __init__(self, service_settings: ServiceSettings, replica_group: int) -> None:
         self._settings = service_settings
@@ -59,11 +59,11 @@
         self._collections = {spec.name: spec for spec in service_settings.collections}
         if not self._collections:
             return
-        # Imported here, as only leaves with vectors need its libraries.
+        # Imported here, as only leaves with vector collections need numpy and the index library.
         from heathwell.testing.standins.vectors import shard_of  # noqa: PLC0415
 
         self._shard_of = shard_of
-        # Built before the leaf listens, as the first search would wait for it.
+        # Shards are built before the leaf listens; otherwise the first search would wait for them.
         for spec in service_settings.collections:
             for shard in range(service_settings.fleet.shards):
                 if self.holds(shard):
@@ -75,9 +75,10 @@
         return (self._replica_group - shard) % fleet.cells < fleet.width
 
     def search_work_us(self, search: SearchRequest) -> float:
-        """Return a search's usual work. Raise :class:`KeyError` for an unknown collection.
+        """Return a search's usual work (us). Raise :class:`KeyError` for an unknown collection.
 
-        It grows with the vectors, which share one matrix product, the hits to rank and the filters to apply.
+        The work grows with the number of query vectors, of hits to rank and of filters. Vectors share one
+        matrix product, so that each costs less than a search of its own.
         """
         spec = self._collections[search.collection]
         max_hits = sum(one.limit for one in search.searches)
@@ -85,13 +86,13 @@
         return spec.work * (0.6 + 0.4 * len(search.searches) + 0.1 * max_hits / 100 + 0.2 * filtered)
 
     def score_bounds(self, search: SearchRequest, shard_number: int) -> list[float]:
-        """Return, for each query of a search, the best score that a row of the shard can have."""
+        """Return, for each query vector of a search, the best score that a row of the shard can have."""
         collection = self._collections[search.collection]
         shard = self._shard_of(collection, shard_number, self._settings.fleet.shards)
         return shard.score_bounds(shard.read_queries(search.vectors, len(search.searches)))
 
     def record_result(self, request: frames.PartRequest) -> bytes:
-        """Return an encoded result of generated records. Raise :class:`UnknownOperationError`."""
+        """Return the encoded result of a part without vectors. Raise :class:`UnknownOperationError`."""
         result = generate_result(
             request.op, request.shard, request.key, request.item, self._settings.leaf.rows
         )
@@ -105,9 +106,10 @@
         *,
         log_hits: bool,
     ) -> bytes:
-        """Return an encoded search result, out of order where ``malformed``. Raise :class:`ValueError`.
+        """Return an encoded search result. Raise :class:`ValueError`.
 
-        Where ``log_hits``, the attempt keeps its hits for the event log.
+        ``malformed``: reverse the order of the hits, and repeat them where the fault's text is ``many``.
+        ``log_hits``: store the hits in the attempt, for the event log.
         """
         collection = self._collections[search.collection]
         shard = self._shard_of(collection, attempt.request.shard, self._settings.fleet.shards)
--- a/heathwell/testing/standins/leaf_executor.py
+++ b/heathwell/testing/standins/leaf_executor.py
@@ -19,13 +19,13 @@
 from heathwell.testing.standins.part_outcomes import PartOutcome
 
 QUERY_OF_DEATH: Final = "poison"
-"""An attempt whose key contains it terminates the leaf."""
+"""Text in a part's key that terminates the leaf, as a query does that triggers a bug in a host."""
 IDEMPOTENT: Final = "safe"
 KEYED: Final = "keyed"
 
 
 class LeafExecutor:
-    """Executes attempts. Work takes time and no processor: it occupies a slot for its duration."""
+    """Executes attempts. Work is simulated: it occupies a slot for its duration and uses no processor."""
 
     def __init__(
         self, context: LeafContext, data: LeafData, replies: LeafReplies, terminate: Callable[[], None]
@@ -54,7 +54,7 @@
         self._results.clear()
 
     def on_attempt(self, attempt: ReceivedAttempt) -> None:
-        """Begin, queue, reject or ignore an attempt that has arrived."""
+        """Begin, queue, reject or ignore a received attempt."""
         context = self._context
         request = attempt.request
         self._log_arrival(attempt)
@@ -73,13 +73,13 @@
         if not context.is_responsive:
             return
         if attempt.search is not None and self._data.holds(request.shard):
-            # Ahead of the queue, so that the broker can skip shards early.
+            # Sent before the attempt is queued, so that the broker can skip shards early.
             bounds = self._data.score_bounds(attempt.search, request.shard)
             self._replies.send_score_bounds(attempt, bounds)
         self._admit(attempt)
 
     def on_cancel(self, key: AttemptKey) -> None:
-        """Drop a queued attempt; one that runs goes on."""
+        """Drop an attempt if it is still queued; a running one continues."""
         context = self._context
         context.events("cancel", p=key.part_id, seq=key.number, node=context.address)
         for attempt in self._queue:
@@ -153,7 +153,7 @@
         return self._results.find(request.id, query_class.idempotency_window_us)
 
     def _draw_duration_us(self, attempt: ReceivedAttempt) -> float:
-        """Return how long the attempt occupies its slot."""
+        """Return how long (us) the attempt occupies its slot."""
         context = self._context
         request = attempt.request
         query_class = self._classes[request.query_class]
@@ -202,7 +202,7 @@
             attempt = self._queue.popleft()
             request = attempt.request
             if attempt.stream.closed or context.loop.now() - attempt.received_at_us >= request.left_us:
-                # Its broker no longer waits for it.
+                # The broker no longer waits for the result.
                 context.events("dropped", p=request.id, seq=request.seq, node=context.address)
                 continue
             self._begin(attempt)
--- a/heathwell/testing/standins/leaf_faults.py
+++ b/heathwell/testing/standins/leaf_faults.py
@@ -1,4 +1,4 @@
-"""Faults that are injected into a leaf."""
+"""The kinds of faults that can be injected into a leaf, and the faults that are active."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class FreshnessDisabledError(FaultInjectionError):
-    """A fault of the data's age needs a leaf that follows a source."""
+    """A fault of the data's age was requested of a leaf that does not follow a source."""
 
     def __init__(self, fault: LeafFault) -> None:
         super().__init__(f"'{fault}' needs (freshness (on yes))")
@@ -54,18 +54,18 @@
 
 
 class ActiveFaults:
-    """The faults of one leaf that last for some time, at most one of each kind."""
+    """The faults of one leaf that have a duration, at most one of each kind."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
         self._faults: dict[LeafFault, ActiveFault] = {}
 
     def activate(self, fault: LeafFault, duration_us: int, value: float, text: str) -> None:
-        """Begin a fault, in place of an earlier one of its kind."""
+        """Begin a fault; it replaces an earlier one of its kind."""
         self._faults[fault] = ActiveFault(self._loop.now() + duration_us, value, text)
 
     def get(self, fault: LeafFault) -> ActiveFault | None:
-        """Return the fault where it is active now."""
+        """Return the fault of this kind, or None where none is active now."""
         active = self._faults.get(fault)
         if active is None or self._loop.now() >= active.ends_at_us:
             return None
--- a/heathwell/testing/standins/leaf_output.py
+++ b/heathwell/testing/standins/leaf_output.py
@@ -1,4 +1,4 @@
-"""A leaf's output: frames, or halves of them, are delayed while a stall or a partial reply is injected."""
+"""A leaf's output, which injected stalls delay; partial replies delay the second half of a frame."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
             stream.write(to_write)
 
     def release(self) -> None:
-        """Write what was delayed, unless a fault still applies."""
+        """Write the delayed frames, unless a fault of the output is still active."""
         if any(self._faults.is_active(fault) for fault in OUTPUT_FAULTS):
             return
         delayed = self._delayed
@@ -46,9 +46,9 @@
                 self.send(stream, frame)
 
     def discard(self, stream: Stream) -> None:
-        """Drop what is delayed for a stream that has ended."""
+        """Drop the delayed frames of a stream that has ended."""
         self._delayed.pop(stream, None)
 
     def clear(self) -> None:
-        """Drop all that is delayed."""
+        """Drop all delayed frames."""
         self._delayed.clear()
--- a/heathwell/testing/standins/leaf_registration.py
+++ b/heathwell/testing/standins/leaf_registration.py
@@ -1,4 +1,4 @@
-"""A leaf's registration: a connection to discovery, whose end means that the leaf is gone."""
+"""A leaf's registration: a connection to discovery, which takes its end as the end of the leaf."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
         self.stream: Stream | None = None
 
     def start(self) -> None:
-        """Begin to connect."""
+        """Start to connect, in a task."""
         self._task = self._loop.spawn(self._run(), f"leaf {self._name} register")
 
     def stop(self) -> None:
-        """Drop the connection."""
+        """Stop the task and close the connection."""
         if self._task is not None:
             self._task.cancel()
 
--- a/heathwell/testing/standins/leaf_replies.py
+++ b/heathwell/testing/standins/leaf_replies.py
@@ -1,4 +1,4 @@
-"""A leaf's replies: results, score bounds and pongs, with its load report and the age of its data."""
+"""A leaf's replies: results, score bounds and pongs, with the reported load and the age of the data."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LeafReplies:
-    """Sends and logs the replies; ``log_follower`` is None where the data has no age."""
+    """Sends and logs the replies; ``log_follower`` is None where ages of data are not reported."""
 
     def __init__(self, context: LeafContext, output: LeafOutput, log_follower: LogFollower | None) -> None:
         self._context = context
@@ -28,7 +28,7 @@
             self._send(stream, frames.encode(frames.Pong(number, self._load_report(load))))
 
     def send_score_bounds(self, attempt: ReceivedAttempt, bounds: list[float]) -> None:
-        """Send the best score that a row of the shard can have, by query of the search."""
+        """Send the best score that a row of the shard can have, for each query vector of the search."""
         context = self._context
         request = attempt.request
         context.events("bound", p=request.id, seq=request.seq, node=context.address, best=bounds)
@@ -67,7 +67,7 @@
         self._send(attempt.stream, frames.encode(result))
 
     def _send(self, stream: Stream, frame: bytes) -> None:
-        # A leaf that is killed after the send must have logged what it sent.
+        # Flushed first, so that the log of a leaf that is killed after the send contains what was sent.
         self._context.events.flush()
         self._output.send(stream, frame)
 
@@ -79,7 +79,7 @@
         return lost is not None and context.random.random() < lost.value
 
     def _set_data_age(self, result: frames.Result, log_follower: LogFollower) -> int:
-        """Set the reported age of the data; return the source time that is truly applied."""
+        """Set the source time that the result reports; return the source time that is actually applied."""
         now_us = self._context.loop.now()
         applied_us = log_follower.advance(now_us)
         result.source_us = log_follower.reported_us(now_us)
@@ -87,7 +87,7 @@
         return applied_us
 
     def _load_report(self, load: int) -> int:
-        """Return the load as of the last refresh of the report."""
+        """Return the load as of the last refresh, which is due after the configured interval."""
         now_us = self._context.loop.now()
         if now_us - self._reported_at_us >= self._context.settings.leaf.refresh:
             self._reported_at_us = now_us
--- a/heathwell/testing/standins/leaf_result_cache.py
+++ b/heathwell/testing/standins/leaf_result_cache.py
@@ -1,4 +1,4 @@
-"""A leaf's cache of results: a repeated request within the idempotency window has the first one's result."""
+"""A leaf's cache of results, from which requests repeated within the idempotency window are answered."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ResultCache:
-    """Results by the id of their part."""
+    """Cached results by the id of their part."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
@@ -33,7 +33,7 @@
         return cached.result
 
     def add(self, part_id: str, result: bytes) -> None:
-        """Add a result; the oldest one is dropped beyond the cache's size."""
+        """Add a result; evict the oldest one if the cache is full."""
         self._results[part_id] = CachedResult(self._loop.now(), result)
         if len(self._results) > RESULT_CACHE_SIZE:
             oldest = next(iter(self._results))
--- a/heathwell/testing/standins/link_condition.py
+++ b/heathwell/testing/standins/link_condition.py
@@ -1,4 +1,4 @@
-"""The faults of a link, and the condition of one of its directions: delay, bandwidth, packet loss, a cut."""
+"""The faults of a link, and the condition of each direction: delay, bandwidth, packet loss, partition."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from heathwell.testing.standins.units import US_PER_SECOND
 
 SEGMENT_BYTES: Final = 1_448
-"""Payload of a TCP packet on Ethernet."""
+"""The payload of a full TCP packet on Ethernet."""
 RETRANSMISSION_TIMEOUT_US: Final = 200_000
-"""Linux' least one, which doubles with each loss in a row."""
+"""Linux's minimum; the timeout doubles with each further loss of the same packet."""
 CONNECT_RETRANSMISSION_TIMEOUT_US: Final = 1_000_000
-"""Of a lost SYN or its acknowledgement (RFC 6298)."""
+"""The initial timeout for a lost SYN or its acknowledgement (RFC 6298)."""
 MAX_RETRANSMISSION_DELAY_US: Final = 60_000_000
 MIN_FLAP_INTERVAL_US: Final = 100_000
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFaultCommand:
-    """A fault to inject: its parameter in the unit of its kind, and when it ends."""
+    """A fault to inject, and when it ends; the unit of ``parameter`` depends on the fault."""
 
     fault: LinkFault
     parameter: float
@@ -86,12 +86,12 @@
     delay_us: int = 0
     jitter_ratio: float = 0.1
     bytes_per_second: float = 0.0
-    """0 for no limit."""
+    """The bandwidth limit; 0 for none."""
     loss_ratio: float = 0.0
     cut_until_us: int = 0
 
     def apply(self, command: LinkFaultCommand) -> None:
-        """Set the delay, bandwidth or loss of a command."""
+        """Set the delay, the bandwidth limit or the loss ratio to the command's."""
         match command.fault:
             case LinkFault.DELAY:
                 self.delay_us = command.delay_us
@@ -101,7 +101,7 @@
                 self.loss_ratio = command.loss_ratio
 
     def reset(self, fault: LinkFault) -> None:
-        """Remove the delay, the bandwidth limit or the loss."""
+        """Remove the delay, the bandwidth limit or the loss, by the kind of fault."""
         match fault:
             case LinkFault.DELAY:
                 self.delay_us = 0
@@ -111,11 +111,11 @@
                 self.loss_ratio = 0.0
 
     def transmission_us(self, size_bytes: int) -> float:
-        """Return how long the bandwidth limit takes for so many bytes; 0 without a limit."""
+        """Return the time (us) to transmit so many bytes at the bandwidth limit; 0 without a limit."""
         return size_bytes / self.bytes_per_second * US_PER_SECOND if self.bytes_per_second else 0.0
 
     def propagation_us(self, size_bytes: int, draws: random.Random) -> float:
-        """Return the delay of a write with its jitter and the retransmissions of its lost packets."""
+        """Return the delay (us) of a write, with jitter and the retransmissions of lost packets."""
         delay_us = self.delay_us * (1 + draws.uniform(-self.jitter_ratio, self.jitter_ratio))
         if self.loss_ratio:
             delay_us += retransmission_delay_us(size_bytes, self.loss_ratio, draws)
@@ -128,11 +128,11 @@
     draws: random.Random,
     first_timeout_us: int = RETRANSMISSION_TIMEOUT_US,
 ) -> int:
-    """Return the time that lost packets of a write add to its delivery.
+    """Return the time (us) that lost packets of a write add to its delivery.
 
-    Each loss costs a retransmission timeout, TCP's slower way of recovery: a short message has no packets
-    behind it whose acknowledgements would cause a fast retransmission. All packets of a write wait once, as
-    they are retransmitted together.
+    Each loss costs a retransmission timeout rather than a fast retransmission, as no later packets follow a
+    short message whose acknowledgements would trigger one. The lost packets of a write are retransmitted
+    together, so that they wait for one timeout.
     """
     delay_us = 0
     timeout_us = first_timeout_us
--- a/heathwell/testing/standins/link_forwarding.py
+++ b/heathwell/testing/standins/link_forwarding.py
@@ -1,4 +1,4 @@
-"""One direction of a relayed connection: bytes in order, each as late as the link's condition requires."""
+"""Forwards one direction of a relayed connection, in order and delayed by the link's condition."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 READ_SIZE_BYTES: Final = 16_384
 MAX_BYTES_IN_TRANSIT: Final = 1 << 20
-"""In one direction; beyond it the relay stops reading."""
+"""The limit for one direction of a connection, above which the relay stops reading."""
 CONDITION_CHECK_INTERVAL_US: Final = 100_000
-"""How soon a wait notices that a cut began or ended."""
+"""The longest time after which a waiting forwarder notices that a cut began or ended."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
         return sum(len(chunk.data) for chunk in self._in_transit)
 
     def _schedule_arrival(self, size_bytes: int) -> int:
-        """Return when bytes read now arrive, not before those read earlier."""
+        """Return when bytes that are read now arrive, which is never before those read earlier."""
         condition = self._current_condition()
         now_us = self._loop.now()
         delay_us = condition.propagation_us(size_bytes, self._draws)
--- a/heathwell/testing/standins/log_follower.py
+++ b/heathwell/testing/standins/log_follower.py
@@ -1,4 +1,4 @@
-"""How far a leaf has applied the source's log, and what it reports of that while a fault is injected."""
+"""The position up to which a leaf has applied the source's log, and the one that it reports under faults."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from heathwell.testing.standins.source import SourceLog
 
 CATCH_UP_RATE: Final = 10.0
-"""At which a restored host applies the log, in multiples of real time."""
+"""Speed at which a restored host applies the log, as a multiple of real time."""
 LAG_SPREAD: Final = (0.5, 1.5)
-"""Bounds of the random factor of the usual lag."""
+"""Bounds of the random factor that the usual lag is multiplied by."""
 
 
 class LogFollower:
-    """Applies the log with a lag. Times ``machine_us`` are the machine's, ``applied_us`` is the source's."""
+    """Applies the log with a lag. ``machine_us`` is the machine's time, ``applied_us`` the source's."""
 
     def __init__(self, source_log: SourceLog, usual_lag_us: int, draws: random.Random) -> None:
         self.source_log = source_log
@@ -24,7 +24,7 @@
         self._applied_us = 0
         self._advanced_at_us: int | None = None
         self._catch_up_us = 0.0
-        """Log that is left to apply after a restore."""
+        """The part of the log, as a duration, that is still to be applied after a restore."""
         self._extra_lag_us = 0
         self._extra_lag_until_us = 0
         self._stuck_until_us = 0
@@ -41,7 +41,7 @@
         lag_us = self._usual_lag_us * self._random.uniform(*LAG_SPREAD) + self._catch_up_us
         if machine_us < self._extra_lag_until_us:
             lag_us += self._extra_lag_us
-        # The log is applied in order, so that a greater lag never undoes what is applied.
+        # The log is applied in order: applied entries stay applied when the lag grows.
         self._applied_us = max(self._applied_us, self.source_log.now(machine_us) - int(lag_us))
         return self._applied_us
 
--- a/heathwell/testing/standins/part_outcomes.py
+++ b/heathwell/testing/standins/part_outcomes.py
@@ -6,7 +6,7 @@
 
 
 class PartOutcome(StrEnum):
-    """How a host ended a part; a rejected one never began."""
+    """The outcome of a part at a host; a rejected part was never executed."""
 
     OK = "ok"
     ERROR = "error"
--- a/heathwell/testing/standins/platform_client.py
+++ b/heathwell/testing/standins/platform_client.py
@@ -1,4 +1,4 @@
-"""A client of a broker by the platform's protocol: one connection, one request at a time."""
+"""A client of a platform broker over HTTP, with one connection and one request at a time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PlatformClient:
-    """A client that connects with its first request."""
+    """A client that connects when it sends its first request."""
 
     def __init__(self, loop: Loop, net: Net, address: str) -> None:
         self.loop = loop
@@ -38,9 +38,10 @@
         work_hint_us: int = DEFAULT_WORK_HINT_US,
         **body_fields: object,
     ) -> Coro[Response]:
-        """Send a query with parts of equal weight and return its response.
+        """Send a query with one part per shard, of equal weights, and return the response.
 
-        ``body_fields`` are added to the request's body. Raise :class:`StreamBrokenError` without a response.
+        ``body_fields`` are added to the request's body. Raise :class:`StreamBrokenError` if the connection
+        ends before the response.
         """
         headers = [("Req-Id", query_id), ("Req-Kind", query_class), ("Req-Deadline", f"{timeout_ms}m")]
         if key:
@@ -58,14 +59,14 @@
         return (yield from self.send(self.side.request("POST", target, headers, body)))
 
     def send(self, data: bytes) -> Coro[Response]:
-        """Send bytes as they are and return the next response. Raise :class:`StreamBrokenError`."""
+        """Send raw bytes and return the next response. Raise :class:`StreamBrokenError`."""
         if self.stream is None:
             self.stream = yield from self.net.connect(self.address, CONNECT_TIMEOUT_US)
         self.stream.write(data)
         while True:
             received = yield from self.stream.read()
             if not received:
-                raise StreamBrokenError("the broker closed the connection")
+                raise StreamBrokenError("the broker closed the connection before a complete response")
             response = self.side.feed(received)
             if response is not None:
                 return response
--- a/heathwell/testing/standins/platform_discovery.py
+++ b/heathwell/testing/standins/platform_discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's discovery: one list of nodes over HTTP, with watches for its changes."""
+"""A stand-in for the platform's discovery: a list of nodes over HTTP, and watches for its changes."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from heathwell.testing.standins.platform_node import NodeEntry, NodeState, PlatformNode
 
 NO_REVISION: Final = -1
-"""Of a watch that has no list yet."""
+"""The known revision of a watch that has no list yet."""
 MAX_QUEUEING_US: Final = 1_000_000
-"""Time in the queue beyond which a request is rejected."""
+"""The longest time in the queue; a request that would wait longer is rejected."""
 MUTE_CHECK_INTERVAL_US: Final = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class PublishedEntry:
-    """A node's entry and the list's revision that it came with."""
+    """A node's entry, and the revision of the list that published it."""
 
     revision: int
     entry: NodeEntry
@@ -33,7 +33,7 @@
     frozen=True,
     rename={"revision": "rev", "is_complete": "all", "entries": "targets"},
 ):
-    """The list, or its entries that changed since an earlier revision."""
+    """The complete list, or the entries that changed since an earlier revision."""
 
     revision: int
     is_complete: bool
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """A request for the list after a revision, and until when it waits for one."""
+    """A request for changes after a known revision, and until when it waits for them."""
 
     known_revision: int
     waits_until_us: int
 
     @classmethod
     def from_query(cls, query: str, now_us: int) -> WatchRequest:
-        """Return the request of a query string. Raise :class:`ValueError`."""
+        """Parse the query string of a request. Raise :class:`ValueError`."""
         parameters = dict(parse_qsl(query))
         known_revision = int(parameters.get("from", NO_REVISION))
         return cls(known_revision, now_us + int(parameters.get("hold_ms", 0)) * 1000)
@@ -61,9 +61,10 @@
 
 
 class PlatformDiscovery:
-    """Discovery, which listens from its construction on.
+    """Discovery, which listens as soon as it is constructed.
 
-    A request and each entry of its response take ``entry_work_us`` of one worker, which serves them in turn.
+    One worker serves the requests in turn. Each takes it ``entry_work_us``, and as long again for each entry
+    of the response.
     """
 
     def __init__(
@@ -73,9 +74,9 @@
         self.entry_work_us = entry_work_us
         self.revision = 1
         self.down = False
-        """Whether requests are answered 503."""
+        """Whether all requests are answered with status 503."""
         self.silent = False
-        """Whether responses are held back."""
+        """Whether responses are held back until this is false again."""
         self.rejected_requests = 0
         self.queries: list[str] = []
         """The query strings of all requests."""
@@ -95,11 +96,11 @@
         self.notify_watches()
 
     def mute_connections(self) -> None:
-        """Send nothing over the present connections from now on, and leave them open."""
+        """Send nothing more over the connections that are open now, without closing them."""
         self._muted |= self.streams
 
     def notify_watches(self) -> None:
-        """Let the waiting watches check the list and the flags."""
+        """Wake the waiting watches, which check the list and :attr:`down`."""
         for waiting in self._waiting:
             waiting.set()
 
--- a/heathwell/testing/standins/platform_frames.py
+++ b/heathwell/testing/standins/platform_frames.py
@@ -1,4 +1,4 @@
-"""The node's side of the platform's frames, and the generated results of parts."""
+"""Decodes and encodes the platform's frames at the side of a node, and generates the results of parts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from heathwell.codec import nodeframes as nf
 
 SECOND_STEP_SUFFIX: Final = ".fetch"
-"""Of the ids of parts of a second step."""
+"""Suffix of the ids of the parts of a second step."""
 LOAD_REPORT: Final = "inflight=1,util=0.5"
 PART_LINE_ITEMS: Final = 4  # part id, shard, fields, length of the text
 SCORE_LIMIT: Final = 1000
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedFrame:
-    """A frame's letter and body."""
+    """A frame's type, as a letter, and its body."""
 
     letter: bytes
     body: bytes
@@ -58,11 +58,11 @@
         line, line_end, body = body.partition(b"\n")
         items = line.decode().split(" ")
         if not line_end or len(items) != PART_LINE_ITEMS:
-            raise ValueError(f"a part's line has {len(items)} items")
+            raise ValueError(f"line of a part: expected {PART_LINE_ITEMS} items, got {len(items)} items")
         part_id, shard, fields, text_bytes = items
         length = int(text_bytes)
         if length > len(body):
-            raise ValueError(f"a text of {length} bytes has {len(body)}")
+            raise ValueError(f"part {part_id}: expected a text of {length} bytes, got {len(body)}")
         yield ReceivedPart(
             part_id, int(shard), dict(field.split("=", 1) for field in fields.split(",")), body[:length]
         )
@@ -70,14 +70,14 @@
 
 
 def generate_result(shard: int, text: bytes, step: str = "") -> bytes:
-    """Return the result that each replica of a shard gives for a text: 16 hexadecimal digits."""
+    """Return the result of a shard for a text, 16 hexadecimal digits that are the same at each replica."""
     return hashlib.sha256(b"%d %s " % (shard, step.encode()) + text).hexdigest()[:RESULT_DIGITS].encode()
 
 
 def encode_answer(
     part: ReceivedPart, status: int = nf.PartStatus.OK, load_report: str = LOAD_REPORT
 ) -> bytes:
-    """Return the answer's frame for a part, with its result where the status is OK."""
+    """Return the frame that answers a part; it contains the result where the status is OK."""
     step = SECOND_STEP_SUFFIX if part.id.endswith(SECOND_STEP_SUFFIX) else ""
     score = int(generate_result(part.shard, part.text), 16) % SCORE_LIMIT
     result = generate_result(part.shard, part.text, step) if status == nf.PartStatus.OK else b""
--- a/heathwell/testing/standins/platform_node.py
+++ b/heathwell/testing/standins/platform_node.py
@@ -1,4 +1,4 @@
-"""A stand-in for a node of the platform: it answers each part after a fixed time of work."""
+"""A stand-in for a node of the platform, which answers each part after a fixed duration."""
 
 from __future__ import annotations
 
@@ -45,9 +45,9 @@
 
 
 class PlatformNode:
-    """One node, which listens from its construction on.
+    """One node, which listens as soon as it is constructed.
 
-    Where ``responder`` is set, it is called at the end of a part's work in place of the answer.
+    Where ``responder`` is set, it is called at the end of a part's work, and no answer is sent.
     """
 
     def __init__(
@@ -68,13 +68,13 @@
         self.events: EventLog = events or NoEvents()
         self.responder: Callable[[PlatformNode, Stream, ReceivedPart], None] | None = None
         self.parts: list[ReceivedPart] = []
-        """All that were received."""
+        """All received parts, the oldest first."""
         self.cancelled_ids: list[str] = []
         self.silent = False
-        """Whether nothing is answered, probes included."""
+        """Whether neither parts nor probes are answered."""
         self.draining = False
         self.booted_at_ms = 0
-        """Unix time."""
+        """When the node was booted, in Unix time."""
         self.streams: dict[Stream, None] = {}
         self.listener: Listener = net.listen(address, self._serve, f"node {uid}")
         self.address = self.listener.address
@@ -94,7 +94,7 @@
         }
 
     def kill(self) -> None:
-        """Reset all connections and reject new ones, as the end of the process does."""
+        """Reset all connections and refuse new ones, as if the process had been killed."""
         self.listener.close()
         for stream in list(self.streams):
             stream.abort()
@@ -106,7 +106,7 @@
         self.events("done", p=part.id, node=self.uid, n=part.number, outcome=outcome)
 
     def finish_work(self, stream: Stream, part: ReceivedPart) -> None:
-        """Answer a part, or call the responder, unless nothing is to be answered."""
+        """Answer a part, or call the responder; do neither while :attr:`silent`."""
         if self.silent or stream.closed:
             return
         if self.responder is not None:
--- a/heathwell/testing/standins/relay.py
+++ b/heathwell/testing/standins/relay.py
@@ -1,6 +1,6 @@
-"""A stand-in for the link between regions: a relay on sockets that delays, limits, cuts, resets and flaps.
+"""A stand-in for the link between regions: a relay of connections into which network faults are injected.
 
-It has one listener per target behind the link. Each direction has a condition of its own.
+The relay has one listener for each target behind the link. Each direction of the link has its own condition.
 """
 
 from __future__ import annotations
@@ -130,7 +130,7 @@
         self._loop.call_at(now_us + interval_us, self._end_flap, interval_us)
 
     def _end_flap(self, interval_us: int) -> None:
-        """Leave the link up for an interval, unless the fault has ended."""
+        """Leave the link up for an interval and cut it again, unless the fault has ended."""
         now_us = self._loop.now()
         if now_us < self._flaps_until_us:
             self._loop.call_at(now_us + interval_us, self._begin_flap, interval_us)
@@ -203,7 +203,7 @@
 
 
 class RoutedNet:
-    """A net that connects to some addresses by way of a relay; ``routes`` maps them to its addresses."""
+    """A network that connects to the addresses in ``routes`` through a relay, whose addresses it maps to."""
 
     def __init__(self, net: Net, routes: dict[str, str]) -> None:
         self._net = net
@@ -211,5 +211,5 @@
         self.listen = net.listen
 
     def connect(self, address: str, timeout_us: int) -> Coro[Stream]:
-        """Connect as the net does, by way of the relay where there is a route."""
+        """Connect to the address, through the relay where there is a route."""
         return self._net.connect(self._routes.get(address, address), timeout_us)
--- a/heathwell/testing/standins/source.py
+++ b/heathwell/testing/standins/source.py
@@ -1,7 +1,7 @@
-"""A stand-in for the source of all data: one log per shard, and a clock that hosts and brokers follow.
+"""A stand-in for the source of all data: one log per shard, and the clock by which ages of data are measured.
 
-The log is computed: at source time T each shard's log has the position ``T * entries_per_second``. The
-source's clock runs at the machine's rate with an offset, so that code which confuses the two clocks fails.
+Log positions are computed: at source time T each shard's log has the position ``T * entries_per_second``. The
+source's clock has the machine's rate and an offset from it, so that code which confuses the two clocks fails.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Source:
-    """Serves the source's clock."""
+    """The source's server, which replies to requests for the source's time."""
 
     def __init__(
         self, loop: Loop, net: Net, service_settings: ServiceSettings, address: str | None = None
--- a/heathwell/testing/standins/vectors.py
+++ b/heathwell/testing/standins/vectors.py
@@ -1,4 +1,4 @@
-"""Generated vectors: leaves, auditors and tests derive the same points from the collection's name."""
+"""Generated vectors, the same in every process for the same collection and shard."""
 
 from __future__ import annotations
 
@@ -15,13 +15,16 @@
 from heathwell.testing.standins.data import GOODS, hash_names
 
 IDS_PER_SHARD: Final = 10_000_000
-"""The ids of a shard's own points begin at its number times this."""
+"""The ids of a shard's own points start at the shard's number times this constant."""
 CACHED_SHARDS: Final = 256
 
 
 @dataclass(frozen=True, slots=True)
 class GeneratedCollection:
-    """What a collection's points depend on; ``overlap`` is the fraction that the next shard holds as well."""
+    """The parameters of a collection's points.
+
+    ``overlap`` is the fraction of each shard's points that the next shard also contains.
+    """
 
     name: str
     vector_size: int
@@ -31,7 +34,7 @@
     points_per_shard: int
     overlap: float
     spread: float
-    """Standard deviation of a shard's points about its centre; that of the centres is 1."""
+    """The standard deviation of a shard's points from its centre; that of the centres is 1."""
 
     @classmethod
     def from_settings(cls, settings: Collection, shards: int) -> GeneratedCollection:
@@ -54,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GeneratedPoints:
-    """Points by row: ``vectors`` has the shape (points, vector size)."""
+    """Points of a shard; ``vectors`` has one row per point."""
 
     vectors: Floats
     ids: list[int]
@@ -67,7 +70,7 @@
 
 @functools.lru_cache(maxsize=CACHED_SHARDS)
 def _generate_points(name: str, vector_size: int, shard: int, count: int, spread: float) -> GeneratedPoints:
-    """Return points about a centre that depends on the collection's name and the shard."""
+    """Return random points around a centre, which depends on the collection's name and the shard."""
     draws = np.random.default_rng(hash_names("vectors", name, shard))
     centre = draws.normal(0, 1, vector_size)
     offsets = draws.normal(0, spread, (count, vector_size))
@@ -92,7 +95,7 @@
 
 @functools.lru_cache(maxsize=CACHED_SHARDS)
 def generate_shard(collection: GeneratedCollection, shard: int) -> VectorShard:
-    """Return a shard. Fleets in one process share it."""
+    """Return a shard, built once per process: fleets in one process share it."""
     points = collection.own_points(shard)
     shared_points = int(collection.points_per_shard * collection.overlap)
     if shared_points and collection.shards > 1:
--- a/tests/test_standin_parts.py
+++ b/tests/test_standin_parts.py
@@ -131,9 +131,9 @@
     assert [frame.letter for frame in taken] == [nf.CALL, nf.PROBE] and buffer == call[:7]
     assert taken[1] == ReceivedFrame(nf.PROBE, b"")
     assert [part.id for part in decode_call(taken[0].body)] == ["q.1"]
-    with pytest.raises(ValueError, match="text of 4 bytes has 3"):
+    with pytest.raises(ValueError, match=r"part q\.1: expected a text of 4 bytes, got 3$"):
         list(decode_call(taken[0].body[:-1]))
-    with pytest.raises(ValueError, match="3 items"):
+    with pytest.raises(ValueError, match="expected 4 items, got 3 items"):
         list(decode_call(b"q.1 1 d=240\n"))
 
 
