--- a/heathwell/testing/simulation/fault_links.py
+++ b/heathwell/testing/simulation/fault_links.py
@@ -116,7 +116,7 @@
         for link in links:
             command = _fault_command(link, source_set, kind, duration_us, value)
             try:
-                self._thread.call(partial(self._relays[link].order, command))
+                self._thread.call(partial(self._relays[link].inject_fault, command))
             except FaultInjectionError as error:
                 raise FaultLinkError(kind, str(error)) from error
         return len(links)
--- a/heathwell/testing/simulation/quota_experiment.py
+++ b/heathwell/testing/simulation/quota_experiment.py
@@ -245,7 +245,7 @@
         if self.scenario is Scenario.SLOW_HOSTS:
             slowdown = HostFault(LeafFault.SLOW, SLOW_FACTOR, fault_duration_us)
             for leaf in self.fleet.leaves[::SLOW_HOST_STRIDE]:
-                leaf.order(slowdown.to_command())
+                leaf.inject_fault(slowdown.to_command())
         elif self.scenario is Scenario.COLD_RESTART:
             yield from self._restart_region(fault_duration_us // 3)
         else:
--- a/heathwell/testing/simulation/simulated_scenario.py
+++ b/heathwell/testing/simulation/simulated_scenario.py
@@ -260,14 +260,14 @@
                 query_class = draws.choice(self.service_settings.classes).name
                 # Without a source the data of a leaf has no age, and faults of it change nothing.
                 with contextlib.suppress(FreshnessDisabledError):
-                    leaf.order(fault.to_command(query_class))
+                    leaf.inject_fault(fault.to_command(query_class))
 
     def _inject_crash(self, leaf: Leaf, draw: float, draws: random.Random) -> None:
         """Crash the host, discovery, a broker or a zone, as the ``draw`` has it."""
         if draw < HOST_CRASH_BELOW:
             self._crash([leaf], CRASHED_RESTART_DELAY_US)
         elif draw < DISCOVERY_OUTAGE_BELOW:
-            self.fleet.discovery.order(
+            self.fleet.discovery.inject_fault(
                 frames.FaultCommand(DiscoveryFault.OUTAGE.value, 0.0, DISCOVERY_OUTAGE_US)
             )
         elif draw < BROKER_RESTART_BELOW:
--- a/heathwell/testing/simulation/zone_faults.py
+++ b/heathwell/testing/simulation/zone_faults.py
@@ -144,7 +144,7 @@
             case _:
                 return
         for leaf in leaves:
-            leaf.order(fault.to_command(query_class))
+            leaf.inject_fault(fault.to_command(query_class))
 
 
 def _is_across_partition(broker_zone: int, leaf_zone: int) -> bool:
--- a/heathwell/testing/standins/discovery.py
+++ b/heathwell/testing/standins/discovery.py
@@ -66,7 +66,7 @@
         self.address = self._listener.address
         return self.address
 
-    def order(self, command: frames.FaultCommand) -> None:
+    def inject_fault(self, command: frames.FaultCommand) -> None:
         """Inject a fault. Raise :class:`FaultInjectionError`."""
         fault = parse_fault_kind(DiscoveryFault, command.kind)
         ends_at_us = self._loop.now() + command.span_us
@@ -120,7 +120,7 @@
             case frames.WatchRequest():
                 self._on_watch_request(stream)
             case frames.FaultCommand():
-                stream.write(frames.encode(reply_to_fault_command(self.order, message)))
+                stream.write(frames.encode(reply_to_fault_command(self.inject_fault, message)))
 
     # Endpoint list
 
--- a/heathwell/testing/standins/leaf.py
+++ b/heathwell/testing/standins/leaf.py
@@ -146,7 +146,7 @@
 
     # Fault injection
 
-    def order(self, command: frames.FaultCommand) -> None:
+    def inject_fault(self, command: frames.FaultCommand) -> None:
         """Inject a fault. Raise :class:`FaultInjectionError`."""
         fault = parse_fault_kind(LeafFault, command.kind)
         self.events(
@@ -204,7 +204,7 @@
             case frames.Ping(number=number):
                 self._replies.send_pong(stream, number, self._executor.load)
             case frames.FaultCommand():
-                stream.write(frames.encode(reply_to_fault_command(self.order, message)))
+                stream.write(frames.encode(reply_to_fault_command(self.inject_fault, message)))
 
     def _on_part_request(self, stream: Stream, request: frames.PartRequest) -> None:
         broker = self._connections.peer_name(stream)
--- a/heathwell/testing/standins/relay.py
+++ b/heathwell/testing/standins/relay.py
@@ -77,7 +77,7 @@
 
     # Fault injection
 
-    def order(self, frame: frames.FaultCommand) -> None:
+    def inject_fault(self, frame: frames.FaultCommand) -> None:
         """Inject a fault. Raise :class:`FaultInjectionError`."""
         command = LinkFaultCommand.from_frame(frame, self._loop.now())
         match command.fault:
@@ -142,7 +142,7 @@
 
     def _on_message(self, stream: Stream, message: frames.AnyMessage) -> None:
         if isinstance(message, frames.FaultCommand):
-            stream.write(frames.encode(reply_to_fault_command(self.order, message)))
+            stream.write(frames.encode(reply_to_fault_command(self.inject_fault, message)))
 
     # Connections
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -33,7 +33,7 @@
 
 def inject_fault(target, kind: str, seconds: float = 0.0, value: float = 0.0, text: str = "") -> None:
     """Inject a fault into a leaf or the discovery stand-in for some seconds."""
-    target.order(frames.FaultCommand(kind, value, int(seconds * 1_000_000), text))
+    target.inject_fault(frames.FaultCommand(kind, value, int(seconds * 1_000_000), text))
 
 
 class World:
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -337,7 +337,7 @@
                 self.net.cut("discovery", host)
         else:
             for leaf in self.fleet.leaves[:8:2]:
-                leaf.order(frames.FaultCommand("slow", 6.0, 12_000_000))
+                leaf.inject_fault(frames.FaultCommand("slow", 6.0, 12_000_000))
         yield from super()._inject_region_fault()
         for host in self._hosts_in(RegionName.HKI):
             self.net.heal(host, "discovery")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -41,9 +41,9 @@
         assert not errors, errors
 
 
-def order(relay, kind, value=0.0, seconds=0.0):
+def inject_fault(relay, kind, value=0.0, seconds=0.0):
     """Inject a fault at the relay."""
-    assert relay.order(frames.FaultCommand(kind, value, int(seconds * 1e6))) is None
+    assert relay.inject_fault(frames.FaultCommand(kind, value, int(seconds * 1e6))) is None
 
 
 def round_trip_us(loop, stream, data=b"hi"):
@@ -67,7 +67,7 @@
     def main():
         stream = yield from echo_server.connect()
         assert (yield from round_trip_us(loop, stream)) < 5_000
-        order(echo_server.relay, "delay", 0.1, 2.0)
+        inject_fault(echo_server.relay, "delay", 0.1, 2.0)
         assert 170_000 < (yield from round_trip_us(loop, stream)) < 240_000
         yield from sleep(loop, 2_500_000)
         assert (yield from round_trip_us(loop, stream)) < 5_000
@@ -81,7 +81,7 @@
 
     def main():
         stream = yield from echo_server.connect()
-        order(echo_server.relay, "rate", 100_000.0, 60.0)
+        inject_fault(echo_server.relay, "rate", 100_000.0, 60.0)
         assert 900_000 < (yield from round_trip_us(loop, stream, b"x" * 100_000)) < 2_500_000
 
     echo_server.run(main())
@@ -95,10 +95,10 @@
     def main():
         stream = yield from echo_server.connect()
         yield from round_trip_us(loop, stream)
-        order(echo_server.relay, kind, 2.0 if kind == "flap" else 0.0, 2.0)
+        inject_fault(echo_server.relay, kind, 2.0 if kind == "flap" else 0.0, 2.0)
         assert (yield from round_trip_us(loop, stream, bytes(range(200)))) >= 1_990_000
         if kind == "cut":
-            order(echo_server.relay, kind, 0.0, 2.0)
+            inject_fault(echo_server.relay, kind, 0.0, 2.0)
             other = yield from echo_server.connect(500_000)  # accepted by the relay, but no data passes
             other.write(b"x")
             yield from sleep(loop, 1_000_000)
@@ -114,7 +114,7 @@
     def main():
         stream = yield from echo_server.connect()
         yield from round_trip_us(loop, stream)
-        order(echo_server.relay, "reset")
+        inject_fault(echo_server.relay, "reset")
         with pytest.raises(StreamBrokenError):
             yield from round_trip_us(loop, stream)
         reconnected = yield from echo_server.connect()
@@ -122,7 +122,7 @@
 
     echo_server.run(main())
     with pytest.raises(UnknownFaultError, match="unknown trouble"):
-        echo_server.relay.order(frames.FaultCommand("nonsense"))
+        echo_server.relay.inject_fault(frames.FaultCommand("nonsense"))
 
 
 def test_over_sockets_a_cut_delays_data_and_a_closed_server_ends_connections():
@@ -135,7 +135,7 @@
     def main():
         stream = yield from routed.connect(host.address, 1_000_000)
         yield from round_trip_us(loop, stream, bytes(range(256)) * 2000)
-        order(relay, "cut", 0.0, 0.3)
+        inject_fault(relay, "cut", 0.0, 0.3)
         assert (yield from round_trip_us(loop, stream)) >= 290_000
         stream.end()
         assert (yield from stream.read()) == b""
--- a/tests/test_standin_parts.py
+++ b/tests/test_standin_parts.py
@@ -68,9 +68,9 @@
         if name == "relay"
         else Discovery(loop, net.at(name), loads(DEMO_SETTINGS))
     )
-    unknown = reply_to_fault_command(stand_in.order, frames.FaultCommand("nonsense"))
+    unknown = reply_to_fault_command(stand_in.inject_fault, frames.FaultCommand("nonsense"))
     assert unknown.text.startswith("unknown trouble 'nonsense'; known: ") and unknown.text.endswith(", heal")
-    assert reply_to_fault_command(stand_in.order, frames.FaultCommand("heal")).text == ""
+    assert reply_to_fault_command(stand_in.inject_fault, frames.FaultCommand("heal")).text == ""
 
 
 def test_a_link_command_has_its_direction_end_and_unit():
