--- a/benchmarks/vector_load.py
+++ b/benchmarks/vector_load.py
@@ -23,7 +23,7 @@
 from heathwell.settings import ServiceSettings, loads
 from heathwell.testing.simulation.fleet_member import FleetMember
 from heathwell.testing.simulation.process_fleet import ProcessFleet
-from heathwell.testing.standins.vectors import shard_of
+from heathwell.testing.standins.vectors import shard_from_settings
 
 SHARDS: Final = 24
 SETTINGS: Final = """
@@ -211,7 +211,9 @@
     """The nearest of all points by brute force."""
 
     def __init__(self, service_settings: ServiceSettings) -> None:
-        shards = [shard_of(service_settings.collections[0], number, SHARDS) for number in range(SHARDS)]
+        shards = [
+            shard_from_settings(service_settings.collections[0], number, SHARDS) for number in range(SHARDS)
+        ]
         self._vectors = np.concatenate([shard.vectors for shard in shards]).astype(np.float64)
         self._ids = np.array([point for shard in shards for point in shard.ids])
 
--- a/heathwell/testing/standins/leaf_data.py
+++ b/heathwell/testing/standins/leaf_data.py
@@ -60,14 +60,14 @@
         if not self._collections:
             return
         # Imported here, as only leaves with vector collections need numpy and the index library.
-        from heathwell.testing.standins.vectors import shard_of  # noqa: PLC0415
+        from heathwell.testing.standins.vectors import shard_from_settings  # noqa: PLC0415
 
-        self._shard_of = shard_of
+        self._shard_from_settings = shard_from_settings
         # Shards are built before the leaf listens; otherwise the first search would wait for them.
         for spec in service_settings.collections:
             for shard in range(service_settings.fleet.shards):
                 if self.holds(shard):
-                    shard_of(spec, shard, service_settings.fleet.shards)
+                    shard_from_settings(spec, shard, service_settings.fleet.shards)
 
     def holds(self, shard: int) -> bool:
         """Return whether the leaf is a replica of the shard."""
@@ -88,7 +88,7 @@
     def score_bounds(self, search: SearchRequest, shard_number: int) -> list[float]:
         """Return, for each query vector of a search, the best score that a row of the shard can have."""
         collection = self._collections[search.collection]
-        shard = self._shard_of(collection, shard_number, self._settings.fleet.shards)
+        shard = self._shard_from_settings(collection, shard_number, self._settings.fleet.shards)
         return shard.score_bounds(shard.read_queries(search.vectors, len(search.searches)))
 
     def record_result(self, request: frames.PartRequest) -> bytes:
@@ -112,7 +112,7 @@
         ``log_hits``: store the hits in the attempt, for the event log.
         """
         collection = self._collections[search.collection]
-        shard = self._shard_of(collection, attempt.request.shard, self._settings.fleet.shards)
+        shard = self._shard_from_settings(collection, attempt.request.shard, self._settings.fleet.shards)
         result = shard.search(search)
         if malformed is not None:
             repeat = 2 if malformed.text == "many" else 1
--- a/heathwell/testing/standins/vectors.py
+++ b/heathwell/testing/standins/vectors.py
@@ -110,6 +110,6 @@
     )
 
 
-def shard_of(settings: Collection, shard: int, shards: int) -> VectorShard:
+def shard_from_settings(settings: Collection, shard: int, shards: int) -> VectorShard:
     """Return a shard of the settings' collection in a fleet of so many shards."""
     return generate_shard(GeneratedCollection.from_settings(settings, shards), shard)
--- a/tests/test_both_servers.py
+++ b/tests/test_both_servers.py
@@ -7,7 +7,7 @@
 from heathwell.settings import loads
 from heathwell.testing.simulation import demo_settings
 from heathwell.testing.simulation.search_scenario import SearchScenario
-from heathwell.testing.standins.vectors import shard_of
+from heathwell.testing.standins.vectors import shard_from_settings
 
 SETTINGS = demo_settings.settings_text(
     demo_settings.price_search_class(),
@@ -41,7 +41,7 @@
     assert scenario.status_counts[200] > 100 and set(scenario.status_counts) <= {200, 503}
     vectors = {}
     for shard in range(12):
-        shard_data = shard_of(scenario.service_settings.collections[0], shard, 12)
+        shard_data = shard_from_settings(scenario.service_settings.collections[0], shard, 12)
         vectors |= dict(zip(shard_data.ids, shard_data.vectors, strict=True))
     checked_count = 0
     for answer in scenario.answers[:80]:
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -14,7 +14,7 @@
 from heathwell.codec.http import Response, ServerSide
 from heathwell.testing.audit import judge
 from heathwell.testing.audit.reader import from_lines
-from heathwell.testing.standins.vectors import shard_of
+from heathwell.testing.standins.vectors import shard_from_settings
 
 from .fleet import World
 from .vector_fleet import (
@@ -85,7 +85,7 @@
     )
     none = models.Filter(must=[models.FieldCondition(key="goods", match=models.MatchValue(value="gold"))])
     assert client.query_points("prices", query=query, query_filter=none).points == []
-    shard = shard_of(fleet.service_settings.collections[0], 3, SHARDS)
+    shard = shard_from_settings(fleet.service_settings.collections[0], 3, SHARDS)
     by_id = models.Filter(must=[models.HasIdCondition(has_id=[shard.ids[5]])])  # most shards match nothing
     [point] = client.query_points("prices", query=query, query_filter=by_id, with_vectors=True).points
     assert point.id == shard.ids[5] and point.vector == pytest.approx(shard.stored_vectors[5].tolist())
@@ -329,7 +329,7 @@
     ).replace("(work 2ms))\n(collection far", "(work 150ms))\n(collection far")
     with running(text) as fleet:
         spec = fleet.service_settings.collections[0]
-        query = shard_of(spec, 2, SHARDS).stored_vectors[7].tolist()
+        query = shard_from_settings(spec, 2, SHARDS).stored_vectors[7].tolist()
         fleet.inject_faults(range(6), "stall", seconds=0.0)
         for _ in range(6):
             answer = httpx.post(
--- a/tests/vector_fleet.py
+++ b/tests/vector_fleet.py
@@ -16,7 +16,7 @@
 from heathwell.settings import loads
 from heathwell.testing.simulation.local_fleet import LocalFleet
 from heathwell.testing.simulation.run_parameters import run_parameters_record
-from heathwell.testing.standins.vectors import shard_of
+from heathwell.testing.standins.vectors import shard_from_settings
 
 from .fleet import inject_fault
 
@@ -139,7 +139,7 @@
     scores = {}
     query_vector = np.asarray(query, np.float32).astype(np.float64)
     for number in range(SHARDS):
-        shard = shard_of(spec, number, SHARDS)
+        shard = shard_from_settings(spec, number, SHARDS)
         for point, vector, payload in zip(
             shard.ids, shard.stored_vectors.astype(np.float64), shard.payloads, strict=True
         ):
