--- a/heathwell/testing/standins/leaf_capacity.py
+++ b/heathwell/testing/standins/leaf_capacity.py
@@ -33,7 +33,7 @@
         """Return the time since the cold start; -1, the value on the wire, for a leaf that started warm."""
         return self._loop.now() - self.cold_since_us if self.cold_since_us else -1
 
-    def fraction(self) -> float:
+    def available_fraction(self) -> float:
         """Return the fraction of full capacity that is available now."""
         rules = self._rules
         if not self.cold_since_us or not rules.warm_within:
@@ -47,14 +47,14 @@
         Return the ratio of recent work to that limit where this arrival overloads the leaf, else None.
         """
         rules = self._rules
-        if not rules.fall_after or self.fraction() >= 1.0:
+        if not rules.fall_after or self.available_fraction() >= 1.0:
             return None
         now_us = self._loop.now()
         self._recent_work.append((now_us, work_us))
         self._recent_work_us += work_us
         while self._recent_work and self._recent_work[0][0] <= now_us - rules.fall_after:
             self._recent_work_us -= self._recent_work.popleft()[1]
-        limit_us = rules.fall_multiple * self.full_rate * self.fraction() * rules.fall_after
+        limit_us = rules.fall_multiple * self.full_rate * self.available_fraction() * rules.fall_after
         if self._recent_work_us <= limit_us or self.is_overloaded:
             return None
         self.is_overloaded = True
--- a/heathwell/testing/standins/leaf_executor.py
+++ b/heathwell/testing/standins/leaf_executor.py
@@ -99,7 +99,7 @@
             broker=attempt.broker,
             node=context.address,
             left=request.left_us,
-            warmth=round(context.capacity.fraction(), 4),
+            warmth=round(context.capacity.available_fraction(), 4),
         )
 
     def _read_search_work(self, attempt: ReceivedAttempt) -> float:
@@ -167,7 +167,7 @@
         else:
             is_second_step = request.op == Operation.ITEMS
             work_us = query_class.work * (query_class.fetch_work if is_second_step else 1.0)
-        speed = context.capacity.speed * context.capacity.fraction()
+        speed = context.capacity.speed * context.capacity.available_fraction()
         return work_us * noise / speed * (slow.value if slow else 1.0)
 
     def _on_finished(self, attempt: ReceivedAttempt) -> None:
