--- a/heathwell/testing/modelcheck/explorer.py
+++ b/heathwell/testing/modelcheck/explorer.py
@@ -1,7 +1,7 @@
-"""Explores every interleaving of a small model, breadth first.
+"""Explores every interleaving of a small model by breadth-first search.
 
-Job: finds a shortest trace from the initial state to a state that violates an invariant, or shows that there
-is none within a number of steps. Ownership: an exploration owns the states that it visits. Imports: the
+Job: finds a shortest trace from the initial state to a state that violates an invariant, or shows that no
+state within a number of steps does. Ownership: an exploration owns the states that it visits. Imports: the
 standard library only.
 """
 
@@ -19,34 +19,34 @@
 
 
 class Transition(NamedTuple, Generic[StateT]):
-    """One event that may happen next: its label in a trace, and the state after it."""
+    """A possible next event: its label in a trace, and the state after it."""
 
     label: str
     state: StateT
 
 
 class Model(Protocol[StateT]):
-    """A small model. States are values: a transition makes a new one and leaves the old one as it is."""
+    """A small model. A transition returns a new state and does not modify the old one."""
 
     def initial_state(self) -> StateT:
-        """Return the state in which every trace begins."""
+        """Return the state from which every trace starts."""
 
     def transitions(self, state: StateT) -> Iterator[Transition[StateT]]:
-        """Yield everything that may happen next in ``state``."""
+        """Yield every possible next event in ``state``."""
 
     def state_key(self, state: StateT) -> Hashable:
-        """Return a value that is equal for states with the same future.
+        """Return a key that is equal for states with the same possible futures.
 
-        Instants enter as distances from the present, so that the same situation later has the same key.
+        The key has times relative to now, so that the same situation at a later time has the same key.
         """
 
     def find_violation(self, state: StateT) -> str | None:
-        """Return a sentence on the invariant that ``state`` violates, or None."""
+        """Return a description of the invariant that ``state`` violates, or None."""
 
 
 @dataclass(frozen=True, slots=True)
 class InvariantViolation:
-    """A violated invariant, and the labels of a shortest trace that leads there."""
+    """A violated invariant, and the labels of a shortest trace to the violation."""
 
     description: str
     trace: tuple[str, ...]
@@ -54,7 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Exploration:
-    """The number of distinct states, whether these are all within ``depth`` steps, and any violation."""
+    """The result of an exploration.
+
+    ``is_complete``: the ``state_count`` distinct states are all that can be reached within ``depth`` steps.
+    """
 
     state_count: int
     is_complete: bool
@@ -62,7 +65,7 @@
     violation: InvariantViolation | None = None
 
     def __str__(self) -> str:
-        """Describe the result over several lines, for a failed test's message."""
+        """Return the result with the trace of a violation, for the message of a failed test."""
         extent = "all" if self.is_complete else "not all"
         summary = f"{self.state_count} states, {extent} within {self.depth} steps"
         if self.violation is None:
@@ -72,7 +75,7 @@
 
 
 class _Predecessor(NamedTuple):
-    """How a state was first reached: the key of the state before it, None for the initial one."""
+    """How a state was first reached: from which state's key (None for the initial state), by which event."""
 
     key: Hashable | None
     label: str
@@ -81,7 +84,7 @@
 def explore(
     model: Model[StateT], maximum_depth: int, timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS
 ) -> Exploration:
-    """Check every state within ``maximum_depth`` steps, until a violation is found or the time is up."""
+    """Check every state within ``maximum_depth`` steps, until a violation is found or the timeout expires."""
     initial_state = model.initial_state()
     predecessors: dict[Hashable, _Predecessor] = {model.state_key(initial_state): _Predecessor(None, "")}
     frontier = deque([(initial_state, 0)])
--- a/heathwell/testing/modelcheck/lease_model.py
+++ b/heathwell/testing/modelcheck/lease_model.py
@@ -1,11 +1,11 @@
-"""A small model of the quota leases: coordinators that vote and grant, brokers, one budget of one unit.
+"""A small model of the quota leases: two coordinators, two brokers, and one budget of one unit.
 
-Job: the events that may happen in that fleet (loss, reordering, restart, expiry) and its invariants.
-Ownership: each state belongs to the exploration that requested it. Imports: ``heathwell.fleet.quotas``.
+Job: the possible events in that fleet (loss, reordering, restart, expiry) and its invariants. Ownership: each
+state belongs to the exploration that requested it. Imports: ``heathwell.fleet.quotas``.
 
-Time advances in ticks. A lease lasts a few of them and all clocks agree, so that only the order of events is
-explored. Fraction leases outlast grants, as in a fleet. All coordinators request the one fraction, which is
-the hardest case for a lease.
+Time advances in ticks. A lease lasts a few ticks and all clocks agree, so that only the order of events is
+explored. Fraction leases outlast grants, as in a real fleet. Both coordinators request the lease of the one
+fraction, which is the case with the most conflicts.
 """
 
 from __future__ import annotations
@@ -45,12 +45,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseModel:
-    """The model's parameters; a test plants a bug by another type of voter, ledger or holder.
+    """The model's parameters; a test injects a bug by a faulty type of voter, ledger or holder.
 
-    ``requests_leases`` and ``requests_grants`` choose the messages that are sent. ``starts_with_lease``: the
-    first coordinator begins with the lease of the fraction. ``starts_with_grant``: the first broker begins
-    with the unit. A broker that has released its grant returns as another incarnation, which ignores earlier
-    grants.
+    ``requests_leases`` and ``requests_grants`` select the requests that are sent. ``starts_with_lease``: the
+    first coordinator initially holds the lease of the fraction. ``starts_with_grant``: the first broker
+    initially holds the unit. A broker that releases its grant restarts with a new incarnation, which ignores
+    earlier grants.
     """
 
     voter_type: type[LeaseVoter] = LeaseVoter
@@ -66,14 +66,16 @@
     starts_with_grant: bool = False
 
     def initial_state(self) -> FleetState:
-        """Return a fleet in which all coordinators have been up for long enough to vote."""
+        """Return a fleet whose coordinators have all been up for long enough to vote."""
         holders = [self.holder_type(UNIT, CLOCK_SKEW, 0) for _ in range(BROKER_COUNT)]
         state = FleetState(0, [], holders, remaining_restarts=self.restarts)
         state.coordinators = [self._start_coordinator(state) for _ in range(COORDINATOR_COUNT)]
         first = state.coordinators[0]
         lease_request = FractionLeaseRequest(FRACTION, first.incarnation, 0)
         for coordinator in state.coordinators:
-            coordinator.voter.silent_until_us = 0  # the silence after a start is explored by restarts
+            coordinator.voter.silent_until_us = (
+                0  # the transitions of restarts cover the silence after a start
+            )
             if self.starts_with_lease:
                 first.candidate.on_vote(coordinator.voter.on_request(0, lease_request))
         if self.starts_with_grant:
@@ -161,7 +163,7 @@
             yield Transition(f"coordinator {number} is killed and starts again without its state", after)
 
     def find_violation(self, state: FleetState) -> str | None:
-        """Return what is wrong: two lease holders of the fraction, or grants beyond the budget."""
+        """Return a description of two lease holders of the fraction or grants above the budget, or None."""
         lease_holders = [
             coordinator.incarnation
             for coordinator in state.coordinators
@@ -173,12 +175,12 @@
         return f"{quota} of one unit may be held" if quota > UNIT.total else None
 
     def state_key(self, state: FleetState) -> Hashable:
-        """Return the state's key, in which instants are distances from now."""
+        """Return the state's key, which has times relative to now."""
         return state.key()
 
 
 def _deliver(state: FleetState, envelope: Envelope) -> None:
-    """Let the destination handle the message; replies join the messages in flight."""
+    """Let the destination handle the message, and add its reply to the messages in flight."""
     process, _, incarnation = envelope.destination[1:].partition(".")
     number = int(process)
     message = envelope.message
--- a/heathwell/testing/modelcheck/lease_state.py
+++ b/heathwell/testing/modelcheck/lease_state.py
@@ -1,7 +1,7 @@
-"""The state of the lease model, and the key that distinguishes its states.
+"""The states of the lease model, and the keys that distinguish them.
 
-Job: the records of a small fleet's quota coordinators, brokers and messages in flight; copies and keys of
-them. Ownership: a state owns all that it refers to; a copy shares nothing with its original. Imports:
+Job: holds a small fleet's quota coordinators, brokers and messages in flight; copies states and derives their
+keys. Ownership: a state owns all that it refers to; a copy shares nothing with its original. Imports:
 ``heathwell.fleet.quotas``.
 """
 
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class CoordinatorState:
-    """One incarnation of a quota coordinator; a restart replaces all of it."""
+    """The state of one incarnation of a quota coordinator, which a restart replaces entirely."""
 
     voter: LeaseVoter
     candidate: LeaseCandidate
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class FleetState:
-    """The entire fleet at one instant. ``remaining_restarts`` may still happen."""
+    """The state of the fleet at tick ``now``; ``remaining_restarts`` limits further restarts."""
 
     now: int
     coordinators: list[CoordinatorState]
@@ -60,12 +60,12 @@
     coordinator_incarnation_count: int = 0
 
     def copy(self) -> FleetState:
-        """Return a deep copy, by pickling: several times faster than the copy module."""
+        """Return a deep copy, made by pickling, which is several times faster than ``copy.deepcopy``."""
         copied: FleetState = pickle.loads(pickle.dumps(self, pickle.HIGHEST_PROTOCOL))
         return copied
 
     def key(self) -> Hashable:
-        """Return a key with instants as distances from now and without what has expired."""
+        """Return a key that has times relative to now and omits expired votes and grants."""
         coordinators = tuple(_coordinator_key(coordinator, self.now) for coordinator in self.coordinators)
         holders = tuple(_holder_key(holder, self.now) for holder in self.holders)
         in_flight = tuple(sorted(_envelope_key(envelope, self.now) for envelope in self.in_flight))
@@ -122,13 +122,13 @@
 
 
 def _envelope_key(envelope: Envelope, now: int) -> _EnvelopeKey:
-    """Return a key that has an order among envelopes."""
+    """Return a key that can be sorted among those of other envelopes."""
     message = envelope.message
     values: list[str | int] = []
     for name in message.__dataclass_fields__:
         value = getattr(message, name)
         if name == "requested_at_us":
             value -= now
-        # A vote for nobody has None, which has no order beside names.
+        # The holder of a vote for nobody is None, which can't be compared with names.
         values.append("" if value is None else value)
     return _EnvelopeKey(envelope.destination, type(message).__name__, tuple(values))
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -1,4 +1,4 @@
-"""Model checking of the leases: no interleaving violates an invariant, and planted bugs are found."""
+"""Model checking of the quota leases: no interleaving violates an invariant, and injected bugs are found."""
 
 from dataclasses import replace
 
@@ -14,12 +14,12 @@
     """A faulty holder whose lease starts when the grant arrives, not when it was requested."""
 
     def on_grant(self, now: int, grant: Grant) -> bool:
-        """Take the grant as if it had been requested now."""
+        """Accept the grant as if it had been requested now."""
         return super().on_grant(now, replace(grant, requested_at_us=now))
 
 
 class NoSilenceAfterStart(LeaseVoter):
-    """A faulty voter that votes at once after a restart."""
+    """A faulty voter that votes immediately after a restart."""
 
     def __init__(self, name, now, lease):
         super().__init__(name, now, lease)
@@ -27,12 +27,12 @@
 
 
 class DoubleCountedRelease(FractionLedger):
-    """A faulty ledger that adds released units to those that its accounts already show as available."""
+    """A faulty ledger that counts released units as available twice."""
 
     extra = 0
 
     def on_request(self, now, request, lease_expires_at_us):
-        """Count what a releasing member was charged once more."""
+        """Add the charge of a releasing member, which its account releases as well."""
         if request.releasing and request.member in self.accounts:
             self.extra += self.accounts[request.member].current_charge(now)
         return super().on_request(now, request, lease_expires_at_us)
@@ -41,10 +41,15 @@
         return super()._available(now, member) + self.extra
 
 
-# Parameters of the model: only grants, both with restarts, only fraction leases.
-GRANTS = {"requests_leases": False, "starts_with_lease": True, "restarts": 0, "lease_duration_ticks": 8}
-RESTARTS = {"starts_with_lease": True, "starts_with_grant": True, "restarts": 2, "maximum_in_flight": 1}
-LEASES = {
+# Parameters of the model.
+GRANTS_ONLY = {"requests_leases": False, "starts_with_lease": True, "restarts": 0, "lease_duration_ticks": 8}
+WITH_RESTARTS = {
+    "starts_with_lease": True,
+    "starts_with_grant": True,
+    "restarts": 2,
+    "maximum_in_flight": 1,
+}
+LEASES_ONLY = {
     "requests_grants": False,
     "maximum_in_flight": 2,
     "restarts": 1,
@@ -56,12 +61,16 @@
 @pytest.mark.parametrize(
     ("parameters", "depth"),
     [
-        (GRANTS, 6),
-        (RESTARTS, 5),
-        (LEASES, 6),
+        (GRANTS_ONLY, 6),
+        (WITH_RESTARTS, 5),
+        (LEASES_ONLY, 6),
         *(
             pytest.param(parameters, depth, marks=pytest.mark.fleet)
-            for parameters, depth in ((GRANTS, 9), (RESTARTS, 8), (LEASES, 9))
+            for parameters, depth in (
+                (GRANTS_ONLY, 9),
+                (WITH_RESTARTS, 8),
+                (LEASES_ONLY, 9),
+            )
         ),
     ],
 )
@@ -84,12 +93,12 @@
 @pytest.mark.parametrize(
     ("bug", "parameters", "depth", "description"),
     [
-        ({"holder_type": LeaseFromGrantArrival}, GRANTS, 9, "may be held"),
-        ({"voter_type": NoSilenceAfterStart}, RESTARTS, 9, "may be held"),
-        ({"ledger_type": DoubleCountedRelease}, {**GRANTS, "maximum_in_flight": 1}, 12, "may be held"),
+        ({"holder_type": LeaseFromGrantArrival}, GRANTS_ONLY, 9, "may be held"),
+        ({"voter_type": NoSilenceAfterStart}, WITH_RESTARTS, 9, "may be held"),
+        ({"ledger_type": DoubleCountedRelease}, {**GRANTS_ONLY, "maximum_in_flight": 1}, 12, "may be held"),
     ],
 )
-def test_a_planted_bug_is_found_with_its_trace(bug, parameters, depth, description):
+def test_an_injected_bug_is_found_with_its_trace(bug, parameters, depth, description):
     exploration = explore(LeaseModel(**{**parameters, **bug}), depth, 60)
     violation = exploration.violation
     assert violation is not None, str(exploration)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -11,7 +11,7 @@
 
 
 def echo(stream):
-    """Write back what is received until the end of the stream."""
+    """Write received data back until the stream ends."""
     while data := (yield from stream.read()):
         stream.write(data)
         yield from stream.drain()
@@ -35,7 +35,7 @@
         return self.network.connect(self.address, timeout_us)
 
     def run(self, steps):
-        """Run a coroutine to its end and check that no task of the loop failed."""
+        """Run a coroutine to completion and check that no task of the loop failed."""
         self.loop.run(self.loop.spawn(steps, "main"))
         errors = self.errors
         assert not errors, errors
@@ -47,14 +47,14 @@
 
 
 def round_trip_us(loop, stream, data=b"hi"):
-    """Send data and return how long its echo takes; raise StreamBrokenError where the stream ends before."""
+    """Send data and return the time until its echo. Raise StreamBrokenError if the stream ends before."""
     sent_at_us = loop.now()
     received = b""
     stream.write(data)
     while len(received) < len(data):
         chunk = yield from stream.read()
         if not chunk:
-            raise StreamBrokenError("end")
+            raise StreamBrokenError("the stream ended before the echo")
         received += chunk
     assert received == data
     return loop.now() - sent_at_us
--- a/tests/test_standin_parts.py
+++ b/tests/test_standin_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the stand-ins and of fault scripts by themselves: commands, frames, records and names."""
+"""Unit tests of the stand-ins' components and of fault scripts: commands, frames, records and names."""
 
 from __future__ import annotations
 
@@ -97,7 +97,9 @@
     applied_us = follower.advance(SECOND_US)
     follower.inject_fault(LeafFault.RESTORE_OLD_COPY, SECOND_US, 9 * SECOND_US, 0)
     assert follower.reported_us(SECOND_US) == applied_us - 9 * SECOND_US
-    assert follower.advance(2 * SECOND_US) == applied_us + SECOND_US  # ten seconds of log in one
+    assert (
+        follower.advance(2 * SECOND_US) == applied_us + SECOND_US
+    )  # ten seconds of the log were applied in one second
 
 
 def test_an_overstated_position_ends_with_its_fault():
@@ -118,13 +120,13 @@
     assert cache.find("p1", SECOND_US) == b"r" and cache.find("p1", SECOND_US - 1) is None
 
 
-def test_unknown_operations_and_records_are_told_apart():
+def test_an_unknown_operation_is_an_error_and_an_unknown_record_is_a_result():
     assert generate_result("record", 0, "anna:10000", 0, 3) == MissingRecord()
     with pytest.raises(UnknownOperationError, match="'nonsense'"):
         generate_result("nonsense", 0, "anna:1", 0, 3)
 
 
-def test_frames_are_taken_whole_and_a_cut_call_is_an_error():
+def test_only_complete_frames_are_taken_and_a_truncated_call_is_an_error():
     call = nf.encode_call([nf.encode_part("q.1", 1, 240, b"text")])
     buffer = bytearray(call + nf.encode_frame(nf.PROBE) + call[:7])
     taken = list(take_frames(buffer))
@@ -216,7 +218,7 @@
 
 
 class StepRecorder:
-    """An event log and an output that note the order of their calls."""
+    """An event log and an output that record the order of their calls."""
 
     is_enabled = True
 
@@ -224,21 +226,21 @@
         self.steps = []
 
     def __call__(self, event, **_fields):
-        """Note the event."""
+        """Record the event."""
         self.steps.append(event)
 
     def flush(self):
-        """Note that the log was written."""
+        """Record that the log was flushed."""
         self.steps.append("flush")
 
     def send(self, _stream, _frame):
-        """Note that a frame was sent."""
+        """Record that a frame was sent."""
         self.steps.append("send")
 
 
 @pytest.mark.parametrize("reply", ["result", "score bounds"])
 def test_a_reply_is_in_the_log_file_before_it_is_sent(reply):
-    """A leaf may be killed as soon as its reply has left."""
+    """A leaf that is killed right after it sent a reply would otherwise lose the log record of it."""
     loop, _net = virtual_loop(1)
     recorder = StepRecorder()
     context = LeafContext.create(loop, loads(DEMO_SETTINGS), recorder, seed=1, speed=None, address="leaf0:1")
