--- a/heathwell/testing/modelcheck/lease_model.py
+++ b/heathwell/testing/modelcheck/lease_model.py
@@ -36,7 +36,7 @@
     Message,
 )
 
-UNIT = Budget("unit", BudgetKind.COUNT, 1, 0, 2, fraction_count=1, minimum_grant=0)
+ONE_UNIT_BUDGET = Budget("unit", BudgetKind.COUNT, 1, 0, 2, fraction_count=1, minimum_grant=0)
 FRACTION = 0
 CLOCK_SKEW = 0.0
 
@@ -67,7 +67,7 @@
 
     def initial_state(self) -> FleetState:
         """Return a fleet whose coordinators have all been up for long enough to vote."""
-        holders = [self.holder_type(UNIT, CLOCK_SKEW, 0) for _ in range(BROKER_COUNT)]
+        holders = [self.holder_type(ONE_UNIT_BUDGET, CLOCK_SKEW, 0) for _ in range(BROKER_COUNT)]
         state = FleetState(0, [], holders, remaining_restarts=self.restarts)
         state.coordinators = [self._start_coordinator(state) for _ in range(COORDINATOR_COUNT)]
         first = state.coordinators[0]
@@ -91,7 +91,7 @@
             voter=self.voter_type(incarnation, state.now, lease),
             candidate=LeaseCandidate(incarnation, 0, 1, COORDINATOR_COUNT, lease, state.now, 0),
             ledger=self.ledger_type(
-                UNIT, FRACTION, incarnation, Lease(self.grant_duration_ticks, CLOCK_SKEW)
+                ONE_UNIT_BUDGET, FRACTION, incarnation, Lease(self.grant_duration_ticks, CLOCK_SKEW)
             ),
             incarnation=incarnation,
         )
@@ -139,7 +139,7 @@
     def _release(self, state: FleetState, broker: int, number: int) -> FleetTransition:
         after = state.copy()
         member = f"b{broker}.{after.broker_incarnations[broker]}"
-        after.holders[broker] = self.holder_type(UNIT, CLOCK_SKEW, after.now)
+        after.holders[broker] = self.holder_type(ONE_UNIT_BUDGET, CLOCK_SKEW, after.now)
         after.broker_incarnations[broker] += 1
         request = GrantRequest(member, 0, after.now, releasing=True)
         after.in_flight.append(Envelope(f"k{number}", request))
@@ -172,7 +172,7 @@
         if len(lease_holders) > 1:
             return f"two lease holders of one fraction: {', '.join(lease_holders)}"
         quota = sum(holder.quota(state.now) for holder in state.holders)
-        return f"{quota} of one unit may be held" if quota > UNIT.total else None
+        return f"{quota} of one unit may be held" if quota > ONE_UNIT_BUDGET.total else None
 
     def state_key(self, state: FleetState) -> Hashable:
         """Return the state's key, which has times relative to now."""
