--- a/heathwell/testing/modelcheck/lease_state.py
+++ b/heathwell/testing/modelcheck/lease_state.py
@@ -25,7 +25,7 @@
 
 COORDINATOR_COUNT = 2
 BROKER_COUNT = 2
-OLDEST_REQUEST_AGE = -4  # ticks; requests older than this have the same future
+OLDEST_REQUEST_OFFSET_TICKS = -4  # from now; the times of older requests no longer affect the future
 
 Message: TypeAlias = FractionLeaseRequest | FractionLeaseVote | GrantRequest | Grant
 
@@ -101,8 +101,8 @@
             for number, grant in account.grants.items()
             if grant.expires_at_us > now
         )
-        request_age = max(account.requested_at_us - now, OLDEST_REQUEST_AGE)
-        accounts.append((member, grants, request_age, account.request.demand))
+        request_offset = max(account.requested_at_us - now, OLDEST_REQUEST_OFFSET_TICKS)
+        accounts.append((member, grants, request_offset, account.request.demand))
     return tuple(accounts), ledger.last_grant_number
 
 
