--- a/tests/test_standin_parts.py
+++ b/tests/test_standin_parts.py
@@ -97,9 +97,8 @@
     applied_us = follower.advance(SECOND_US)
     follower.inject_fault(LeafFault.RESTORE_OLD_COPY, SECOND_US, 9 * SECOND_US, 0)
     assert follower.reported_us(SECOND_US) == applied_us - 9 * SECOND_US
-    assert (
-        follower.advance(2 * SECOND_US) == applied_us + SECOND_US
-    )  # ten seconds of the log were applied in one second
+    # Ten seconds of the log are applied in one.
+    assert follower.advance(2 * SECOND_US) == applied_us + SECOND_US
 
 
 def test_an_overstated_position_ends_with_its_fault():
