--- a/heathwell/testing/modelcheck/lease_model.py
+++ b/heathwell/testing/modelcheck/lease_model.py
@@ -73,9 +73,7 @@
         first = state.coordinators[0]
         lease_request = FractionLeaseRequest(FRACTION, first.incarnation, 0)
         for coordinator in state.coordinators:
-            coordinator.voter.silent_until_us = (
-                0  # the transitions of restarts cover the silence after a start
-            )
+            coordinator.voter.silent_until_us = 0  # restarts explore the silence after a start
             if self.starts_with_lease:
                 first.candidate.on_vote(coordinator.voter.on_request(0, lease_request))
         if self.starts_with_grant:
