--- a/heathwell/testing/audit/attempt_budget.py
+++ b/heathwell/testing/audit/attempt_budget.py
@@ -1,4 +1,4 @@
-"""Rule 6: the budget of additional attempts of each broker."""
+"""Rule 6: no broker sends more additional attempts than its attempt budget permits."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from heathwell.testing.audit.verdict import Breach, breach_from
 
 RULE = 6
-ROUNDING = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 
 
 class _AdditionalAttempt(NamedTuple):
@@ -19,7 +19,7 @@
 
 
 def check_attempt_budget(records: RunRecords) -> Iterator[Breach]:
-    """Yield the breaches of the rule."""
+    """Yield the additional attempts by which a broker exceeded its budget within the window."""
     window_us = records.parameters["counted_over"]
     if not window_us:
         return
@@ -30,22 +30,22 @@
             sent_count = sum(now_us - window_us <= sent_us <= now_us for sent_us in sent_at_us[:number])
             taken_count = sum(now_us - window_us < taken_us <= now_us for taken_us in taken_at_us[broker])
             budget = records.parameters["free_resends"] + records.parameters["further_ratio"] * taken_count
-            if sent_count > budget + ROUNDING:
+            if sent_count > budget + ROUNDING_TOLERANCE:
                 text = f"{sent_count} further attempts within the window, of {taken_count} taken"
                 yield breach_from(RULE, attempt.part, text, attempt.send, attempt.arrive)
 
 
 def _taken_at_us(records: RunRecords) -> dict[str, list[int]]:
-    """Return when each broker took queries and their parts."""
+    """Return, by broker, one instant for each query and each part that the broker accepted."""
     taken_at_us: dict[str, list[int]] = defaultdict(list)
     for query in records.queries.values():
-        parts = query.take["parts"] + len(query.firsts) * records.class_of(query)["fetch"]
+        parts = query.take["parts"] + len(query.first_step_answers) * records.class_of(query)["fetch"]
         taken_at_us[query.take.who] += [query.take.t] * (1 + parts)
     return taken_at_us
 
 
 def _additional_attempts(records: RunRecords) -> dict[str, list[_AdditionalAttempt]]:
-    """Return the additional attempts of each broker with their instants, in order of these."""
+    """Return the additional attempts of each broker, ordered by when they were sent."""
     by_broker: dict[str, list[_AdditionalAttempt]] = defaultdict(list)
     for attempt in records.attempts.values():
         if attempt.seq and attempt.arrive is not None:
