--- a/tests/test_event_orderings_servers.py
+++ b/tests/test_event_orderings_servers.py
@@ -150,7 +150,7 @@
         """Close idle connections for a cause other than a new client."""
         assert cause == "idle timeout"
         for connection in self.connections():
-            connection._quiet_since_us = LONG_AGO_US
+            connection._timeout_started_at_us = LONG_AGO_US
             connection._check_timeouts()
 
 
