--- a/heathwell/cli/rollout.py
+++ b/heathwell/cli/rollout.py
@@ -31,7 +31,8 @@
 from heathwell.settings.check import TIME_US
 
 LOCK_FILE_NAME: Final = "lock"
-FINAL_STATUS_DURATION_US: Final = 200_000  # after the end, to reply to operators' last requests
+# Time that the controller runs on after the end of a rollout, to reply to operators' last requests.
+FINAL_STATUS_DURATION_US: Final = 200_000
 
 
 @click.group()
--- a/heathwell/fleet/control/evacuation_coordinator.py
+++ b/heathwell/fleet/control/evacuation_coordinator.py
@@ -29,7 +29,7 @@
 from heathwell.settings import ServiceSettings
 
 LISTEN_BEFORE_LEADING_US = 2_500_000  # longer than the brokers' renewal interval
-LOAD_WINDOW_US = 2_000_000  # over which the brokers' counts are summed
+LOAD_WINDOW_US = 2_000_000  # The brokers' counts of the last two seconds are summed.
 DEFAULT_OPERATOR = "an operator"
 
 
